--- a/crates/dispatch/src/admission.rs
+++ b/crates/dispatch/src/admission.rs
@@ -44,7 +44,7 @@
     /// Mean run time of its route at usual speed.
     pub work_ms: Millis,
     /// It may wait here until then.
-    pub hold_until: Millis,
+    pub queue_until: Millis,
     /// Its caller is served well if it ends by then.
     pub objective_at: Millis,
     /// The span in which a newcomer of its kind is served well.
@@ -101,7 +101,7 @@
 /// they hold a slot for their own caller. Behind a line of long uploads such a
 /// call misses its deadline, and the work that waits for it is lost as well.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Place {
+pub struct QueuePosition {
     priority: u8,
     is_late: bool,
     work_ms: Millis,
@@ -116,7 +116,7 @@
     knee: Knee,
     contention: Contention,
     /// Calls in line.
-    line: BTreeSet<Place>,
+    line: BTreeSet<QueuePosition>,
     last_number: u64,
     speed: Option<SpeedReading>,
     short_work: ShortWork,
@@ -199,7 +199,7 @@
 
     /// Calls in line.
     #[must_use]
-    pub fn waiting(&self) -> usize {
+    pub fn queued(&self) -> usize {
         self.line.len()
     }
 
@@ -221,15 +221,15 @@
     }
 
     /// The target refused a connection.
-    pub fn note_down(&mut self, now: Millis) {
+    pub fn note_connection_refused(&mut self, now: Millis) {
         self.down_until = now + DOWN_FOR_MS;
     }
 
     /// Puts a call in line.
-    pub fn enlist(&mut self, call: &GateCall, now: Millis) -> Place {
+    pub fn enqueue(&mut self, call: &GateCall, now: Millis) -> QueuePosition {
         self.last_number += 1;
         self.short_work.note(call.work_ms, now);
-        let place = Place {
+        let place = QueuePosition {
             priority: call.priority,
             is_late: now + call.work_ms > call.objective_at,
             work_ms: call.work_ms,
@@ -240,12 +240,12 @@
     }
 
     /// Takes a call out of the line without starting it.
-    pub fn withdraw(&mut self, place: Place) {
+    pub fn dequeue(&mut self, place: QueuePosition) {
         self.line.remove(&place);
     }
 
     /// Takes a call out of the line and counts it as running.
-    pub fn start(&mut self, place: Place) {
+    pub fn start(&mut self, place: QueuePosition) {
         self.line.remove(&place);
         self.in_flight += 1;
     }
@@ -257,7 +257,7 @@
 
     /// Decides about a call in line.
     #[must_use]
-    pub fn decide(&mut self, place: Place, call: &GateCall, now: Millis) -> Verdict {
+    pub fn decide(&mut self, place: QueuePosition, call: &GateCall, now: Millis) -> Verdict {
         if self.leaving {
             return Verdict::Refuse(Refused::Leaving);
         }
@@ -293,10 +293,10 @@
             }
             return Verdict::Start;
         }
-        if now >= call.hold_until {
+        if now >= call.queue_until {
             return Verdict::Refuse(Refused::Slow);
         }
-        Verdict::Wait((speed.read_at + READING_INTERVAL_MS).min(call.hold_until))
+        Verdict::Wait((speed.read_at + READING_INTERVAL_MS).min(call.queue_until))
     }
 
     /// Requests that are run at once: as many as do not slow each other down.
@@ -325,10 +325,10 @@
             work_ms = work_ms.max(place.work_ms.0);
         }
         let wait = Millis(work_ms * u64::from(behind + 1) / u64::from(limit.max(1)));
-        if now + wait > call.hold_until {
+        if now + wait > call.queue_until {
             return Verdict::Refuse(Refused::Busy);
         }
-        Verdict::Wait(call.hold_until)
+        Verdict::Wait(call.queue_until)
     }
 }
 
--- a/crates/dispatch/src/admission/tests.rs
+++ b/crates/dispatch/src/admission/tests.rs
@@ -10,7 +10,7 @@
     GateCall {
         priority: 1,
         work_ms: Millis(100),
-        hold_until: Millis(hold_ms),
+        queue_until: Millis(hold_ms),
         objective_at: Millis(300),
         whole_objective_ms: Millis(300),
         slow_from: Millis(slow_from_ms),
@@ -35,7 +35,7 @@
 fn a_fast_target_with_room_starts_the_call() {
     let mut admission = gate(12);
     let call = call(0, 2_000);
-    let place = admission.enlist(&call, Millis(0));
+    let place = admission.enqueue(&call, Millis(0));
     assert_eq!(
         admission.decide(place, &call, Millis(0)),
         Verdict::ReadSpeed
@@ -51,7 +51,7 @@
 fn no_run_starts_in_a_slow_spell_while_it_can_wait() {
     let mut admission = gate(12);
     let call = call(100, 2_000);
-    let place = admission.enlist(&call, Millis(0));
+    let place = admission.enqueue(&call, Millis(0));
     read(&mut admission, 500, 0);
     let verdict = admission.decide(place, &call, Millis(0));
     assert_eq!(verdict, Verdict::Wait(READING_INTERVAL_MS));
@@ -71,7 +71,7 @@
 fn a_cold_target_is_taken_where_the_objective_is_still_met() {
     let mut admission = gate(12);
     let lookup = call(0, 2_000);
-    let place = admission.enlist(&lookup, Millis(0));
+    let place = admission.enqueue(&lookup, Millis(0));
     read(&mut admission, 200, 0);
     assert_eq!(admission.decide(place, &lookup, Millis(0)), Verdict::Start);
     // At 150 a cold run misses the objective and a usual one would meet it.
@@ -88,7 +88,7 @@
 fn a_call_that_may_not_wait_is_sent_elsewhere_from_a_slow_target() {
     let mut admission = gate(12);
     let call = call(0, 2_000);
-    let place = admission.enlist(&call, Millis(0));
+    let place = admission.enqueue(&call, Millis(0));
     read(&mut admission, 500, 0);
     let verdict = admission.decide(place, &call, Millis(0));
     assert_eq!(verdict, Verdict::Refuse(Refused::Slow));
@@ -98,7 +98,7 @@
 fn late_in_its_time_a_call_takes_a_slow_target_if_it_ends_in_time() {
     let mut admission = gate(12);
     let in_time = call(0, 0);
-    let place = admission.enlist(&in_time, Millis(0));
+    let place = admission.enqueue(&in_time, Millis(0));
     read(&mut admission, 500, 0);
     assert_eq!(admission.decide(place, &in_time, Millis(0)), Verdict::Start);
     let too_late = GateCall {
@@ -116,11 +116,11 @@
     let mut admission = gate(12);
     for _ in 0..40 {
         let call = call(0, 0);
-        let place = admission.enlist(&call, Millis(0));
+        let place = admission.enqueue(&call, Millis(0));
         read(&mut admission, 100, 0);
         match admission.decide(place, &call, Millis(0)) {
             Verdict::Start => admission.start(place),
-            _ => admission.withdraw(place),
+            _ => admission.dequeue(place),
         }
     }
     assert_eq!(admission.in_flight(), 12);
@@ -146,12 +146,12 @@
         ..call(0, 4_000)
     };
     for _ in 0..9 {
-        let place = admission.enlist(&lookup, Millis(2_000));
+        let place = admission.enqueue(&lookup, Millis(2_000));
         let verdict = admission.decide(place, &lookup, Millis(2_000));
         assert_eq!(verdict, Verdict::Start);
         admission.start(place);
     }
-    let tenth = admission.enlist(&lookup, Millis(2_000));
+    let tenth = admission.enqueue(&lookup, Millis(2_000));
     let verdict = admission.decide(tenth, &lookup, Millis(2_000));
     assert_eq!(verdict, Verdict::Refuse(Refused::Busy));
     // Another life of the target may have no knee.
@@ -179,15 +179,15 @@
 fn a_more_urgent_call_goes_first() {
     let mut admission = gate(1);
     read(&mut admission, 100, 0);
-    let runs = admission.enlist(&call(1_000, 2_000), Millis(0));
+    let runs = admission.enqueue(&call(1_000, 2_000), Millis(0));
     admission.start(runs);
     let lookup = call(1_000, 2_000);
     let payment = GateCall {
         priority: 0,
         ..lookup
     };
-    let lookup_place = admission.enlist(&lookup, Millis(0));
-    let payment_place = admission.enlist(&payment, Millis(0));
+    let lookup_place = admission.enqueue(&lookup, Millis(0));
+    let payment_place = admission.enqueue(&payment, Millis(0));
     admission.finish();
     let verdict = admission.decide(lookup_place, &lookup, Millis(0));
     assert!(matches!(verdict, Verdict::Wait(_)), "{verdict:?}");
@@ -202,14 +202,14 @@
     let mut admission = gate(1);
     read(&mut admission, 100, 0);
     let lookup = call(1_000, 2_000);
-    let runs = admission.enlist(&lookup, Millis(0));
+    let runs = admission.enqueue(&lookup, Millis(0));
     admission.start(runs);
     let late = GateCall {
         objective_at: Millis(50),
         ..lookup
     };
-    let late_place = admission.enlist(&late, Millis(0));
-    let place = admission.enlist(&lookup, Millis(0));
+    let late_place = admission.enqueue(&late, Millis(0));
+    let place = admission.enqueue(&lookup, Millis(0));
     admission.finish();
     let verdict = admission.decide(late_place, &late, Millis(0));
     assert!(matches!(verdict, Verdict::Wait(_)), "{verdict:?}");
@@ -222,15 +222,15 @@
 fn short_work_of_the_same_rank_goes_first() {
     let mut admission = gate(1);
     read(&mut admission, 100, 0);
-    let runs = admission.enlist(&call(1_000, 2_000), Millis(0));
+    let runs = admission.enqueue(&call(1_000, 2_000), Millis(0));
     admission.start(runs);
     let upload = call(1_000, 2_000);
     let record = GateCall {
         work_ms: Millis(20),
         ..upload
     };
-    let upload_place = admission.enlist(&upload, Millis(0));
-    let record_place = admission.enlist(&record, Millis(0));
+    let upload_place = admission.enqueue(&upload, Millis(0));
+    let record_place = admission.enqueue(&record, Millis(0));
     admission.finish();
     let verdict = admission.decide(upload_place, &upload, Millis(0));
     assert!(matches!(verdict, Verdict::Wait(_)), "{verdict:?}");
@@ -252,7 +252,7 @@
 
 fn ask_questions(admission: &mut Admission, question: &GateCall, count: usize) {
     for _ in 0..count {
-        let place = admission.enlist(question, Millis(0));
+        let place = admission.enqueue(question, Millis(0));
         let verdict = admission.decide(place, question, Millis(0));
         assert_eq!(verdict, Verdict::Start);
         admission.start(place);
@@ -266,7 +266,7 @@
     let (mut admission, upload, question) = gate_with_uploads_and_questions();
     ask_questions(&mut admission, &question, 1);
     for _ in 0..12 {
-        let place = admission.enlist(&upload, Millis(0));
+        let place = admission.enqueue(&upload, Millis(0));
         assert_eq!(admission.decide(place, &upload, Millis(0)), Verdict::Start);
         admission.start(place);
     }
@@ -282,11 +282,11 @@
     ask_questions(&mut admission, &question, 75);
     // Of twelve slots three are left free.
     for _ in 0..9 {
-        let place = admission.enlist(&upload, Millis(0));
+        let place = admission.enqueue(&upload, Millis(0));
         assert_eq!(admission.decide(place, &upload, Millis(0)), Verdict::Start);
         admission.start(place);
     }
-    let tenth = admission.enlist(&upload, Millis(0));
+    let tenth = admission.enqueue(&upload, Millis(0));
     let verdict = admission.decide(tenth, &upload, Millis(0));
     assert!(matches!(verdict, Verdict::Wait(_)), "{verdict:?}");
     ask_questions(&mut admission, &question, 1);
@@ -301,16 +301,16 @@
 fn a_call_that_would_wait_too_long_learns_it_at_once() {
     let mut admission = gate(1);
     read(&mut admission, 100, 0);
-    let runs = admission.enlist(&call(1_000, 2_000), Millis(0));
+    let runs = admission.enqueue(&call(1_000, 2_000), Millis(0));
     admission.start(runs);
     let waits = call(150, 2_000);
-    let place = admission.enlist(&waits, Millis(0));
+    let place = admission.enqueue(&waits, Millis(0));
     assert!(matches!(
         admission.decide(place, &waits, Millis(0)),
         Verdict::Wait(_)
     ));
     let behind = call(150, 2_000);
-    let place = admission.enlist(&behind, Millis(0));
+    let place = admission.enqueue(&behind, Millis(0));
     let verdict = admission.decide(place, &behind, Millis(0));
     assert_eq!(verdict, Verdict::Refuse(Refused::Busy));
 }
@@ -319,8 +319,8 @@
 fn a_leaving_gate_and_a_dead_target_refuse() {
     let mut admission = gate(2);
     let call = call(1_000, 2_000);
-    let place = admission.enlist(&call, Millis(0));
-    admission.note_down(Millis(0));
+    let place = admission.enqueue(&call, Millis(0));
+    admission.note_connection_refused(Millis(0));
     let verdict = admission.decide(place, &call, Millis(10));
     assert_eq!(verdict, Verdict::Refuse(Refused::Down));
     let verdict = admission.decide(place, &call, DOWN_FOR_MS);
--- a/crates/dispatch/src/admission/tests/overload.rs
+++ b/crates/dispatch/src/admission/tests/overload.rs
@@ -60,10 +60,10 @@
         }
         asking.next_ask = now + ASK_EVERY_MS;
         let call = call_of(asking.first_arrived, now);
-        let place = self.admission.enlist(&call, Millis(now));
+        let place = self.admission.enqueue(&call, Millis(now));
         let verdict = self.admission.decide(place, &call, Millis(now));
         if verdict != Verdict::Start {
-            self.admission.withdraw(place);
+            self.admission.dequeue(place);
             return true;
         }
         self.admission.start(place);
@@ -103,7 +103,7 @@
     GateCall {
         priority: 1,
         work_ms: Millis(RUN_MS),
-        hold_until: Millis(now),
+        queue_until: Millis(now),
         objective_at: Millis(first_arrived + OBJECTIVE_MS),
         whole_objective_ms: Millis(OBJECTIVE_MS),
         slow_from: Millis(now + 1_000),
--- a/crates/dispatch/src/admission/tests/properties.rs
+++ b/crates/dispatch/src/admission/tests/properties.rs
@@ -32,7 +32,7 @@
                 call: GateCall {
                     priority,
                     work_ms: Millis(work_ms),
-                    hold_until: Millis(hold_ms),
+                    queue_until: Millis(hold_ms),
                     objective_at: Millis(deadline_ms / 2),
                     whole_objective_ms: Millis(deadline_ms / 2),
                     slow_from: Millis(deadline_ms * slow_percent / 100),
@@ -44,7 +44,7 @@
 
 fn at(call: &GateCall, now: Millis) -> GateCall {
     GateCall {
-        hold_until: now + call.hold_until,
+        queue_until: now + call.queue_until,
         objective_at: now + call.objective_at,
         slow_from: now + call.slow_from,
         deadline_at: now + call.deadline_at,
@@ -61,7 +61,7 @@
     now: Millis,
     /// How slow the target is in each [`SPELL_MS`], over and over.
     spells: Vec<u32>,
-    line: Vec<(Place, GateCall)>,
+    line: Vec<(QueuePosition, GateCall)>,
     /// When each run ends.
     runs: Vec<Millis>,
     started: usize,
@@ -91,7 +91,7 @@
                         self.started += 1;
                     }
                     Verdict::Refuse(_) => {
-                        self.admission.withdraw(place);
+                        self.admission.dequeue(place);
                         self.refused += 1;
                     }
                     Verdict::ReadSpeed => {
@@ -153,7 +153,7 @@
                 world.tick(slots);
             }
             let call = at(&arrival.call, world.now);
-            let place = world.admission.enlist(&call, world.now);
+            let place = world.admission.enqueue(&call, world.now);
             world.line.push((place, call));
             world.settle(slots);
         }
@@ -161,7 +161,7 @@
             world.tick(slots);
         }
         prop_assert_eq!(world.line.len(), 0, "still in line");
-        prop_assert_eq!(world.admission.waiting(), 0);
+        prop_assert_eq!(world.admission.queued(), 0);
         prop_assert_eq!(world.started + world.refused, arrivals.len());
     }
 }
--- a/crates/dispatch/src/contention/tests.rs
+++ b/crates/dispatch/src/contention/tests.rs
@@ -8,7 +8,7 @@
     GateCall {
         priority: 1,
         work_ms: RUN,
-        hold_until: Millis::ZERO,
+        queue_until: Millis::ZERO,
         objective_at: Millis(objective_at),
         whole_objective_ms: Millis(300),
         slow_from: Millis::MAX,
--- a/crates/dispatch/src/departure.rs
+++ b/crates/dispatch/src/departure.rs
@@ -19,7 +19,7 @@
 /// What the list says of a target, looked up by its id.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, strum::IntoStaticStr)]
 #[strum(serialize_all = "kebab-case")]
-pub enum Standing {
+pub enum ListingState {
     /// It takes work.
     Open,
     /// It said that it leaves.
@@ -59,7 +59,7 @@
     #[must_use]
     pub fn health_is_due(&self, now: Millis) -> bool {
         let asked_at = self.asked_at;
-        asked_at.is_none_or(|at| now.since(at) >= self.waits.own_health_ms())
+        asked_at.is_none_or(|at| now.since(at) >= self.waits.own_health_interval_ms())
     }
 
     /// The target was asked for its health, and this is the last that it said.
@@ -73,12 +73,12 @@
     /// Also while it gets no work: an entry that lapsed comes back, and a target may start
     /// again under its id, without a word of its health until it is asked.
     #[must_use]
-    pub fn take_look_up(&mut self, now: Millis) -> bool {
+    pub fn start_lookup_if_due(&mut self, now: Millis) -> bool {
         if !self.is_unwell && self.left.is_none() {
             return false;
         }
         let known = self.looked_up_at;
-        if known.is_some_and(|at| now.since(at) < self.waits.own_entry_ms()) {
+        if known.is_some_and(|at| now.since(at) < self.waits.own_entry_interval_ms()) {
             return false;
         }
         self.looked_up_at = Some(now);
@@ -86,11 +86,11 @@
     }
 
     /// What the list says of the target; true when that changes whether it gets work.
-    pub fn note_entry(&mut self, id: &TargetId, standing: Standing) -> bool {
+    pub fn note_entry(&mut self, id: &TargetId, standing: ListingState) -> bool {
         let had_left = self.has_left(id);
         self.left = match standing {
-            Standing::Open => None,
-            Standing::Draining | Standing::Unlisted => Some(id.clone()),
+            ListingState::Open => None,
+            ListingState::Draining | ListingState::Unlisted => Some(id.clone()),
         };
         had_left != self.has_left(id)
     }
--- a/crates/dispatch/src/departure/tests.rs
+++ b/crates/dispatch/src/departure/tests.rs
@@ -20,9 +20,9 @@
     let mut look_ups = 0;
     for now in (0..6_000).step_by(10).map(Millis) {
         departure.note_health(true, now);
-        if departure.take_look_up(now) {
+        if departure.start_lookup_if_due(now) {
             look_ups += 1;
-            departure.note_entry(&target(), Standing::Open);
+            departure.note_entry(&target(), ListingState::Open);
         }
         assert!(!departure.has_left(&target()));
     }
@@ -38,12 +38,12 @@
         let mut known_at = None;
         for now in (0..6_000).step_by(10).map(Millis) {
             departure.note_health(true, now);
-            if !departure.take_look_up(now) {
+            if !departure.start_lookup_if_due(now) {
                 continue;
             }
             let standing = match now >= leaves_at {
-                true => Standing::Draining,
-                false => Standing::Open,
+                true => ListingState::Draining,
+                false => ListingState::Open,
             };
             if departure.note_entry(&target(), standing) {
                 known_at.get_or_insert(now);
@@ -61,12 +61,12 @@
 fn a_target_whose_entry_lapsed_is_back_with_it() {
     let mut departure = departure();
     departure.note_health(true, Millis(10));
-    assert!(departure.take_look_up(Millis(10)));
-    assert!(departure.note_entry(&target(), Standing::Unlisted));
+    assert!(departure.start_lookup_if_due(Millis(10)));
+    assert!(departure.note_entry(&target(), ListingState::Unlisted));
     assert!(departure.has_left(&target()));
-    assert!(!departure.take_look_up(Millis(20)));
-    assert!(departure.take_look_up(Millis(2_010)));
-    assert!(departure.note_entry(&target(), Standing::Open));
+    assert!(!departure.start_lookup_if_due(Millis(20)));
+    assert!(departure.start_lookup_if_due(Millis(2_010)));
+    assert!(departure.note_entry(&target(), ListingState::Open));
     assert!(!departure.has_left(&target()));
 }
 
@@ -74,7 +74,7 @@
 #[test]
 fn another_target_gets_work() {
     let mut departure = departure();
-    departure.note_entry(&target(), Standing::Draining);
+    departure.note_entry(&target(), ListingState::Draining);
     assert!(!departure.has_left(&TargetId::new("i-2")));
 }
 
@@ -86,7 +86,7 @@
     departure.note_health(false, Millis(0));
     assert!(!departure.health_is_due(Millis(100)));
     assert!(departure.health_is_due(Millis(300)));
-    assert!(!departure.take_look_up(Millis(300)));
+    assert!(!departure.start_lookup_if_due(Millis(300)));
 }
 
 /// A target said that it leaves, ended, and started again under its id. Nobody asks its
@@ -95,10 +95,10 @@
 fn a_target_that_starts_again_under_its_id_gets_work() {
     let mut departure = departure();
     departure.note_health(true, Millis(10));
-    assert!(departure.take_look_up(Millis(10)));
-    departure.note_entry(&target(), Standing::Draining);
+    assert!(departure.start_lookup_if_due(Millis(10)));
+    departure.note_entry(&target(), ListingState::Draining);
     assert!(departure.has_left(&target()));
-    assert!(departure.take_look_up(Millis(5_000)));
-    assert!(departure.note_entry(&target(), Standing::Open));
+    assert!(departure.start_lookup_if_due(Millis(5_000)));
+    assert!(departure.note_entry(&target(), ListingState::Open));
     assert!(!departure.has_left(&target()));
 }
--- a/crates/dispatch/src/failures.rs
+++ b/crates/dispatch/src/failures.rs
@@ -24,7 +24,7 @@
 /// What is known of the targets that this entry sends to.
 #[derive(Debug, Default)]
 pub struct Failures {
-    by_life: HashMap<Life, Record>,
+    by_life: HashMap<TargetIncarnation, Record>,
 }
 
 #[derive(Clone, Debug)]
@@ -94,24 +94,24 @@
 
     /// Whether its VM was just found unreachable.
     #[must_use]
-    pub fn is_away(&self, target: &Member, now: Millis) -> bool {
+    pub fn is_unreachable(&self, target: &Member, now: Millis) -> bool {
         self.known(target)
             .is_some_and(|record| now < record.away_until)
     }
 
     /// Forgets lives that are no longer listed.
     pub fn retain(&mut self, members: &Members) {
-        self.by_life.retain(|life, _| members.has(life));
+        self.by_life.retain(|life, _| members.contains(life));
     }
 
     /// What is known of this life of the target.
     fn known(&self, target: &Member) -> Option<&Record> {
-        self.by_life.get(&target.life())
+        self.by_life.get(&target.incarnation())
     }
 
     /// The record of this life of the target, begun if there is none.
     fn record(&mut self, target: &Member, now: Millis) -> &mut Record {
-        let entry = self.by_life.entry(target.life());
+        let entry = self.by_life.entry(target.incarnation());
         entry.or_insert_with(|| Record::new(now))
     }
 }
--- a/crates/dispatch/src/failures/tests.rs
+++ b/crates/dispatch/src/failures/tests.rs
@@ -19,7 +19,7 @@
     failures.note_unreachable(&life(1), Millis(30));
     assert!(failures.is_avoided(&life(1), Millis(40)));
     assert!(!failures.is_avoided(&life(2), Millis(40)));
-    assert!(!failures.is_away(&life(2), Millis(40)));
+    assert!(!failures.is_unreachable(&life(2), Millis(40)));
     failures.note_failure(&life(2), Millis(50));
     assert!(!failures.is_avoided(&life(2), Millis(60)));
 }
@@ -50,11 +50,11 @@
 fn a_dark_vm_is_left_alone_for_a_time_that_doubles() {
     let mut failures = Failures::default();
     failures.note_unreachable(&target(), Millis(0));
-    assert!(failures.is_away(&target(), Millis(399)));
-    assert!(!failures.is_away(&target(), Millis(400)));
+    assert!(failures.is_unreachable(&target(), Millis(399)));
+    assert!(!failures.is_unreachable(&target(), Millis(400)));
     failures.note_unreachable(&target(), Millis(400));
-    assert!(failures.is_away(&target(), Millis(1_199)));
+    assert!(failures.is_unreachable(&target(), Millis(1_199)));
     failures.note_success(&target(), Millis(1_300));
     failures.note_unreachable(&target(), Millis(2_000));
-    assert!(!failures.is_away(&target(), Millis(2_400)));
+    assert!(!failures.is_unreachable(&target(), Millis(2_400)));
 }
--- a/crates/dispatch/src/members.rs
+++ b/crates/dispatch/src/members.rs
@@ -67,16 +67,16 @@
     /// Unix time of its start, where targets tell it. A target may start again under
     /// its id; another time is another life, and nothing learnt of the earlier one
     /// holds.
-    pub born_ms: Option<Millis>,
+    pub started_at_ms: Option<Millis>,
 }
 
 impl Member {
     /// This life of the target; whatever is learnt of it ends with it.
     #[must_use]
-    pub fn life(&self) -> Life {
-        Life {
+    pub fn incarnation(&self) -> TargetIncarnation {
+        TargetIncarnation {
             id: self.id.clone(),
-            born_ms: self.born_ms,
+            started_at_ms: self.started_at_ms,
         }
     }
 
@@ -90,11 +90,11 @@
 /// One life of a target. A target may start again under its id, and is told from the
 /// earlier one by the time of its start.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Life {
+pub struct TargetIncarnation {
     /// The target.
     pub id: TargetId,
     /// Unix time of its start, where targets tell it.
-    pub born_ms: Option<Millis>,
+    pub started_at_ms: Option<Millis>,
 }
 
 /// Targets by service, as traffic reads them.
@@ -110,7 +110,7 @@
 impl Members {
     /// Targets of a service that take new work, in the order of their ids.
     #[must_use]
-    pub fn open(&self, service: &ServiceName) -> &[Arc<Member>] {
+    pub fn available(&self, service: &ServiceName) -> &[Arc<Member>] {
         self.by_service.get(service).map_or(&[], Vec::as_slice)
     }
 
@@ -122,14 +122,14 @@
 
     /// Whether this life of a target is listed.
     #[must_use]
-    pub fn has(&self, life: &Life) -> bool {
+    pub fn contains(&self, life: &TargetIncarnation) -> bool {
         let listed = self.by_id.get(&life.id);
-        listed.is_some_and(|member| member.born_ms == life.born_ms)
+        listed.is_some_and(|member| member.started_at_ms == life.started_at_ms)
     }
 
     /// The newest listed target at an address.
     #[must_use]
-    pub fn at(&self, address: SocketAddr) -> Option<&Arc<Member>> {
+    pub fn at_address(&self, address: SocketAddr) -> Option<&Arc<Member>> {
         self.by_address.get(&address)
     }
 
@@ -262,7 +262,7 @@
     }
 
     /// The store could not be read just now.
-    pub fn note_trouble(&mut self, now: Millis) {
+    pub fn note_store_failure(&mut self, now: Millis) {
         self.troubled_at = Some(now);
     }
 
@@ -273,7 +273,7 @@
     /// removed. A node that reaches the store, or hears one that does, must send
     /// them nothing soon after, whoever else is in trouble; held for as long as a
     /// lapsed entry takes to come back, they would still get work.
-    pub fn note_distant_trouble(&mut self, grace_ms: Millis, now: Millis) {
+    pub fn note_remote_store_failure(&mut self, grace_ms: Millis, now: Millis) {
         self.distant_trouble = Some(DistantTrouble { at: now, grace_ms });
     }
 
--- a/crates/dispatch/src/members/tests.rs
+++ b/crates/dispatch/src/members/tests.rs
@@ -13,14 +13,14 @@
         slots: 12,
         draining: false,
         listed_at: 1,
-        born_ms: None,
+        started_at_ms: None,
     }
 }
 
 /// The target `i-1` in the life that began at this time.
-pub(crate) fn life(born_ms: u64) -> Member {
+pub(crate) fn life(started_at_ms: u64) -> Member {
     Member {
-        born_ms: Some(Millis(born_ms)),
+        started_at_ms: Some(Millis(started_at_ms)),
         ..member("i-1", "10.0.0.1:80")
     }
 }
@@ -38,7 +38,7 @@
 
 fn open_ids(tracker: &MemberTracker) -> Vec<String> {
     let members = tracker.snapshot();
-    let open = members.open(&ServiceName::new("cashier"));
+    let open = members.available(&ServiceName::new("cashier"));
     open.iter().map(|member| member.id.to_string()).collect()
 }
 
@@ -71,7 +71,7 @@
     let mut tracker = MemberTracker::default();
     tracker.upsert(member("i-1", "10.0.0.1:80"));
     tracker.upsert(member("i-2", "10.0.0.2:80"));
-    tracker.note_trouble(Millis(5_000));
+    tracker.note_store_failure(Millis(5_000));
     replace(
         &mut tracker,
         vec![member("i-1", "10.0.0.1:80")],
@@ -87,7 +87,7 @@
 fn an_entry_that_comes_back_stays() {
     let mut tracker = MemberTracker::default();
     tracker.upsert(member("i-1", "10.0.0.1:80"));
-    tracker.note_trouble(Millis(5_000));
+    tracker.note_store_failure(Millis(5_000));
     tracker.remove(&TargetId::new("i-1"), Millis(5_100));
     tracker.upsert(member("i-1", "10.0.0.1:80"));
     assert!(!tracker.expire(Millis(60_000)));
@@ -114,7 +114,7 @@
     let mut leaving = member("i-1", "10.0.0.1:80");
     leaving.draining = true;
     tracker.upsert(leaving);
-    tracker.note_trouble(Millis(100));
+    tracker.note_store_failure(Millis(100));
     tracker.remove(&TargetId::new("i-1"), Millis(200));
     assert!(tracker.snapshot().is_empty());
 }
@@ -141,10 +141,10 @@
         ..member("x-2", "10.9.9.9:80")
     });
     let members = tracker.snapshot_for(&routes);
-    let open = members.open(&ServiceName::new("cashier"));
+    let open = members.available(&ServiceName::new("cashier"));
     assert_eq!(open.len(), 1);
     assert_eq!(open[0].id.as_str(), "i-1");
-    let own = members.at("10.0.0.1:80".parse().expect("an address"));
+    let own = members.at_address("10.0.0.1:80".parse().expect("an address"));
     assert_eq!(own.map(|member| member.id.as_str()), Some("i-1"));
     assert_eq!(members.vms().len(), 1);
 }
@@ -157,14 +157,14 @@
 fn a_removal_while_another_node_is_in_trouble_is_held_for_less() {
     let mut tracker = MemberTracker::default();
     tracker.upsert(member("i-1", "10.0.0.1:80"));
-    tracker.note_distant_trouble(Millis(900), Millis(5_000));
+    tracker.note_remote_store_failure(Millis(900), Millis(5_000));
     tracker.remove(&TargetId::new("i-1"), Millis(5_100));
     assert!(!tracker.expire(Millis(5_999)));
     assert!(tracker.expire(Millis(6_000)));
     // Its own trouble leaves it the whole time.
     tracker.upsert(member("i-1", "10.0.0.1:80"));
-    tracker.note_trouble(Millis(7_000));
-    tracker.note_distant_trouble(Millis(900), Millis(7_050));
+    tracker.note_store_failure(Millis(7_000));
+    tracker.note_remote_store_failure(Millis(900), Millis(7_050));
     tracker.remove(&TargetId::new("i-1"), Millis(7_100));
     assert!(!tracker.expire(Millis(9_099)));
     assert!(tracker.expire(Millis(9_100)));
@@ -181,7 +181,7 @@
     }
     let difference = tracker.difference(listed.to_vec());
     assert_eq!(difference, Difference::default());
-    tracker.note_trouble(Millis(5_000));
+    tracker.note_store_failure(Millis(5_000));
     tracker.remove(&TargetId::new("i-2"), Millis(5_100));
     let difference = tracker.difference(listed.to_vec());
     assert_eq!(difference.written, listed[1..]);
--- a/crates/dispatch/src/members/tests/properties.rs
+++ b/crates/dispatch/src/members/tests/properties.rs
@@ -54,7 +54,7 @@
             let listed = numbers.iter().map(|number| life(*number)).collect();
             replace(tracker, listed, *now);
         }
-        News::Trouble => tracker.note_trouble(*now),
+        News::Trouble => tracker.note_store_failure(*now),
         News::Later(span_ms) => {
             *now = *now + Millis(*span_ms);
             tracker.expire(*now);
@@ -73,7 +73,7 @@
             follow(&mut tracker, &mut now, news);
             let members = tracker.snapshot();
             let mut addresses = BTreeSet::new();
-            for open in members.open(&ServiceName::new("cashier")) {
+            for open in members.available(&ServiceName::new("cashier")) {
                 prop_assert!(!open.draining);
                 prop_assert!(addresses.insert(open.address), "two lives at {}", open.address);
                 prop_assert!(!members.has_left(&open.id));
--- a/crates/dispatch/src/order.rs
+++ b/crates/dispatch/src/order.rs
@@ -30,7 +30,7 @@
 #[derive(Debug)]
 pub struct View<'a> {
     /// The targets of the service that take work.
-    pub open: &'a [Arc<Member>],
+    pub available: &'a [Arc<Member>],
     /// The entry's own data centre.
     pub data_centre: &'a DataCentre,
     /// What is held against targets.
@@ -47,9 +47,9 @@
 /// Targets whose VM is away are left out while any other remains: asking them
 /// costs a connect timeout.
 pub fn candidates(view: &View<'_>, rng: &mut impl rand::Rng) -> Vec<Candidate> {
-    let mut found = Vec::with_capacity(view.open.len());
+    let mut found = Vec::with_capacity(view.available.len());
     let mut away = Vec::new();
-    for member in view.open {
+    for member in view.available {
         if view.tried.contains(&member.id) {
             continue;
         }
@@ -58,7 +58,7 @@
             is_avoided: view.failures.is_avoided(member, view.now),
             member: Arc::clone(member),
         };
-        if view.failures.is_away(member, view.now) {
+        if view.failures.is_unreachable(member, view.now) {
             away.push(candidate);
             continue;
         }
--- a/crates/dispatch/src/order/tests.rs
+++ b/crates/dispatch/src/order/tests.rs
@@ -16,17 +16,17 @@
             slots: 12,
             draining: false,
             listed_at: 1,
-            born_ms: None,
+            started_at_ms: None,
         }));
     }
     members
 }
 
 fn orders(failures: &Failures, tried: &[TargetId]) -> Vec<Vec<Candidate>> {
-    let open = members();
+    let available = members();
     let data_centre = DataCentre::new("near");
     let view = View {
-        open: &open,
+        available: &available,
         data_centre: &data_centre,
         failures,
         tried,
--- a/crates/dispatch/src/patience.rs
+++ b/crates/dispatch/src/patience.rs
@@ -35,7 +35,7 @@
 
 /// The points in time that steer one call, in the entry's clock.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Patience {
+pub struct WaitPlan {
     /// Until then a near target in a slow spell is waited for before far ones
     /// are asked.
     pub near_until: Millis,
@@ -55,7 +55,7 @@
     pub last_start: Millis,
 }
 
-impl Patience {
+impl WaitPlan {
     /// Plans a call that arrived at `arrived` and must end by `deadline_at`.
     #[must_use]
     pub fn plan(
--- a/crates/dispatch/src/patience/tests.rs
+++ b/crates/dispatch/src/patience/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 use crate::routes::tests::route;
 
-fn plan(request_bytes: usize, deadline_ms: u64) -> Patience {
+fn plan(request_bytes: usize, deadline_ms: u64) -> WaitPlan {
     let route = route("r", "/", &[("s", 1)]);
     let work = WorkEstimate {
         run_ms: 90.0,
@@ -11,7 +11,7 @@
         samples: 20,
     };
     let arrived = Millis(1_000);
-    Patience::plan(
+    WaitPlan::plan(
         &route,
         &work,
         request_bytes,
@@ -53,7 +53,7 @@
         answer_bytes: 500.0,
         samples: 20,
     };
-    let plan = Patience::plan(&route, &work, 0, Millis(1_000), Millis(1_250));
+    let plan = WaitPlan::plan(&route, &work, 0, Millis(1_000), Millis(1_250));
     assert_eq!(plan.busy_until, Millis(1_175));
 }
 
@@ -68,6 +68,6 @@
         answer_bytes: 2_000.0,
         samples: 0,
     };
-    let plan = Patience::plan(&route, &work, 0, Millis(1_000), Millis(2_200));
+    let plan = WaitPlan::plan(&route, &work, 0, Millis(1_000), Millis(2_200));
     assert_eq!(plan.busy_until, Millis(1_154));
 }
--- a/crates/dispatch/src/reach.rs
+++ b/crates/dispatch/src/reach.rs
@@ -22,12 +22,12 @@
 /// wherever the target needs another. A node that knows it is cut off says that
 /// it is not ready, so that callers are sent to nodes that can serve them.
 #[derive(Debug, Default)]
-pub struct Reach {
+pub struct Reachability {
     unreachable: BTreeSet<IpAddr>,
     reached_at: Millis,
 }
 
-impl Reach {
+impl Reachability {
     /// Another VM answered.
     pub fn note_reached(&mut self, now: Millis) {
         self.unreachable.clear();
@@ -41,7 +41,7 @@
 
     /// Whether the node is cut off. `others` VMs are listed beside its own.
     #[must_use]
-    pub fn is_cut_off(&self, others: usize, now: Millis) -> bool {
+    pub fn is_partitioned(&self, others: usize, now: Millis) -> bool {
         let enough = VMS_TO_DOUBT.min(others).max(1);
         self.unreachable.len() >= enough && now.since(self.reached_at) >= SILENCE_MS
     }
--- a/crates/dispatch/src/readers.rs
+++ b/crates/dispatch/src/readers.rs
@@ -51,7 +51,7 @@
     /// It reads and tells others; it hears these other readers too.
     Reader {
         /// Other readers, the one that leads it among them.
-        heard: Vec<IpAddr>,
+        readers: Vec<IpAddr>,
         /// A reserve that it hears as well.
         reserve: Option<IpAddr>,
         /// It asks the platform again and again, whether anything changes or not, and
@@ -62,7 +62,7 @@
     /// It hears these readers.
     Follower {
         /// The readers.
-        heard: Vec<IpAddr>,
+        readers: Vec<IpAddr>,
         /// It asks the platform while all of these are in trouble, and readers hear it.
         is_reserve: bool,
     },
@@ -72,7 +72,7 @@
     /// The nodes to subscribe to.
     #[must_use]
     pub fn subscriptions(&self) -> Vec<IpAddr> {
-        let mut wanted = self.heard().to_vec();
+        let mut wanted = self.readers().to_vec();
         if let Self::Reader { reserve, .. } = self {
             wanted.extend(reserve);
         }
@@ -81,10 +81,10 @@
 
     /// The readers that this node hears.
     #[must_use]
-    pub fn heard(&self) -> &[IpAddr] {
+    pub fn readers(&self) -> &[IpAddr] {
         match self {
             Self::Alone => &[],
-            Self::Reader { heard, .. } | Self::Follower { heard, .. } => heard,
+            Self::Reader { readers, .. } | Self::Follower { readers, .. } => readers,
         }
     }
 
@@ -96,7 +96,7 @@
 
     /// Whether others hear this node.
     #[must_use]
-    pub const fn is_heard(&self) -> bool {
+    pub const fn accepts_subscribers(&self) -> bool {
         matches!(self, Self::Reader { .. }) || self.is_reserve()
     }
 
@@ -147,7 +147,7 @@
     let Ranked { readers, reserves } = rank(group);
     if !readers.contains(&own) {
         return Role::Follower {
-            heard: nearest(readers, own, beside),
+            readers: nearest(readers, own, beside),
             is_reserve: reserves.contains(&own),
         };
     }
@@ -159,14 +159,14 @@
     }
     let leader = leader_of(&readers, own);
     others.retain(|reader| *reader != own && *reader != leader);
-    let mut heard = nearest(others, own, &BTreeSet::new());
+    let mut readers = nearest(others, own, &BTreeSet::new());
     let leads = leader == own;
     if !leads {
-        heard.insert(0, leader);
-        heard.truncate(SUBSCRIPTIONS);
+        readers.insert(0, leader);
+        readers.truncate(SUBSCRIPTIONS);
     }
     Role::Reader {
-        heard,
+        readers,
         reserve: nearest(reserves, own, &BTreeSet::new()).first().copied(),
         leads,
     }
--- a/crates/dispatch/src/readers/tests.rs
+++ b/crates/dispatch/src/readers/tests.rs
@@ -45,7 +45,7 @@
         slots: 8,
         draining: false,
         listed_at: 1,
-        born_ms: None,
+        started_at_ms: None,
     }
 }
 
@@ -76,7 +76,7 @@
     let members = fleet(&[30]).snapshot();
     let role = role_of(&members, vm(0, 99));
     assert!(role.is_follower(), "{role:?}");
-    assert_eq!(role.heard().len(), SUBSCRIPTIONS);
+    assert_eq!(role.readers().len(), SUBSCRIPTIONS);
 }
 
 #[test]
@@ -107,14 +107,14 @@
     let roles = roles(&[70, 70, 66]);
     let is_reader = |vm: &IpAddr| roles.get(vm).is_some_and(Role::is_reader);
     for (own, role) in &roles {
-        let heard = role.heard();
+        let heard = role.readers();
         assert_eq!(heard.len(), SUBSCRIPTIONS, "{own}");
         assert!(heard.iter().all(is_reader), "{own} hears {heard:?}");
         assert!(!heard.contains(own));
     }
     let crosses = |own: &IpAddr, role: &Role| {
         let IpAddr::V4(own) = own else { return false };
-        let others = role.heard().iter().filter_map(|vm| match vm {
+        let others = role.readers().iter().filter_map(|vm| match vm {
             IpAddr::V4(vm) => Some(vm.octets()[1]),
             IpAddr::V6(_) => None,
         });
@@ -149,11 +149,11 @@
         }
         assert_eq!(leaders.len(), expected, "{sizes:?}");
         for role in roles.values().filter(|role| role.is_led()) {
-            let heard = role.heard();
+            let heard = role.readers();
             assert!(heard.iter().any(|vm| leaders.contains(vm)), "{role:?}");
         }
         for leader in leaders {
-            let is_led_by = |role: &&Role| role.is_led() && role.heard().first() == Some(&leader);
+            let is_led_by = |role: &&Role| role.is_led() && role.readers().first() == Some(&leader);
             let led = roles.values().filter(is_led_by).count();
             assert!(led < READERS_A_LEADER, "{leader} leads {led} of {sizes:?}");
         }
@@ -192,7 +192,7 @@
     for (own, role) in roles.iter().filter(|(_, role)| role.is_follower()) {
         let is_near = |vm: &IpAddr| data_centre(vm) == data_centre(own);
         let near = readers.iter().filter(|vm| is_near(vm)).count();
-        let heard = role.heard().iter().filter(|vm| is_near(vm)).count();
+        let heard = role.readers().iter().filter(|vm| is_near(vm)).count();
         assert_eq!(heard, near.min(SUBSCRIPTIONS), "{own}");
     }
 }
@@ -207,14 +207,16 @@
         .into_iter()
         .find(|own| role_of(&members, *own).is_reader());
     let reader = reader.expect("there are readers");
-    let leaving = members.at((reader, 80).into()).expect("it is listed");
+    let leaving = members
+        .at_address((reader, 80).into())
+        .expect("it is listed");
     let mut leaving = (**leaving).clone();
     leaving.draining = true;
     tracker.upsert(leaving);
     let members = tracker.snapshot();
     assert!(role_of(&members, reader).is_follower());
     for own in members.vms() {
-        assert!(!role_of(&members, own).heard().contains(&reader));
+        assert!(!role_of(&members, own).readers().contains(&reader));
     }
 }
 
@@ -225,7 +227,7 @@
     let roles = roles(&[889]);
     let mut subscribers: BTreeMap<IpAddr, usize> = BTreeMap::new();
     for role in roles.values() {
-        for reader in role.heard() {
+        for reader in role.readers() {
             *subscribers.entry(*reader).or_default() += 1;
         }
     }
@@ -240,7 +242,7 @@
     fn nodes_agree_and_a_loss_moves_few(sizes in proptest::collection::vec(0usize..90, 1..5)) {
         let before = roles(&sizes);
         for role in before.values() {
-            for heard in role.heard() {
+            for heard in role.readers() {
                 prop_assert!(before.get(heard).is_some_and(Role::is_reader));
             }
         }
@@ -254,13 +256,13 @@
         }
         let lost = vm(0, 0);
         for (own, role_before) in &before {
-            let heard_it = role_before.heard().contains(&lost);
+            let heard_it = role_before.readers().contains(&lost);
             let now = role_of(&members, *own);
             if *own == lost || heard_it || now.is_reader() != role_before.is_reader() {
                 continue;
             }
-            let kept = now.heard().iter().filter(|vm| role_before.heard().contains(vm));
-            prop_assert!(kept.count() + 1 >= now.heard().len());
+            let kept = now.readers().iter().filter(|vm| role_before.readers().contains(vm));
+            prop_assert!(kept.count() + 1 >= now.readers().len());
         }
     }
 }
--- a/crates/dispatch/src/refusals.rs
+++ b/crates/dispatch/src/refusals.rs
@@ -25,30 +25,30 @@
 /// When gates refused last, by the life of their target; a call that was taken ends it.
 #[derive(Debug, Default)]
 pub struct Refusals {
-    refused_at: HashMap<Life, Millis>,
+    refused_at: HashMap<TargetIncarnation, Millis>,
 }
 
 impl Refusals {
     /// The gate had no room for a call, or its target was slow.
     pub fn note_refused(&mut self, target: &Member, now: Millis) {
-        self.refused_at.insert(target.life(), now);
+        self.refused_at.insert(target.incarnation(), now);
     }
 
     /// The gate took a call.
-    pub fn note_taken(&mut self, target: &Member) {
-        self.refused_at.remove(&target.life());
+    pub fn note_accepted(&mut self, target: &Member) {
+        self.refused_at.remove(&target.incarnation());
     }
 
     /// Whether the gate is likely to refuse, so that it is better asked with few
     /// bytes.
     #[must_use]
-    pub fn is_likely(&self, target: &Member, now: Millis) -> bool {
-        let refused_at = self.refused_at.get(&target.life());
+    pub fn is_refusal_likely(&self, target: &Member, now: Millis) -> bool {
+        let refused_at = self.refused_at.get(&target.incarnation());
         refused_at.is_some_and(|at| now.since(*at) < LIKELY_MS)
     }
 
     /// Forgets lives that are no longer listed.
     pub fn retain(&mut self, members: &Members) {
-        self.refused_at.retain(|life, _| members.has(life));
+        self.refused_at.retain(|life, _| members.contains(life));
     }
 }
--- a/crates/dispatch/src/refusals/tests.rs
+++ b/crates/dispatch/src/refusals/tests.rs
@@ -8,13 +8,13 @@
 #[test]
 fn a_refusal_is_likely_to_come_again_for_a_while() {
     let mut refusals = Refusals::default();
-    assert!(!refusals.is_likely(&life(1), Millis(0)));
+    assert!(!refusals.is_refusal_likely(&life(1), Millis(0)));
     refusals.note_refused(&life(1), Millis(100));
-    assert!(refusals.is_likely(&life(1), Millis(599)));
-    assert!(!refusals.is_likely(&life(1), Millis(600)));
+    assert!(refusals.is_refusal_likely(&life(1), Millis(599)));
+    assert!(!refusals.is_refusal_likely(&life(1), Millis(600)));
     refusals.note_refused(&life(1), Millis(700));
-    refusals.note_taken(&life(1));
-    assert!(!refusals.is_likely(&life(1), Millis(701)));
+    refusals.note_accepted(&life(1));
+    assert!(!refusals.is_refusal_likely(&life(1), Millis(701)));
 }
 
 /// A target that refused starts again under its id. What it refused says nothing of
@@ -23,5 +23,5 @@
 fn a_refusal_of_an_earlier_life_says_nothing() {
     let mut refusals = Refusals::default();
     refusals.note_refused(&life(1), Millis(100));
-    assert!(!refusals.is_likely(&life(2), Millis(101)));
+    assert!(!refusals.is_refusal_likely(&life(2), Millis(101)));
 }
--- a/crates/dispatch/src/retry_budget.rs
+++ b/crates/dispatch/src/retry_budget.rs
@@ -50,7 +50,7 @@
     }
 
     /// Counts a first attempt.
-    pub fn count_first(&mut self, limit: &RetryLimit, entries: usize) {
+    pub fn count_first_attempt(&mut self, limit: &RetryLimit, entries: usize) {
         let cap = slack_part(limit, entries).max(1.0) + 1.0;
         self.tokens = (self.tokens + limit.ratio * USED_SHARE).min(cap.max(self.tokens));
     }
@@ -80,7 +80,7 @@
     }
 
     /// Gives back a token that led to no arrival.
-    pub fn give_back(&mut self) {
+    pub fn refund(&mut self) {
         self.tokens += 1.0;
     }
 
--- a/crates/dispatch/src/retry_budget/tests.rs
+++ b/crates/dispatch/src/retry_budget/tests.rs
@@ -32,7 +32,7 @@
             let due = requests_per_window * (step + 1) / 10;
             while sent < due {
                 let budget = &mut budgets[sent as usize % entries];
-                budget.count_first(&LIMIT, entries);
+                budget.count_first_attempt(&LIMIT, entries);
                 sent += 1;
             }
             for budget in &mut budgets {
@@ -77,7 +77,7 @@
             let mut runs_at = vec![0_u64; entries];
             while sent < due {
                 let at = sent as usize % entries;
-                outer[at].count_first(&LIMIT, entries);
+                outer[at].count_first_attempt(&LIMIT, entries);
                 runs_at[at] += 1;
                 sent += 1;
             }
@@ -89,7 +89,7 @@
                 for run in 0..runs_at[at] + repeats {
                     let repeated_percent = if run < repeats { 100 } else { 0 };
                     for _ in 0..calls_a_run {
-                        inner[at].count_first(&LIMIT, entries);
+                        inner[at].count_first_attempt(&LIMIT, entries);
                         inner[at].count_repeated(&LIMIT, entries, repeated_percent);
                         asked[step] += 1;
                         if repeated_percent > 0 {
@@ -116,6 +116,6 @@
     let mut budget = RetryBudget::new(&LIMIT, 19, Millis(0));
     assert!(budget.try_take(&LIMIT, 19, Millis(0)));
     assert!(!budget.try_take(&LIMIT, 19, Millis(0)));
-    budget.give_back();
+    budget.refund();
     assert!(budget.try_take(&LIMIT, 19, Millis(0)));
 }
--- a/crates/dispatch/src/returning.rs
+++ b/crates/dispatch/src/returning.rs
@@ -29,11 +29,11 @@
 /// refused, and comes back late in turn. So it is recognised: it asks for the same
 /// again and must have it by the same moment.
 #[derive(Debug, Default)]
-pub struct Returning {
+pub struct ReturningCallers {
     by_fingerprint: HashMap<u64, Refused>,
 }
 
-impl Returning {
+impl ReturningCallers {
     /// When the caller of this request first asked, which is now for a newcomer.
     pub fn first_arrived(&self, fingerprint: u64, deadline_at: Millis, arrived: Millis) -> Millis {
         let Some(refused) = self.by_fingerprint.get(&fingerprint) else {
--- a/crates/dispatch/src/returning/tests.rs
+++ b/crates/dispatch/src/returning/tests.rs
@@ -4,8 +4,8 @@
 
 const LOOKUP: u64 = 7;
 
-fn refused_at_zero() -> Returning {
-    let mut returning = Returning::default();
+fn refused_at_zero() -> ReturningCallers {
+    let mut returning = ReturningCallers::default();
     returning.note_refused(LOOKUP, Millis(1_200), Millis(0));
     returning
 }
@@ -37,7 +37,7 @@
 /// takes a bounded amount of memory.
 #[test]
 fn what_is_remembered_is_bounded_and_expires() {
-    let mut returning = Returning::default();
+    let mut returning = ReturningCallers::default();
     for number in 0..2 * MOST_REMEMBERED as u64 {
         returning.note_refused(number, Millis(1_000), Millis(0));
     }
--- a/crates/dispatch/src/waits.rs
+++ b/crates/dispatch/src/waits.rs
@@ -74,70 +74,70 @@
     /// source look alike until the watch is over, and all that is published after the
     /// source's return is unknown for as long.
     #[must_use]
-    pub const fn renewal_ms(&self) -> Millis {
+    pub const fn refresh_interval_ms(&self) -> Millis {
         self.share(RENEWAL)
     }
 
     /// A reader that relies on another's asking asks for itself when what it knows is this
     /// old.
     #[must_use]
-    pub const fn oldest_led_ms(&self) -> Millis {
+    pub const fn led_reader_max_age_ms(&self) -> Millis {
         self.share(OLDEST_LED)
     }
 
     /// An answer that is due and does not begin, or does not go on, within this is lost.
     #[must_use]
-    pub const fn silence_ms(&self) -> Millis {
+    pub const fn idle_timeout_ms(&self) -> Millis {
         self.share(SILENCE)
     }
 
     /// Pause after the first failed read; doubled with each further one.
     #[must_use]
-    pub const fn first_pause_ms(&self) -> Millis {
+    pub const fn initial_backoff_ms(&self) -> Millis {
         self.share(FIRST_PAUSE)
     }
 
     /// Longest pause after a failed read.
     #[must_use]
-    pub const fn longest_pause_ms(&self) -> Millis {
+    pub const fn max_backoff_ms(&self) -> Millis {
         self.share(LONGEST_PAUSE)
     }
 
     /// The same for a node that others tell. Longer, since these are many, and all fail
     /// together while the source is away.
     #[must_use]
-    pub const fn followers_pause_ms(&self) -> Millis {
+    pub const fn follower_max_backoff_ms(&self) -> Millis {
         self.share(FOLLOWERS_PAUSE)
     }
 
     /// A reserve reads for itself when what it knows is this old.
     #[must_use]
-    pub const fn oldest_reserve_ms(&self) -> Millis {
+    pub const fn reserve_max_age_ms(&self) -> Millis {
         self.share(OLDEST_RESERVE)
     }
 
     /// Any other node that is told reads for itself when what it knows is this old.
     #[must_use]
-    pub const fn oldest_told_ms(&self) -> Millis {
+    pub const fn follower_max_age_ms(&self) -> Millis {
         self.share(OLDEST_TOLD)
     }
 
     /// A node that has just started serves on a stale listing for so long at most, and
     /// then reads for itself.
     #[must_use]
-    pub const fn longest_stale_ms(&self) -> Millis {
+    pub const fn startup_max_stale_ms(&self) -> Millis {
         self.share(LONGEST_STALE)
     }
 
     /// The same while its listings hold no configuration, so that it acts on nothing.
     #[must_use]
-    pub const fn longest_idle_ms(&self) -> Millis {
+    pub const fn unconfigured_max_stale_ms(&self) -> Millis {
         self.share(WHOLE)
     }
 
     /// A node whose readers and their reserves all fail leaves asking to them for so long.
     #[must_use]
-    pub const fn longest_outage_ms(&self) -> Millis {
+    pub const fn max_outage_ms(&self) -> Millis {
         self.share(LONGEST_OUTAGE)
     }
 
@@ -145,38 +145,38 @@
     /// read failed reads again before it ends, so that one failed call of a reader does
     /// not make a call of each of its subscribers.
     #[must_use]
-    pub const fn lost_readers_pause_ms(&self) -> Millis {
+    pub const fn lost_readers_delay_ms(&self) -> Millis {
         self.share(LOST_READERS_PAUSE)
     }
 
     /// A reader tells its subscribers at least this often.
     #[must_use]
-    pub const fn tell_again_ms(&self) -> Millis {
+    pub const fn publish_interval_ms(&self) -> Millis {
         self.share(TELL_AGAIN)
     }
 
     /// A reader that is not heard for so long is lost. It tells three times meanwhile, so
     /// this bears a lost packet, which is sent again.
     #[must_use]
-    pub const fn reader_silence_ms(&self) -> Millis {
+    pub const fn reader_timeout_ms(&self) -> Millis {
         self.share(READER_SILENCE)
     }
 
     /// How long a removal is held that a reader tells while it is in trouble.
     #[must_use]
-    pub const fn hearsay_hold_ms(&self) -> Millis {
+    pub const fn relayed_removal_hold_ms(&self) -> Millis {
         self.share(HEARSAY_HOLD)
     }
 
     /// A gate asks its target's health at least this often while it starts calls.
     #[must_use]
-    pub const fn own_health_ms(&self) -> Millis {
+    pub const fn own_health_interval_ms(&self) -> Millis {
         self.share(OWN_HEALTH)
     }
 
     /// A gate looks its target's entry up this often while the target is not well.
     #[must_use]
-    pub const fn own_entry_ms(&self) -> Millis {
+    pub const fn own_entry_interval_ms(&self) -> Millis {
         self.share(OWN_ENTRY)
     }
 
--- a/crates/dispatch/src/work.rs
+++ b/crates/dispatch/src/work.rs
@@ -36,11 +36,11 @@
 
 /// Learnt costs by route name.
 #[derive(Debug, Default)]
-pub struct WorkBook {
+pub struct WorkEstimates {
     by_route: HashMap<String, WorkEstimate>,
 }
 
-impl WorkBook {
+impl WorkEstimates {
     /// The present estimate for a route.
     #[must_use]
     pub fn estimate(&self, route: &Route) -> WorkEstimate {
--- a/crates/dispatch/src/work/tests.rs
+++ b/crates/dispatch/src/work/tests.rs
@@ -6,7 +6,7 @@
 #[test]
 fn runs_are_learnt_at_usual_speed() {
     let route = route("r", "/", &[("s", 1)]);
-    let mut book = WorkBook::default();
+    let mut book = WorkEstimates::default();
     assert_eq!(book.estimate(&route).run_at(100), Millis(90));
     for _ in 0..200 {
         book.learn(&route, Millis(250), 500, 5_000);
--- a/crates/edge/src/directory.rs
+++ b/crates/edge/src/directory.rs
@@ -225,13 +225,13 @@
 
     /// The source could not be read.
     pub fn note_trouble(&mut self) {
-        self.tracker.note_trouble(self.clock.now());
+        self.tracker.note_store_failure(self.clock.now());
     }
 
     /// A reader that this node hears could not read the source.
     pub fn note_distant_trouble(&mut self, grace_ms: Millis) {
         self.tracker
-            .note_distant_trouble(grace_ms, self.clock.now());
+            .note_remote_store_failure(grace_ms, self.clock.now());
     }
 
     /// Drops entries that stayed missing, and says when to look again.
--- a/crates/edge/src/entry.rs
+++ b/crates/edge/src/entry.rs
@@ -184,7 +184,10 @@
     #[must_use]
     pub fn is_cut_off(&self) -> bool {
         let others = self.other_vms().len();
-        self.state.lock().reach.is_cut_off(others, self.clock.now())
+        self.state
+            .lock()
+            .reach
+            .is_partitioned(others, self.clock.now())
     }
 
     /// Asks another VM whether it is there, while this node seems cut off: its
--- a/crates/edge/src/entry/call.rs
+++ b/crates/edge/src/entry/call.rs
@@ -8,7 +8,7 @@
 
 use bytes::Bytes;
 use hornbeamhitch_dispatch::order::Candidate;
-use hornbeamhitch_dispatch::patience::Patience;
+use hornbeamhitch_dispatch::patience::WaitPlan;
 use hornbeamhitch_dispatch::work::WorkEstimate;
 use hornbeamhitch_node::uploads::Reservation;
 use tokio::sync::mpsc;
@@ -91,7 +91,7 @@
     entry: &'a Arc<Entry>,
     request: Request,
     work: WorkEstimate,
-    patience: Patience,
+    patience: WaitPlan,
     events: mpsc::UnboundedReceiver<Progress>,
     sender: mpsc::UnboundedSender<Progress>,
     attempts: Vec<Attempt>,
@@ -111,7 +111,7 @@
             reservation,
         } = parts.request;
         let work = entry.state.lock().work.estimate(&parts.route);
-        let patience = Patience::plan(&parts.route, &work, body.len(), arrived, parts.deadline_at);
+        let patience = WaitPlan::plan(&parts.route, &work, body.len(), arrived, parts.deadline_at);
         let patience = patience.after_waiting(arrived.since(parts.first_arrived));
         let (sender, events) = mpsc::unbounded_channel();
         let request = Request {
@@ -256,7 +256,7 @@
         let attempt = &mut self.attempts[number];
         attempt.started = Some((now, slowness_percent));
         let target = Arc::clone(&attempt.member);
-        self.entry.state.lock().refusals.note_taken(&target);
+        self.entry.state.lock().refusals.note_accepted(&target);
         self.count_arrival(target.id.clone());
         let expected_ms = self.work.run_at(slowness_percent).0 as f64 * STUCK_AFTER_RUNS;
         let stuck_after = Millis(expected_ms as u64).max(STUCK_AFTER_LEAST_MS);
--- a/crates/edge/src/entry/call/asking.rs
+++ b/crates/edge/src/entry/call/asking.rs
@@ -75,7 +75,7 @@
         let mut state = self.entry.state.lock();
         let EntryState { failures, rng, .. } = &mut *state;
         let view = View {
-            open: directory.members.open(&self.request.service),
+            available: directory.members.available(&self.request.service),
             data_centre: &self.entry.data_centre,
             failures,
             tried: &self.history.tried,
@@ -134,7 +134,7 @@
             body: self.request.body.clone(),
             is_terms_first: {
                 let state = self.entry.state.lock();
-                state.refusals.is_likely(&candidate.member, now)
+                state.refusals.is_refusal_likely(&candidate.member, now)
             },
         };
         let kind = match (self.has_open(), self.history.arrivals) {
--- a/crates/edge/src/entry/state.rs
+++ b/crates/edge/src/entry/state.rs
@@ -3,12 +3,12 @@
 use std::collections::HashMap;
 
 use hornbeamhitch_dispatch::failures::Failures;
-use hornbeamhitch_dispatch::reach::Reach;
+use hornbeamhitch_dispatch::reach::Reachability;
 use hornbeamhitch_dispatch::refusals::Refusals;
 use hornbeamhitch_dispatch::retry_budget::{RetryBudget, RetryLimit};
-use hornbeamhitch_dispatch::returning::Returning;
+use hornbeamhitch_dispatch::returning::ReturningCallers;
 use hornbeamhitch_dispatch::split::Splitter;
-use hornbeamhitch_dispatch::work::WorkBook;
+use hornbeamhitch_dispatch::work::WorkEstimates;
 use rand::SeedableRng;
 use rand::rngs::Xoshiro256PlusPlus;
 
@@ -21,10 +21,10 @@
     pub(super) splitter: Splitter,
     pub(super) failures: Failures,
     pub(super) refusals: Refusals,
-    pub(super) returning: Returning,
-    pub(super) work: WorkBook,
+    pub(super) returning: ReturningCallers,
+    pub(super) work: WorkEstimates,
     pub(super) rng: Xoshiro256PlusPlus,
-    pub(super) reach: Reach,
+    pub(super) reach: Reachability,
     retry_limit: RetryLimit,
     budgets: HashMap<ServiceName, RetryBudget>,
 }
@@ -35,10 +35,10 @@
             splitter: Splitter::new(seed),
             failures: Failures::default(),
             refusals: Refusals::default(),
-            returning: Returning::default(),
-            work: WorkBook::default(),
+            returning: ReturningCallers::default(),
+            work: WorkEstimates::default(),
             rng: Xoshiro256PlusPlus::seed_from_u64(seed),
-            reach: Reach::default(),
+            reach: Reachability::default(),
             retry_limit,
             budgets: HashMap::new(),
         }
@@ -59,7 +59,7 @@
     ) {
         let limit = self.retry_limit;
         let budget = self.budget(service, entries, now);
-        budget.count_first(&limit, entries);
+        budget.count_first_attempt(&limit, entries);
         budget.count_repeated(&limit, entries, repeated_percent);
     }
 
@@ -73,7 +73,7 @@
     /// Gives back what was taken for an attempt that reached no target.
     pub(super) fn return_retry(&mut self, service: &ServiceName) {
         if let Some(budget) = self.budgets.get_mut(service) {
-            budget.give_back();
+            budget.refund();
         }
     }
 
--- a/crates/edge/src/feed.rs
+++ b/crates/edge/src/feed.rs
@@ -180,7 +180,7 @@
                 return;
             }
             // Whether the wait ends by a change or by its time makes no difference.
-            let again = self.waits.tell_again_ms().to_duration();
+            let again = self.waits.publish_interval_ms().to_duration();
             let _ = tokio::time::timeout(again, changed.changed()).await;
         }
     }
--- a/crates/edge/src/feed/subscriptions.rs
+++ b/crates/edge/src/feed/subscriptions.rs
@@ -148,7 +148,7 @@
     /// starts, that would saturate the readers' links.
     fn next_subscription_delay(&self) -> Duration {
         match self.known.load(Ordering::Acquire) {
-            0 => self.listening.waits.tell_again_ms().to_duration(),
+            0 => self.listening.waits.publish_interval_ms().to_duration(),
             _ => Duration::ZERO,
         }
     }
@@ -226,7 +226,7 @@
     was_heard: &mut bool,
 ) -> LinkFault {
     let known = known.load(Ordering::Acquire);
-    let timeout = listening.waits.tell_again_ms().to_duration();
+    let timeout = listening.waits.publish_interval_ms().to_duration();
     let opening = tokio::time::timeout(timeout, listening.links.open(reader, known));
     let mut words = match opening.await {
         Ok(Ok(words)) => words,
@@ -235,7 +235,7 @@
     };
     let mut changes = Vec::new();
     loop {
-        let silence = listening.waits.reader_silence_ms().to_duration();
+        let silence = listening.waits.reader_timeout_ms().to_duration();
         let frame = match tokio::time::timeout(silence, words.next()).await {
             Ok(Ok(frame)) => frame,
             Ok(Err(fault)) => return fault,
--- a/crates/edge/src/feed/tests.rs
+++ b/crates/edge/src/feed/tests.rs
@@ -22,7 +22,7 @@
         slots: 1,
         draining: false,
         listed_at: revision,
-        born_ms: None,
+        started_at_ms: None,
     };
     Change {
         revision,
--- a/crates/edge/src/following.rs
+++ b/crates/edge/src/following.rs
@@ -111,7 +111,7 @@
     /// Reads everything, as often as it takes.
     async fn read_all(&mut self) {
         loop {
-            match self.source.read_all(self.waits.silence_ms()).await {
+            match self.source.read_all(self.waits.idle_timeout_ms()).await {
                 Ok(listing) => {
                     let age_ms = listing.age_ms;
                     self.note_success();
@@ -132,7 +132,7 @@
                 self.hear().await;
                 if !self.is_told() && self.role.is_follower() {
                     // Not in step with all others who heard the same readers.
-                    self.pause(self.waits.lost_readers_pause_ms()).await;
+                    self.pause(self.waits.lost_readers_delay_ms()).await;
                 }
                 continue;
             }
@@ -177,7 +177,7 @@
             && !self.role.is_reserve()
             && self.subscriptions.all_unhealthy()
             && self.knowledge.own_reads() == OwnReads::Good
-            && self.knowledge.age_ms() < self.waits.longest_outage_ms()
+            && self.knowledge.age_ms() < self.waits.max_outage_ms()
     }
 
     /// Applies what unhealthy readers publish until one of them recovers.
@@ -186,7 +186,7 @@
             // Entries may expire during an outage although their targets are alive.
             self.knowledge.note_trouble();
         }
-        let hearing = tokio::time::sleep(self.waits.tell_again_ms().to_duration());
+        let hearing = tokio::time::sleep(self.waits.publish_interval_ms().to_duration());
         while_hearing(hearing, &mut self.knowledge, &mut self.subscriptions).await;
     }
 
@@ -195,9 +195,9 @@
         match &self.role {
             Role::Follower {
                 is_reserve: true, ..
-            } => self.waits.oldest_reserve_ms(),
-            Role::Follower { .. } => self.waits.oldest_told_ms(),
-            Role::Reader { leads: false, .. } => self.waits.oldest_led_ms(),
+            } => self.waits.reserve_max_age_ms(),
+            Role::Follower { .. } => self.waits.follower_max_age_ms(),
+            Role::Reader { leads: false, .. } => self.waits.led_reader_max_age_ms(),
             Role::Reader { leads: true, .. } | Role::Alone => Millis::ZERO,
         }
     }
@@ -205,7 +205,9 @@
     /// Watches the source once and takes what came.
     async fn watch(&mut self) -> Result<(), SourceFault> {
         let (after, wait_ms) = (self.knowledge.revision(), self.watch_wait_ms());
-        let watching = self.source.watch(after, wait_ms, self.waits.silence_ms());
+        let watching = self
+            .source
+            .watch(after, wait_ms, self.waits.idle_timeout_ms());
         let batch = while_hearing(watching, &mut self.knowledge, &mut self.subscriptions).await?;
         self.note_success();
         let gathers = !batch.changes.is_empty() && !self.knowledge.has_held();
@@ -229,7 +231,10 @@
         match self.knowledge.own_reads() {
             OwnReads::Doubtful | OwnReads::Failed => AT_ONCE_MS,
             OwnReads::Good => {
-                let left_ms = self.waits.renewal_ms().minus(self.knowledge.age_ms());
+                let left_ms = self
+                    .waits
+                    .refresh_interval_ms()
+                    .minus(self.knowledge.age_ms());
                 left_ms.max(AT_ONCE_MS)
             }
         }
@@ -258,7 +263,7 @@
     /// A node that hears readers learns of them meanwhile.
     fn next_gathering(&mut self) -> Millis {
         // Changes that come close together are fetched by one call.
-        let usual = self.waits.renewal_ms();
+        let usual = self.waits.refresh_interval_ms();
         if self.role.is_follower() {
             return usual;
         }
@@ -280,7 +285,7 @@
             return;
         }
         let name: &str = (&role).into();
-        let heard: Vec<String> = role.heard().iter().map(ToString::to_string).collect();
+        let heard: Vec<String> = role.readers().iter().map(ToString::to_string).collect();
         log::info!(role = name, readers = heard.join(" "); "this node's part in reading the source");
         self.subscriptions.keep_to(&role.subscriptions());
         self.role = role;
@@ -289,7 +294,7 @@
 
     /// Tells subscribers whether this node reads.
     fn settle_standing(&self) {
-        let standing = match (self.role.is_heard(), self.failures) {
+        let standing = match (self.role.accepts_subscribers(), self.failures) {
             (false, _) => Standing::Closed,
             (true, 0) => Standing::Open,
             (true, _) => Standing::Troubled,
@@ -319,10 +324,11 @@
             log::warn!(known_ms, revision; "the source is lost: {fault}");
         }
         let longest_ms = match self.role.is_follower() || self.role.is_led() {
-            true => self.waits.followers_pause_ms(),
-            false => self.waits.longest_pause_ms(),
+            true => self.waits.follower_max_backoff_ms(),
+            false => self.waits.max_backoff_ms(),
         };
-        let doubled_ms = Millis(self.waits.first_pause_ms().0 << self.failures.min(MOST_DOUBLINGS));
+        let doubled_ms =
+            Millis(self.waits.initial_backoff_ms().0 << self.failures.min(MOST_DOUBLINGS));
         self.failures += 1;
         self.settle_standing();
         self.pause(doubled_ms.min(longest_ms)).await;
--- a/crates/edge/src/following/bootstrap.rs
+++ b/crates/edge/src/following/bootstrap.rs
@@ -23,7 +23,7 @@
         let mut pause_ms = FIRST_PAUSE_MS;
         let mut serves_stale_since = None;
         while !self.is_bootstrap_over(serves_stale_since) {
-            let listing = match self.source.read_stale(self.waits.silence_ms()).await {
+            let listing = match self.source.read_stale(self.waits.idle_timeout_ms()).await {
                 Ok(listing) => listing,
                 Err(fault) => {
                     log::warn!("no stale listing can be read: {fault}");
@@ -39,7 +39,7 @@
                 serves_stale_since.get_or_insert(self.knowledge.age_ms());
             }
             match &role {
-                Role::Follower { heard, .. } => self.subscriptions.keep_to(heard),
+                Role::Follower { readers, .. } => self.subscriptions.keep_to(readers),
                 Role::Alone | Role::Reader { .. } if is_listed => return false,
                 Role::Alone | Role::Reader { .. } => {}
             }
@@ -56,8 +56,8 @@
     fn is_bootstrap_over(&self, serves_stale_since: Option<Millis>) -> bool {
         let age_ms = self.knowledge.age_ms();
         match serves_stale_since {
-            Some(since) => age_ms.since(since) >= self.waits.longest_stale_ms(),
-            None => age_ms >= self.waits.longest_idle_ms(),
+            Some(since) => age_ms.since(since) >= self.waits.startup_max_stale_ms(),
+            None => age_ms >= self.waits.unconfigured_max_stale_ms(),
         }
     }
 
--- a/crates/edge/src/following/knowledge.rs
+++ b/crates/edge/src/following/knowledge.rs
@@ -227,7 +227,7 @@
         };
         if is_troubled {
             // Entries may lapse now, as if this node's own read had failed.
-            let hold_ms = self.waits.hearsay_hold_ms();
+            let hold_ms = self.waits.relayed_removal_hold_ms();
             self.directory.note_distant_trouble(hold_ms);
         }
         if self.own_reads == OwnReads::Good && self.is_doubtful(&changes) {
--- a/crates/edge/src/following/large_routes.rs
+++ b/crates/edge/src/following/large_routes.rs
@@ -48,8 +48,8 @@
     // The sender lives as long as the node follows its source.
     while let Ok(wanted) = wants.wait_for(|wanted| *wanted > known).await.map(|at| *at) {
         // All who were told turn to the source in this moment.
-        pause_up_to(waits.first_pause_ms()).await;
-        match source.read_routes(waits.silence_ms()).await {
+        pause_up_to(waits.initial_backoff_ms()).await;
+        match source.read_routes(waits.idle_timeout_ms()).await {
             Ok(Some(routes)) => {
                 known = routes.version().max(known);
                 log::info!(version = routes.version(), wanted; "a large configuration is read");
@@ -61,7 +61,7 @@
             Ok(None) => known = wanted,
             Err(fault) => {
                 log::warn!(wanted; "a large configuration cannot be read: {fault}");
-                pause_up_to(waits.longest_pause_ms()).await;
+                pause_up_to(waits.max_backoff_ms()).await;
             }
         }
     }
--- a/crates/edge/src/following/tests/fleet.rs
+++ b/crates/edge/src/following/tests/fleet.rs
@@ -422,6 +422,6 @@
         slots: 4,
         draining: false,
         listed_at: 1,
-        born_ms: None,
+        started_at_ms: None,
     }
 }
--- a/crates/edge/src/gate.rs
+++ b/crates/edge/src/gate.rs
@@ -12,7 +12,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use hornbeamhitch_dispatch::admission::{Admission, GateCall, Place, Refused, Verdict};
+use hornbeamhitch_dispatch::admission::{Admission, GateCall, QueuePosition, Refused, Verdict};
 use hornbeamhitch_dispatch::departure::Departure;
 use hornbeamhitch_dispatch::waits::Waits;
 use hornbeamhitch_node::metrics::{GateLevels, Metrics};
@@ -81,9 +81,9 @@
     admission: Admission,
     records: Records,
     /// Lives of the target that it no longer is.
-    ended_lives: VecDeque<Life>,
+    ended_lives: VecDeque<TargetIncarnation>,
     /// The life of the target that was last seen in the list.
-    life: Option<Life>,
+    life: Option<TargetIncarnation>,
 }
 
 /// What a gate needs to know of a call while it runs.
@@ -159,7 +159,7 @@
     #[must_use]
     pub fn is_idle(&self) -> bool {
         let state = self.state.lock();
-        state.admission.in_flight() == 0 && state.admission.waiting() == 0
+        state.admission.in_flight() == 0 && state.admission.queued() == 0
     }
 
     /// Records how many calls run and wait.
@@ -167,7 +167,7 @@
         let state = self.state.lock();
         self.metrics.gate_levels(&GateLevels {
             in_flight: state.admission.in_flight(),
-            queued: u32::try_from(state.admission.waiting()).unwrap_or(u32::MAX),
+            queued: u32::try_from(state.admission.queued()).unwrap_or(u32::MAX),
             limit: state.admission.limit(),
             records: u32::try_from(state.records.len()).unwrap_or(u32::MAX),
             // Answers are kept with their records only until these are forgotten.
@@ -186,7 +186,7 @@
         let call = GateCall {
             priority: terms.priority,
             work_ms: terms.work_ms,
-            hold_until: arrived + terms.hold_ms,
+            queue_until: arrived + terms.hold_ms,
             objective_at: arrived + terms.objective_ms,
             whole_objective_ms: terms.whole_objective_ms,
             slow_from: arrived + terms.slow_after_ms,
@@ -271,15 +271,15 @@
         sink(event);
     }
 
-    fn enlist(&self, call: &GateCall) -> Place {
+    fn enlist(&self, call: &GateCall) -> QueuePosition {
         let directory = self.directory.load();
-        let listed = directory.members.at(self.listed_address);
+        let listed = directory.members.at_address(self.listed_address);
         let mut state = self.state.lock();
         if let Some(member) = listed {
             state.admission.set_slots(member.slots);
             self.note_life(&mut state, member);
         }
-        state.admission.enlist(call, self.clock.now())
+        state.admission.enqueue(call, self.clock.now())
     }
 
     /// Waits until the call may start, and starts it. Returns how slow the
--- a/crates/edge/src/gate/health.rs
+++ b/crates/edge/src/gate/health.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use hornbeamhitch_dispatch::departure::Standing;
+use hornbeamhitch_dispatch::departure::ListingState;
 
 use super::{Gate, speed};
 use crate::prelude::*;
@@ -24,7 +24,7 @@
         let mut state = self.state.lock();
         match reading {
             Ok(reading) => state.admission.note_speed(reading),
-            Err(speed::TargetDown) => state.admission.note_down(self.clock.now()),
+            Err(speed::TargetDown) => state.admission.note_connection_refused(self.clock.now()),
         }
         drop(state);
         self.changed.notify_waiters();
@@ -42,10 +42,10 @@
     /// Looks the target's entry up, beside the calls, when that is due.
     pub(super) fn look_up_when_due(self: &Arc<Self>) {
         let directory = self.directory.load();
-        let Some(member) = directory.members.at(self.listed_address) else {
+        let Some(member) = directory.members.at_address(self.listed_address) else {
             return;
         };
-        if !self.departure.lock().take_look_up(self.clock.now()) {
+        if !self.departure.lock().start_lookup_if_due(self.clock.now()) {
             return;
         }
         let gate = Arc::clone(self);
@@ -54,11 +54,14 @@
     }
 
     async fn look_up(&self, id: &TargetId) {
-        let read = self.source.read_target(id, self.waits.silence_ms()).await;
+        let read = self
+            .source
+            .read_target(id, self.waits.idle_timeout_ms())
+            .await;
         let standing = match read {
-            Ok(Some(member)) if member.draining => Standing::Draining,
-            Ok(Some(_)) => Standing::Open,
-            Ok(None) => Standing::Unlisted,
+            Ok(Some(member)) if member.draining => ListingState::Draining,
+            Ok(Some(_)) => ListingState::Open,
+            Ok(None) => ListingState::Unlisted,
             // What the list said is still there, and it is asked again.
             Err(fault) => {
                 log::warn!("the entry of the target {id} cannot be read: {fault}");
--- a/crates/edge/src/gate/lives.rs
+++ b/crates/edge/src/gate/lives.rs
@@ -13,7 +13,7 @@
     /// on it, and what was learnt of its speed does not hold. The records of calls
     /// that may run only once stay: those that ran have run.
     pub(super) fn note_life(&self, state: &mut GateState, member: &Member) {
-        let life = member.life();
+        let life = member.incarnation();
         if state.life.as_ref() == Some(&life) {
             return;
         }
@@ -37,14 +37,17 @@
             return true;
         }
         let Some(member) = directory.members.get(&id) else {
-            let unlisted = Life { id, born_ms: None };
+            let unlisted = TargetIncarnation {
+                id,
+                started_at_ms: None,
+            };
             return directory.members.has_left(&unlisted.id) || self.has_ended(&unlisted);
         };
-        member.draining || self.has_ended(&member.life())
+        member.draining || self.has_ended(&member.incarnation())
     }
 
     /// Whether the target said that it is no longer this life of it.
-    fn has_ended(&self, life: &Life) -> bool {
+    fn has_ended(&self, life: &TargetIncarnation) -> bool {
         self.state.lock().ended_lives.contains(life)
     }
 
@@ -56,9 +59,9 @@
         const MAX_ENDED_LIVES: usize = 16;
         let id = TargetId::new(id);
         let listed = self.directory.load().members.get(&id).cloned();
-        let life = Life {
+        let life = TargetIncarnation {
             id,
-            born_ms: listed.and_then(|member| member.born_ms),
+            started_at_ms: listed.and_then(|member| member.started_at_ms),
         };
         let lives = &mut self.state.lock().ended_lives;
         if lives.len() >= MAX_ENDED_LIVES {
--- a/crates/edge/src/gate/places.rs
+++ b/crates/edge/src/gate/places.rs
@@ -1,6 +1,6 @@
 //! Places that a call holds at a gate: in line, and in the target.
 
-use hornbeamhitch_dispatch::admission::Place;
+use hornbeamhitch_dispatch::admission::QueuePosition;
 
 use super::Gate;
 
@@ -17,7 +17,7 @@
 /// Takes a call out of the line when its caller leaves.
 pub(super) struct InLine<'a> {
     pub(super) gate: &'a Gate,
-    pub(super) place: Option<Place>,
+    pub(super) place: Option<QueuePosition>,
 }
 
 impl InLine<'_> {
@@ -33,7 +33,7 @@
         let Some(place) = self.place.take() else {
             return;
         };
-        self.gate.state.lock().admission.withdraw(place);
+        self.gate.state.lock().admission.dequeue(place);
         self.gate.changed.notify_waiters();
     }
 }
--- a/crates/edge/src/gate/run.rs
+++ b/crates/edge/src/gate/run.rs
@@ -141,7 +141,7 @@
             return;
         }
         let mut state = self.state.lock();
-        state.admission.note_down(self.clock.now());
+        state.admission.note_connection_refused(self.clock.now());
         let running = std::mem::take(&mut state.running);
         drop(state);
         let in_flight: Vec<u64> = running.iter().map(|call| call.fingerprint).collect();
@@ -157,7 +157,10 @@
             Err(_) => GateEvent::Ended(CallEnd::TimedOut),
             Ok(Ok(answer)) => self.judge(run.terms, answer, started),
             Ok(Err(ExchangeFault::Unreachable)) => {
-                self.state.lock().admission.note_down(self.clock.now());
+                self.state
+                    .lock()
+                    .admission
+                    .note_connection_refused(self.clock.now());
                 GateEvent::Ended(CallEnd::Down)
             }
             Ok(Err(ExchangeFault::Broken(reason))) => {
--- a/crates/edge/tests/all/bounded_age.rs
+++ b/crates/edge/tests/all/bounded_age.rs
@@ -113,7 +113,7 @@
     };
     let mut refused = std::pin::pin!(refused);
     // The target was asked just before it began to leave, and is asked again after this.
-    let asked_again = Waits::new(support::IN_FORCE_MS).own_health_ms();
+    let asked_again = Waits::new(support::IN_FORCE_MS).own_health_interval_ms();
     let learnt = asked_again.to_duration() + LOOK_UP_WITHIN;
     let is_refused = tokio::time::timeout(learnt, &mut refused).await.is_ok();
     let ran = vm.target.ran().len();
--- a/crates/edge/tests/all/lives.rs
+++ b/crates/edge/tests/all/lives.rs
@@ -6,9 +6,9 @@
 use crate::support::{Fleet, fleet, member, set_directory};
 
 /// Lists the fleet's only target as the life that began at this time.
-fn list_life(fleet: &Fleet, born_ms: u64) {
+fn list_life(fleet: &Fleet, started_at_ms: u64) {
     let born = Member {
-        born_ms: Some(Millis(born_ms)),
+        started_at_ms: Some(Millis(started_at_ms)),
         ..member(0, "s", fleet.vms[0].target.address)
     };
     set_directory(&fleet.directory, "s", vec![born]);
--- a/crates/edge/tests/all/support.rs
+++ b/crates/edge/tests/all/support.rs
@@ -127,7 +127,7 @@
         slots: 4,
         draining: false,
         listed_at: 1,
-        born_ms: None,
+        started_at_ms: None,
     }
 }
 
--- a/crates/routed/src/source.rs
+++ b/crates/routed/src/source.rs
@@ -172,7 +172,7 @@
             slots: service.map_or(UNKNOWN_SLOTS, |service| service.slots),
             draining: vm.leaving,
             listed_at: 0,
-            born_ms: None,
+            started_at_ms: None,
         }
     }
 }
