--- a/crates/dispatch/src/admission.rs
+++ b/crates/dispatch/src/admission.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 
 use crate::contention::{Chance, Contention};
-use crate::knee::Knee;
+use crate::knee::KneeEstimator;
 use crate::prelude::*;
 use crate::short_work::ShortWork;
 
@@ -12,20 +12,20 @@
 
 /// A reading of the target's speed is good for this long. Neighbours on the
 /// same host change it many times a second, so an older one says nothing.
-const READING_FRESH_MS: Millis = Millis(10);
+const SPEED_READING_TTL_MS: Millis = Millis(10);
 /// While calls wait for a slow spell to end, the speed is read this often.
-const READING_INTERVAL_MS: Millis = Millis(15);
+const SPEED_READING_INTERVAL_MS: Millis = Millis(15);
 /// Up to this share of the usual run time, in percent, a target counts as fast.
-const FAST_PERCENT: u32 = 150;
+const MAX_FAST_PERCENT: u32 = 150;
 /// Up to this share a target is moderately slow, as one is for some seconds
 /// after its start. It is taken where nothing is lost by it: where the call
 /// still meets its objective, or misses it at usual speed as well. After all
 /// targets of a service were restarted at once there is nothing faster.
-const MODERATE_PERCENT: u32 = 250;
+const MAX_MODERATE_PERCENT: u32 = 250;
 /// Slots taken for granted before the target's entry is known.
-const UNKNOWN_SLOTS: u32 = 4;
+const DEFAULT_SLOTS: u32 = 4;
 /// A target that refused a connection is left alone for this long.
-const DOWN_FOR_MS: Millis = Millis(150);
+const DOWN_PERIOD_MS: Millis = Millis(150);
 
 /// How fast a target's VM was at a moment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -103,9 +103,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct QueuePosition {
     priority: u8,
-    is_late: bool,
+    misses_objective: bool,
     work_ms: Millis,
-    number: u64,
+    sequence: u64,
 }
 
 /// Admission of one gate.
@@ -113,11 +113,11 @@
 pub struct Admission {
     slots: u32,
     in_flight: u32,
-    knee: Knee,
+    knee: KneeEstimator,
     contention: Contention,
     /// Calls in line.
-    line: BTreeSet<QueuePosition>,
-    last_number: u64,
+    queue: BTreeSet<QueuePosition>,
+    last_sequence: u64,
     speed: Option<SpeedReading>,
     short_work: ShortWork,
     leaving: bool,
@@ -127,12 +127,12 @@
 impl Default for Admission {
     fn default() -> Self {
         Self {
-            slots: UNKNOWN_SLOTS,
+            slots: DEFAULT_SLOTS,
             in_flight: 0,
-            knee: Knee::default(),
+            knee: KneeEstimator::default(),
             contention: Contention::default(),
-            line: BTreeSet::new(),
-            last_number: 0,
+            queue: BTreeSet::new(),
+            last_sequence: 0,
             speed: None,
             short_work: ShortWork::default(),
             leaving: false,
@@ -160,7 +160,7 @@
     ) {
         // Cold targets count too: all of them are, after a loss of power, and a knee
         // is felt most when every caller is back at once.
-        if slowness_percent > MODERATE_PERCENT {
+        if slowness_percent > MAX_MODERATE_PERCENT {
             return;
         }
         let usual_ms = work_ms.0.max(1) as f64 * f64::from(slowness_percent.max(1)) / 100.0;
@@ -200,7 +200,7 @@
     /// Calls in line.
     #[must_use]
     pub fn queued(&self) -> usize {
-        self.line.len()
+        self.queue.len()
     }
 
     /// Takes in a reading of the target's speed.
@@ -217,36 +217,36 @@
     #[must_use]
     pub fn fresh_speed(&self, now: Millis) -> Option<SpeedReading> {
         let reading = self.speed?;
-        (now.since(reading.read_at) <= READING_FRESH_MS).then_some(reading)
+        (now.since(reading.read_at) <= SPEED_READING_TTL_MS).then_some(reading)
     }
 
     /// The target refused a connection.
     pub fn note_connection_refused(&mut self, now: Millis) {
-        self.down_until = now + DOWN_FOR_MS;
+        self.down_until = now + DOWN_PERIOD_MS;
     }
 
     /// Puts a call in line.
     pub fn enqueue(&mut self, call: &GateCall, now: Millis) -> QueuePosition {
-        self.last_number += 1;
-        self.short_work.note(call.work_ms, now);
-        let place = QueuePosition {
+        self.last_sequence += 1;
+        self.short_work.note_call(call.work_ms, now);
+        let position = QueuePosition {
             priority: call.priority,
-            is_late: now + call.work_ms > call.objective_at,
+            misses_objective: now + call.work_ms > call.objective_at,
             work_ms: call.work_ms,
-            number: self.last_number,
+            sequence: self.last_sequence,
         };
-        self.line.insert(place);
-        place
+        self.queue.insert(position);
+        position
     }
 
     /// Takes a call out of the line without starting it.
-    pub fn dequeue(&mut self, place: QueuePosition) {
-        self.line.remove(&place);
+    pub fn dequeue(&mut self, position: QueuePosition) {
+        self.queue.remove(&position);
     }
 
     /// Takes a call out of the line and counts it as running.
-    pub fn start(&mut self, place: QueuePosition) {
-        self.line.remove(&place);
+    pub fn start(&mut self, position: QueuePosition) {
+        self.queue.remove(&position);
         self.in_flight += 1;
     }
 
@@ -257,7 +257,7 @@
 
     /// Decides about a call in line.
     #[must_use]
-    pub fn decide(&mut self, place: QueuePosition, call: &GateCall, now: Millis) -> Verdict {
+    pub fn decide(&mut self, position: QueuePosition, call: &GateCall, now: Millis) -> Verdict {
         if self.leaving {
             return Verdict::Refuse(Refused::Leaving);
         }
@@ -267,25 +267,26 @@
         if now + call.work_ms > call.deadline_at && self.in_flight > 0 || now >= call.deadline_at {
             return Verdict::Refuse(Refused::Late);
         }
-        let limit = self.limit().saturating_sub(self.short_work.slots_left_by(
-            call.work_ms,
-            self.slots,
-            now,
-        ));
+        let limit = self
+            .limit()
+            .saturating_sub(
+                self.short_work
+                    .slots_reserved_from(call.work_ms, self.slots, now),
+            );
         let limit = limit.max(1);
-        let ahead = self.line.range(..place).count() as u32;
-        let room = limit.saturating_sub(self.in_flight);
-        if ahead >= room {
-            let verdict = self.wait_for_room(call, ahead - room, limit, now);
+        let ahead = self.queue.range(..position).count() as u32;
+        let free_slots = limit.saturating_sub(self.in_flight);
+        if ahead >= free_slots {
+            let verdict = self.wait_for_slot(call, ahead - free_slots, limit, now);
             if verdict == Verdict::Refuse(Refused::Busy) {
-                self.note_turned_away(call, now);
+                self.note_rejected(call, now);
             }
             return verdict;
         }
         let Some(speed) = self.fresh_speed(now) else {
             return Verdict::ReadSpeed;
         };
-        if is_good_enough(call, speed.slowness_percent, now) {
+        if is_fast_enough(call, speed.slowness_percent, now) {
             let run_ms = call.run_at(speed.slowness_percent);
             let chance = Chance::of(call, run_ms, now);
             if self.contention.must_yield(call.priority, chance, now) {
@@ -296,7 +297,7 @@
         if now >= call.queue_until {
             return Verdict::Refuse(Refused::Slow);
         }
-        Verdict::Wait((speed.read_at + READING_INTERVAL_MS).min(call.queue_until))
+        Verdict::Wait((speed.read_at + SPEED_READING_INTERVAL_MS).min(call.queue_until))
     }
 
     /// Requests that are run at once: as many as do not slow each other down.
@@ -309,22 +310,22 @@
         }
     }
 
-    fn note_turned_away(&mut self, call: &GateCall, now: Millis) {
+    fn note_rejected(&mut self, call: &GateCall, now: Millis) {
         let slowness_percent = self.speed.map_or(100, |speed| speed.slowness_percent);
         // In a slow spell nothing would be in time; it is over when a slot is free.
-        let run_ms = call.run_at(slowness_percent.min(MODERATE_PERCENT));
+        let run_ms = call.run_at(slowness_percent.min(MAX_MODERATE_PERCENT));
         let chance = Chance::of(call, run_ms, now);
         self.contention
-            .note_turned_away(call.priority, chance, run_ms, now);
+            .note_rejected(call.priority, chance, run_ms, now);
     }
 
     /// A call that would wait longer than it may is told at once.
-    fn wait_for_room(&self, call: &GateCall, behind: u32, limit: u32, now: Millis) -> Verdict {
+    fn wait_for_slot(&self, call: &GateCall, ahead: u32, limit: u32, now: Millis) -> Verdict {
         let mut work_ms = call.work_ms.0;
-        for place in &self.line {
-            work_ms = work_ms.max(place.work_ms.0);
+        for position in &self.queue {
+            work_ms = work_ms.max(position.work_ms.0);
         }
-        let wait = Millis(work_ms * u64::from(behind + 1) / u64::from(limit.max(1)));
+        let wait = Millis(work_ms * u64::from(ahead + 1) / u64::from(limit.max(1)));
         if now + wait > call.queue_until {
             return Verdict::Refuse(Refused::Busy);
         }
@@ -333,8 +334,8 @@
 }
 
 /// Whether a call should start at this speed.
-fn is_good_enough(call: &GateCall, slowness_percent: u32, now: Millis) -> bool {
-    if slowness_percent <= FAST_PERCENT {
+fn is_fast_enough(call: &GateCall, slowness_percent: u32, now: Millis) -> bool {
+    if slowness_percent <= MAX_FAST_PERCENT {
         return true;
     }
     let ends_at = now + call.run_at(slowness_percent);
@@ -346,5 +347,5 @@
     }
     let meets_objective = ends_at <= call.objective_at;
     let misses_it_anyway = now + call.work_ms > call.objective_at;
-    slowness_percent <= MODERATE_PERCENT && (meets_objective || misses_it_anyway)
+    slowness_percent <= MAX_MODERATE_PERCENT && (meets_objective || misses_it_anyway)
 }
--- a/crates/dispatch/src/admission/tests/overload.rs
+++ b/crates/dispatch/src/admission/tests/overload.rs
@@ -6,21 +6,21 @@
 const RUN_MS: u64 = 100;
 const SLOTS: u32 = 10;
 /// A call each 6 ms is five thirds of what ten slots run in 100 ms each.
-const ARRIVE_EVERY_MS: u64 = 6;
+const ARRIVAL_INTERVAL_MS: u64 = 6;
 const OBJECTIVE_MS: u64 = 300;
 /// Entries ask a gate again after about this long ...
-const ASK_EVERY_MS: u64 = 12;
+const RETRY_INTERVAL_MS: u64 = 12;
 /// ... until the objective is out of reach; then the call is refused ...
-const ASK_FOR_MS: u64 = 160;
+const GIVE_UP_AFTER_MS: u64 = 160;
 /// ... and its caller comes back once.
 const COME_BACK_AFTER_MS: u64 = 150;
 const LAST_ARRIVAL_MS: u64 = 10_000;
 
 /// One caller with the request that it has open.
-struct Asking {
+struct Caller {
     first_arrived: u64,
     arrived: u64,
-    next_ask: u64,
+    next_attempt_at: u64,
 }
 
 #[derive(Default)]
@@ -32,43 +32,43 @@
 
 struct Overload {
     admission: Admission,
-    asking: Vec<Asking>,
-    ends: Vec<u64>,
+    caller: Vec<Caller>,
+    run_ends: Vec<u64>,
     outcome: Outcome,
 }
 
 impl Overload {
     fn arrive(&mut self, now: u64) {
-        self.asking.push(Asking {
+        self.caller.push(Caller {
             first_arrived: now,
             arrived: now,
-            next_ask: now,
+            next_attempt_at: now,
         });
     }
 
     fn end_runs(&mut self, now: u64) {
-        while let Some(place) = self.ends.iter().position(|end| *end <= now) {
-            self.ends.swap_remove(place);
+        while let Some(position) = self.run_ends.iter().position(|end| *end <= now) {
+            self.run_ends.swap_remove(position);
             self.admission.finish();
         }
     }
 
     /// Lets one caller ask; whether it still has to ask again.
-    fn ask(&mut self, asking: &mut Asking, now: u64) -> bool {
-        if now < asking.next_ask {
+    fn attempt(&mut self, caller: &mut Caller, now: u64) -> bool {
+        if now < caller.next_attempt_at {
             return true;
         }
-        asking.next_ask = now + ASK_EVERY_MS;
-        let call = call_of(asking.first_arrived, now);
-        let place = self.admission.enqueue(&call, Millis(now));
-        let verdict = self.admission.decide(place, &call, Millis(now));
+        caller.next_attempt_at = now + RETRY_INTERVAL_MS;
+        let call = call_of(caller.first_arrived, now);
+        let position = self.admission.enqueue(&call, Millis(now));
+        let verdict = self.admission.decide(position, &call, Millis(now));
         if verdict != Verdict::Start {
-            self.admission.dequeue(place);
+            self.admission.dequeue(position);
             return true;
         }
-        self.admission.start(place);
-        self.ends.push(now + RUN_MS);
-        match now + RUN_MS <= asking.first_arrived + OBJECTIVE_MS {
+        self.admission.start(position);
+        self.run_ends.push(now + RUN_MS);
+        match now + RUN_MS <= caller.first_arrived + OBJECTIVE_MS {
             true => self.outcome.in_time += 1,
             false => self.outcome.late += 1,
         }
@@ -79,21 +79,21 @@
     fn step(&mut self, now: u64) {
         self.end_runs(now);
         read(&mut self.admission, 100, now);
-        for mut asking in std::mem::take(&mut self.asking) {
-            if now >= asking.arrived + ASK_FOR_MS {
-                let is_first = asking.arrived == asking.first_arrived;
+        for mut caller in std::mem::take(&mut self.caller) {
+            if now >= caller.arrived + GIVE_UP_AFTER_MS {
+                let is_first = caller.arrived == caller.first_arrived;
                 if is_first {
                     // It stays away, and is a new request from then on.
-                    asking.arrived = now + COME_BACK_AFTER_MS;
-                    asking.next_ask = asking.arrived;
-                    self.asking.push(asking);
+                    caller.arrived = now + COME_BACK_AFTER_MS;
+                    caller.next_attempt_at = caller.arrived;
+                    self.caller.push(caller);
                 } else {
                     self.outcome.refused_twice += 1;
                 }
                 continue;
             }
-            if self.ask(&mut asking, now) {
-                self.asking.push(asking);
+            if self.attempt(&mut caller, now) {
+                self.caller.push(caller);
             }
         }
     }
@@ -111,15 +111,15 @@
     }
 }
 
-fn play() -> Outcome {
+fn simulate() -> Outcome {
     let mut overload = Overload {
         admission: gate(SLOTS),
-        asking: Vec::new(),
-        ends: Vec::new(),
+        caller: Vec::new(),
+        run_ends: Vec::new(),
         outcome: Outcome::default(),
     };
     for now in 0..LAST_ARRIVAL_MS {
-        if now % ARRIVE_EVERY_MS == 0 {
+        if now % ARRIVAL_INTERVAL_MS == 0 {
             overload.arrive(now);
         }
         overload.step(now);
@@ -134,7 +134,7 @@
 /// ten seconds; nearly all of them have to be in time.
 #[test]
 fn in_an_overload_slots_go_to_calls_that_can_be_in_time() {
-    let outcome = play();
+    let outcome = simulate();
     let runs = outcome.in_time + outcome.late;
     assert!(runs >= 950, "{runs} runs of 1,000 possible");
     assert!(
--- a/crates/dispatch/src/admission/tests/properties.rs
+++ b/crates/dispatch/src/admission/tests/properties.rs
@@ -61,7 +61,7 @@
     now: Millis,
     /// How slow the target is in each [`SPELL_MS`], over and over.
     spells: Vec<u32>,
-    line: Vec<(QueuePosition, GateCall)>,
+    queue: Vec<(QueuePosition, GateCall)>,
     /// When each run ends.
     runs: Vec<Millis>,
     started: usize,
@@ -79,11 +79,11 @@
         let mut is_changed = true;
         while is_changed {
             is_changed = false;
-            for index in 0..self.line.len() {
-                let (place, call) = self.line[index];
-                match self.admission.decide(place, &call, self.now) {
+            for index in 0..self.queue.len() {
+                let (position, call) = self.queue[index];
+                match self.admission.decide(position, &call, self.now) {
                     Verdict::Start => {
-                        self.admission.start(place);
+                        self.admission.start(position);
                         assert!(self.admission.in_flight() <= slots, "more runs than slots");
                         assert!(self.now < call.deadline_at, "started after its deadline");
                         let run_ms = call.work_ms.0 * u64::from(self.slowness_percent()) / 100;
@@ -91,7 +91,7 @@
                         self.started += 1;
                     }
                     Verdict::Refuse(_) => {
-                        self.admission.dequeue(place);
+                        self.admission.dequeue(position);
                         self.refused += 1;
                     }
                     Verdict::ReadSpeed => {
@@ -104,7 +104,7 @@
                     }
                     Verdict::Wait(_) => continue,
                 }
-                self.line.remove(index);
+                self.queue.remove(index);
                 is_changed = true;
                 break;
             }
@@ -142,7 +142,7 @@
             admission: Admission::default(),
             now: Millis(1_000),
             spells,
-            line: Vec::new(),
+            queue: Vec::new(),
             runs: Vec::new(),
             started: 0,
             refused: 0,
@@ -153,14 +153,14 @@
                 world.tick(slots);
             }
             let call = at(&arrival.call, world.now);
-            let place = world.admission.enqueue(&call, world.now);
-            world.line.push((place, call));
+            let position = world.admission.enqueue(&call, world.now);
+            world.queue.push((position, call));
             world.settle(slots);
         }
         for _ in 0..=LONGEST_HOLD_MS {
             world.tick(slots);
         }
-        prop_assert_eq!(world.line.len(), 0, "still in line");
+        prop_assert_eq!(world.queue.len(), 0, "still in line");
         prop_assert_eq!(world.admission.queued(), 0);
         prop_assert_eq!(world.started + world.refused, arrivals.len());
     }
--- a/crates/dispatch/src/contention.rs
+++ b/crates/dispatch/src/contention.rs
@@ -10,16 +10,16 @@
 
 /// Run times spread: with so many expected run times left of its objective, a call is
 /// in time nine times in ten, and more does not help it.
-const SURE_RUNS: f64 = 1.45;
+const SAFE_RUN_TIMES: f64 = 1.45;
 /// Below this chance hardly any call is in time, so that all of them are alike.
-const LOST: f64 = 0.4;
+const MIN_CHANCE: f64 = 0.4;
 /// Calls whose chances differ by less are alike. Newcomers find one another's slots
 /// within some tens of milliseconds, about a tenth of the objectives in use.
-const ALIKE: f64 = 0.1;
+const CHANCE_TOLERANCE: f64 = 0.1;
 /// A slot is kept for the calls that were turned away for this part of their run time.
 /// While there are such calls they ask many times as often; when there are no more, no
 /// more of the slot than this is lost.
-const KEPT_PART: u64 = 4;
+const HOLD_DIVISOR: u64 = 4;
 
 /// How likely a call is to meet its objective if it starts now, beside a newcomer of
 /// its kind: 1 for the newcomer, and for whoever is as sure to be in time.
@@ -34,18 +34,18 @@
     #[must_use]
     pub fn of(call: &GateCall, run_ms: Millis, now: Millis) -> Self {
         let run_ms = run_ms.0.max(1) as f64;
-        let left = call.objective_at.since(now).0 as f64 / run_ms;
+        let remaining = call.objective_at.since(now).0 as f64 / run_ms;
         let whole = call.whole_objective_ms.0 as f64 / run_ms;
-        let enough = whole.min(SURE_RUNS);
-        if left >= enough {
+        let sufficient = whole.min(SAFE_RUN_TIMES);
+        if remaining >= sufficient {
             return Self(1.0);
         }
-        Self((left / enough).max(LOST))
+        Self((remaining / sufficient).max(MIN_CHANCE))
     }
 }
 
 #[derive(Clone, Copy, Debug)]
-struct TurnedAway {
+struct RejectedCalls {
     chance: Chance,
     until: Millis,
 }
@@ -63,25 +63,33 @@
 /// this (by the test of admission in an overload).
 #[derive(Debug, Default)]
 pub struct Contention {
-    by_rank: BTreeMap<u8, TurnedAway>,
+    by_priority: BTreeMap<u8, RejectedCalls>,
 }
 
 impl Contention {
     /// A call of this rank (0 goes first) was turned away for want of a slot.
-    pub fn note_turned_away(&mut self, rank: u8, chance: Chance, run_ms: Millis, now: Millis) {
-        let known = self.by_rank.get(&rank).filter(|known| now < known.until);
-        if known.is_some_and(|known| known.chance > chance) {
+    pub fn note_rejected(&mut self, priority: u8, chance: Chance, run_ms: Millis, now: Millis) {
+        let rejected = self
+            .by_priority
+            .get(&priority)
+            .filter(|rejected| now < rejected.until);
+        if rejected.is_some_and(|rejected| rejected.chance > chance) {
             return;
         }
-        let until = now + Millis(run_ms.0 / KEPT_PART);
-        self.by_rank.insert(rank, TurnedAway { chance, until });
+        let until = now + Millis(run_ms.0 / HOLD_DIVISOR);
+        self.by_priority
+            .insert(priority, RejectedCalls { chance, until });
     }
 
     /// Whether a call has to leave its slot to others of its rank or a higher one.
     #[must_use]
-    pub fn must_yield(&self, rank: u8, chance: Chance, now: Millis) -> bool {
-        for known in self.by_rank.range(..=rank).map(|(_, known)| known) {
-            if now < known.until && known.chance.0 - chance.0 > ALIKE {
+    pub fn must_yield(&self, priority: u8, chance: Chance, now: Millis) -> bool {
+        for rejected in self
+            .by_priority
+            .range(..=priority)
+            .map(|(_, rejected)| rejected)
+        {
+            if now < rejected.until && rejected.chance.0 - chance.0 > CHANCE_TOLERANCE {
                 return true;
             }
         }
--- a/crates/dispatch/src/contention/tests.rs
+++ b/crates/dispatch/src/contention/tests.rs
@@ -23,9 +23,9 @@
 /// At usual speed a call is in time whenever it starts within half of its objective,
 /// so that the older ones need not give way to newcomers.
 #[test]
-fn whoever_is_sure_to_be_in_time_yields_to_nobody() {
+fn calls_sure_to_meet_their_objective_do_not_yield() {
     let mut contention = Contention::default();
-    contention.note_turned_away(1, chance(300, 0), RUN, Millis(0));
+    contention.note_rejected(1, chance(300, 0), RUN, Millis(0));
     assert!(!contention.must_yield(1, chance(300, 150), Millis(0)));
     assert!(contention.must_yield(1, chance(300, 200), Millis(0)));
     assert!(contention.must_yield(1, chance(300, 400), Millis(0)));
@@ -34,11 +34,11 @@
 /// Where work takes nearly all of the objective, as in cold targets, the newest go
 /// first: each moment of waiting makes a call later.
 #[test]
-fn where_nobody_is_sure_the_newest_go_first() {
+fn the_newest_calls_go_first_when_work_takes_most_of_the_objective() {
     let slow = Millis(260);
     let mut contention = Contention::default();
     let newcomer = Chance::of(&call(300), slow, Millis(0));
-    contention.note_turned_away(1, newcomer, slow, Millis(0));
+    contention.note_rejected(1, newcomer, slow, Millis(0));
     let of = |now| Chance::of(&call(300), slow, Millis(now));
     assert!(!contention.must_yield(1, of(0), Millis(0)));
     assert!(!contention.must_yield(1, of(20), Millis(0)));
@@ -47,9 +47,9 @@
 
 /// Nobody is turned away any more, and callers who are late are served again.
 #[test]
-fn a_slot_is_kept_for_a_part_of_a_run_only() {
+fn a_slot_is_held_for_a_part_of_a_run_only() {
     let mut contention = Contention::default();
-    contention.note_turned_away(1, chance(300, 0), RUN, Millis(0));
+    contention.note_rejected(1, chance(300, 0), RUN, Millis(0));
     let late = chance(300, 400);
     assert!(contention.must_yield(1, late, Millis(24)));
     assert!(!contention.must_yield(1, late, Millis(25)));
@@ -58,12 +58,12 @@
 /// Payments that are late go before lookups that are not, since operators rank them
 /// higher; lookups that are late give way to payments that are not.
 #[test]
-fn a_higher_rank_yields_to_no_lower_one() {
+fn a_higher_priority_does_not_yield_to_a_lower_one() {
     let mut contention = Contention::default();
     let late = chance(300, 400);
-    contention.note_turned_away(2, chance(300, 0), RUN, Millis(0));
+    contention.note_rejected(2, chance(300, 0), RUN, Millis(0));
     assert!(!contention.must_yield(1, late, Millis(1)));
-    contention.note_turned_away(1, chance(300, 0), RUN, Millis(0));
+    contention.note_rejected(1, chance(300, 0), RUN, Millis(0));
     assert!(contention.must_yield(2, late, Millis(1)));
 }
 
@@ -71,16 +71,16 @@
 #[test]
 fn late_calls_do_not_yield_to_one_another() {
     let mut contention = Contention::default();
-    contention.note_turned_away(1, chance(300, 350), RUN, Millis(350));
+    contention.note_rejected(1, chance(300, 350), RUN, Millis(350));
     assert!(!contention.must_yield(1, chance(300, 900), Millis(351)));
 }
 
 /// A kind whose work takes longer than its objective allows is always late. Its
 /// newcomers do not give way to those of other kinds, or it would not be served at all.
 #[test]
-fn a_kind_that_is_always_late_is_served_as_well() {
+fn routes_that_always_miss_their_objective_are_served_as_well() {
     let mut contention = Contention::default();
-    contention.note_turned_away(1, chance(300, 0), RUN, Millis(0));
+    contention.note_rejected(1, chance(300, 0), RUN, Millis(0));
     let long = Chance::of(&call(300), Millis(1_000), Millis(0));
     assert!(!contention.must_yield(1, long, Millis(1)));
 }
--- a/crates/dispatch/src/departure.rs
+++ b/crates/dispatch/src/departure.rs
@@ -33,12 +33,12 @@
 pub struct Departure {
     waits: Waits,
     /// When the target was last asked for its health.
-    asked_at: Option<Millis>,
-    is_unwell: bool,
+    health_checked_at: Option<Millis>,
+    is_unhealthy: bool,
     /// When its entry was last looked up.
     looked_up_at: Option<Millis>,
     /// The target that is not to get work.
-    left: Option<TargetId>,
+    departed: Option<TargetId>,
 }
 
 impl Departure {
@@ -47,10 +47,10 @@
     pub const fn new(waits: Waits) -> Self {
         Self {
             waits,
-            asked_at: None,
-            is_unwell: false,
+            health_checked_at: None,
+            is_unhealthy: false,
             looked_up_at: None,
-            left: None,
+            departed: None,
         }
     }
 
@@ -58,14 +58,14 @@
     /// that is always busy tells its speed with its answers, and would never be asked.
     #[must_use]
     pub fn health_is_due(&self, now: Millis) -> bool {
-        let asked_at = self.asked_at;
-        asked_at.is_none_or(|at| now.since(at) >= self.waits.own_health_interval_ms())
+        let health_checked_at = self.health_checked_at;
+        health_checked_at.is_none_or(|at| now.since(at) >= self.waits.own_health_interval_ms())
     }
 
     /// The target was asked for its health, and this is the last that it said.
-    pub const fn note_health(&mut self, is_unwell: bool, now: Millis) {
-        self.asked_at = Some(now);
-        self.is_unwell = is_unwell;
+    pub const fn note_health(&mut self, is_unhealthy: bool, now: Millis) {
+        self.health_checked_at = Some(now);
+        self.is_unhealthy = is_unhealthy;
     }
 
     /// Whether the target's entry has to be looked up now; it counts as looked up then.
@@ -74,11 +74,11 @@
     /// again under its id, without a word of its health until it is asked.
     #[must_use]
     pub fn start_lookup_if_due(&mut self, now: Millis) -> bool {
-        if !self.is_unwell && self.left.is_none() {
+        if !self.is_unhealthy && self.departed.is_none() {
             return false;
         }
-        let known = self.looked_up_at;
-        if known.is_some_and(|at| now.since(at) < self.waits.own_entry_interval_ms()) {
+        let previous = self.looked_up_at;
+        if previous.is_some_and(|at| now.since(at) < self.waits.own_entry_interval_ms()) {
             return false;
         }
         self.looked_up_at = Some(now);
@@ -86,9 +86,9 @@
     }
 
     /// What the list says of the target; true when that changes whether it gets work.
-    pub fn note_entry(&mut self, id: &TargetId, standing: ListingState) -> bool {
+    pub fn note_entry(&mut self, id: &TargetId, listing_state: ListingState) -> bool {
         let had_left = self.has_left(id);
-        self.left = match standing {
+        self.departed = match listing_state {
             ListingState::Open => None,
             ListingState::Draining | ListingState::Unlisted => Some(id.clone()),
         };
@@ -98,6 +98,6 @@
     /// Whether this target is not to get work.
     #[must_use]
     pub fn has_left(&self, id: &TargetId) -> bool {
-        self.left.as_ref() == Some(id)
+        self.departed.as_ref() == Some(id)
     }
 }
--- a/crates/dispatch/src/departure/tests.rs
+++ b/crates/dispatch/src/departure/tests.rs
@@ -15,24 +15,24 @@
 /// Health checks may be wrong for seconds. A target whose entry is good goes on getting
 /// work, and its entry is looked up a few times only: each time costs a call.
 #[test]
-fn a_target_whose_health_check_is_wrong_keeps_its_work() {
+fn a_target_whose_health_check_is_wrong_keeps_getting_work() {
     let mut departure = departure();
-    let mut look_ups = 0;
+    let mut lookups = 0;
     for now in (0..6_000).step_by(10).map(Millis) {
         departure.note_health(true, now);
         if departure.start_lookup_if_due(now) {
-            look_ups += 1;
+            lookups += 1;
             departure.note_entry(&target(), ListingState::Open);
         }
         assert!(!departure.has_left(&target()));
     }
-    assert_eq!(look_ups, 8);
+    assert_eq!(lookups, 8);
 }
 
 /// A target is ill, and leaves at any time after that. Its gate looks the entry up often
 /// enough to know in time, whenever that is.
 #[test]
-fn a_target_that_leaves_while_it_is_ill_is_known_to_leave_in_time() {
+fn the_departure_of_an_unhealthy_target_is_noticed_in_time() {
     for leaves_at in (0..3_000).step_by(10).map(Millis) {
         let mut departure = departure();
         let mut known_at = None;
@@ -41,11 +41,11 @@
             if !departure.start_lookup_if_due(now) {
                 continue;
             }
-            let standing = match now >= leaves_at {
+            let listing_state = match now >= leaves_at {
                 true => ListingState::Draining,
                 false => ListingState::Open,
             };
-            if departure.note_entry(&target(), standing) {
+            if departure.note_entry(&target(), listing_state) {
                 known_at.get_or_insert(now);
             }
         }
@@ -58,7 +58,7 @@
 /// The entry of an ill target has lapsed, and is back two seconds later. No call starts
 /// meanwhile, so nobody asks the target's health; it must get work again all the same.
 #[test]
-fn a_target_whose_entry_lapsed_is_back_with_it() {
+fn a_target_gets_work_again_when_its_entry_returns() {
     let mut departure = departure();
     departure.note_health(true, Millis(10));
     assert!(departure.start_lookup_if_due(Millis(10)));
@@ -80,7 +80,7 @@
 
 /// A target that is always busy is asked for its health all the same.
 #[test]
-fn health_is_asked_for_again() {
+fn health_is_checked_again_while_the_target_is_busy() {
     let mut departure = departure();
     assert!(departure.health_is_due(Millis(0)));
     departure.note_health(false, Millis(0));
--- a/crates/dispatch/src/failures.rs
+++ b/crates/dispatch/src/failures.rs
@@ -12,27 +12,27 @@
 const HALF_LIFE_MS: f32 = 3_000.0;
 /// From this score on a target is avoided while others are to be had. One
 /// failure alone stays below it: one in a few hundred requests fails anywhere.
-const AVOIDED_FROM: f32 = 1.5;
+const AVOID_THRESHOLD: f32 = 1.5;
 /// Share of an earlier score that a success leaves, so that a target that fails
 /// every third request stays avoided and one that recovered does not.
-const KEPT_BY_SUCCESS: f32 = 0.8;
+const SUCCESS_DECAY: f32 = 0.8;
 /// A VM that cannot be reached is left alone for this long at first ...
-const FIRST_AWAY_MS: Millis = Millis(400);
+const INITIAL_UNREACHABLE_MS: Millis = Millis(400);
 /// ... and up to this long while it stays away.
-const LONGEST_AWAY_MS: Millis = Millis(2_000);
+const MAX_UNREACHABLE_MS: Millis = Millis(2_000);
 
 /// What is known of the targets that this entry sends to.
 #[derive(Debug, Default)]
 pub struct Failures {
-    by_life: HashMap<TargetIncarnation, Record>,
+    by_incarnation: HashMap<TargetIncarnation, Record>,
 }
 
 #[derive(Clone, Debug)]
 struct Record {
     score: f32,
     scored_at: Millis,
-    away_until: Millis,
-    away_for_ms: Millis,
+    unreachable_until: Millis,
+    unreachable_for_ms: Millis,
 }
 
 impl Record {
@@ -40,8 +40,8 @@
         Self {
             score: 0.0,
             scored_at: now,
-            away_until: Millis::ZERO,
-            away_for_ms: Millis::ZERO,
+            unreachable_until: Millis::ZERO,
+            unreachable_for_ms: Millis::ZERO,
         }
     }
 
@@ -58,13 +58,13 @@
 impl Failures {
     /// The target answered as it should.
     pub fn note_success(&mut self, target: &Member, now: Millis) {
-        if self.known(target).is_none() {
+        if self.existing(target).is_none() {
             return;
         }
         let record = self.record(target, now);
-        let score = record.score(now) * KEPT_BY_SUCCESS;
+        let score = record.score(now) * SUCCESS_DECAY;
         record.set_score(score, now);
-        record.away_for_ms = Millis::ZERO;
+        record.unreachable_for_ms = Millis::ZERO;
     }
 
     /// The target failed a request, broke it off, or kept silent.
@@ -78,40 +78,41 @@
     /// doubles, so that a dark VM costs few callers a connect timeout.
     pub fn note_unreachable(&mut self, target: &Member, now: Millis) {
         let record = self.record(target, now);
-        let doubled = Millis(record.away_for_ms.0 * 2);
-        record.away_for_ms = doubled.clamp(FIRST_AWAY_MS, LONGEST_AWAY_MS);
-        record.away_until = now + record.away_for_ms;
+        let doubled = Millis(record.unreachable_for_ms.0 * 2);
+        record.unreachable_for_ms = doubled.clamp(INITIAL_UNREACHABLE_MS, MAX_UNREACHABLE_MS);
+        record.unreachable_until = now + record.unreachable_for_ms;
     }
 
     /// Whether others go first.
     #[must_use]
     pub fn is_avoided(&self, target: &Member, now: Millis) -> bool {
-        let Some(record) = self.known(target) else {
+        let Some(record) = self.existing(target) else {
             return false;
         };
-        record.score(now) >= AVOIDED_FROM
+        record.score(now) >= AVOID_THRESHOLD
     }
 
     /// Whether its VM was just found unreachable.
     #[must_use]
     pub fn is_unreachable(&self, target: &Member, now: Millis) -> bool {
-        self.known(target)
-            .is_some_and(|record| now < record.away_until)
+        self.existing(target)
+            .is_some_and(|record| now < record.unreachable_until)
     }
 
     /// Forgets lives that are no longer listed.
     pub fn retain(&mut self, members: &Members) {
-        self.by_life.retain(|life, _| members.contains(life));
+        self.by_incarnation
+            .retain(|incarnation, _| members.contains(incarnation));
     }
 
     /// What is known of this life of the target.
-    fn known(&self, target: &Member) -> Option<&Record> {
-        self.by_life.get(&target.incarnation())
+    fn existing(&self, target: &Member) -> Option<&Record> {
+        self.by_incarnation.get(&target.incarnation())
     }
 
     /// The record of this life of the target, begun if there is none.
     fn record(&mut self, target: &Member, now: Millis) -> &mut Record {
-        let entry = self.by_life.entry(target.incarnation());
+        let entry = self.by_incarnation.entry(target.incarnation());
         entry.or_insert_with(|| Record::new(now))
     }
 }
--- a/crates/dispatch/src/failures/tests.rs
+++ b/crates/dispatch/src/failures/tests.rs
@@ -1,31 +1,31 @@
 //! What is held against targets.
 
 use super::*;
-use crate::members::tests::life;
+use crate::members::tests::incarnation;
 
 fn target() -> Member {
-    life(1)
+    incarnation(1)
 }
 
 /// A target fails, cannot be reached, and starts again under its id. The new life
 /// has failed nobody; held against it, the earlier one's failures would keep
 /// callers away from a sound target.
 #[test]
-fn what_was_learnt_of_one_life_is_not_held_against_the_next() {
+fn failures_of_one_incarnation_do_not_count_for_the_next() {
     let mut failures = Failures::default();
     for at in [0, 10, 20] {
-        failures.note_failure(&life(1), Millis(at));
+        failures.note_failure(&incarnation(1), Millis(at));
     }
-    failures.note_unreachable(&life(1), Millis(30));
-    assert!(failures.is_avoided(&life(1), Millis(40)));
-    assert!(!failures.is_avoided(&life(2), Millis(40)));
-    assert!(!failures.is_unreachable(&life(2), Millis(40)));
-    failures.note_failure(&life(2), Millis(50));
-    assert!(!failures.is_avoided(&life(2), Millis(60)));
+    failures.note_unreachable(&incarnation(1), Millis(30));
+    assert!(failures.is_avoided(&incarnation(1), Millis(40)));
+    assert!(!failures.is_avoided(&incarnation(2), Millis(40)));
+    assert!(!failures.is_unreachable(&incarnation(2), Millis(40)));
+    failures.note_failure(&incarnation(2), Millis(50));
+    assert!(!failures.is_avoided(&incarnation(2), Millis(60)));
 }
 
 #[test]
-fn one_failure_is_forgiven_and_several_are_not() {
+fn one_failure_is_tolerated_and_several_are_not() {
     let mut failures = Failures::default();
     failures.note_failure(&target(), Millis(0));
     assert!(!failures.is_avoided(&target(), Millis(0)));
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn a_dark_vm_is_left_alone_for_a_time_that_doubles() {
+fn an_unreachable_vm_is_skipped_with_exponential_backoff() {
     let mut failures = Failures::default();
     failures.note_unreachable(&target(), Millis(0));
     assert!(failures.is_unreachable(&target(), Millis(399)));
--- a/crates/dispatch/src/knee.rs
+++ b/crates/dispatch/src/knee.rs
@@ -11,7 +11,7 @@
 mod tests;
 
 /// Numbers of requests that are told apart; those of a larger target are grouped.
-const MOST_LEVELS: u32 = 16;
+const MAX_LEVELS: u32 = 16;
 /// After this span a sample counts for half. Run times spread by about a third, so
 /// some dozen samples a level are wanted, and a target with work has them in a
 /// second; a level that is no longer used is forgotten, and thereby tried again,
@@ -24,14 +24,14 @@
 /// what ends in a second alone, 2 at how long each caller waits as much.
 const DELAY_EXPONENT: f64 = 1.5;
 /// A smaller number has to be better by this factor: chance alone makes a tenth.
-const BETTER_BY: f64 = 1.1;
+const MIN_IMPROVEMENT: f64 = 1.1;
 /// This part of the slots is used whatever was learnt, in percent. Where one route
 /// mixes runs of a millisecond with runs of half a second, run times say little of how
 /// many ran beside them: targets were held to two of four slots, and callers refused.
-const LEAST_USED_PERCENT: u32 = 80;
+const MIN_LIMIT_PERCENT: u32 = 80;
 /// A run counts for this many times its usual time at most, so that one that hung
 /// says no more than a few slow ones.
-const MOST_RATIO: f64 = 4.0;
+const MAX_RATIO: f64 = 4.0;
 
 /// Run times of requests that started beside a certain number of others.
 #[derive(Clone, Copy, Debug, Default)]
@@ -40,16 +40,16 @@
     samples: f64,
     /// Sum of their times in parts of the usual time.
     sum: f64,
-    at: Millis,
+    updated_at: Millis,
 }
 
 impl Level {
-    fn fade(&mut self, now: Millis) {
-        let age = now.since(self.at).0 as f64 / HALF_LIFE_MS;
-        let kept = (-age).exp2();
-        self.samples *= kept;
-        self.sum *= kept;
-        self.at = now;
+    fn decay(&mut self, now: Millis) {
+        let age = now.since(self.updated_at).0 as f64 / HALF_LIFE_MS;
+        let factor = (-age).exp2();
+        self.samples *= factor;
+        self.sum *= factor;
+        self.updated_at = now;
     }
 }
 
@@ -61,13 +61,13 @@
 /// slots one by one was no better: it costs as much at targets without a knee as it
 /// saves at others.
 #[derive(Debug, Default)]
-pub struct Knee {
+pub struct KneeEstimator {
     slots: u32,
     levels: Vec<Level>,
     limit: u32,
 }
 
-impl Knee {
+impl KneeEstimator {
     /// Takes over how many requests the target takes at once. Another number is
     /// learnt anew.
     pub fn set_slots(&mut self, slots: u32) {
@@ -80,7 +80,7 @@
 
     /// Forgets what was learnt of an earlier life of the target.
     pub fn forget(&mut self) {
-        let levels = self.slots.min(MOST_LEVELS) as usize;
+        let levels = self.slots.min(MAX_LEVELS) as usize;
         self.levels = vec![Level::default(); levels];
         self.limit = self.slots;
     }
@@ -98,10 +98,10 @@
             return;
         };
         let level = &mut self.levels[number];
-        level.fade(now);
+        level.decay(now);
         level.samples += 1.0;
-        level.sum += ratio.clamp(0.0, MOST_RATIO);
-        let lowest = self.slots * LEAST_USED_PERCENT / 100;
+        level.sum += ratio.clamp(0.0, MAX_RATIO);
+        let lowest = self.slots * MIN_LIMIT_PERCENT / 100;
         self.limit = self.best_limit(now).max(lowest).max(1);
     }
 
@@ -122,15 +122,15 @@
         // says what it is off by, and the others are held against those below.
         let mut expected = 1.0;
         for (number, level) in self.levels.iter_mut().enumerate() {
-            level.fade(now);
+            level.decay(now);
             let sum = level.sum + PRIOR_SAMPLES * expected;
             expected = sum / (level.samples + PRIOR_SAMPLES);
             let value = (number + 1) as f64 / expected.powf(DELAY_EXPONENT);
             best = best.max(value);
             values.push(value);
         }
-        let enough = best / BETTER_BY;
-        let largest = values.iter().rposition(|value| *value >= enough);
+        let threshold = best / MIN_IMPROVEMENT;
+        let largest = values.iter().rposition(|value| *value >= threshold);
         let levels = self.levels.len() as u32;
         let number = largest.map_or(levels, |number| number as u32 + 1);
         (number * self.slots / levels.max(1)).max(1)
--- a/crates/dispatch/src/knee/tests.rs
+++ b/crates/dispatch/src/knee/tests.rs
@@ -5,17 +5,23 @@
 
 use super::*;
 
-/// A target that takes `slower` times as long beyond `knee` requests at once.
+/// A target that takes `slowdown` times as long beyond `knee` requests at once.
 struct Target {
     slots: u32,
     knee: u32,
-    slower: f64,
+    slowdown: f64,
 }
 
 /// The mean limit in the second half of so many seconds of load that uses all it may
 /// get, with run times that spread by a third and 40 runs a second. The mean, since
 /// slots beyond a knee are tried again now and then.
-fn learn(knee: &mut Knee, target: &Target, from_ms: u64, seconds: u64, seed: u64) -> u32 {
+fn mean_learnt_limit(
+    knee: &mut KneeEstimator,
+    target: &Target,
+    from_ms: u64,
+    seconds: u64,
+    seed: u64,
+) -> u32 {
     let mut rng = Xoshiro256PlusPlus::seed_from_u64(seed);
     knee.set_slots(target.slots);
     let steps = seconds * 40;
@@ -26,7 +32,7 @@
         }
         let running = rng.random_range(1..=knee.limit());
         let usual = if running > target.knee {
-            target.slower
+            target.slowdown
         } else {
             1.0
         };
@@ -41,16 +47,16 @@
 /// Filled up, it ends fewer requests a second, and each of them late.
 #[test]
 fn a_knee_is_found_within_seconds() {
-    for (slots, at) in [(12, 9), (9, 7), (6, 4), (64, 51)] {
+    for (slots, knee_at) in [(12, 9), (9, 7), (6, 4), (64, 51)] {
         for seed in 0..20 {
             let target = Target {
                 slots,
-                knee: at,
-                slower: 1.7,
+                knee: knee_at,
+                slowdown: 1.7,
             };
-            let limit = learn(&mut Knee::default(), &target, 0, 10, seed);
-            let low = at * 3 / 4;
-            let high = at + at.div_ceil(8);
+            let limit = mean_learnt_limit(&mut KneeEstimator::default(), &target, 0, 10, seed);
+            let low = knee_at * 3 / 4;
+            let high = knee_at + knee_at.div_ceil(8);
             assert!(
                 (low..=high).contains(&limit),
                 "{limit} of {slots}, seed {seed}"
@@ -68,9 +74,9 @@
             let target = Target {
                 slots,
                 knee: slots,
-                slower: 1.0,
+                slowdown: 1.0,
             };
-            let limit = learn(&mut Knee::default(), &target, 0, 10, seed);
+            let limit = mean_learnt_limit(&mut KneeEstimator::default(), &target, 0, 10, seed);
             assert!(limit * 10 >= slots * 9, "{limit} of {slots}, seed {seed}");
         }
     }
@@ -83,7 +89,7 @@
 fn a_mix_of_short_and_long_runs_leaves_most_slots_in_use() {
     let mut rng = Xoshiro256PlusPlus::seed_from_u64(601);
     for slots in [4, 12] {
-        let mut knee = Knee::default();
+        let mut knee = KneeEstimator::default();
         knee.set_slots(slots);
         for step in 0..4_000_u64 {
             let running = rng.random_range(1..=knee.limit());
@@ -98,24 +104,24 @@
 /// The neighbour that made the target slow down is gone. The slots beyond the knee
 /// are tried again, and stay in use.
 #[test]
-fn a_knee_that_is_gone_is_forgotten() {
-    let mut knee = Knee::default();
+fn a_knee_that_disappears_is_forgotten() {
+    let mut knee = KneeEstimator::default();
     let mut target = Target {
         slots: 12,
         knee: 9,
-        slower: 1.7,
+        slowdown: 1.7,
     };
-    assert!(learn(&mut knee, &target, 0, 20, 1) <= 10);
+    assert!(mean_learnt_limit(&mut knee, &target, 0, 20, 1) <= 10);
     target.knee = 12;
-    assert!(learn(&mut knee, &target, 20_000, 60, 2) >= 11);
+    assert!(mean_learnt_limit(&mut knee, &target, 20_000, 60, 2) >= 11);
 }
 
 /// What a route usually takes is learnt elsewhere and may be off by far, for all
 /// requests alike. That is no knee.
 #[test]
-fn a_usual_time_that_is_off_is_no_knee() {
+fn a_wrong_usual_time_is_not_taken_for_a_knee() {
     for off in [0.3, 3.0] {
-        let mut knee = Knee::default();
+        let mut knee = KneeEstimator::default();
         knee.set_slots(12);
         for step in 0..400 {
             knee.learn(step % 12 + 1, off, Millis(u64::from(step) * 25));
--- a/crates/dispatch/src/members.rs
+++ b/crates/dispatch/src/members.rs
@@ -16,11 +16,11 @@
 /// time when their target lives; one still missing is gone.
 const LAPSE_GRACE_MS: Millis = Millis(2_000);
 /// A removal this soon after trouble with the store may be a lapse.
-const TROUBLE_SHADOW_MS: Millis = Millis(1_000);
+const STORE_FAILURE_WINDOW_MS: Millis = Millis(1_000);
 
 /// A target that is gone is remembered this long: far beyond the time in which
 /// an entry that slept may still send to it.
-const REMEMBERED_MS: Millis = Millis::from_secs(60);
+const REMOVED_RETENTION_MS: Millis = Millis::from_secs(60);
 
 /// One life of a target; a restarted target has another id.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -63,7 +63,7 @@
     /// It takes no new work and will end.
     pub draining: bool,
     /// Order in which targets were first listed; later ones have higher numbers.
-    pub listed_at: u64,
+    pub listing_order: u64,
     /// Unix time of its start, where targets tell it. A target may start again under
     /// its id; another time is another life, and nothing learnt of the earlier one
     /// holds.
@@ -104,7 +104,7 @@
     by_service: HashMap<ServiceName, Vec<Arc<Member>>>,
     /// For each call a gate looks up its own target here.
     by_address: HashMap<SocketAddr, Arc<Member>>,
-    left: Arc<BTreeMap<TargetId, Millis>>,
+    removed_at: Arc<BTreeMap<TargetId, Millis>>,
 }
 
 impl Members {
@@ -122,9 +122,9 @@
 
     /// Whether this life of a target is listed.
     #[must_use]
-    pub fn contains(&self, life: &TargetIncarnation) -> bool {
-        let listed = self.by_id.get(&life.id);
-        listed.is_some_and(|member| member.started_at_ms == life.started_at_ms)
+    pub fn contains(&self, incarnation: &TargetIncarnation) -> bool {
+        let listed = self.by_id.get(&incarnation.id);
+        listed.is_some_and(|member| member.started_at_ms == incarnation.started_at_ms)
     }
 
     /// The newest listed target at an address.
@@ -136,7 +136,7 @@
     /// Whether the target was listed once and is gone.
     #[must_use]
     pub fn has_left(&self, id: &TargetId) -> bool {
-        self.left.contains_key(id)
+        self.removed_at.contains_key(id)
     }
 
     /// Every target known.
@@ -175,28 +175,28 @@
 /// Follows the platform's list on the control thread.
 #[derive(Debug, Default)]
 pub struct MemberTracker {
-    known: BTreeMap<TargetId, Tracked>,
+    known: BTreeMap<TargetId, TrackedMember>,
     /// Targets that are gone, and since when. Ids are never used again.
-    left: BTreeMap<TargetId, Millis>,
-    troubled_at: Option<Millis>,
-    distant_trouble: Option<DistantTrouble>,
+    removed_at: BTreeMap<TargetId, Millis>,
+    store_failed_at: Option<Millis>,
+    remote_failure: Option<RemoteStoreFailure>,
 }
 
 /// Trouble of another node with the store.
 #[derive(Clone, Copy, Debug)]
-struct DistantTrouble {
+struct RemoteStoreFailure {
     at: Millis,
     /// How long a removal is held meanwhile.
     grace_ms: Millis,
 }
 
 /// Whether trouble was so near that a removal may be a lapse.
-fn is_shadowed(troubled_at: Option<Millis>, now: Millis) -> bool {
-    troubled_at.is_some_and(|at| now.since(at) < TROUBLE_SHADOW_MS)
+fn is_recent_failure(store_failed_at: Option<Millis>, now: Millis) -> bool {
+    store_failed_at.is_some_and(|at| now.since(at) < STORE_FAILURE_WINDOW_MS)
 }
 
 #[derive(Debug)]
-struct Tracked {
+struct TrackedMember {
     member: Arc<Member>,
     /// The entry is missing, perhaps only because the store was away; it
     /// counts until this time.
@@ -206,11 +206,11 @@
 impl MemberTracker {
     /// An entry was written.
     pub fn upsert(&mut self, member: Member) {
-        let tracked = Tracked {
+        let tracked = TrackedMember {
             member: Arc::new(member),
             missing_until: None,
         };
-        self.left.remove(&tracked.member.id);
+        self.removed_at.remove(&tracked.member.id);
         self.known.insert(tracked.member.id.clone(), tracked);
     }
 
@@ -222,14 +222,14 @@
     /// removal in or right after trouble therefore waits for the entry's
     /// return; a removal in calm times counts at once.
     pub fn remove(&mut self, id: &TargetId, now: Millis) {
-        let in_trouble = self.is_troubled(now);
+        let may_be_lapse = self.may_be_lapse(now);
         let grace_ms = self.grace_ms(now);
         let Some(tracked) = self.known.get_mut(id) else {
             return;
         };
-        if !in_trouble || tracked.member.draining {
+        if !may_be_lapse || tracked.member.draining {
             self.known.remove(id);
-            self.left.insert(id.clone(), now);
+            self.removed_at.insert(id.clone(), now);
             return;
         }
         if tracked.missing_until.is_none() {
@@ -243,7 +243,7 @@
         let ids: BTreeSet<TargetId> = listed.iter().map(|member| member.id.clone()).collect();
         let mut difference = Difference::default();
         for member in listed {
-            if !self.is_known_so(&member) {
+            if !self.is_known_as(&member) {
                 difference.written.push(member);
             }
         }
@@ -256,14 +256,14 @@
     }
 
     /// Whether a target is known by just this entry, which is not missing.
-    fn is_known_so(&self, member: &Member) -> bool {
+    fn is_known_as(&self, member: &Member) -> bool {
         let tracked = self.known.get(&member.id);
         tracked.is_some_and(|tracked| tracked.missing_until.is_none() && *tracked.member == *member)
     }
 
     /// The store could not be read just now.
     pub fn note_store_failure(&mut self, now: Millis) {
-        self.troubled_at = Some(now);
+        self.store_failed_at = Some(now);
     }
 
     /// Another node, whose reads this one hears, could not read the store just now. A
@@ -274,13 +274,13 @@
     /// them nothing soon after, whoever else is in trouble; held for as long as a
     /// lapsed entry takes to come back, they would still get work.
     pub fn note_remote_store_failure(&mut self, grace_ms: Millis, now: Millis) {
-        self.distant_trouble = Some(DistantTrouble { at: now, grace_ms });
+        self.remote_failure = Some(RemoteStoreFailure { at: now, grace_ms });
     }
 
     /// Drops entries that stayed missing; true when any did.
     pub fn expire(&mut self, now: Millis) -> bool {
-        self.left
-            .retain(|_, since| now.since(*since) < REMEMBERED_MS);
+        self.removed_at
+            .retain(|_, since| now.since(*since) < REMOVED_RETENTION_MS);
         let mut expired = Vec::new();
         for (id, tracked) in &self.known {
             if tracked.missing_until.is_some_and(|until| now >= until) {
@@ -289,7 +289,7 @@
         }
         for id in &expired {
             self.known.remove(id);
-            self.left.insert(id.clone(), now);
+            self.removed_at.insert(id.clone(), now);
         }
         !expired.is_empty()
     }
@@ -308,15 +308,18 @@
     /// Failure answered: a target that crashed is listed for seconds beside its
     /// next life at the same address, and every second call would be sent to
     /// the one that is no more.
-    fn latest_lives(&self, is_named: &impl Fn(&ServiceName) -> bool) -> HashMap<SocketAddr, u64> {
+    fn latest_by_address(
+        &self,
+        is_configured: &impl Fn(&ServiceName) -> bool,
+    ) -> HashMap<SocketAddr, u64> {
         let mut latest = HashMap::new();
         for tracked in self.known.values() {
             let member = &tracked.member;
-            if !is_named(&member.service) {
+            if !is_configured(&member.service) {
                 continue;
             }
-            let known = latest.entry(member.address).or_insert(member.listed_at);
-            *known = member.listed_at.max(*known);
+            let known = latest.entry(member.address).or_insert(member.listing_order);
+            *known = member.listing_order.max(*known);
         }
         latest
     }
@@ -341,19 +344,19 @@
     /// might be chosen to read for others.
     #[must_use]
     pub fn snapshot_for(&self, routes: &RouteSet) -> Members {
-        let named = routes.all_services();
-        self.snapshot_of(|service| named.contains(service))
+        let configured = routes.all_services();
+        self.snapshot_of(|service| configured.contains(service))
     }
 
-    fn snapshot_of(&self, is_named: impl Fn(&ServiceName) -> bool) -> Members {
+    fn snapshot_of(&self, is_configured: impl Fn(&ServiceName) -> bool) -> Members {
         let mut members = Members {
-            left: Arc::new(self.left.clone()),
+            removed_at: Arc::new(self.removed_at.clone()),
             ..Members::default()
         };
-        let latest = self.latest_lives(&is_named);
+        let latest = self.latest_by_address(&is_configured);
         for tracked in self.known.values() {
             let member = &tracked.member;
-            if !is_named(&member.service) {
+            if !is_configured(&member.service) {
                 continue;
             }
             members.by_id.insert(member.id.clone(), Arc::clone(member));
@@ -361,24 +364,24 @@
                 let member = Arc::clone(member);
                 members.by_address.insert(member.address, member);
             }
-            if member.draining || latest[&member.address] != member.listed_at {
+            if member.draining || latest[&member.address] != member.listing_order {
                 continue;
             }
-            let open = members.by_service.entry(member.service.clone());
-            open.or_default().push(Arc::clone(member));
+            let available = members.by_service.entry(member.service.clone());
+            available.or_default().push(Arc::clone(member));
         }
         members
     }
 
-    fn is_troubled(&self, now: Millis) -> bool {
-        let distant_at = self.distant_trouble.map(|trouble| trouble.at);
-        is_shadowed(self.troubled_at, now) || is_shadowed(distant_at, now)
+    fn may_be_lapse(&self, now: Millis) -> bool {
+        let remote_failed_at = self.remote_failure.map(|failure| failure.at);
+        is_recent_failure(self.store_failed_at, now) || is_recent_failure(remote_failed_at, now)
     }
 
     /// How long a removal is held now.
     fn grace_ms(&self, now: Millis) -> Millis {
-        match self.distant_trouble {
-            Some(trouble) if !is_shadowed(self.troubled_at, now) => trouble.grace_ms,
+        match self.remote_failure {
+            Some(failure) if !is_recent_failure(self.store_failed_at, now) => failure.grace_ms,
             _ => LAPSE_GRACE_MS,
         }
     }
--- a/crates/dispatch/src/members/tests.rs
+++ b/crates/dispatch/src/members/tests.rs
@@ -12,13 +12,13 @@
         data_centre: DataCentre::new("dusit"),
         slots: 12,
         draining: false,
-        listed_at: 1,
+        listing_order: 1,
         started_at_ms: None,
     }
 }
 
 /// The target `i-1` in the life that began at this time.
-pub(crate) fn life(started_at_ms: u64) -> Member {
+pub(crate) fn incarnation(started_at_ms: u64) -> Member {
     Member {
         started_at_ms: Some(Millis(started_at_ms)),
         ..member("i-1", "10.0.0.1:80")
@@ -36,28 +36,31 @@
     }
 }
 
-fn open_ids(tracker: &MemberTracker) -> Vec<String> {
+fn available_ids(tracker: &MemberTracker) -> Vec<String> {
     let members = tracker.snapshot();
-    let open = members.available(&ServiceName::new("cashier"));
-    open.iter().map(|member| member.id.to_string()).collect()
+    let available = members.available(&ServiceName::new("cashier"));
+    available
+        .iter()
+        .map(|member| member.id.to_string())
+        .collect()
 }
 
 #[test]
-fn a_target_that_leaves_in_calm_times_is_gone_at_once() {
+fn a_removal_counts_at_once_while_the_store_works() {
     let mut tracker = MemberTracker::default();
     tracker.upsert(member("i-1", "10.0.0.1:80"));
     tracker.remove(&TargetId::new("i-1"), Millis(10));
-    assert!(open_ids(&tracker).is_empty());
+    assert!(available_ids(&tracker).is_empty());
     assert!(tracker.snapshot().has_left(&TargetId::new("i-1")));
 }
 
 #[test]
-fn a_draining_target_is_known_and_not_open() {
+fn a_draining_target_is_known_and_not_available() {
     let mut tracker = MemberTracker::default();
     let mut leaving = member("i-1", "10.0.0.1:80");
     leaving.draining = true;
     tracker.upsert(leaving);
-    assert!(open_ids(&tracker).is_empty());
+    assert!(available_ids(&tracker).is_empty());
     let snapshot = tracker.snapshot();
     let known = snapshot.get(&TargetId::new("i-1"));
     assert!(known.is_some_and(|member| member.draining));
@@ -67,7 +70,7 @@
 /// targets whose reports it missed. They serve all the while; callers must not
 /// be told that there is no target.
 #[test]
-fn entries_that_lapsed_with_the_store_count_for_two_more_seconds() {
+fn entries_missing_after_a_store_failure_are_kept_for_two_seconds() {
     let mut tracker = MemberTracker::default();
     tracker.upsert(member("i-1", "10.0.0.1:80"));
     tracker.upsert(member("i-2", "10.0.0.2:80"));
@@ -77,39 +80,39 @@
         vec![member("i-1", "10.0.0.1:80")],
         Millis(5_100),
     );
-    assert_eq!(open_ids(&tracker), ["i-1", "i-2"]);
+    assert_eq!(available_ids(&tracker), ["i-1", "i-2"]);
     assert!(!tracker.expire(Millis(7_099)));
     assert!(tracker.expire(Millis(7_100)));
-    assert_eq!(open_ids(&tracker), ["i-1"]);
+    assert_eq!(available_ids(&tracker), ["i-1"]);
 }
 
 #[test]
-fn an_entry_that_comes_back_stays() {
+fn an_entry_that_comes_back_is_kept() {
     let mut tracker = MemberTracker::default();
     tracker.upsert(member("i-1", "10.0.0.1:80"));
     tracker.note_store_failure(Millis(5_000));
     tracker.remove(&TargetId::new("i-1"), Millis(5_100));
     tracker.upsert(member("i-1", "10.0.0.1:80"));
     assert!(!tracker.expire(Millis(60_000)));
-    assert_eq!(open_ids(&tracker), ["i-1"]);
+    assert_eq!(available_ids(&tracker), ["i-1"]);
 }
 
 /// A target crashes and starts again at its address. Its entry lapses only
 /// seconds after the new one has come.
 #[test]
-fn of_two_lives_at_an_address_only_the_later_is_open() {
+fn only_the_latest_incarnation_at_an_address_is_available() {
     let mut tracker = MemberTracker::default();
     tracker.upsert(member("i-9", "10.0.0.1:80"));
     let later = Member {
-        listed_at: 2,
+        listing_order: 2,
         ..member("i-1", "10.0.0.1:80")
     };
     tracker.upsert(later);
-    assert_eq!(open_ids(&tracker), ["i-1"]);
+    assert_eq!(available_ids(&tracker), ["i-1"]);
 }
 
 #[test]
-fn a_draining_target_that_vanishes_in_trouble_is_gone() {
+fn a_draining_target_removed_during_a_store_failure_is_gone_at_once() {
     let mut tracker = MemberTracker::default();
     let mut leaving = member("i-1", "10.0.0.1:80");
     leaving.draining = true;
@@ -133,7 +136,7 @@
     tracker.upsert(member("i-1", "10.0.0.1:80"));
     tracker.upsert(Member {
         service: ServiceName::new("not-ours"),
-        listed_at: 2,
+        listing_order: 2,
         ..member("x-1", "10.0.0.1:80")
     });
     tracker.upsert(Member {
@@ -141,9 +144,9 @@
         ..member("x-2", "10.9.9.9:80")
     });
     let members = tracker.snapshot_for(&routes);
-    let open = members.available(&ServiceName::new("cashier"));
-    assert_eq!(open.len(), 1);
-    assert_eq!(open[0].id.as_str(), "i-1");
+    let available = members.available(&ServiceName::new("cashier"));
+    assert_eq!(available.len(), 1);
+    assert_eq!(available[0].id.as_str(), "i-1");
     let own = members.at_address("10.0.0.1:80".parse().expect("an address"));
     assert_eq!(own.map(|member| member.id.as_str()), Some("i-1"));
     assert_eq!(members.vms().len(), 1);
@@ -154,7 +157,7 @@
 /// whole time in which a lapsed entry may come back, the target would get work for
 /// longer than a target that leaves may get any.
 #[test]
-fn a_removal_while_another_node_is_in_trouble_is_held_for_less() {
+fn a_removal_during_a_remote_store_failure_is_held_for_less() {
     let mut tracker = MemberTracker::default();
     tracker.upsert(member("i-1", "10.0.0.1:80"));
     tracker.note_remote_store_failure(Millis(900), Millis(5_000));
@@ -173,7 +176,7 @@
 /// The list is read anew and is as it was known: subscribers must not be told of
 /// a thousand targets that did not change. One that was missing is told of.
 #[test]
-fn a_listing_changes_what_is_other_than_it_was_known() {
+fn a_listing_changes_only_entries_that_differ() {
     let mut tracker = MemberTracker::default();
     let listed = [member("i-1", "10.0.0.1:80"), member("i-2", "10.0.0.2:80")];
     for member in &listed {
--- a/crates/dispatch/src/order.rs
+++ b/crates/dispatch/src/order.rs
@@ -13,7 +13,7 @@
 
 /// One in this many requests goes to an avoided target first, so that its
 /// recovery is seen without waiting for its score to fade.
-const TRIAL_IN: u32 = 24;
+const PROBE_ONE_IN: u32 = 24;
 
 /// A target in the order of asking.
 #[derive(Clone, Debug)]
@@ -48,7 +48,7 @@
 /// costs a connect timeout.
 pub fn candidates(view: &View<'_>, rng: &mut impl rand::Rng) -> Vec<Candidate> {
     let mut found = Vec::with_capacity(view.available.len());
-    let mut away = Vec::new();
+    let mut unreachable = Vec::new();
     for member in view.available {
         if view.tried.contains(&member.id) {
             continue;
@@ -59,18 +59,18 @@
             member: Arc::clone(member),
         };
         if view.failures.is_unreachable(member, view.now) {
-            away.push(candidate);
+            unreachable.push(candidate);
             continue;
         }
         found.push(candidate);
     }
     if found.is_empty() {
-        found = away;
+        found = unreachable;
     }
     found.shuffle(rng);
-    let is_trial = rng.random_range(0..TRIAL_IN) == 0;
-    found.sort_by_key(|candidate| (candidate.is_avoided != is_trial, !candidate.is_near));
-    if !is_trial {
+    let is_probe = rng.random_range(0..PROBE_ONE_IN) == 0;
+    found.sort_by_key(|candidate| (candidate.is_avoided != is_probe, !candidate.is_near));
+    if !is_probe {
         return found;
     }
     // In a trial only the first avoided target moves ahead.
--- a/crates/dispatch/src/order/tests.rs
+++ b/crates/dispatch/src/order/tests.rs
@@ -15,7 +15,7 @@
             data_centre: DataCentre::new(data_centre),
             slots: 12,
             draining: false,
-            listed_at: 1,
+            listing_order: 1,
             started_at_ms: None,
         }));
     }
@@ -56,17 +56,17 @@
 }
 
 #[test]
-fn a_target_that_failed_goes_last_but_for_a_rare_trial() {
+fn a_failing_target_goes_last_except_for_rare_probes() {
     let mut failures = Failures::default();
-    let ill = TargetId::new("i-1");
-    let sick = member("i-1");
-    failures.note_failure(&sick, Millis(50));
-    failures.note_failure(&sick, Millis(60));
+    let failing_id = TargetId::new("i-1");
+    let failing_member = member("i-1");
+    failures.note_failure(&failing_member, Millis(50));
+    failures.note_failure(&failing_member, Millis(60));
     let mut first = 0;
     let mut last = 0;
     for order in orders(&failures, &[]) {
-        first += u32::from(order[0].member.id == ill);
-        last += u32::from(order[3].member.id == ill);
+        first += u32::from(order[0].member.id == failing_id);
+        last += u32::from(order[3].member.id == failing_id);
     }
     assert!((8..=40).contains(&first), "{first} trials of 480");
     assert_eq!(first + last, 480);
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn when_all_are_unreachable_they_are_asked_all_the_same() {
+fn unreachable_targets_are_tried_when_no_others_remain() {
     let mut failures = Failures::default();
     for member in members() {
         failures.note_unreachable(&member, Millis(50));
--- a/crates/dispatch/src/patience.rs
+++ b/crates/dispatch/src/patience.rs
@@ -8,7 +8,7 @@
 
 /// Run times spread: a call that has this many mean run times left before its
 /// objective makes it nine times in ten.
-const RUN_MARGIN: f64 = 1.45;
+const RUN_TIME_MARGIN: f64 = 1.45;
 /// Time from the caller to the entry and back that counts against the
 /// objective, as callers see it: two ways of 8 ms.
 const CALLER_ROUND_TRIP_MS: Millis = Millis(16);
@@ -17,16 +17,16 @@
 /// When no target has room (in contrast to being slow), a caller learns it
 /// after this part of the objective or, where a usual run would still meet it,
 /// when none would any more: it may come back in time.
-const BUSY_HOLD_PART: u64 = 8;
+const BUSY_WAIT_DIVISOR: u64 = 8;
 /// Work that fits this often into the time that it has is short. Short work
 /// finds a slot soon even in an overload, since it goes first and takes little
 /// from others; mostly it is what a target asks of another one for a caller of
 /// its own, and sent away it would cost that whole request ...
-const SHORT_WORK_PARTS: f64 = 10.0;
+const SHORT_WORK_RATIO: f64 = 10.0;
 /// ... so it stays in line for this part of its time. For long work the same
 /// was tried and reverted: in an overload its callers were served late instead
 /// of being sent away and served in time.
-const SHORT_BUSY_PERCENT: u64 = 70;
+const SHORT_BUSY_WAIT_PERCENT: u64 = 70;
 /// Requests above this size wait for a near target as long as they can ...
 const HEAVY_BYTES: f64 = 20_000.0;
 /// ... and those below this size are not worth waiting for it at all. Between
@@ -65,7 +65,7 @@
         arrived: Millis,
         deadline_at: Millis,
     ) -> Self {
-        let margin = Millis((work.run_ms * RUN_MARGIN) as u64);
+        let margin = Millis((work.run_ms * RUN_TIME_MARGIN) as u64);
         let whole_objective_ms = route.objective_ms.minus(CALLER_ROUND_TRIP_MS);
         let objective_at = arrived + whole_objective_ms;
         let fast_until = Millis(objective_at.0.saturating_sub(margin.0)).max(arrived);
@@ -80,10 +80,10 @@
             _ => Millis::MAX,
         };
         let time_ms = deadline_at.since(arrived).0;
-        let is_short = work.samples > 0 && work.run_ms * SHORT_WORK_PARTS <= time_ms as f64;
+        let is_short = work.samples > 0 && work.run_ms * SHORT_WORK_RATIO <= time_ms as f64;
         let busy_for = match is_short {
-            true => time_ms * SHORT_BUSY_PERCENT / 100,
-            false => route.objective_ms.0 / BUSY_HOLD_PART,
+            true => time_ms * SHORT_BUSY_WAIT_PERCENT / 100,
+            false => route.objective_ms.0 / BUSY_WAIT_DIVISOR,
         };
         let busy_until = arrived + Millis(busy_for);
         Self {
--- a/crates/dispatch/src/patience/tests.rs
+++ b/crates/dispatch/src/patience/tests.rs
@@ -44,7 +44,7 @@
 /// a short question of one target to another stays in line, since the work that
 /// waits for it would be lost.
 #[test]
-fn short_work_stays_in_line_and_long_work_is_told_early() {
+fn short_work_stays_queued_and_long_work_is_refused_early() {
     assert_eq!(plan(0, 800).busy_until, Millis(1_154));
     let mut route = route("r", "/", &[("s", 1)]);
     route.objective_ms = Millis(100);
@@ -61,7 +61,7 @@
 /// lookup would stay in line for most of its deadline and be refused when it is of no
 /// use to come back.
 #[test]
-fn work_that_is_not_known_is_not_taken_for_short() {
+fn unknown_work_is_not_treated_as_short() {
     let route = route("r", "/", &[("s", 1)]);
     let work = WorkEstimate {
         run_ms: 90.0,
--- a/crates/dispatch/src/reach.rs
+++ b/crates/dispatch/src/reach.rs
@@ -10,10 +10,10 @@
 
 /// So many VMs must have been found unreachable, with none reached since, before
 /// a node takes itself for cut off: two that die together are no partition.
-const VMS_TO_DOUBT: usize = 3;
+const MIN_UNREACHABLE_VMS: usize = 3;
 /// And none must have been reached for this long: links that broke with their
 /// gates are opened anew within it.
-const SILENCE_MS: Millis = Millis(600);
+const MIN_UNREACHED_MS: Millis = Millis(600);
 
 /// What a node's own attempts say of its way to others.
 ///
@@ -42,7 +42,7 @@
     /// Whether the node is cut off. `others` VMs are listed beside its own.
     #[must_use]
     pub fn is_partitioned(&self, others: usize, now: Millis) -> bool {
-        let enough = VMS_TO_DOUBT.min(others).max(1);
-        self.unreachable.len() >= enough && now.since(self.reached_at) >= SILENCE_MS
+        let threshold = MIN_UNREACHABLE_VMS.min(others).max(1);
+        self.unreachable.len() >= threshold && now.since(self.reached_at) >= MIN_UNREACHED_MS
     }
 }
--- a/crates/dispatch/src/reach/tests.rs
+++ b/crates/dispatch/src/reach/tests.rs
@@ -9,7 +9,7 @@
 /// A VM is cut off from all others. It notices once several of them cannot be
 /// reached, and is back with the first that answers.
 #[test]
-fn a_node_that_reaches_nobody_is_cut_off() {
+fn a_node_that_reaches_no_vm_is_partitioned() {
     let mut reach = Reachability::default();
     reach.note_reached(Millis(1_000));
     reach.note_unreachable(vm(1));
@@ -24,7 +24,7 @@
 
 /// Several VMs die together, and others answer in between.
 #[test]
-fn a_node_that_reaches_anyone_is_not() {
+fn a_node_that_reaches_any_vm_is_not_partitioned() {
     let mut reach = Reachability::default();
     for number in 0..10 {
         reach.note_unreachable(vm(number));
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn in_a_small_fleet_fewer_are_enough_and_alone_there_is_nobody_to_miss() {
+fn small_fleets_need_fewer_unreachable_vms_and_a_single_vm_is_never_partitioned() {
     let mut reach = Reachability::default();
     assert!(!reach.is_partitioned(0, Millis(5_000)));
     reach.note_unreachable(vm(1));
--- a/crates/dispatch/src/readers.rs
+++ b/crates/dispatch/src/readers.rs
@@ -30,15 +30,15 @@
 const MAX_VMS_WITHOUT_READERS: usize = 8;
 /// A data centre of more VMs than this has readers of its own. The others share
 /// theirs.
-const MAX_VMS_TO_SHARE: usize = 48;
+const MAX_VMS_SHARING_READERS: usize = 48;
 /// Readers of a group at least, so that two are left while one restarts.
 const MIN_READERS: usize = 3;
 /// One reader for this many VMs: with three subscriptions each, a reader tells
 /// about 48 nodes, some four times a second when nothing changes.
-const VMS_A_READER: usize = 16;
+const VMS_PER_READER: usize = 16;
 /// One leader for this many readers of a group, itself included: with those that it
 /// leads, it tells 59 nodes.
-const READERS_A_LEADER: usize = 12;
+const READERS_PER_LEADER: usize = 12;
 /// Readers to whom one node subscribes.
 pub const SUBSCRIPTIONS: usize = 3;
 
@@ -133,26 +133,26 @@
 #[must_use]
 pub fn role(members: &Members, own: IpAddr, data_centre: &DataCentre) -> Role {
     let data_centres = vms_by_data_centre(members);
-    let Some(beside) = data_centres.get(data_centre) else {
+    let Some(local_vms) = data_centres.get(data_centre) else {
         return Role::Alone;
     };
-    let (large, sharing) = groups(&data_centres);
-    let group = match is_large(beside) {
-        true => beside,
-        false => &sharing,
+    let (large, shared_group) = groups(&data_centres);
+    let group = match is_large(local_vms) {
+        true => local_vms,
+        false => &shared_group,
     };
     if group.len() <= MAX_VMS_WITHOUT_READERS {
         return Role::Alone;
     }
-    let Ranked { readers, reserves } = rank(group);
+    let RankedVms { readers, reserves } = rank(group);
     if !readers.contains(&own) {
         return Role::Follower {
-            readers: nearest(readers, own, beside),
+            readers: nearest(readers, own, local_vms),
             is_reserve: reserves.contains(&own),
         };
     }
     let mut others = Vec::new();
-    for group in large.into_iter().chain([&sharing]) {
+    for group in large.into_iter().chain([&shared_group]) {
         if group.len() > MAX_VMS_WITHOUT_READERS {
             others.extend(rank(group).readers);
         }
@@ -177,18 +177,18 @@
     data_centres: &'a BTreeMap<&DataCentre, BTreeSet<IpAddr>>,
 ) -> (Vec<&'a BTreeSet<IpAddr>>, BTreeSet<IpAddr>) {
     let mut large = Vec::new();
-    let mut sharing = BTreeSet::new();
+    let mut shared_group = BTreeSet::new();
     for vms in data_centres.values() {
         match is_large(vms) {
             true => large.push(vms),
-            false => sharing.extend(vms),
+            false => shared_group.extend(vms),
         }
     }
-    (large, sharing)
+    (large, shared_group)
 }
 
 fn is_large(vms: &BTreeSet<IpAddr>) -> bool {
-    vms.len() > MAX_VMS_TO_SHARE
+    vms.len() > MAX_VMS_SHARING_READERS
 }
 
 /// VMs by data centre; those whose only target is leaving are left out, since
@@ -207,14 +207,14 @@
 
 /// The reader whose asking a reader relies on, which may be itself. The first ones of a
 /// group lead, and share the others evenly.
-fn leader_of(near: &[IpAddr], own: IpAddr) -> IpAddr {
-    let leaders = near.len().div_ceil(READERS_A_LEADER);
-    let place = near.iter().position(|reader| *reader == own);
-    near[place.map_or(0, |place| place % leaders)]
+fn leader_of(readers: &[IpAddr], own: IpAddr) -> IpAddr {
+    let leaders = readers.len().div_ceil(READERS_PER_LEADER);
+    let index = readers.iter().position(|reader| *reader == own);
+    readers[index.map_or(0, |index| index % leaders)]
 }
 
 /// Nodes of a group that read the platform.
-struct Ranked {
+struct RankedVms {
     /// Always.
     readers: Vec<IpAddr>,
     /// While none of the readers can.
@@ -222,20 +222,20 @@
 }
 
 /// Ranks the VMs of a group by a hash, so that all nodes with the same list agree.
-fn rank(vms: &BTreeSet<IpAddr>) -> Ranked {
-    let count = vms.len().div_ceil(VMS_A_READER).max(MIN_READERS);
+fn rank(vms: &BTreeSet<IpAddr>) -> RankedVms {
+    let count = vms.len().div_ceil(VMS_PER_READER).max(MIN_READERS);
     let mut readers: Vec<IpAddr> = vms.iter().copied().collect();
     readers.sort_by_key(|vm| hash(&[*vm]));
     let mut reserves = readers.split_off(count.min(readers.len()));
     reserves.truncate(count);
-    Ranked { readers, reserves }
+    RankedVms { readers, reserves }
 }
 
 /// The readers that one node hears, those beside it first: what they tell again and again
 /// then stays within the data centre. Others choose others, so that the load is
 /// spread, and a reader's loss moves only those who heard it.
-fn nearest(mut readers: Vec<IpAddr>, own: IpAddr, beside: &BTreeSet<IpAddr>) -> Vec<IpAddr> {
-    readers.sort_by_key(|reader| (!beside.contains(reader), hash(&[own, *reader])));
+fn nearest(mut readers: Vec<IpAddr>, own: IpAddr, local_vms: &BTreeSet<IpAddr>) -> Vec<IpAddr> {
+    readers.sort_by_key(|reader| (!local_vms.contains(reader), hash(&[own, *reader])));
     readers.truncate(SUBSCRIPTIONS);
     readers
 }
--- a/crates/dispatch/src/readers/tests.rs
+++ b/crates/dispatch/src/readers/tests.rs
@@ -44,7 +44,7 @@
         data_centre: self::data_centre(u8::try_from(data_centre).expect("below 256")),
         slots: 8,
         draining: false,
-        listed_at: 1,
+        listing_order: 1,
         started_at_ms: None,
     }
 }
@@ -59,11 +59,11 @@
 }
 
 #[test]
-fn everyone_reads_in_a_small_fleet_and_in_a_data_centre_that_is_not_listed() {
+fn nodes_of_small_fleets_and_of_unlisted_data_centres_read_alone() {
     let small = roles(&[5, 3]);
     assert!(small.values().all(|role| *role == Role::Alone));
-    let beside_large = roles(&[5, 3, 70]);
-    let alone = beside_large.values().filter(|role| **role == Role::Alone);
+    let with_large = roles(&[5, 3, 70]);
+    let alone = with_large.values().filter(|role| **role == Role::Alone);
     assert_eq!(alone.count(), 8);
     let members = fleet(&[30]).snapshot();
     assert_eq!(role_of(&members, vm(7, 7)), Role::Alone);
@@ -72,7 +72,7 @@
 /// A VM is cut off from the platform, and its entry lapses. Its node hears the
 /// readers of its data centre; nobody hears it.
 #[test]
-fn a_node_whose_vm_is_not_listed_hears_the_readers_beside_it() {
+fn an_unlisted_vm_subscribes_to_the_readers_of_its_data_centre() {
     let members = fleet(&[30]).snapshot();
     let role = role_of(&members, vm(0, 99));
     assert!(role.is_follower(), "{role:?}");
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn a_large_data_centre_has_three_readers_and_then_one_for_sixteen() {
+fn a_data_centre_has_three_readers_or_one_for_sixteen_vms() {
     for (size, expected) in [(9, 3), (27, 3), (48, 3), (49, 4), (200, 13)] {
         let roles = roles(&[size]);
         let readers = roles.values().filter(|role| role.is_reader()).count();
@@ -103,14 +103,17 @@
 /// Readers of one data centre may all fall deaf at once without an error, when
 /// the path to the platform is cut; they hear the others of the fleet.
 #[test]
-fn readers_hear_readers_of_the_whole_fleet_and_followers_those_beside_them() {
+fn readers_subscribe_across_the_fleet_and_followers_within_their_data_centre() {
     let roles = roles(&[70, 70, 66]);
     let is_reader = |vm: &IpAddr| roles.get(vm).is_some_and(Role::is_reader);
     for (own, role) in &roles {
-        let heard = role.readers();
-        assert_eq!(heard.len(), SUBSCRIPTIONS, "{own}");
-        assert!(heard.iter().all(is_reader), "{own} hears {heard:?}");
-        assert!(!heard.contains(own));
+        let subscribed = role.readers();
+        assert_eq!(subscribed.len(), SUBSCRIPTIONS, "{own}");
+        assert!(
+            subscribed.iter().all(is_reader),
+            "{own} hears {subscribed:?}"
+        );
+        assert!(!subscribed.contains(own));
     }
     let crosses = |own: &IpAddr, role: &Role| {
         let IpAddr::V4(own) = own else { return false };
@@ -129,7 +132,7 @@
 /// Guards against calls at rest that grow with the readers of a group, and against a leader
 /// that too many rely on.
 #[test]
-fn one_reader_of_twelve_leads_and_the_others_hear_it() {
+fn one_reader_in_twelve_leads_and_the_others_subscribe_to_it() {
     let cases = [
         (&[8, 5][..], 1),
         (&[45], 1),
@@ -149,36 +152,39 @@
         }
         assert_eq!(leaders.len(), expected, "{sizes:?}");
         for role in roles.values().filter(|role| role.is_led()) {
-            let heard = role.readers();
-            assert!(heard.iter().any(|vm| leaders.contains(vm)), "{role:?}");
+            let subscribed = role.readers();
+            assert!(subscribed.iter().any(|vm| leaders.contains(vm)), "{role:?}");
         }
         for leader in leaders {
             let is_led_by = |role: &&Role| role.is_led() && role.readers().first() == Some(&leader);
             let led = roles.values().filter(is_led_by).count();
-            assert!(led < READERS_A_LEADER, "{leader} leads {led} of {sizes:?}");
+            assert!(
+                led < READERS_PER_LEADER,
+                "{leader} leads {led} of {sizes:?}"
+            );
         }
     }
 }
 
 /// Guards against a fleet of which only the readers ask, and all of these are turned away.
 #[test]
-fn readers_hear_reserves_that_are_as_many_and_read_for_nobody() {
+fn each_reader_subscribes_to_one_of_as_many_reserves() {
     for sizes in [&[9][..], &[45], &[39, 39, 39, 39, 39], &[889]] {
         let roles = roles(sizes);
         let readers = roles.values().filter(|role| role.is_reader()).count();
         let reserves = roles.values().filter(|role| role.is_reserve()).count();
         assert_eq!(reserves, readers, "{sizes:?}");
         for role in roles.values().filter(|role| role.is_reader()) {
-            let heard = role.subscriptions();
+            let subscribed = role.subscriptions();
             let is_reserve = |vm: &&IpAddr| roles.get(vm).is_some_and(Role::is_reserve);
-            assert_eq!(heard.iter().filter(is_reserve).count(), 1, "{role:?}");
+            assert_eq!(subscribed.iter().filter(is_reserve).count(), 1, "{role:?}");
         }
     }
 }
 
 /// Guards against feeds that cross between data centres where a reader stands beside.
 #[test]
-fn followers_hear_the_readers_of_their_own_data_centre_first() {
+fn followers_prefer_the_readers_of_their_data_centre() {
     let roles = roles(&[39, 39, 39, 39, 39]);
     let data_centre = |vm: &IpAddr| match vm {
         IpAddr::V4(vm) => vm.octets()[1],
@@ -191,15 +197,15 @@
         .collect();
     for (own, role) in roles.iter().filter(|(_, role)| role.is_follower()) {
         let is_near = |vm: &IpAddr| data_centre(vm) == data_centre(own);
-        let near = readers.iter().filter(|vm| is_near(vm)).count();
-        let heard = role.readers().iter().filter(|vm| is_near(vm)).count();
-        assert_eq!(heard, near.min(SUBSCRIPTIONS), "{own}");
+        let readers = readers.iter().filter(|vm| is_near(vm)).count();
+        let subscribed = role.readers().iter().filter(|vm| is_near(vm)).count();
+        assert_eq!(subscribed, readers.min(SUBSCRIPTIONS), "{own}");
     }
 }
 
 /// A VM whose target leaves goes with it, and must not be counted upon.
 #[test]
-fn a_leaving_vm_is_no_reader() {
+fn a_leaving_vm_is_not_a_reader() {
     let mut tracker = fleet(&[20]);
     let members = tracker.snapshot();
     let first = members.vms().into_iter();
@@ -232,33 +238,33 @@
         }
     }
     let most = subscribers.values().max().copied().unwrap_or_default();
-    assert!(most <= 2 * SUBSCRIPTIONS * VMS_A_READER, "{most}");
+    assert!(most <= 2 * SUBSCRIPTIONS * VMS_PER_READER, "{most}");
 }
 
 proptest! {
     /// Whatever the sizes, nodes with the same list agree on who reads, and one
     /// VM's loss changes the subscriptions of few.
     #[test]
-    fn nodes_agree_and_a_loss_moves_few(sizes in proptest::collection::vec(0usize..90, 1..5)) {
+    fn nodes_agree_and_losing_a_vm_changes_few_subscriptions(sizes in proptest::collection::vec(0usize..90, 1..5)) {
         let before = roles(&sizes);
         for role in before.values() {
-            for heard in role.readers() {
-                prop_assert!(before.get(heard).is_some_and(Role::is_reader));
+            for subscribed in role.readers() {
+                prop_assert!(before.get(subscribed).is_some_and(Role::is_reader));
             }
         }
         let mut tracker = fleet(&sizes);
         tracker.remove(&TargetId::new("i-0-0"), Millis(1));
         let members = tracker.snapshot();
-        let becomes_small = sizes[0] == MAX_VMS_TO_SHARE + 1;
-        let sharing: usize = sizes.iter().filter(|size| **size <= MAX_VMS_TO_SHARE).sum();
-        if sizes[0] == 0 || becomes_small || sharing == MAX_VMS_WITHOUT_READERS + 1 {
+        let becomes_small = sizes[0] == MAX_VMS_SHARING_READERS + 1;
+        let shared_group: usize = sizes.iter().filter(|size| **size <= MAX_VMS_SHARING_READERS).sum();
+        if sizes[0] == 0 || becomes_small || shared_group == MAX_VMS_WITHOUT_READERS + 1 {
             return Ok(());
         }
         let lost = vm(0, 0);
         for (own, role_before) in &before {
-            let heard_it = role_before.readers().contains(&lost);
+            let subscribed_to_it = role_before.readers().contains(&lost);
             let now = role_of(&members, *own);
-            if *own == lost || heard_it || now.is_reader() != role_before.is_reader() {
+            if *own == lost || subscribed_to_it || now.is_reader() != role_before.is_reader() {
                 continue;
             }
             let kept = now.readers().iter().filter(|vm| role_before.readers().contains(vm));
--- a/crates/dispatch/src/refusals.rs
+++ b/crates/dispatch/src/refusals.rs
@@ -20,7 +20,7 @@
 /// A gate whose last word was a refusal within this span is likely to refuse again:
 /// slow spells and lines last some hundred milliseconds. Nothing is lost where it
 /// does not, but one round trip within the region.
-const LIKELY_MS: Millis = Millis(500);
+const REFUSAL_TTL_MS: Millis = Millis(500);
 
 /// When gates refused last, by the life of their target; a call that was taken ends it.
 #[derive(Debug, Default)]
@@ -44,11 +44,12 @@
     #[must_use]
     pub fn is_refusal_likely(&self, target: &Member, now: Millis) -> bool {
         let refused_at = self.refused_at.get(&target.incarnation());
-        refused_at.is_some_and(|at| now.since(*at) < LIKELY_MS)
+        refused_at.is_some_and(|at| now.since(*at) < REFUSAL_TTL_MS)
     }
 
     /// Forgets lives that are no longer listed.
     pub fn retain(&mut self, members: &Members) {
-        self.refused_at.retain(|life, _| members.contains(life));
+        self.refused_at
+            .retain(|incarnation, _| members.contains(incarnation));
     }
 }
--- a/crates/dispatch/src/retry_budget.rs
+++ b/crates/dispatch/src/retry_budget.rs
@@ -18,15 +18,15 @@
 
 /// Part of the ratio that entries use. The rest is for what they count late:
 /// arrivals cross the ends of a window, and the listed entries change.
-const USED_SHARE: f64 = 0.7;
+const USED_RATIO_SHARE: f64 = 0.7;
 /// Part of the slack that entries use. Each repeat that it allows makes its calls
 /// again at another service, whose slack is no larger. With two calls a run,
 /// `2 n` of them are within the ratio 0.2 and the slack `s` up to `n = s / 1.6`.
-const USED_SLACK: f64 = 0.6;
+const USED_SLACK_SHARE: f64 = 0.6;
 /// Debt that calls of repeated runs may leave, as a part of the slack that an entry
 /// has for itself. It is paid by the requests that follow; without a bound, an entry
 /// could not retry for minutes after a bad one.
-const MOST_DEBT_PARTS: f64 = 2.0;
+const MAX_DEBT_FACTOR: f64 = 2.0;
 
 /// One entry's tokens for one service.
 ///
@@ -44,15 +44,15 @@
     #[must_use]
     pub fn new(limit: &RetryLimit, entries: usize, now: Millis) -> Self {
         Self {
-            tokens: slack_part(limit, entries),
+            tokens: slack_share(limit, entries),
             refilled_at: now,
         }
     }
 
     /// Counts a first attempt.
     pub fn count_first_attempt(&mut self, limit: &RetryLimit, entries: usize) {
-        let cap = slack_part(limit, entries).max(1.0) + 1.0;
-        self.tokens = (self.tokens + limit.ratio * USED_SHARE).min(cap.max(self.tokens));
+        let cap = slack_share(limit, entries).max(1.0) + 1.0;
+        self.tokens = (self.tokens + limit.ratio * USED_RATIO_SHARE).min(cap.max(self.tokens));
     }
 
     /// Counts the part of a first attempt, in percent, that is expected to repeat
@@ -64,8 +64,8 @@
     /// add up to more than the limit, at the service that can bear it least. Taken
     /// from the called service's tokens, they leave so many fewer retries there.
     pub fn count_repeated(&mut self, limit: &RetryLimit, entries: usize, percent: u8) {
-        let most_debt = slack_part(limit, entries) * MOST_DEBT_PARTS;
-        let lowest = (-most_debt).min(self.tokens);
+        let max_debt = slack_share(limit, entries) * MAX_DEBT_FACTOR;
+        let lowest = (-max_debt).min(self.tokens);
         self.tokens = (self.tokens - f64::from(percent) / 100.0).max(lowest);
     }
 
@@ -85,16 +85,16 @@
     }
 
     fn refill(&mut self, limit: &RetryLimit, entries: usize, now: Millis) {
-        let part = slack_part(limit, entries);
+        let share = slack_share(limit, entries);
         let elapsed = now.since(self.refilled_at).0 as f64 / limit.window_ms.0.max(1) as f64;
         self.refilled_at = self.refilled_at.max(now);
         // Half the slack is in hand at first and half comes over a window, so
         // that no window sees more than the whole.
-        let gained = part * elapsed;
-        self.tokens = (self.tokens + gained).min(self.tokens.max(part));
+        let gained = share * elapsed;
+        self.tokens = (self.tokens + gained).min(self.tokens.max(share));
     }
 }
 
-fn slack_part(limit: &RetryLimit, entries: usize) -> f64 {
-    limit.slack * USED_SLACK / 2.0 / entries.max(1) as f64
+fn slack_share(limit: &RetryLimit, entries: usize) -> f64 {
+    limit.slack * USED_SLACK_SHARE / 2.0 / entries.max(1) as f64
 }
--- a/crates/dispatch/src/retry_budget/tests.rs
+++ b/crates/dispatch/src/retry_budget/tests.rs
@@ -59,7 +59,7 @@
     fn calls_of_repeated_runs_are_within_the_limit(
         entries in 1_usize..30,
         requests_per_window in 0_u64..3_000,
-        calls_a_run in 0_u64..=2,
+        calls_per_run in 0_u64..=2,
     ) {
         let mut outer: Vec<RetryBudget> = Vec::new();
         let mut inner: Vec<RetryBudget> = Vec::new();
@@ -69,7 +69,7 @@
         }
         let steps = 60_usize;
         let mut extra = vec![0_u64; steps];
-        let mut asked = vec![0_u64; steps];
+        let mut arrived = vec![0_u64; steps];
         let mut sent = 0;
         for step in 0..steps {
             let now = Millis(step as u64 * 1_000);
@@ -88,10 +88,10 @@
                 }
                 for run in 0..runs_at[at] + repeats {
                     let repeated_percent = if run < repeats { 100 } else { 0 };
-                    for _ in 0..calls_a_run {
+                    for _ in 0..calls_per_run {
                         inner[at].count_first_attempt(&LIMIT, entries);
                         inner[at].count_repeated(&LIMIT, entries, repeated_percent);
-                        asked[step] += 1;
+                        arrived[step] += 1;
                         if repeated_percent > 0 {
                             extra[step] += 1;
                         }
@@ -104,7 +104,7 @@
         }
         for from in 0..steps - 10 {
             let in_window = |counts: &[u64]| counts[from..from + 10].iter().sum::<u64>() as f64;
-            let allowed = LIMIT.ratio * in_window(&asked) + LIMIT.slack;
+            let allowed = LIMIT.ratio * in_window(&arrived) + LIMIT.slack;
             let found = in_window(&extra);
             prop_assert!(found <= allowed, "{found} of {allowed}");
         }
@@ -112,7 +112,7 @@
 }
 
 #[test]
-fn a_token_that_led_nowhere_is_given_back() {
+fn an_unused_token_is_refunded() {
     let mut budget = RetryBudget::new(&LIMIT, 19, Millis(0));
     assert!(budget.try_take(&LIMIT, 19, Millis(0)));
     assert!(!budget.try_take(&LIMIT, 19, Millis(0)));
--- a/crates/dispatch/src/returning.rs
+++ b/crates/dispatch/src/returning.rs
@@ -9,13 +9,13 @@
 
 /// A caller names what is left of its deadline in whole milliseconds, and its two
 /// requests take a few milliseconds more or less on their way.
-const SAME_DEADLINE_MS: Millis = Millis(20);
+const DEADLINE_TOLERANCE_MS: Millis = Millis(20);
 /// Refused requests that are remembered; beyond it, none is taken up until some have
 /// passed their deadlines. An entry refuses some hundred a second at the worst.
-const MOST_REMEMBERED: usize = 4_096;
+const MAX_REMEMBERED: usize = 4_096;
 
 #[derive(Clone, Copy, Debug)]
-struct Refused {
+struct RefusedRequest {
     /// When the caller first asked.
     first_arrived: Millis,
     deadline_at: Millis,
@@ -30,7 +30,7 @@
 /// again and must have it by the same moment.
 #[derive(Debug, Default)]
 pub struct ReturningCallers {
-    by_fingerprint: HashMap<u64, Refused>,
+    by_fingerprint: HashMap<u64, RefusedRequest>,
 }
 
 impl ReturningCallers {
@@ -39,8 +39,9 @@
         let Some(refused) = self.by_fingerprint.get(&fingerprint) else {
             return arrived;
         };
-        let apart = refused.deadline_at.since(deadline_at) + deadline_at.since(refused.deadline_at);
-        match apart <= SAME_DEADLINE_MS {
+        let difference_ms =
+            refused.deadline_at.since(deadline_at) + deadline_at.since(refused.deadline_at);
+        match difference_ms <= DEADLINE_TOLERANCE_MS {
             true => refused.first_arrived.min(arrived),
             false => arrived,
         }
@@ -48,10 +49,10 @@
 
     /// A request was refused, and its caller may come back.
     pub fn note_refused(&mut self, fingerprint: u64, deadline_at: Millis, first_arrived: Millis) {
-        if self.by_fingerprint.len() >= MOST_REMEMBERED {
+        if self.by_fingerprint.len() >= MAX_REMEMBERED {
             return;
         }
-        let refused = Refused {
+        let refused = RefusedRequest {
             first_arrived,
             deadline_at,
         };
--- a/crates/dispatch/src/returning/tests.rs
+++ b/crates/dispatch/src/returning/tests.rs
@@ -13,7 +13,7 @@
 /// A caller asks, is refused, and asks for the same again 300 ms later, with 300 ms
 /// less of its deadline. Its objective counts from its first request.
 #[test]
-fn a_caller_that_comes_back_is_recognised() {
+fn a_caller_that_retries_is_recognised() {
     let mut returning = refused_at_zero();
     let first = returning.first_arrived(LOOKUP, Millis(1_203), Millis(300));
     assert_eq!(first, Millis(0));
@@ -25,7 +25,7 @@
 
 /// Another caller asks for the same. It has another deadline, and is a newcomer.
 #[test]
-fn another_caller_who_asks_for_the_same_is_a_newcomer() {
+fn another_caller_of_the_same_request_is_not_recognised() {
     let returning = refused_at_zero();
     let first = returning.first_arrived(LOOKUP, Millis(1_500), Millis(300));
     assert_eq!(first, Millis(300));
@@ -36,14 +36,14 @@
 /// Refusals are remembered as long as their callers can come back, and a flood of them
 /// takes a bounded amount of memory.
 #[test]
-fn what_is_remembered_is_bounded_and_expires() {
+fn remembered_refusals_are_bounded_and_expire() {
     let mut returning = ReturningCallers::default();
-    for number in 0..2 * MOST_REMEMBERED as u64 {
+    for number in 0..2 * MAX_REMEMBERED as u64 {
         returning.note_refused(number, Millis(1_000), Millis(0));
     }
-    assert_eq!(returning.by_fingerprint.len(), MOST_REMEMBERED);
+    assert_eq!(returning.by_fingerprint.len(), MAX_REMEMBERED);
     returning.forget_expired(Millis(999));
-    assert_eq!(returning.by_fingerprint.len(), MOST_REMEMBERED);
+    assert_eq!(returning.by_fingerprint.len(), MAX_REMEMBERED);
     returning.forget_expired(Millis(1_000));
     assert!(returning.by_fingerprint.is_empty());
 }
--- a/crates/dispatch/src/routes.rs
+++ b/crates/dispatch/src/routes.rs
@@ -168,11 +168,11 @@
     /// Every service that is named: as a destination, or with a health endpoint.
     #[must_use]
     pub fn all_services(&self) -> HashSet<&ServiceName> {
-        let mut named: HashSet<&ServiceName> = self.health_paths.keys().collect();
+        let mut services: HashSet<&ServiceName> = self.health_paths.keys().collect();
         for route in self.iter() {
-            named.extend(route.destinations.iter().map(|part| &part.service));
+            services.extend(route.destinations.iter().map(|part| &part.service));
         }
-        named
+        services
     }
 
     /// Names of all routes.
--- a/crates/dispatch/src/short_work.rs
+++ b/crates/dispatch/src/short_work.rs
@@ -3,53 +3,53 @@
 use crate::prelude::*;
 
 /// Work is long beside other work that takes at most this part of its time.
-const SHORT_PART: u64 = 3;
+const MIN_LENGTH_RATIO: u64 = 3;
 /// Times the mean number of slots that short work takes is left to it, since it
 /// comes in bursts ...
-const SHORT_WORK_MARGIN: f64 = 2.0;
+const RESERVE_FACTOR: f64 = 2.0;
 /// ... and this part of all slots at most: beyond it long work would starve. A
 /// quarter was better than an eighth where half of a service's targets were lost
 /// (330 against 846 failed payments of 6,497, and 1,623 without).
-const MOST_FOR_SHORT_WORK: u32 = 4;
+const MAX_RESERVED_DIVISOR: u32 = 4;
 /// Span over which short work is counted: a service that is asked a few times a
 /// second keeps its share, one that is not gives it back soon.
-pub(crate) const LATELY_MS: Millis = Millis(1_000);
+pub(crate) const RECENT_WINDOW_MS: Millis = Millis(1_000);
 
 /// The short work that came lately, if any.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ShortWork {
-    lately: Option<Lately>,
+    recent: Option<RecentWork>,
 }
 
 /// The shortest work that came lately, with what is about as short.
 #[derive(Clone, Copy, Debug)]
-struct Lately {
+struct RecentWork {
     shortest_ms: Millis,
     /// When such work last came.
-    at: Millis,
-    /// Run times that were asked for until then, those of [`LATELY_MS`] before at
+    updated_at: Millis,
+    /// Run times that were asked for until then, those of [`RECENT_WINDOW_MS`] before at
     /// a third.
-    asked_ms: f64,
+    demand_ms: f64,
 }
 
 impl ShortWork {
     /// Work of this length is asked for.
-    pub fn note(&mut self, work_ms: Millis, now: Millis) {
+    pub fn note_call(&mut self, work_ms: Millis, now: Millis) {
         let known = self.recent(now);
         let mut known = match known {
-            Some(known) if !is_long_beside(known.shortest_ms, work_ms) => known,
-            _ => Lately {
+            Some(known) if !is_much_longer(known.shortest_ms, work_ms) => known,
+            _ => RecentWork {
                 shortest_ms: work_ms,
-                at: now,
-                asked_ms: 0.0,
+                updated_at: now,
+                demand_ms: 0.0,
             },
         };
-        if !is_long_beside(work_ms, known.shortest_ms) {
-            known.asked_ms = known.asked_ms(now) + work_ms.0 as f64;
-            known.at = now;
+        if !is_much_longer(work_ms, known.shortest_ms) {
+            known.demand_ms = known.demand_ms(now) + work_ms.0 as f64;
+            known.updated_at = now;
             known.shortest_ms = work_ms.min(known.shortest_ms);
         }
-        self.lately = Some(known);
+        self.recent = Some(known);
     }
 
     /// How many of a target's slots work of this length leaves free.
@@ -61,33 +61,34 @@
     /// first in the line is not enough: most calls are refused before they stand in
     /// one. With slots left free they mostly start at once, and uploads lose little.
     #[must_use]
-    pub fn slots_left_by(&self, work_ms: Millis, slots: u32, now: Millis) -> u32 {
+    pub fn slots_reserved_from(&self, work_ms: Millis, slots: u32, now: Millis) -> u32 {
         let Some(known) = self.recent(now) else {
             return 0;
         };
-        if !is_long_beside(work_ms, known.shortest_ms) {
+        if !is_much_longer(work_ms, known.shortest_ms) {
             return 0;
         }
-        let mean_slots = known.asked_ms(now) / LATELY_MS.0 as f64;
-        let wanted = (mean_slots * SHORT_WORK_MARGIN).round() as u32;
-        wanted.min(slots / MOST_FOR_SHORT_WORK)
+        let mean_slots = known.demand_ms(now) / RECENT_WINDOW_MS.0 as f64;
+        let wanted = (mean_slots * RESERVE_FACTOR).round() as u32;
+        wanted.min(slots / MAX_RESERVED_DIVISOR)
     }
 
-    fn recent(&self, now: Millis) -> Option<Lately> {
-        self.lately.filter(|known| now.since(known.at) <= LATELY_MS)
+    fn recent(&self, now: Millis) -> Option<RecentWork> {
+        self.recent
+            .filter(|known| now.since(known.updated_at) <= RECENT_WINDOW_MS)
     }
 }
 
-impl Lately {
-    /// Run times that were asked for lately; divided by [`LATELY_MS`], the mean
+impl RecentWork {
+    /// Run times that were asked for lately; divided by [`RECENT_WINDOW_MS`], the mean
     /// number of slots that they take.
-    fn asked_ms(&self, now: Millis) -> f64 {
-        let age = now.since(self.at).0 as f64 / LATELY_MS.0 as f64;
-        self.asked_ms * (-age).exp()
+    fn demand_ms(&self, now: Millis) -> f64 {
+        let age = now.since(self.updated_at).0 as f64 / RECENT_WINDOW_MS.0 as f64;
+        self.demand_ms * (-age).exp()
     }
 }
 
 /// Whether work is so much longer than other work that it gives way to it.
-const fn is_long_beside(work_ms: Millis, other_ms: Millis) -> bool {
-    other_ms.0 * SHORT_PART <= work_ms.0
+const fn is_much_longer(work_ms: Millis, other_ms: Millis) -> bool {
+    other_ms.0 * MIN_LENGTH_RATIO <= work_ms.0
 }
--- a/crates/dispatch/src/split.rs
+++ b/crates/dispatch/src/split.rs
@@ -59,7 +59,7 @@
             .deficits
             .get_mut(&route.name)
             .expect("the deficits of this route were just put there");
-        let part = deficits.next();
+        let part = deficits.next_part();
         route.destinations[part].service.clone()
     }
 
@@ -80,12 +80,12 @@
             owed: vec![0; route.destinations.len()],
         };
         for _ in 0..rng.random_range(0..PHASES) {
-            fresh.next();
+            fresh.next_part();
         }
         fresh
     }
 
-    fn gain(&self, part: usize) -> i64 {
+    fn share_per_request(&self, part: usize) -> i64 {
         let total: i64 = self
             .destinations
             .iter()
@@ -97,15 +97,15 @@
         ONE_REQUEST * i64::from(self.destinations[part].weight) / total
     }
 
-    fn next(&mut self) -> usize {
-        let mut most = 0;
+    fn next_part(&mut self) -> usize {
+        let mut largest = 0;
         for part in 0..self.owed.len() {
-            self.owed[part] += self.gain(part);
-            if self.owed[part] > self.owed[most] {
-                most = part;
+            self.owed[part] += self.share_per_request(part);
+            if self.owed[part] > self.owed[largest] {
+                largest = part;
             }
         }
-        self.owed[most] -= ONE_REQUEST;
-        most
+        self.owed[largest] -= ONE_REQUEST;
+        largest
     }
 }
--- a/crates/dispatch/src/waits.rs
+++ b/crates/dispatch/src/waits.rs
@@ -12,48 +12,50 @@
 use crate::prelude::*;
 
 /// Shares in percent of the time in which a change must be in force.
-const RENEWAL: u64 = 30;
-const OLDEST_LED: u64 = 42;
-const SILENCE: u64 = 20;
-const FIRST_PAUSE: u64 = 7;
-const LONGEST_PAUSE: u64 = 20;
-const FOLLOWERS_PAUSE: u64 = 50;
-const OLDEST_RESERVE: u64 = 50;
-const OLDEST_TOLD: u64 = 64;
-const LOST_READERS_PAUSE: u64 = 10;
-const TELL_AGAIN: u64 = 12;
-const READER_SILENCE: u64 = 40;
-const HEARSAY_HOLD: u64 = 40;
-const OWN_HEALTH: u64 = 10;
-const OWN_ENTRY: u64 = 40;
-const LONGEST_STALE: u64 = 50;
-const LONGEST_OUTAGE: u64 = 400;
+const REFRESH_INTERVAL: u64 = 30;
+const LED_READER_MAX_AGE: u64 = 42;
+const IDLE_TIMEOUT: u64 = 20;
+const INITIAL_BACKOFF: u64 = 7;
+const MAX_BACKOFF: u64 = 20;
+const FOLLOWER_MAX_BACKOFF: u64 = 50;
+const RESERVE_MAX_AGE: u64 = 50;
+const FOLLOWER_MAX_AGE: u64 = 64;
+const LOST_READERS_DELAY: u64 = 10;
+const PUBLISH_INTERVAL: u64 = 12;
+const READER_TIMEOUT: u64 = 40;
+const RELAYED_REMOVAL_HOLD: u64 = 40;
+const OWN_HEALTH_INTERVAL: u64 = 10;
+const OWN_ENTRY_INTERVAL: u64 = 40;
+const STARTUP_MAX_STALE: u64 = 50;
+const MAX_OUTAGE: u64 = 400;
 const WHOLE: u64 = 100;
 
 /// A read that is lost as it begins: its end, a pause, and the read that replaces it.
-const _: () = assert!(RENEWAL + SILENCE + FIRST_PAUSE + SILENCE < WHOLE);
+const _: () = assert!(REFRESH_INTERVAL + IDLE_TIMEOUT + INITIAL_BACKOFF + IDLE_TIMEOUT < WHOLE);
 /// The same at a reader that relied on another, which has ended.
-const _: () = assert!(OLDEST_LED + SILENCE + FIRST_PAUSE + SILENCE < WHOLE);
+const _: () = assert!(LED_READER_MAX_AGE + IDLE_TIMEOUT + INITIAL_BACKOFF + IDLE_TIMEOUT < WHOLE);
 /// The source is back just after a read was lost.
-const _: () = assert!(SILENCE + LONGEST_PAUSE + SILENCE < WHOLE);
+const _: () = assert!(IDLE_TIMEOUT + MAX_BACKOFF + IDLE_TIMEOUT < WHOLE);
 /// The same at a node that others tell, whose readers ended as the source came back.
-const _: () = assert!(SILENCE + FOLLOWERS_PAUSE + SILENCE < WHOLE);
+const _: () = assert!(IDLE_TIMEOUT + FOLLOWER_MAX_BACKOFF + IDLE_TIMEOUT < WHOLE);
 /// Readers whose knowledge grows old, for whatever reason, also unsaid.
-const _: () = assert!(OLDEST_TOLD + LOST_READERS_PAUSE + SILENCE < WHOLE);
+const _: () = assert!(FOLLOWER_MAX_AGE + LOST_READERS_DELAY + IDLE_TIMEOUT < WHOLE);
 /// Readers that fall silent just after they told.
-const _: () = assert!(READER_SILENCE + LOST_READERS_PAUSE + SILENCE < WHOLE);
+const _: () = assert!(READER_TIMEOUT + LOST_READERS_DELAY + IDLE_TIMEOUT < WHOLE);
 /// A removal that a reader tells in trouble: the read, two tellings, the hold.
-const _: () = assert!(RENEWAL + 2 * TELL_AGAIN + HEARSAY_HOLD < WHOLE);
+const _: () = assert!(REFRESH_INTERVAL + 2 * PUBLISH_INTERVAL + RELAYED_REMOVAL_HOLD < WHOLE);
 /// A gate's own target that leaves just after its entry was looked up.
-const _: () = assert!(OWN_HEALTH + OWN_ENTRY + SILENCE < WHOLE);
+const _: () = assert!(OWN_HEALTH_INTERVAL + OWN_ENTRY_INTERVAL + IDLE_TIMEOUT < WHOLE);
 /// A node that has just started, whose last stale read is lost.
-const _: () = assert!(LONGEST_STALE + SILENCE + SILENCE < WHOLE);
+const _: () = assert!(STARTUP_MAX_STALE + IDLE_TIMEOUT + IDLE_TIMEOUT < WHOLE);
 /// In calm times readers tell before anybody takes them for lost.
-const _: () = assert!(RENEWAL < OLDEST_LED && RENEWAL + TELL_AGAIN < OLDEST_RESERVE);
+const _: () = assert!(
+    REFRESH_INTERVAL < LED_READER_MAX_AGE && REFRESH_INTERVAL + PUBLISH_INTERVAL < RESERVE_MAX_AGE
+);
 /// A reader takes the place of another before those who are told miss it.
-const _: () = assert!(OLDEST_LED < OLDEST_RESERVE);
+const _: () = assert!(LED_READER_MAX_AGE < RESERVE_MAX_AGE);
 /// Readers say that the source is away before those who are told ask it as well.
-const _: () = assert!(OLDEST_LED + SILENCE < OLDEST_TOLD);
+const _: () = assert!(LED_READER_MAX_AGE + IDLE_TIMEOUT < FOLLOWER_MAX_AGE);
 
 /// How long a node waits for what, given the time in which changes must be in force.
 #[derive(Clone, Copy, Debug)]
@@ -75,58 +77,58 @@
     /// source's return is unknown for as long.
     #[must_use]
     pub const fn refresh_interval_ms(&self) -> Millis {
-        self.share(RENEWAL)
+        self.share(REFRESH_INTERVAL)
     }
 
     /// A reader that relies on another's asking asks for itself when what it knows is this
     /// old.
     #[must_use]
     pub const fn led_reader_max_age_ms(&self) -> Millis {
-        self.share(OLDEST_LED)
+        self.share(LED_READER_MAX_AGE)
     }
 
     /// An answer that is due and does not begin, or does not go on, within this is lost.
     #[must_use]
     pub const fn idle_timeout_ms(&self) -> Millis {
-        self.share(SILENCE)
+        self.share(IDLE_TIMEOUT)
     }
 
     /// Pause after the first failed read; doubled with each further one.
     #[must_use]
     pub const fn initial_backoff_ms(&self) -> Millis {
-        self.share(FIRST_PAUSE)
+        self.share(INITIAL_BACKOFF)
     }
 
     /// Longest pause after a failed read.
     #[must_use]
     pub const fn max_backoff_ms(&self) -> Millis {
-        self.share(LONGEST_PAUSE)
+        self.share(MAX_BACKOFF)
     }
 
     /// The same for a node that others tell. Longer, since these are many, and all fail
     /// together while the source is away.
     #[must_use]
     pub const fn follower_max_backoff_ms(&self) -> Millis {
-        self.share(FOLLOWERS_PAUSE)
+        self.share(FOLLOWER_MAX_BACKOFF)
     }
 
     /// A reserve reads for itself when what it knows is this old.
     #[must_use]
     pub const fn reserve_max_age_ms(&self) -> Millis {
-        self.share(OLDEST_RESERVE)
+        self.share(RESERVE_MAX_AGE)
     }
 
     /// Any other node that is told reads for itself when what it knows is this old.
     #[must_use]
     pub const fn follower_max_age_ms(&self) -> Millis {
-        self.share(OLDEST_TOLD)
+        self.share(FOLLOWER_MAX_AGE)
     }
 
     /// A node that has just started serves on a stale listing for so long at most, and
     /// then reads for itself.
     #[must_use]
     pub const fn startup_max_stale_ms(&self) -> Millis {
-        self.share(LONGEST_STALE)
+        self.share(STARTUP_MAX_STALE)
     }
 
     /// The same while its listings hold no configuration, so that it acts on nothing.
@@ -138,7 +140,7 @@
     /// A node whose readers and their reserves all fail leaves asking to them for so long.
     #[must_use]
     pub const fn max_outage_ms(&self) -> Millis {
-        self.share(LONGEST_OUTAGE)
+        self.share(MAX_OUTAGE)
     }
 
     /// Pause of a node that lost its readers before it reads for itself. A reader whose
@@ -146,38 +148,38 @@
     /// not make a call of each of its subscribers.
     #[must_use]
     pub const fn lost_readers_delay_ms(&self) -> Millis {
-        self.share(LOST_READERS_PAUSE)
+        self.share(LOST_READERS_DELAY)
     }
 
     /// A reader tells its subscribers at least this often.
     #[must_use]
     pub const fn publish_interval_ms(&self) -> Millis {
-        self.share(TELL_AGAIN)
+        self.share(PUBLISH_INTERVAL)
     }
 
     /// A reader that is not heard for so long is lost. It tells three times meanwhile, so
     /// this bears a lost packet, which is sent again.
     #[must_use]
     pub const fn reader_timeout_ms(&self) -> Millis {
-        self.share(READER_SILENCE)
+        self.share(READER_TIMEOUT)
     }
 
     /// How long a removal is held that a reader tells while it is in trouble.
     #[must_use]
     pub const fn relayed_removal_hold_ms(&self) -> Millis {
-        self.share(HEARSAY_HOLD)
+        self.share(RELAYED_REMOVAL_HOLD)
     }
 
     /// A gate asks its target's health at least this often while it starts calls.
     #[must_use]
     pub const fn own_health_interval_ms(&self) -> Millis {
-        self.share(OWN_HEALTH)
+        self.share(OWN_HEALTH_INTERVAL)
     }
 
     /// A gate looks its target's entry up this often while the target is not well.
     #[must_use]
     pub const fn own_entry_interval_ms(&self) -> Millis {
-        self.share(OWN_ENTRY)
+        self.share(OWN_ENTRY_INTERVAL)
     }
 
     const fn share(&self, percent: u64) -> Millis {
--- a/crates/dispatch/src/work.rs
+++ b/crates/dispatch/src/work.rs
@@ -8,10 +8,10 @@
 mod tests;
 
 /// Weight of a new sample: about the last twenty count.
-const GAIN: f64 = 0.05;
+const EWMA_GAIN: f64 = 0.05;
 /// Until samples come, a route's work is taken for this share of its latency
 /// objective; objectives are commonly set to a few times the usual work.
-const INITIAL_SHARE: f64 = 0.3;
+const INITIAL_OBJECTIVE_SHARE: f64 = 0.3;
 /// Typical bytes of an answer before any was seen.
 const INITIAL_ANSWER_BYTES: f64 = 2_000.0;
 
@@ -46,7 +46,7 @@
     pub fn estimate(&self, route: &Route) -> WorkEstimate {
         let known = self.by_route.get(&route.name).copied();
         known.unwrap_or(WorkEstimate {
-            run_ms: route.objective_ms.0 as f64 * INITIAL_SHARE,
+            run_ms: route.objective_ms.0 as f64 * INITIAL_OBJECTIVE_SHARE,
             answer_bytes: INITIAL_ANSWER_BYTES,
             samples: 0,
         })
@@ -58,8 +58,8 @@
         let mut estimate = self.estimate(route);
         let usual_ms = run.0 as f64 * 100.0 / f64::from(slowness_percent.max(1));
         estimate.samples = estimate.samples.saturating_add(1);
-        estimate.run_ms += GAIN * (usual_ms - estimate.run_ms);
-        estimate.answer_bytes += GAIN * (bytes as f64 - estimate.answer_bytes);
+        estimate.run_ms += EWMA_GAIN * (usual_ms - estimate.run_ms);
+        estimate.answer_bytes += EWMA_GAIN * (bytes as f64 - estimate.answer_bytes);
         self.by_route.insert(route.name.clone(), estimate);
     }
 
--- a/crates/edge/src/feed/tests.rs
+++ b/crates/edge/src/feed/tests.rs
@@ -21,7 +21,7 @@
         data_centre: DataCentre::new("dc"),
         slots: 1,
         draining: false,
-        listed_at: revision,
+        listing_order: revision,
         started_at_ms: None,
     };
     Change {
--- a/crates/edge/src/following/tests/fleet.rs
+++ b/crates/edge/src/following/tests/fleet.rs
@@ -421,7 +421,7 @@
         data_centre: data_centre(*own),
         slots: 4,
         draining: false,
-        listed_at: 1,
+        listing_order: 1,
         started_at_ms: None,
     }
 }
--- a/crates/edge/tests/all/support.rs
+++ b/crates/edge/tests/all/support.rs
@@ -126,7 +126,7 @@
         data_centre: DataCentre::new("here"),
         slots: 4,
         draining: false,
-        listed_at: 1,
+        listing_order: 1,
         started_at_ms: None,
     }
 }
--- a/crates/routed/src/source.rs
+++ b/crates/routed/src/source.rs
@@ -171,7 +171,7 @@
             data_centre: vm.data_centre.clone(),
             slots: service.map_or(UNKNOWN_SLOTS, |service| service.slots),
             draining: vm.leaving,
-            listed_at: 0,
+            listing_order: 0,
             started_at_ms: None,
         }
     }
