--- a/crates/dispatch/src/admission.rs
+++ b/crates/dispatch/src/admission.rs
@@ -1,4 +1,4 @@
-//! When a gate starts a call in its target.
+//! Admission control of a gate: decides when a call starts in its target.
 
 use std::collections::BTreeSet;
 
@@ -10,59 +10,60 @@
 #[cfg(test)]
 mod tests;
 
-/// A reading of the target's speed is good for this long. Neighbours on the
-/// same host change it many times a second, so an older one says nothing.
+/// Time for which a reading of the target's speed is valid. Other VMs on the same host
+/// change the speed many times a second, so an older reading is useless.
 const SPEED_READING_TTL_MS: Millis = Millis(10);
-/// While calls wait for a slow spell to end, the speed is read this often.
+/// Interval between readings of the speed while calls wait for a slow spell to end.
 const SPEED_READING_INTERVAL_MS: Millis = Millis(15);
-/// Up to this share of the usual run time, in percent, a target counts as fast.
+/// Slowness, in percent of the usual run time, up to which a target counts as fast.
 const MAX_FAST_PERCENT: u32 = 150;
-/// Up to this share a target is moderately slow, as one is for some seconds
-/// after its start. It is taken where nothing is lost by it: where the call
-/// still meets its objective, or misses it at usual speed as well. After all
-/// targets of a service were restarted at once there is nothing faster.
+/// Slowness, in percent of the usual run time, up to which a target counts as moderately
+/// slow. Targets are moderately slow for some seconds after their start. Such a target is
+/// used where this loses nothing: the call still meets its objective, or would miss it at
+/// usual speed too. After all targets of a service were restarted at once, no faster
+/// target exists.
 const MAX_MODERATE_PERCENT: u32 = 250;
-/// Slots taken for granted before the target's entry is known.
+/// Slots assumed before the target's entry is known.
 const DEFAULT_SLOTS: u32 = 4;
-/// A target that refused a connection is left alone for this long.
+/// Time for which no call is sent to a target that refused a connection.
 const DOWN_PERIOD_MS: Millis = Millis(150);
 
-/// How fast a target's VM was at a moment.
+/// Speed of a target's VM at a point in time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SpeedReading {
-    /// Time that work takes, in percent of the usual.
+    /// Run time in percent of the usual run time.
     pub slowness_percent: u32,
-    /// When it was read.
+    /// Time of the reading.
     pub read_at: Millis,
 }
 
-/// A call as a gate decides about it; times are in the gate's clock.
+/// A call as admission control sees it. Times are in the gate's clock.
 #[derive(Clone, Copy, Debug)]
 pub struct GateCall {
-    /// Rank of its route; 0 goes first.
+    /// Priority of its route; 0 is the highest.
     pub priority: u8,
     /// Mean run time of its route at usual speed.
     pub work_ms: Millis,
-    /// It may wait here until then.
+    /// Time until which the call may wait in the queue.
     pub queue_until: Millis,
-    /// Its caller is served well if it ends by then.
+    /// Time by which the call should end to meet its latency objective.
     pub objective_at: Millis,
-    /// The span in which a newcomer of its kind is served well.
+    /// Time that a new call of the same route has to meet the objective.
     pub whole_objective_ms: Millis,
-    /// From then on it takes a slow target too.
+    /// Time from which the call may start on a slow target.
     pub slow_from: Millis,
-    /// It must have ended by then.
+    /// Deadline by which the call must have ended.
     pub deadline_at: Millis,
 }
 
 impl GateCall {
-    /// Its run time at a speed in percent of the usual time.
+    /// Returns the run time at a slowness in percent of the usual run time.
     fn run_at(&self, slowness_percent: u32) -> Millis {
         Millis(self.work_ms.0 * u64::from(slowness_percent) / 100)
     }
 }
 
-/// Why a gate does not take a call; in every case it has not run.
+/// Reason why a gate refuses a call. A refused call has not run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, strum::IntoStaticStr)]
 #[strum(serialize_all = "kebab-case")]
 pub enum Refused {
@@ -72,9 +73,9 @@
     Down,
     /// The target is in a slow spell.
     Slow,
-    /// No slot is free soon enough.
+    /// No slot comes free soon enough.
     Busy,
-    /// The deadline would pass first.
+    /// The deadline would pass before the call ends.
     Late,
 }
 
@@ -83,22 +84,23 @@
 pub enum Verdict {
     /// Send it to the target.
     Start,
-    /// Read the target's speed and ask again.
+    /// Read the target's speed, then decide again.
     ReadSpeed,
-    /// Ask again when a slot has come free, or at this time.
+    /// Decide again when a slot comes free, or at this time.
     Wait(Millis),
     /// Refuse it.
     Refuse(Refused),
 }
 
-/// A call's place in the line of a gate: by rank, then those that can still meet
-/// their objective, then the shorter work, then by arrival.
+/// Position of a call in a gate's queue: ordered by priority, then calls that can still
+/// meet their objective, then shorter work, then arrival.
 ///
-/// A call that is late already loses little by waiting longer, and one that is
-/// not would become late behind it: in an overload all would be late.
+/// A call that already misses its objective loses little by waiting longer. A call that
+/// can still meet it would miss it too if it waited behind the first one, and in an
+/// overload all calls would miss theirs.
 ///
-/// Short work first, because it is mostly what targets ask of each other while
-/// they hold a slot for their own caller. Behind a line of long uploads such a
+/// Shorter work goes first because most of it consists of calls that targets make to each
+/// other while they hold a slot for their own caller. Queued behind long uploads, such a
 /// call misses its deadline, and the work that waits for it is lost as well.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct QueuePosition {
@@ -108,14 +110,14 @@
     sequence: u64,
 }
 
-/// Admission of one gate.
+/// Admission control of one gate.
 #[derive(Debug)]
 pub struct Admission {
     slots: u32,
     in_flight: u32,
     knee: KneeEstimator,
     contention: Contention,
-    /// Calls in line.
+    /// Queued calls.
     queue: BTreeSet<QueuePosition>,
     last_sequence: u64,
     speed: Option<SpeedReading>,
@@ -142,14 +144,14 @@
 }
 
 impl Admission {
-    /// Takes over how many requests the target runs at once.
+    /// Sets how many requests the target runs at once.
     pub fn set_slots(&mut self, slots: u32) {
         self.slots = slots.max(1);
         self.knee.set_slots(self.slots);
     }
 
-    /// Learns from a run that was answered well: `running` requests ran when it
-    /// began, at this speed of the VM.
+    /// Learns from a successful run, which started with `running` requests in the target,
+    /// itself included, at this slowness of the VM.
     pub fn learn_run(
         &mut self,
         running: u32,
@@ -158,8 +160,8 @@
         ran_ms: Millis,
         now: Millis,
     ) {
-        // Cold targets count too: all of them are, after a loss of power, and a knee
-        // is felt most when every caller is back at once.
+        // Runs on cold targets count too. All targets are cold after a power loss, and a
+        // knee matters most when all callers are back at once.
         if slowness_percent > MAX_MODERATE_PERCENT {
             return;
         }
@@ -167,43 +169,43 @@
         self.knee.learn(running, ran_ms.0 as f64 / usual_ms, now);
     }
 
-    /// Forgets what was learnt of the target, which has started again.
+    /// Discards what was learnt about the target, after the target has restarted.
     pub fn forget_target(&mut self) {
         self.speed = None;
         self.down_until = Millis::ZERO;
         self.knee.forget();
     }
 
-    /// From now on (or no longer) refuses new work.
+    /// Starts or stops refusing new work.
     pub const fn set_leaving(&mut self, leaving: bool) {
         self.leaving = leaving;
     }
 
-    /// Whether new work is refused.
+    /// Returns whether new work is refused.
     #[must_use]
     pub const fn is_leaving(&self) -> bool {
         self.leaving
     }
 
-    /// Requests that the target runs at once.
+    /// Returns how many requests the target runs at once.
     #[must_use]
     pub const fn slots(&self) -> u32 {
         self.slots
     }
 
-    /// Calls running in the target.
+    /// Returns how many calls run in the target.
     #[must_use]
     pub const fn in_flight(&self) -> u32 {
         self.in_flight
     }
 
-    /// Calls in line.
+    /// Returns how many calls are queued.
     #[must_use]
     pub fn queued(&self) -> usize {
         self.queue.len()
     }
 
-    /// Takes in a reading of the target's speed.
+    /// Records a reading of the target's speed, unless a later one is known.
     pub fn note_speed(&mut self, reading: SpeedReading) {
         let is_newer = self
             .speed
@@ -213,19 +215,19 @@
         }
     }
 
-    /// The last reading, if it still says something.
+    /// Returns the last speed reading if it is still valid.
     #[must_use]
     pub fn fresh_speed(&self, now: Millis) -> Option<SpeedReading> {
         let reading = self.speed?;
         (now.since(reading.read_at) <= SPEED_READING_TTL_MS).then_some(reading)
     }
 
-    /// The target refused a connection.
+    /// Records that the target refused a connection.
     pub fn note_connection_refused(&mut self, now: Millis) {
         self.down_until = now + DOWN_PERIOD_MS;
     }
 
-    /// Puts a call in line.
+    /// Adds a call to the queue.
     pub fn enqueue(&mut self, call: &GateCall, now: Millis) -> QueuePosition {
         self.last_sequence += 1;
         self.short_work.note_call(call.work_ms, now);
@@ -239,23 +241,23 @@
         position
     }
 
-    /// Takes a call out of the line without starting it.
+    /// Removes a call from the queue without starting it.
     pub fn dequeue(&mut self, position: QueuePosition) {
         self.queue.remove(&position);
     }
 
-    /// Takes a call out of the line and counts it as running.
+    /// Removes a call from the queue and counts it as running.
     pub fn start(&mut self, position: QueuePosition) {
         self.queue.remove(&position);
         self.in_flight += 1;
     }
 
-    /// A run has ended, in whatever way.
+    /// Records that a run has ended, successfully or not.
     pub fn finish(&mut self) {
         self.in_flight = self.in_flight.saturating_sub(1);
     }
 
-    /// Decides about a call in line.
+    /// Decides what to do with a queued call.
     #[must_use]
     pub fn decide(&mut self, position: QueuePosition, call: &GateCall, now: Millis) -> Verdict {
         if self.leaving {
@@ -300,11 +302,12 @@
         Verdict::Wait((speed.read_at + SPEED_READING_INTERVAL_MS).min(call.queue_until))
     }
 
-    /// Requests that are run at once: as many as do not slow each other down.
+    /// Returns the concurrency limit: the number of requests that run at once without
+    /// slowing each other down.
     #[must_use]
     pub const fn limit(&self) -> u32 {
         match self.knee.limit() {
-            // Nothing is known of the target yet.
+            // Nothing has been learnt about the target yet.
             0 => self.slots,
             limit => limit,
         }
@@ -312,14 +315,16 @@
 
     fn note_rejected(&mut self, call: &GateCall, now: Millis) {
         let slowness_percent = self.speed.map_or(100, |speed| speed.slowness_percent);
-        // In a slow spell nothing would be in time; it is over when a slot is free.
+        // During a slow spell no call would be in time, but the spell will be over when a
+        // slot comes free.
         let run_ms = call.run_at(slowness_percent.min(MAX_MODERATE_PERCENT));
         let chance = Chance::of(call, run_ms, now);
         self.contention
             .note_rejected(call.priority, chance, run_ms, now);
     }
 
-    /// A call that would wait longer than it may is told at once.
+    /// Returns whether a call waits for a slot. A call that would have to wait longer
+    /// than it may is refused at once.
     fn wait_for_slot(&self, call: &GateCall, ahead: u32, limit: u32, now: Millis) -> Verdict {
         let mut work_ms = call.work_ms.0;
         for position in &self.queue {
@@ -333,7 +338,7 @@
     }
 }
 
-/// Whether a call should start at this speed.
+/// Returns whether the target is fast enough for a call to start now.
 fn is_fast_enough(call: &GateCall, slowness_percent: u32, now: Millis) -> bool {
     if slowness_percent <= MAX_FAST_PERCENT {
         return true;
--- a/crates/dispatch/src/contention.rs
+++ b/crates/dispatch/src/contention.rs
@@ -1,4 +1,4 @@
-//! Which calls a slot is kept for while more come than a target can run.
+//! Decides which calls get the free slots while more calls come than a target can run.
 
 use std::collections::BTreeMap;
 
@@ -8,29 +8,32 @@
 #[cfg(test)]
 mod tests;
 
-/// Run times spread: with so many expected run times left of its objective, a call is
-/// in time nine times in ten, and more does not help it.
+/// Number of expected run times left before its objective with which a call meets the
+/// objective nine times in ten. Run times vary; more time hardly improves the chance.
 const SAFE_RUN_TIMES: f64 = 1.45;
-/// Below this chance hardly any call is in time, so that all of them are alike.
+/// Lower bound of all chances. Below it hardly any call is in time, so such calls are
+/// treated as equal.
 const MIN_CHANCE: f64 = 0.4;
-/// Calls whose chances differ by less are alike. Newcomers find one another's slots
-/// within some tens of milliseconds, about a tenth of the objectives in use.
+/// Difference in chance up to which calls are treated as equal. New calls find each
+/// other's slots within some tens of milliseconds, which is about a tenth of the
+/// objectives in use.
 const CHANCE_TOLERANCE: f64 = 0.1;
-/// A slot is kept for the calls that were turned away for this part of their run time.
-/// While there are such calls they ask many times as often; when there are no more, no
-/// more of the slot than this is lost.
+/// Slots are held for rejected calls for their run time divided by this. While there are
+/// such calls, they retry many times within this time; when there are none left, no more
+/// than this part of the slot's time is lost.
 const HOLD_DIVISOR: u64 = 4;
 
-/// How likely a call is to meet its objective if it starts now, beside a newcomer of
-/// its kind: 1 for the newcomer, and for whoever is as sure to be in time.
+/// Chance of a call to meet its objective if it starts now, relative to a new call of the
+/// same route: 1 for a new call and for any call that is as sure to be in time.
 ///
-/// Compared with their own newcomers, kinds with a tight objective do not give way to
-/// others for good.
+/// Calls are compared with new calls of their own route, so routes with a tight objective
+/// do not always yield to others.
 #[derive(Clone, Copy, Debug, PartialEq, PartialOrd)]
 pub struct Chance(f64);
 
 impl Chance {
-    /// The chance of a call that takes `run_ms` at the present speed of the target.
+    /// Returns the chance of a call that takes `run_ms` at the present speed of the
+    /// target.
     #[must_use]
     pub fn of(call: &GateCall, run_ms: Millis, now: Millis) -> Self {
         let run_ms = run_ms.0.max(1) as f64;
@@ -50,24 +53,26 @@
     until: Millis,
 }
 
-/// The best chances that a gate has just turned away for want of a slot, by rank.
+/// The best chance among the calls that a gate has just rejected for lack of a slot, by
+/// priority.
 ///
-/// Failure answered: more calls come than all targets can run. All of them ask again
-/// and again, so a slot that comes free goes to any of them, mostly to one that has
-/// waited long, or was refused before, and will be late. Targets are busy all the time,
-/// and half of what they run is late. So while calls with a good chance are turned
-/// away, those with less of a chance are turned away too.
+/// Guards against an overload in which targets are always busy and half of their runs are
+/// late. When more calls come than all targets can run, all of them retry again and
+/// again. A free slot goes to any of them, mostly to one that has waited long or was
+/// refused before, and that will be late. So while calls with a good chance are rejected,
+/// calls with a lower chance are rejected too.
 ///
-/// With five calls for three that can be run, each asking every 12 ms for 160 ms and
-/// coming back once, 981 of 981 runs in ten seconds are in time, and 62 of 981 without
-/// this (by the test of admission in an overload).
+/// In the test of admission in an overload, with five calls for every three that can run,
+/// each retrying every 12 ms for 160 ms and coming back once, 981 of 981 runs in ten
+/// seconds are in time. Without this rule, 62 of 981 are.
 #[derive(Debug, Default)]
 pub struct Contention {
     by_priority: BTreeMap<u8, RejectedCalls>,
 }
 
 impl Contention {
-    /// A call of this rank (0 goes first) was turned away for want of a slot.
+    /// Records that a call of this priority (0 is the highest) was rejected for lack of a
+    /// slot.
     pub fn note_rejected(&mut self, priority: u8, chance: Chance, run_ms: Millis, now: Millis) {
         let rejected = self
             .by_priority
@@ -81,7 +86,8 @@
             .insert(priority, RejectedCalls { chance, until });
     }
 
-    /// Whether a call has to leave its slot to others of its rank or a higher one.
+    /// Returns whether a call must leave its slot to calls of the same or a higher
+    /// priority.
     #[must_use]
     pub fn must_yield(&self, priority: u8, chance: Chance, now: Millis) -> bool {
         for rejected in self
--- a/crates/dispatch/src/knee.rs
+++ b/crates/dispatch/src/knee.rs
@@ -1,44 +1,46 @@
-//! How many requests a target runs at once without slowing all of them down.
+//! Estimates how many requests a target runs at once without slowing all of them down.
 //!
-//! A target says how many requests it takes at once. Some slow down well before
-//! that, and some do not at all; which it is shows in the run times alone. So run
-//! times are compared by how many requests ran beside them, at equal speed of the
-//! VM and in parts of what the route usually takes.
+//! A target announces how many requests it takes at once. Some targets slow down well
+//! before that number, and some do not slow down at all; only the run times show which.
+//! So run times are compared by the number of concurrent requests, at equal speed of the
+//! VM and relative to the usual run time of the route.
 
 use crate::prelude::*;
 
 #[cfg(test)]
 mod tests;
 
-/// Numbers of requests that are told apart; those of a larger target are grouped.
+/// Maximum number of concurrency levels that are measured separately. Those of larger
+/// targets are grouped.
 const MAX_LEVELS: u32 = 16;
-/// After this span a sample counts for half. Run times spread by about a third, so
-/// some dozen samples a level are wanted, and a target with work has them in a
-/// second; a level that is no longer used is forgotten, and thereby tried again,
-/// within some of these spans.
+/// Half-life of a sample's weight. Run times vary by about a third, so some dozen samples
+/// per level are wanted, and a target under load has them within a second. A level that
+/// is no longer used is forgotten within some half-lives, and thereby tried again.
 const HALF_LIFE_MS: f64 = 6_000.0;
-/// Samples that the next lower level is taken for. Until a level has about as many
-/// of its own, it is expected to be as fast as the one below it.
+/// Weight, in samples, of the estimate of the next lower level. Until a level has about
+/// as many samples of its own, it is expected to be as fast as the level below it.
 const PRIOR_SAMPLES: f64 = 6.0;
-/// How much a slower run counts against one more run at a time: 1 would look at
-/// what ends in a second alone, 2 at how long each caller waits as much.
+/// Weight of the run time against concurrency: 1 would consider throughput alone, 2 would
+/// weigh each caller's waiting time as much as throughput.
 const DELAY_EXPONENT: f64 = 1.5;
-/// A smaller number has to be better by this factor: chance alone makes a tenth.
+/// Factor by which a lower limit must be better than a higher one. Chance alone makes a
+/// difference of a tenth.
 const MIN_IMPROVEMENT: f64 = 1.1;
-/// This part of the slots is used whatever was learnt, in percent. Where one route
-/// mixes runs of a millisecond with runs of half a second, run times say little of how
-/// many ran beside them: targets were held to two of four slots, and callers refused.
+/// Lower bound of the limit, in percent of the slots. Where one route mixes runs of a
+/// millisecond with runs of half a second, run times say little about concurrency:
+/// without this bound, such targets were limited to two of four slots, and callers were
+/// refused.
 const MIN_LIMIT_PERCENT: u32 = 80;
-/// A run counts for this many times its usual time at most, so that one that hung
-/// says no more than a few slow ones.
+/// Upper bound of a sample, in multiples of the usual run time, so that one run that hung
+/// weighs no more than a few slow ones.
 const MAX_RATIO: f64 = 4.0;
 
-/// Run times of requests that started beside a certain number of others.
+/// Run times of requests that started at one level of concurrency.
 #[derive(Clone, Copy, Debug, Default)]
 struct Level {
-    /// Samples, older ones at less.
+    /// Number of samples, with older ones weighted less.
     samples: f64,
-    /// Sum of their times in parts of the usual time.
+    /// Sum of their run times, relative to the usual run time.
     sum: f64,
     updated_at: Millis,
 }
@@ -53,13 +55,12 @@
     }
 }
 
-/// Learns the number of requests beyond which a target slows down.
+/// Learns the number of concurrent requests beyond which a target slows down.
 ///
-/// All that the target takes are used until it shows a knee, and again when it has
-/// not shown one lately: with a fifth of the slots kept free for fear of a knee,
-/// callers of targets without one were refused in each overload. Rising towards the
-/// slots one by one was no better: it costs as much at targets without a knee as it
-/// saves at others.
+/// All slots are used until the target shows a knee, and again when it has not shown one
+/// for a while. Keeping a fifth of the slots free as a precaution caused refusals in each
+/// overload at targets without a knee. Raising the limit towards the slots one by one was
+/// no better: it costs as much at targets without a knee as it saves at others.
 #[derive(Debug, Default)]
 pub struct KneeEstimator {
     slots: u32,
@@ -68,8 +69,8 @@
 }
 
 impl KneeEstimator {
-    /// Takes over how many requests the target takes at once. Another number is
-    /// learnt anew.
+    /// Sets how many requests the target takes at once. A different number discards what
+    /// was learnt.
     pub fn set_slots(&mut self, slots: u32) {
         if slots == self.slots {
             return;
@@ -78,21 +79,21 @@
         self.forget();
     }
 
-    /// Forgets what was learnt of an earlier life of the target.
+    /// Discards what was learnt about an earlier incarnation of the target.
     pub fn forget(&mut self) {
         let levels = self.slots.min(MAX_LEVELS) as usize;
         self.levels = vec![Level::default(); levels];
         self.limit = self.slots;
     }
 
-    /// Requests that are run at once.
+    /// Returns how many requests may run at once.
     #[must_use]
     pub const fn limit(&self) -> u32 {
         self.limit
     }
 
-    /// Learns from a run at usual speed of the VM. `running` requests ran when it
-    /// began, itself included; it took `ratio` times the usual time of its route.
+    /// Learns from a run at usual speed of the VM. `running` requests ran when it began,
+    /// itself included; it took `ratio` times the usual time of its route.
     pub fn learn(&mut self, running: u32, ratio: f64, now: Millis) {
         let Some(number) = self.level_of(running) else {
             return;
@@ -114,12 +115,12 @@
         Some(level as usize - 1)
     }
 
-    /// The largest number that is about as good as the best one.
+    /// Returns the largest limit that is about as good as the best one.
     fn best_limit(&mut self, now: Millis) -> u32 {
         let mut values = Vec::with_capacity(self.levels.len());
         let mut best = 0.0_f64;
-        // A route's usual time is learnt elsewhere and may be off, so the first level
-        // says what it is off by, and the others are held against those below.
+        // The usual time of a route is learnt elsewhere and may be wrong. The first level
+        // shows by how much, and each other level is compared with the one below.
         let mut expected = 1.0;
         for (number, level) in self.levels.iter_mut().enumerate() {
             level.decay(now);
--- a/crates/dispatch/src/lib.rs
+++ b/crates/dispatch/src/lib.rs
@@ -1,10 +1,11 @@
-//! Decisions of the routed path, without sockets, threads or wall clocks.
+//! Decision logic of the routed path, without sockets, threads or wall clocks.
 //!
-//! A caller's request is matched to a route ([`routes`]) and to one of its
-//! destinations ([`split`]); the entry orders the targets that may run it
-//! ([`order`]) from what it knows of them ([`members`], [`failures`]) and
-//! decides how long each may hold it ([`patience`]); the gate of a target
-//! decides when it starts ([`admission`]).
+//! A caller's request is matched to a route ([`routes`]) and then to one of the route's
+//! destinations ([`split`]). The entry orders the targets that may run the request
+//! ([`order`]), using the list of targets ([`members`]) and their recent failures
+//! ([`failures`]), and decides how long the request may wait for a suitable target
+//! ([`patience`]). The gate of the target decides when the request starts
+//! ([`admission`]).
 
 pub mod admission;
 pub mod contention;
--- a/crates/dispatch/src/patience.rs
+++ b/crates/dispatch/src/patience.rs
@@ -1,4 +1,4 @@
-//! How long a call may wait for a target in good shape.
+//! Plans how long a call may wait for a suitable target.
 
 use crate::prelude::*;
 use crate::work::WorkEstimate;
@@ -6,52 +6,53 @@
 #[cfg(test)]
 mod tests;
 
-/// Run times spread: a call that has this many mean run times left before its
-/// objective makes it nine times in ten.
+/// Number of mean run times that a call needs before its objective to meet it nine times
+/// in ten, since run times vary.
 const RUN_TIME_MARGIN: f64 = 1.45;
-/// Time from the caller to the entry and back that counts against the
-/// objective, as callers see it: two ways of 8 ms.
+/// Round trip between caller and entry, which counts towards the objective as callers
+/// measure it: two ways of 8 ms.
 const CALLER_ROUND_TRIP_MS: Millis = Millis(16);
-/// A target in a slow spell takes about this many times as long.
+/// Run time in a slow spell, in percent of the usual run time.
 const SLOW_SPELL_PERCENT: u32 = 500;
-/// When no target has room (in contrast to being slow), a caller learns it
-/// after this part of the objective or, where a usual run would still meet it,
-/// when none would any more: it may come back in time.
+/// When all targets are busy (in contrast to slow), a call is refused after its objective
+/// divided by this, or later, when a usual run would no longer meet the objective. The
+/// caller may then retry in time.
 const BUSY_WAIT_DIVISOR: u64 = 8;
-/// Work that fits this often into the time that it has is short. Short work
-/// finds a slot soon even in an overload, since it goes first and takes little
-/// from others; mostly it is what a target asks of another one for a caller of
-/// its own, and sent away it would cost that whole request ...
+/// Work is short if this many runs fit into the time until the deadline. Short work finds
+/// a slot soon even in an overload, since it goes first and takes little from other work.
+/// Most of it consists of calls that a target makes on behalf of its own caller; refusing
+/// such a call would cost that whole request.
 const SHORT_WORK_RATIO: f64 = 10.0;
-/// ... so it stays in line for this part of its time. For long work the same
-/// was tried and reverted: in an overload its callers were served late instead
-/// of being sent away and served in time.
+/// Short work stays queued for this part of the time until its deadline, in percent. The
+/// same was tried for long work and reverted: in an overload its callers were served late
+/// instead of being refused and served in time on their retry.
 const SHORT_BUSY_WAIT_PERCENT: u64 = 70;
-/// Requests above this size wait for a near target as long as they can ...
+/// Calls with at least this many bytes of request and answer wait for a target in the own
+/// data centre as long as they can, since traffic between data centres costs.
 const HEAVY_BYTES: f64 = 20_000.0;
-/// ... and those below this size are not worth waiting for it at all. Between
-/// data centres, bytes cost; a light request costs less than a late one.
+/// Calls with at most this many bytes do not wait for a target in the own data centre:
+/// sending a light request to another data centre costs less than serving it late.
 const LIGHT_BYTES: f64 = 3_000.0;
 
-/// The points in time that steer one call, in the entry's clock.
+/// Times up to which a call waits for which kind of target, in the entry's clock.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct WaitPlan {
-    /// Until then a near target in a slow spell is waited for before far ones
-    /// are asked.
+    /// Time until which the call waits for a near target in a slow spell to recover
+    /// before it is sent to far ones.
     pub near_until: Millis,
-    /// Until then only targets of usual speed are taken: the objective can
+    /// Time until which only targets of usual speed are used, because the objective can
     /// still be met.
     pub fast_until: Millis,
-    /// A run that ends by then meets the objective.
+    /// Time by which a run must end to meet the objective.
     pub objective_at: Millis,
-    /// The span in which a newcomer's run has to end for that.
+    /// Time that a new call of the same route has to meet the objective.
     pub whole_objective_ms: Millis,
-    /// From then on a slow target is better than none; [`Millis::MAX`] when a
-    /// slow run would not end before the deadline.
+    /// Time from which a slow target is better than none; [`Millis::MAX`] if a slow run
+    /// would not end before the deadline.
     pub slow_from: Millis,
-    /// A call that finds no room anywhere is refused from then on.
+    /// Time from which the call is refused if all targets are busy.
     pub busy_until: Millis,
-    /// No run that starts later ends before the deadline.
+    /// Latest start of a run that ends before the deadline.
     pub last_start: Millis,
 }
 
@@ -97,11 +98,11 @@
         }
     }
 
-    /// The same for a caller that was refused before and had waited this long: its
-    /// objective counts from its first request.
+    /// Adjusts the plan for a caller that was refused before and has waited for
+    /// `waited_ms`: its objective counts from its first request.
     ///
-    /// How long it may wait now stays as it was. Most who come back are late already,
-    /// and sent away at once they would be refused for good.
+    /// The time that it may wait now is unchanged. Most callers that retry already miss
+    /// their objective; if they were refused at once, they would never be served.
     #[must_use]
     pub fn after_waiting(self, waited_ms: Millis) -> Self {
         Self {
--- a/crates/dispatch/src/prelude.rs
+++ b/crates/dispatch/src/prelude.rs
@@ -1,4 +1,4 @@
-//! The types that almost every module of this crate and its drivers need.
+//! Types that almost every module of this crate and its users need.
 
 pub use crate::members::{Member, Members, TargetId, TargetIncarnation};
 pub use crate::routes::{CallKind, CallerLimits, Route, RouteSet};
--- a/crates/dispatch/src/short_work.rs
+++ b/crates/dispatch/src/short_work.rs
@@ -1,39 +1,41 @@
-//! How many slots a gate leaves to short work.
+//! Slots that a gate reserves for short work.
 
 use crate::prelude::*;
 
-/// Work is long beside other work that takes at most this part of its time.
+/// Work counts as long if it takes at least this many times as long as the shortest
+/// recent work.
 const MIN_LENGTH_RATIO: u64 = 3;
-/// Times the mean number of slots that short work takes is left to it, since it
-/// comes in bursts ...
+/// Slots are reserved for this many times the mean number of slots that short work takes,
+/// since it comes in bursts.
 const RESERVE_FACTOR: f64 = 2.0;
-/// ... and this part of all slots at most: beyond it long work would starve. A
-/// quarter was better than an eighth where half of a service's targets were lost
-/// (330 against 846 failed payments of 6,497, and 1,623 without).
+/// At most the number of slots divided by this is reserved, since long work would starve
+/// beyond it. A quarter was better than an eighth in a run where half of a service's
+/// targets were lost: 330 against 846 failed payments of 6,497, and 1,623 without any
+/// reservation.
 const MAX_RESERVED_DIVISOR: u32 = 4;
-/// Span over which short work is counted: a service that is asked a few times a
-/// second keeps its share, one that is not gives it back soon.
+/// Time over which short work is averaged. A service that is called a few times a second
+/// keeps its reservation; one that is no longer called gives it up soon.
 pub(crate) const RECENT_WINDOW_MS: Millis = Millis(1_000);
 
-/// The short work that came lately, if any.
+/// Tracks the short work that arrived recently, if any.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ShortWork {
     recent: Option<RecentWork>,
 }
 
-/// The shortest work that came lately, with what is about as short.
+/// The shortest recent work, together with work of about the same length.
 #[derive(Clone, Copy, Debug)]
 struct RecentWork {
     shortest_ms: Millis,
-    /// When such work last came.
+    /// Time at which such work last arrived.
     updated_at: Millis,
-    /// Run times that were asked for until then, those of [`RECENT_WINDOW_MS`] before at
-    /// a third.
+    /// Sum of the run times requested until then, decayed to about a third (by a factor
+    /// of e) per [`RECENT_WINDOW_MS`].
     demand_ms: f64,
 }
 
 impl ShortWork {
-    /// Work of this length is asked for.
+    /// Records that work of this length has arrived.
     pub fn note_call(&mut self, work_ms: Millis, now: Millis) {
         let known = self.recent(now);
         let mut known = match known {
@@ -52,14 +54,15 @@
         self.recent = Some(known);
     }
 
-    /// How many of a target's slots work of this length leaves free.
+    /// Returns how many of a target's slots work of this length must leave free.
     ///
-    /// Failure answered: a service has lost half of its targets, and long uploads
-    /// hold the slots of the rest. Targets of other services ask it short questions,
-    /// each for a payment of their own. Refused for want of a slot, a question costs
-    /// a whole payment, though five of them take no longer than one upload. To go
-    /// first in the line is not enough: most calls are refused before they stand in
-    /// one. With slots left free they mostly start at once, and uploads lose little.
+    /// Guards against the loss of whole payments for want of a short call. When a service
+    /// has lost half of its targets, long uploads hold the slots of the rest. Targets of
+    /// other services make short calls to it, each on behalf of a payment. A short call
+    /// that is refused for lack of a slot costs a whole payment, although five of them
+    /// take no longer than one upload. Priority in the queue is not enough, since most
+    /// calls are refused before they are queued. With slots left free, most of them start
+    /// at once, and uploads lose little.
     #[must_use]
     pub fn slots_reserved_from(&self, work_ms: Millis, slots: u32, now: Millis) -> u32 {
         let Some(known) = self.recent(now) else {
@@ -80,15 +83,15 @@
 }
 
 impl RecentWork {
-    /// Run times that were asked for lately; divided by [`RECENT_WINDOW_MS`], the mean
-    /// number of slots that they take.
+    /// Returns the run times requested recently. Divided by [`RECENT_WINDOW_MS`], this is
+    /// the mean number of slots that they take.
     fn demand_ms(&self, now: Millis) -> f64 {
         let age = now.since(self.updated_at).0 as f64 / RECENT_WINDOW_MS.0 as f64;
         self.demand_ms * (-age).exp()
     }
 }
 
-/// Whether work is so much longer than other work that it gives way to it.
+/// Returns whether work is so much longer than other work that it yields to it.
 const fn is_much_longer(work_ms: Millis, other_ms: Millis) -> bool {
     other_ms.0 * MIN_LENGTH_RATIO <= work_ms.0
 }
