--- a/crates/dispatch/src/departure.rs
+++ b/crates/dispatch/src/departure.rs
@@ -1,14 +1,15 @@
-//! What a gate learns of its own target's leaving, beside what it hears of the list.
+//! Detects that a gate's own target leaves, independently of the list that the gate's
+//! node receives.
 //!
-//! The gate asks the target's health before it starts calls. A target that is not well is
-//! ill, or leaves, or its health check is wrong; its entry in the list tells which. So the
-//! gate looks the entry up for itself while the target says so, and refuses its work from
-//! then on.
+//! The gate checks the target's health before it starts calls. A target that fails the
+//! check is ill, is leaving, or has a wrong health check; its entry in the list tells
+//! which. So the gate looks up the entry itself while the check fails, and refuses calls
+//! once the entry shows that the target leaves.
 //!
-//! Failure answered: a target says that it leaves, and the gate beside it goes on giving it
-//! work, because the word has to come from afar, where a reader has ended or large news are
-//! on the way. Nothing reaches a target but through its gate, so the gate's own knowledge
-//! is enough.
+//! Guards against a gate that sends work to a target that has announced its departure,
+//! because the change reaches the gate late: a reader has failed, or a large update is on
+//! its way. All calls reach a target through its gate, so the gate's own knowledge is
+//! enough.
 
 use crate::prelude::*;
 use crate::waits::Waits;
@@ -16,33 +17,33 @@
 #[cfg(test)]
 mod tests;
 
-/// What the list says of a target, looked up by its id.
+/// State of a target's entry in the list, looked up by its id.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, strum::IntoStaticStr)]
 #[strum(serialize_all = "kebab-case")]
 pub enum ListingState {
-    /// It takes work.
+    /// The target takes work.
     Open,
-    /// It said that it leaves.
+    /// The target has announced that it leaves.
     Draining,
-    /// It is not listed: it left without a word, or its entry has lapsed.
+    /// The target is not listed: it left without draining, or its entry has expired.
     Unlisted,
 }
 
-/// Whether a gate's target leaves.
+/// Tracks whether a gate's target leaves.
 #[derive(Debug)]
 pub struct Departure {
     waits: Waits,
-    /// When the target was last asked for its health.
+    /// Time of the last health check.
     health_checked_at: Option<Millis>,
     is_unhealthy: bool,
-    /// When its entry was last looked up.
+    /// Time of the last lookup of the entry.
     looked_up_at: Option<Millis>,
-    /// The target that is not to get work.
+    /// The target that must not get work.
     departed: Option<TargetId>,
 }
 
 impl Departure {
-    /// Of a target of which nothing is known.
+    /// Creates the state for a target about which nothing is known.
     #[must_use]
     pub const fn new(waits: Waits) -> Self {
         Self {
@@ -54,24 +55,27 @@
         }
     }
 
-    /// Whether the target has to be asked for its health before a call starts. A target
-    /// that is always busy tells its speed with its answers, and would never be asked.
+    /// Returns whether the target's health must be checked before a call starts. A target
+    /// that is always busy reports its speed with its answers, and would otherwise never
+    /// be checked.
     #[must_use]
     pub fn health_is_due(&self, now: Millis) -> bool {
         let health_checked_at = self.health_checked_at;
         health_checked_at.is_none_or(|at| now.since(at) >= self.waits.own_health_interval_ms())
     }
 
-    /// The target was asked for its health, and this is the last that it said.
+    /// Records the result of a health check.
     pub const fn note_health(&mut self, is_unhealthy: bool, now: Millis) {
         self.health_checked_at = Some(now);
         self.is_unhealthy = is_unhealthy;
     }
 
-    /// Whether the target's entry has to be looked up now; it counts as looked up then.
+    /// Returns whether the target's entry must be looked up now, and if so counts it as
+    /// looked up.
     ///
-    /// Also while it gets no work: an entry that lapsed comes back, and a target may start
-    /// again under its id, without a word of its health until it is asked.
+    /// The entry is also looked up while the target gets no work: an expired entry may
+    /// return, and a target may restart under the same id, and no health check would show
+    /// it because none is made without calls.
     #[must_use]
     pub fn start_lookup_if_due(&mut self, now: Millis) -> bool {
         if !self.is_unhealthy && self.departed.is_none() {
@@ -85,7 +89,8 @@
         true
     }
 
-    /// What the list says of the target; true when that changes whether it gets work.
+    /// Records the state of the target's entry; returns whether this changes whether the
+    /// target gets work.
     pub fn note_entry(&mut self, id: &TargetId, listing_state: ListingState) -> bool {
         let had_left = self.has_left(id);
         self.departed = match listing_state {
@@ -95,7 +100,7 @@
         had_left != self.has_left(id)
     }
 
-    /// Whether this target is not to get work.
+    /// Returns whether this target must not get work.
     #[must_use]
     pub fn has_left(&self, id: &TargetId) -> bool {
         self.departed.as_ref() == Some(id)
--- a/crates/dispatch/src/failures.rs
+++ b/crates/dispatch/src/failures.rs
@@ -1,4 +1,4 @@
-//! What an entry holds against each target.
+//! Failure scores of targets, by which an entry avoids failing ones (outlier ejection).
 
 use std::collections::HashMap;
 
@@ -7,21 +7,22 @@
 #[cfg(test)]
 mod tests;
 
-/// Failures count half after this time: a target that is ill for some seconds
-/// is tried again within a few more.
+/// Half-life of the failure score in milliseconds. A target that fails for some seconds
+/// is tried again within a few seconds more.
 const HALF_LIFE_MS: f32 = 3_000.0;
-/// From this score on a target is avoided while others are to be had. One
-/// failure alone stays below it: one in a few hundred requests fails anywhere.
+/// Score from which a target is avoided while others are available. A single failure
+/// stays below it, since one in a few hundred requests fails anywhere.
 const AVOID_THRESHOLD: f32 = 1.5;
-/// Share of an earlier score that a success leaves, so that a target that fails
-/// every third request stays avoided and one that recovered does not.
+/// Factor by which a success reduces the score. A target that fails every third request
+/// stays avoided, and one that has recovered does not.
 const SUCCESS_DECAY: f32 = 0.8;
-/// A VM that cannot be reached is left alone for this long at first ...
+/// Time for which a target is not used after its VM was found unreachable for the first
+/// time.
 const INITIAL_UNREACHABLE_MS: Millis = Millis(400);
-/// ... and up to this long while it stays away.
+/// Upper bound of that time, which doubles while the VM stays unreachable.
 const MAX_UNREACHABLE_MS: Millis = Millis(2_000);
 
-/// What is known of the targets that this entry sends to.
+/// Failure records of the targets that this entry sends to.
 #[derive(Debug, Default)]
 pub struct Failures {
     by_incarnation: HashMap<TargetIncarnation, Record>,
@@ -56,7 +57,7 @@
 }
 
 impl Failures {
-    /// The target answered as it should.
+    /// Records that the target answered successfully.
     pub fn note_success(&mut self, target: &Member, now: Millis) {
         if self.existing(target).is_none() {
             return;
@@ -67,15 +68,16 @@
         record.unreachable_for_ms = Millis::ZERO;
     }
 
-    /// The target failed a request, broke it off, or kept silent.
+    /// Records that the target failed a request, broke it off, or did not answer.
     pub fn note_failure(&mut self, target: &Member, now: Millis) {
         let record = self.record(target, now);
         let score = record.score(now) + 1.0;
         record.set_score(score, now);
     }
 
-    /// The target's VM could not be reached: it is left alone for a while that
-    /// doubles, so that a dark VM costs few callers a connect timeout.
+    /// Records that the target's VM could not be reached. The target is not used for a
+    /// time that doubles with each failure, so that an unreachable VM costs few callers a
+    /// connect timeout.
     pub fn note_unreachable(&mut self, target: &Member, now: Millis) {
         let record = self.record(target, now);
         let doubled = Millis(record.unreachable_for_ms.0 * 2);
@@ -83,7 +85,7 @@
         record.unreachable_until = now + record.unreachable_for_ms;
     }
 
-    /// Whether others go first.
+    /// Returns whether other targets should be tried first.
     #[must_use]
     pub fn is_avoided(&self, target: &Member, now: Millis) -> bool {
         let Some(record) = self.existing(target) else {
@@ -92,25 +94,26 @@
         record.score(now) >= AVOID_THRESHOLD
     }
 
-    /// Whether its VM was just found unreachable.
+    /// Returns whether the target's VM was found unreachable a short time ago.
     #[must_use]
     pub fn is_unreachable(&self, target: &Member, now: Millis) -> bool {
         self.existing(target)
             .is_some_and(|record| now < record.unreachable_until)
     }
 
-    /// Forgets lives that are no longer listed.
+    /// Discards incarnations that are no longer listed.
     pub fn retain(&mut self, members: &Members) {
         self.by_incarnation
             .retain(|incarnation, _| members.contains(incarnation));
     }
 
-    /// What is known of this life of the target.
+    /// Returns the record of this incarnation of the target.
     fn existing(&self, target: &Member) -> Option<&Record> {
         self.by_incarnation.get(&target.incarnation())
     }
 
-    /// The record of this life of the target, begun if there is none.
+    /// Returns the record of this incarnation of the target, and creates it if there is
+    /// none.
     fn record(&mut self, target: &Member, now: Millis) -> &mut Record {
         let entry = self.by_incarnation.entry(target.incarnation());
         entry.or_insert_with(|| Record::new(now))
--- a/crates/dispatch/src/members.rs
+++ b/crates/dispatch/src/members.rs
@@ -1,4 +1,4 @@
-//! The targets that the platform lists, and what becomes of entries that lapse.
+//! Targets that the platform lists, and the handling of entries that expire.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::fmt;
@@ -12,29 +12,30 @@
 #[cfg(test)]
 pub(crate) mod tests;
 
-/// Entries that lapsed with the store's trouble are back within about this
-/// time when their target lives; one still missing is gone.
+/// Time for which an entry that is missing after a store failure is kept. Entries that
+/// expired because of the failure are back within about this time if their target runs;
+/// one that is still missing is gone.
 const LAPSE_GRACE_MS: Millis = Millis(2_000);
-/// A removal this soon after trouble with the store may be a lapse.
+/// Time after a store failure in which a removal may be due to the failure.
 const STORE_FAILURE_WINDOW_MS: Millis = Millis(1_000);
 
-/// A target that is gone is remembered this long: far beyond the time in which
-/// an entry that slept may still send to it.
+/// Time for which removed targets are remembered. It is far longer than the time in which
+/// an entry that was suspended may still send to one.
 const REMOVED_RETENTION_MS: Millis = Millis::from_secs(60);
 
-/// One life of a target; a restarted target has another id.
+/// Id of a target. A restarted target usually has another id.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct TargetId(Arc<str>);
 
 impl TargetId {
-    /// Wraps an id as the platform writes it.
+    /// Creates an id from its form on the platform.
     #[must_use]
     pub fn new(id: &str) -> Self {
         Self(Arc::from(id))
     }
 
-    /// The id itself.
+    /// Returns the id as text.
     #[must_use]
     pub fn as_str(&self) -> &str {
         &self.0
@@ -47,31 +48,33 @@
     }
 }
 
-/// One target as the platform lists it.
+/// A target as the platform lists it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Member {
-    /// This life of the target.
+    /// Id of the target.
     pub id: TargetId,
-    /// Its service.
+    /// Service that it belongs to.
     pub service: ServiceName,
-    /// Its own address, reachable from its VM only.
+    /// Address of the target, which only its own VM can reach.
     pub address: SocketAddr,
-    /// Where it stands.
+    /// Data centre of its VM.
     pub data_centre: DataCentre,
-    /// Requests that it runs at once.
+    /// Number of requests that it runs at once.
     pub slots: u32,
-    /// It takes no new work and will end.
+    /// Whether it takes no new work and will end.
     pub draining: bool,
-    /// Order in which targets were first listed; later ones have higher numbers.
+    /// Rank in the order in which targets were first listed; later targets have higher
+    /// numbers.
     pub listing_order: u64,
-    /// Unix time of its start, where targets tell it. A target may start again under
-    /// its id; another time is another life, and nothing learnt of the earlier one
-    /// holds.
+    /// Unix time of its start, if its entry has it. A target may restart under the same
+    /// id; a different start time means a different incarnation, to which nothing learnt
+    /// about the earlier one applies.
     pub started_at_ms: Option<Millis>,
 }
 
 impl Member {
-    /// This life of the target; whatever is learnt of it ends with it.
+    /// Returns this incarnation of the target. What is learnt about a target is valid for
+    /// one incarnation only.
     #[must_use]
     pub fn incarnation(&self) -> TargetIncarnation {
         TargetIncarnation {
@@ -80,117 +83,118 @@
         }
     }
 
-    /// The VM's address, where the target's gate listens.
+    /// Returns the address of the VM, on which the target's gate listens.
     #[must_use]
     pub const fn vm_ip(&self) -> IpAddr {
         self.address.ip()
     }
 }
 
-/// One life of a target. A target may start again under its id, and is told from the
-/// earlier one by the time of its start.
+/// One incarnation of a target. A target may restart under the same id; its start time
+/// then tells the incarnations apart.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct TargetIncarnation {
-    /// The target.
+    /// Id of the target.
     pub id: TargetId,
-    /// Unix time of its start, where targets tell it.
+    /// Unix time of its start, if its entry has it.
     pub started_at_ms: Option<Millis>,
 }
 
-/// Targets by service, as traffic reads them.
+/// Immutable snapshot of the listed targets, which the request path reads.
 #[derive(Clone, Debug, Default)]
 pub struct Members {
     by_id: BTreeMap<TargetId, Arc<Member>>,
     by_service: HashMap<ServiceName, Vec<Arc<Member>>>,
-    /// For each call a gate looks up its own target here.
+    /// Targets by address. A gate looks up its own target here for each call.
     by_address: HashMap<SocketAddr, Arc<Member>>,
     removed_at: Arc<BTreeMap<TargetId, Millis>>,
 }
 
 impl Members {
-    /// Targets of a service that take new work, in the order of their ids.
+    /// Returns the targets of a service that take new work, in the order of their ids.
     #[must_use]
     pub fn available(&self, service: &ServiceName) -> &[Arc<Member>] {
         self.by_service.get(service).map_or(&[], Vec::as_slice)
     }
 
-    /// A target by its id.
+    /// Returns a target by its id.
     #[must_use]
     pub fn get(&self, id: &TargetId) -> Option<&Arc<Member>> {
         self.by_id.get(id)
     }
 
-    /// Whether this life of a target is listed.
+    /// Returns whether this incarnation of a target is listed.
     #[must_use]
     pub fn contains(&self, incarnation: &TargetIncarnation) -> bool {
         let listed = self.by_id.get(&incarnation.id);
         listed.is_some_and(|member| member.started_at_ms == incarnation.started_at_ms)
     }
 
-    /// The newest listed target at an address.
+    /// Returns the latest listed target at an address.
     #[must_use]
     pub fn at_address(&self, address: SocketAddr) -> Option<&Arc<Member>> {
         self.by_address.get(&address)
     }
 
-    /// Whether the target was listed once and is gone.
+    /// Returns whether the target was listed once and has been removed.
     #[must_use]
     pub fn has_left(&self, id: &TargetId) -> bool {
         self.removed_at.contains_key(id)
     }
 
-    /// Every target known.
+    /// Returns every target, including draining ones.
     pub fn iter(&self) -> impl Iterator<Item = &Arc<Member>> {
         self.by_id.values()
     }
 
-    /// VMs that have a listed target.
+    /// Returns the VMs that have a listed target.
     #[must_use]
     pub fn vms(&self) -> BTreeSet<IpAddr> {
         self.by_id.values().map(|member| member.vm_ip()).collect()
     }
 
-    /// Targets known, draining ones included.
+    /// Returns the number of targets, including draining ones.
     #[must_use]
     pub fn len(&self) -> usize {
         self.by_id.len()
     }
 
-    /// Whether no target is known.
+    /// Returns whether there are no targets.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.by_id.is_empty()
     }
 }
 
-/// What a complete listing changes.
+/// Changes that a complete listing makes to the tracked targets.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Difference {
-    /// Entries that are new or other than they were known.
+    /// Entries that are new or differ from the tracked ones.
     pub written: Vec<Member>,
     /// Targets that are no longer listed.
     pub removed: Vec<TargetId>,
 }
 
-/// Follows the platform's list on the control thread.
+/// Tracks the platform's list on the control thread.
 #[derive(Debug, Default)]
 pub struct MemberTracker {
     known: BTreeMap<TargetId, TrackedMember>,
-    /// Targets that are gone, and since when. Ids are never used again.
+    /// Removed targets, with the time of their removal. Ids are never reused by other
+    /// targets.
     removed_at: BTreeMap<TargetId, Millis>,
     store_failed_at: Option<Millis>,
     remote_failure: Option<RemoteStoreFailure>,
 }
 
-/// Trouble of another node with the store.
+/// Failure of another node to read the store.
 #[derive(Clone, Copy, Debug)]
 struct RemoteStoreFailure {
     at: Millis,
-    /// How long a removal is held meanwhile.
+    /// Time for which a removal is held after the failure.
     grace_ms: Millis,
 }
 
-/// Whether trouble was so near that a removal may be a lapse.
+/// Returns whether a store failure is so recent that a removal may be due to it.
 fn is_recent_failure(store_failed_at: Option<Millis>, now: Millis) -> bool {
     store_failed_at.is_some_and(|at| now.since(at) < STORE_FAILURE_WINDOW_MS)
 }
@@ -198,13 +202,13 @@
 #[derive(Debug)]
 struct TrackedMember {
     member: Arc<Member>,
-    /// The entry is missing, perhaps only because the store was away; it
-    /// counts until this time.
+    /// Set if the entry is missing, possibly only because the store was unavailable. The
+    /// target counts as listed until this time.
     missing_until: Option<Millis>,
 }
 
 impl MemberTracker {
-    /// An entry was written.
+    /// Adds or replaces an entry.
     pub fn upsert(&mut self, member: Member) {
         let tracked = TrackedMember {
             member: Arc::new(member),
@@ -214,13 +218,13 @@
         self.known.insert(tracked.member.id.clone(), tracked);
     }
 
-    /// An entry was removed.
+    /// Removes an entry, at once or after a grace period.
     ///
-    /// Failure answered: a store that was away comes back without the entries
-    /// of targets whose reports it missed. Taken at its word, a whole service
-    /// would be without targets for seconds although all of them serve. A
-    /// removal in or right after trouble therefore waits for the entry's
-    /// return; a removal in calm times counts at once.
+    /// Guards against a store that comes back from an outage without the entries of
+    /// targets whose reports it missed. If these removals were applied, a whole service
+    /// would have no targets for seconds although all of them run. So a removal during or
+    /// shortly after a store failure waits for the entry to return; any other removal
+    /// takes effect at once.
     pub fn remove(&mut self, id: &TargetId, now: Millis) {
         let may_be_lapse = self.may_be_lapse(now);
         let grace_ms = self.grace_ms(now);
@@ -237,7 +241,7 @@
         }
     }
 
-    /// What a complete listing changes.
+    /// Returns what a complete listing changes.
     #[must_use]
     pub fn difference(&self, listed: Vec<Member>) -> Difference {
         let ids: BTreeSet<TargetId> = listed.iter().map(|member| member.id.clone()).collect();
@@ -255,29 +259,30 @@
         difference
     }
 
-    /// Whether a target is known by just this entry, which is not missing.
+    /// Returns whether exactly this entry is tracked and not missing.
     fn is_known_as(&self, member: &Member) -> bool {
         let tracked = self.known.get(&member.id);
         tracked.is_some_and(|tracked| tracked.missing_until.is_none() && *tracked.member == *member)
     }
 
-    /// The store could not be read just now.
+    /// Records that this node could not read the store just now.
     pub fn note_store_failure(&mut self, now: Millis) {
         self.store_failed_at = Some(now);
     }
 
-    /// Another node, whose reads this one hears, could not read the store just now. A
-    /// removal is then held for `grace_ms`.
+    /// Records that another node, to which this one subscribes, could not read the store
+    /// just now. A removal is then held for `grace_ms`.
     ///
-    /// Failure answered: some targets leave without a word, and their entries are
-    /// removed. A node that reaches the store, or hears one that does, must send
-    /// them nothing soon after, whoever else is in trouble; held for as long as a
-    /// lapsed entry takes to come back, they would still get work.
+    /// Guards against calls to targets that have left. Some targets end without draining,
+    /// and their entries are removed. A node that can read the store, or subscribes to
+    /// one that can, must soon stop sending to them, whichever other nodes fail to read
+    /// it. If such removals were held for as long as an expired entry takes to return,
+    /// these targets would still get work.
     pub fn note_remote_store_failure(&mut self, grace_ms: Millis, now: Millis) {
         self.remote_failure = Some(RemoteStoreFailure { at: now, grace_ms });
     }
 
-    /// Drops entries that stayed missing; true when any did.
+    /// Removes entries whose grace period is over; returns whether there were any.
     pub fn expire(&mut self, now: Millis) -> bool {
         self.removed_at
             .retain(|_, since| now.since(*since) < REMOVED_RETENTION_MS);
@@ -294,7 +299,7 @@
         !expired.is_empty()
     }
 
-    /// When [`Self::expire`] next has something to do.
+    /// Returns when [`Self::expire`] next has something to do.
     #[must_use]
     pub fn next_expiry(&self) -> Option<Millis> {
         self.known
@@ -303,11 +308,11 @@
             .min()
     }
 
-    /// The latest life at each address.
+    /// Returns the listing order of the latest incarnation at each address.
     ///
-    /// Failure answered: a target that crashed is listed for seconds beside its
-    /// next life at the same address, and every second call would be sent to
-    /// the one that is no more.
+    /// Guards against calls to a crashed target. It stays listed for seconds beside its
+    /// successor at the same address, and half of the calls would be sent to the target
+    /// that no longer exists.
     fn latest_by_address(
         &self,
         is_configured: &impl Fn(&ServiceName) -> bool,
@@ -324,24 +329,24 @@
         latest
     }
 
-    /// Whether no target is listed.
+    /// Returns whether no target is tracked.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.known.is_empty()
     }
 
-    /// The targets as traffic reads them.
+    /// Returns a snapshot of all targets.
     #[must_use]
     pub fn snapshot(&self) -> Members {
         self.snapshot_of(|_| true)
     }
 
-    /// The targets of services that the configuration names.
+    /// Returns a snapshot of the targets whose services the configuration names.
     ///
-    /// Failure answered: another writer puts an entry into the list, of a service
-    /// that nobody knows, with the address of a target that serves. Taken for that
-    /// address's next life, it would take the target out of use; counted as a VM, it
-    /// might be chosen to read for others.
+    /// Guards against foreign entries. Another writer may add an entry to the list, for
+    /// an unknown service, with the address of a running target. Treated as the next
+    /// incarnation at that address, it would take the target out of use; counted as a VM,
+    /// it might be chosen as a reader.
     #[must_use]
     pub fn snapshot_for(&self, routes: &RouteSet) -> Members {
         let configured = routes.all_services();
@@ -378,7 +383,7 @@
         is_recent_failure(self.store_failed_at, now) || is_recent_failure(remote_failed_at, now)
     }
 
-    /// How long a removal is held now.
+    /// Returns how long a removal is held now.
     fn grace_ms(&self, now: Millis) -> Millis {
         match self.remote_failure {
             Some(failure) if !is_recent_failure(self.store_failed_at, now) => failure.grace_ms,
--- a/crates/dispatch/src/order.rs
+++ b/crates/dispatch/src/order.rs
@@ -1,4 +1,4 @@
-//! The order in which an entry asks the targets of a service.
+//! Order in which an entry tries the targets of a service.
 
 use std::sync::Arc;
 
@@ -11,40 +11,40 @@
 #[cfg(test)]
 mod tests;
 
-/// One in this many requests goes to an avoided target first, so that its
-/// recovery is seen without waiting for its score to fade.
+/// One in this many requests is sent to an avoided target first, as a half-open probe, so
+/// that its recovery is noticed before its failure score decays.
 const PROBE_ONE_IN: u32 = 24;
 
-/// A target in the order of asking.
+/// A target, with the properties that decide its place in the order.
 #[derive(Clone, Debug)]
 pub struct Candidate {
     /// The target.
     pub member: Arc<Member>,
-    /// It stands in the entry's own data centre.
+    /// Whether it is in the entry's own data centre.
     pub is_near: bool,
-    /// It failed lately; asked only after the others.
+    /// Whether it failed recently; such targets are tried after all others.
     pub is_avoided: bool,
 }
 
-/// What an entry knows when it orders targets.
+/// Input for ordering the targets of one request.
 #[derive(Debug)]
 pub struct View<'a> {
-    /// The targets of the service that take work.
+    /// Targets of the service that take new work.
     pub available: &'a [Arc<Member>],
     /// The entry's own data centre.
     pub data_centre: &'a DataCentre,
-    /// What is held against targets.
+    /// Recent failures of the targets.
     pub failures: &'a Failures,
-    /// Targets to which the request has gone already.
+    /// Targets to which the request was sent before.
     pub tried: &'a [TargetId],
-    /// Now.
+    /// The current time.
     pub now: Millis,
 }
 
-/// Orders the targets: sound before avoided, near before far, at random among
-/// equals, so that entries do not all lean on the same target.
+/// Orders the targets: healthy before avoided ones, near before far ones, and at random
+/// among equals, so that entries do not all choose the same target.
 ///
-/// Targets whose VM is away are left out while any other remains: asking them
+/// Targets whose VM is unreachable are left out while any other remains, since trying one
 /// costs a connect timeout.
 pub fn candidates(view: &View<'_>, rng: &mut impl rand::Rng) -> Vec<Candidate> {
     let mut found = Vec::with_capacity(view.available.len());
@@ -73,7 +73,7 @@
     if !is_probe {
         return found;
     }
-    // In a trial only the first avoided target moves ahead.
+    // A probe moves only the first avoided target ahead.
     let mut rest: Vec<Candidate> = Vec::with_capacity(found.len());
     let mut first = None;
     for candidate in found {
--- a/crates/dispatch/src/reach.rs
+++ b/crates/dispatch/src/reach.rs
@@ -1,4 +1,4 @@
-//! Whether this node still reaches the others.
+//! Detects whether this node is cut off from all other VMs.
 
 use std::collections::BTreeSet;
 use std::net::IpAddr;
@@ -8,19 +8,20 @@
 #[cfg(test)]
 mod tests;
 
-/// So many VMs must have been found unreachable, with none reached since, before
-/// a node takes itself for cut off: two that die together are no partition.
+/// Number of VMs that must have been found unreachable, with none reached since, before a
+/// node considers itself cut off. Two VMs that fail at the same time are not a partition.
 const MIN_UNREACHABLE_VMS: usize = 3;
-/// And none must have been reached for this long: links that broke with their
-/// gates are opened anew within it.
+/// Time for which, in addition, no other VM must have been reached. Links that broke
+/// because their gates ended are reopened within this time.
 const MIN_UNREACHED_MS: Millis = Millis(600);
 
-/// What a node's own attempts say of its way to others.
+/// Results of a node's own attempts to reach other VMs.
 ///
-/// Failure answered: a VM is cut off from all others and its callers go on
-/// sending to it. It can serve only what its own target runs, and that fails
-/// wherever the target needs another. A node that knows it is cut off says that
-/// it is not ready, so that callers are sent to nodes that can serve them.
+/// Guards against calls to a node that cannot serve them. Callers of a VM that is cut off
+/// from all others keep sending to it, but it can serve only what its own target runs,
+/// and that fails wherever the target needs another service. A node that knows that it is
+/// cut off reports that it is not ready, so that callers are sent to nodes that can serve
+/// them.
 #[derive(Debug, Default)]
 pub struct Reachability {
     unreachable: BTreeSet<IpAddr>,
@@ -28,18 +29,18 @@
 }
 
 impl Reachability {
-    /// Another VM answered.
+    /// Records that another VM answered.
     pub fn note_reached(&mut self, now: Millis) {
         self.unreachable.clear();
         self.reached_at = now;
     }
 
-    /// No link to a VM could be had, or it fell silent.
+    /// Records that no link to a VM could be opened, or that its link stopped answering.
     pub fn note_unreachable(&mut self, vm: IpAddr) {
         self.unreachable.insert(vm);
     }
 
-    /// Whether the node is cut off. `others` VMs are listed beside its own.
+    /// Returns whether the node is cut off, when `others` VMs are listed beside its own.
     #[must_use]
     pub fn is_partitioned(&self, others: usize, now: Millis) -> bool {
         let threshold = MIN_UNREACHABLE_VMS.min(others).max(1);
--- a/crates/dispatch/src/readers.rs
+++ b/crates/dispatch/src/readers.rs
@@ -1,19 +1,20 @@
-//! Which nodes read the platform's list themselves, and whom the others hear.
+//! Chooses the nodes that read the platform's list themselves and those that the others
+//! subscribe to.
 //!
-//! If every node reads each change for itself, calls to the platform grow with
-//! the square of the fleet: more nodes, each reading the changes of more
-//! targets. So a few nodes read, chosen by a hash over the VMs that are listed, and
-//! the others subscribe to several of them. A large data centre has readers of its
-//! own; small ones share theirs, since each reader asks the platform again and again,
-//! whether anything changes or not. All readers subscribe to some of each other as
-//! well, so that one whose own reads bring nothing, without an error, still learns
-//! what any other knows.
+//! If every node read each change itself, the calls to the platform would grow with the
+//! square of the fleet: more nodes, each reading the changes of more targets. So only a
+//! few nodes read, chosen by a hash over the listed VMs, and the others subscribe to
+//! several of them. A large data centre has its own readers. Small ones share theirs,
+//! since each reader polls the platform whether or not anything changes. All readers also
+//! subscribe to some other readers, so that a reader whose own reads return nothing,
+//! without an error, still learns what the others know.
 //!
-//! While the platform is away, all readers say so. Then their followers need not ask as
-//! well, all of them at once: a few reserves do, in case it only turns the readers away.
+//! While the platform is unavailable, all readers report it. Their followers then need
+//! not all poll it too: only a few reserves do, in case the platform rejects only the
+//! readers.
 //!
-//! Nothing is agreed upon: nodes with different lists choose different readers
-//! for a while, and one that is asked without being a reader says so.
+//! The choice needs no agreement. Nodes with different lists choose different readers for
+//! a while, and a node that gets a subscription without being a reader reports that.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::IpAddr;
@@ -25,51 +26,52 @@
 #[cfg(test)]
 mod tests;
 
-/// Among up to this many VMs every node reads for itself: three readers would save
-/// too little to depend on others.
+/// Number of VMs up to which every node reads for itself: three readers would save too
+/// little to depend on other nodes.
 const MAX_VMS_WITHOUT_READERS: usize = 8;
-/// A data centre of more VMs than this has readers of its own. The others share
-/// theirs.
+/// Number of VMs up to which a data centre shares its readers with others. A larger one
+/// has its own.
 const MAX_VMS_SHARING_READERS: usize = 48;
-/// Readers of a group at least, so that two are left while one restarts.
+/// Minimum number of readers in a group, so that two are left while one restarts.
 const MIN_READERS: usize = 3;
-/// One reader for this many VMs: with three subscriptions each, a reader tells
-/// about 48 nodes, some four times a second when nothing changes.
+/// Number of VMs per reader. With three subscriptions per node, a reader has about 48
+/// subscribers, which it updates some four times a second when nothing changes.
 const VMS_PER_READER: usize = 16;
-/// One leader for this many readers of a group, itself included: with those that it
-/// leads, it tells 59 nodes.
+/// Number of readers in a group per leader, including the leader. With the readers that
+/// it leads, a leader has 59 subscribers.
 const READERS_PER_LEADER: usize = 12;
-/// Readers to whom one node subscribes.
+/// Number of readers that a node subscribes to.
 pub const SUBSCRIPTIONS: usize = 3;
 
 /// How a node learns of changes.
 #[derive(Clone, Debug, PartialEq, Eq, strum::IntoStaticStr)]
 #[strum(serialize_all = "kebab-case")]
 pub enum Role {
-    /// It reads for itself, and nobody depends on it.
+    /// The node reads for itself, and no other node depends on it.
     Alone,
-    /// It reads and tells others; it hears these other readers too.
+    /// The node reads and serves subscribers; it also subscribes to other readers.
     Reader {
-        /// Other readers, the one that leads it among them.
+        /// Other readers that it subscribes to, including its leader.
         readers: Vec<IpAddr>,
-        /// A reserve that it hears as well.
+        /// A reserve that it also subscribes to.
         reserve: Option<IpAddr>,
-        /// It asks the platform again and again, whether anything changes or not, and
-        /// tells so. The readers that it leads need to do so only when it falls silent:
-        /// a fleet at rest costs the calls of few nodes.
+        /// Whether it polls the platform regularly, whether or not anything changes, and
+        /// reports that to its subscribers. The readers that it leads poll only when its
+        /// reports stop, so that an idle fleet costs the calls of few nodes.
         leads: bool,
     },
-    /// It hears these readers.
+    /// The node subscribes to readers.
     Follower {
-        /// The readers.
+        /// The readers that it subscribes to.
         readers: Vec<IpAddr>,
-        /// It asks the platform while all of these are in trouble, and readers hear it.
+        /// Whether it polls the platform while all of its readers fail, and readers
+        /// subscribe to it.
         is_reserve: bool,
     },
 }
 
 impl Role {
-    /// The nodes to subscribe to.
+    /// Returns the nodes to subscribe to: readers and a reserve.
     #[must_use]
     pub fn subscriptions(&self) -> Vec<IpAddr> {
         let mut wanted = self.readers().to_vec();
@@ -79,7 +81,7 @@
         wanted
     }
 
-    /// The readers that this node hears.
+    /// Returns the readers that this node subscribes to.
     #[must_use]
     pub fn readers(&self) -> &[IpAddr] {
         match self {
@@ -88,19 +90,19 @@
         }
     }
 
-    /// Whether others depend on this node's reads.
+    /// Returns whether other nodes depend on this node's reads.
     #[must_use]
     pub const fn is_reader(&self) -> bool {
         matches!(self, Self::Reader { .. })
     }
 
-    /// Whether others hear this node.
+    /// Returns whether other nodes subscribe to this node.
     #[must_use]
     pub const fn accepts_subscribers(&self) -> bool {
         matches!(self, Self::Reader { .. }) || self.is_reserve()
     }
 
-    /// Whether this node reads when the readers cannot.
+    /// Returns whether this node reads while the readers cannot.
     #[must_use]
     pub const fn is_reserve(&self) -> bool {
         matches!(
@@ -112,24 +114,25 @@
         )
     }
 
-    /// Whether another reader asks the platform for it.
+    /// Returns whether another reader polls the platform on behalf of this one.
     #[must_use]
     pub const fn is_led(&self) -> bool {
         matches!(self, Self::Reader { leads: false, .. })
     }
 
-    /// Whether this node leaves reading to others.
+    /// Returns whether this node leaves reading to others.
     #[must_use]
     pub const fn is_follower(&self) -> bool {
         matches!(self, Self::Follower { .. })
     }
 }
 
-/// The role of a node in this data centre, given the targets it knows.
+/// Returns the role of a node in this data centre, given the targets it knows.
 ///
-/// A VM that is not listed is no reader, and hears those of its group. Failure
-/// answered: cut off from the platform, a VM's own entry lapses; reading for
-/// itself, its node would learn nothing until the cut heals.
+/// A VM that is not listed is never a reader; it subscribes to the readers of its group.
+/// Guards against a node that learns nothing: the entry of a VM that is cut off from the
+/// platform expires, and if its node then read for itself, it would learn nothing until
+/// the partition heals.
 #[must_use]
 pub fn role(members: &Members, own: IpAddr, data_centre: &DataCentre) -> Role {
     let data_centres = vms_by_data_centre(members);
@@ -172,7 +175,7 @@
     }
 }
 
-/// The large data centres, and the VMs of all others together.
+/// Returns the VMs of each large data centre, and the VMs of all others together.
 fn groups<'a>(
     data_centres: &'a BTreeMap<&DataCentre, BTreeSet<IpAddr>>,
 ) -> (Vec<&'a BTreeSet<IpAddr>>, BTreeSet<IpAddr>) {
@@ -191,8 +194,8 @@
     vms.len() > MAX_VMS_SHARING_READERS
 }
 
-/// VMs by data centre; those whose only target is leaving are left out, since
-/// they go with it.
+/// Returns the VMs by data centre, without those whose only target is draining, since
+/// these end with it.
 fn vms_by_data_centre(members: &Members) -> BTreeMap<&DataCentre, BTreeSet<IpAddr>> {
     let mut data_centres: BTreeMap<&DataCentre, BTreeSet<IpAddr>> = BTreeMap::new();
     for member in members.iter() {
@@ -205,8 +208,8 @@
     data_centres
 }
 
-/// The reader whose asking a reader relies on, which may be itself. The first ones of a
-/// group lead, and share the others evenly.
+/// Returns the leader of a reader, which may be the reader itself. The first readers of a
+/// group are leaders, and the others are spread evenly over them.
 fn leader_of(readers: &[IpAddr], own: IpAddr) -> IpAddr {
     let leaders = readers.len().div_ceil(READERS_PER_LEADER);
     let index = readers.iter().position(|reader| *reader == own);
@@ -215,9 +218,9 @@
 
 /// Nodes of a group that read the platform.
 struct RankedVms {
-    /// Always.
+    /// Nodes that always read.
     readers: Vec<IpAddr>,
-    /// While none of the readers can.
+    /// Nodes that read while none of the readers can.
     reserves: Vec<IpAddr>,
 }
 
@@ -231,9 +234,10 @@
     RankedVms { readers, reserves }
 }
 
-/// The readers that one node hears, those beside it first: what they tell again and again
-/// then stays within the data centre. Others choose others, so that the load is
-/// spread, and a reader's loss moves only those who heard it.
+/// Chooses the readers that a node subscribes to, preferring those in its own data
+/// centre, so that their regular updates stay within it. Nodes choose different readers
+/// (rendezvous hashing), so that the load is spread and the loss of a reader affects only
+/// its own subscribers.
 fn nearest(mut readers: Vec<IpAddr>, own: IpAddr, local_vms: &BTreeSet<IpAddr>) -> Vec<IpAddr> {
     readers.sort_by_key(|reader| (!local_vms.contains(reader), hash(&[own, *reader])));
     readers.truncate(SUBSCRIPTIONS);
--- a/crates/dispatch/src/retry_budget.rs
+++ b/crates/dispatch/src/retry_budget.rs
@@ -1,38 +1,39 @@
-//! An entry's part of the retry budget that all entries share.
+//! An entry's share of the retry budget that all entries have in common.
 
 use crate::prelude::*;
 
 #[cfg(test)]
 mod tests;
 
-/// The limit on extra arrivals at a service, over all entries together.
+/// Limit on the extra arrivals (retries and repeated calls) at a service, over all
+/// entries together.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RetryLimit {
-    /// Extra arrivals as a share of the requests for the service.
+    /// Extra arrivals as a fraction of the requests for the service.
     pub ratio: f64,
-    /// Extra arrivals beyond that share.
+    /// Extra arrivals allowed beyond that fraction in each window.
     pub slack: f64,
-    /// Any span of this length is held to it.
+    /// Length of a window. The limit holds in every window of this length.
     pub window_ms: Millis,
 }
 
-/// Part of the ratio that entries use. The rest is for what they count late:
-/// arrivals cross the ends of a window, and the listed entries change.
+/// Part of the ratio that entries use. The rest covers what they count late: arrivals
+/// cross the ends of a window, and the set of listed entries changes.
 const USED_RATIO_SHARE: f64 = 0.7;
-/// Part of the slack that entries use. Each repeat that it allows makes its calls
-/// again at another service, whose slack is no larger. With two calls a run,
-/// `2 n` of them are within the ratio 0.2 and the slack `s` up to `n = s / 1.6`.
+/// Part of the slack that entries use. Each retry that it allows makes its calls again at
+/// another service, whose slack is no larger. With two calls per run, `2 n` of them are
+/// within the ratio 0.2 and the slack `s` up to `n = s / 1.6`.
 const USED_SLACK_SHARE: f64 = 0.6;
-/// Debt that calls of repeated runs may leave, as a part of the slack that an entry
-/// has for itself. It is paid by the requests that follow; without a bound, an entry
-/// could not retry for minutes after a bad one.
+/// Bound on the debt that calls of repeated runs may leave, in multiples of the entry's
+/// share of the slack. Later requests pay the debt; without a bound, an entry could not
+/// retry for minutes after a bad one.
 const MAX_DEBT_FACTOR: f64 = 2.0;
 
 /// One entry's tokens for one service.
 ///
-/// No entry sees the sum. Each keeps to its own part: the ratio of the requests
-/// that it sends itself, and an equal part of the slack. The parts then add up
-/// to no more than the whole in every window, whoever fails.
+/// No entry sees the total. Each keeps to its own share: the ratio of the requests that
+/// it sends itself, and an equal share of the slack. The shares then add up to no more
+/// than the limit in every window, whichever entries fail.
 #[derive(Debug)]
 pub struct RetryBudget {
     tokens: f64,
@@ -40,7 +41,7 @@
 }
 
 impl RetryBudget {
-    /// A budget with its part of the slack in hand.
+    /// Creates a budget that holds its share of the slack.
     #[must_use]
     pub fn new(limit: &RetryLimit, entries: usize, now: Millis) -> Self {
         Self {
@@ -49,27 +50,28 @@
         }
     }
 
-    /// Counts a first attempt.
+    /// Counts a first attempt, which adds to the tokens.
     pub fn count_first_attempt(&mut self, limit: &RetryLimit, entries: usize) {
         let cap = slack_share(limit, entries).max(1.0) + 1.0;
         self.tokens = (self.tokens + limit.ratio * USED_RATIO_SHARE).min(cap.max(self.tokens));
     }
 
-    /// Counts the part of a first attempt, in percent, that is expected to repeat
-    /// an earlier one: its caller is a target, whose own run may be a retry.
+    /// Counts the probability, in percent, with which a first attempt repeats an earlier
+    /// one because its caller is a target whose own run may be a retry.
     ///
-    /// Failure answered: half of what reaches a service fails. Its callers' runs fail
-    /// with it and are sent again elsewhere, where they make their calls again.
-    /// Counted at the callers' service alone, retries there and at the called one
-    /// add up to more than the limit, at the service that can bear it least. Taken
-    /// from the called service's tokens, they leave so many fewer retries there.
+    /// Guards against retries that multiply along a chain of services. When half of what
+    /// reaches a service fails, the runs of its callers fail too and are retried
+    /// elsewhere, where they make their calls again. If only the callers' service counted
+    /// these, its retries and those at the called service would add up to more than the
+    /// limit, at the service that can bear it least. Taken from the tokens of the called
+    /// service, they reduce the retries there by as much.
     pub fn count_repeated(&mut self, limit: &RetryLimit, entries: usize, percent: u8) {
         let max_debt = slack_share(limit, entries) * MAX_DEBT_FACTOR;
         let lowest = (-max_debt).min(self.tokens);
         self.tokens = (self.tokens - f64::from(percent) / 100.0).max(lowest);
     }
 
-    /// Takes one extra arrival; false when none is left.
+    /// Takes a token for one extra arrival; returns false if none is left.
     pub fn try_take(&mut self, limit: &RetryLimit, entries: usize, now: Millis) -> bool {
         self.refill(limit, entries, now);
         if self.tokens < 1.0 {
@@ -79,7 +81,7 @@
         true
     }
 
-    /// Gives back a token that led to no arrival.
+    /// Returns a token that led to no arrival.
     pub fn refund(&mut self) {
         self.tokens += 1.0;
     }
@@ -88,7 +90,7 @@
         let share = slack_share(limit, entries);
         let elapsed = now.since(self.refilled_at).0 as f64 / limit.window_ms.0.max(1) as f64;
         self.refilled_at = self.refilled_at.max(now);
-        // Half the slack is in hand at first and half comes over a window, so
+        // Half of the slack is available at first, and half is added over a window, so
         // that no window sees more than the whole.
         let gained = share * elapsed;
         self.tokens = (self.tokens + gained).min(self.tokens.max(share));
--- a/crates/dispatch/src/returning.rs
+++ b/crates/dispatch/src/returning.rs
@@ -1,4 +1,4 @@
-//! Callers that were refused and come back.
+//! Recognises callers that were refused and retry.
 
 use std::collections::HashMap;
 
@@ -7,34 +7,37 @@
 #[cfg(test)]
 mod tests;
 
-/// A caller names what is left of its deadline in whole milliseconds, and its two
-/// requests take a few milliseconds more or less on their way.
+/// Difference up to which two deadlines count as the same. A caller sends the rest of its
+/// deadline in whole milliseconds, and its two requests differ by a few milliseconds in
+/// their time on the network.
 const DEADLINE_TOLERANCE_MS: Millis = Millis(20);
-/// Refused requests that are remembered; beyond it, none is taken up until some have
-/// passed their deadlines. An entry refuses some hundred a second at the worst.
+/// Maximum number of refused requests that are remembered. When it is reached, no further
+/// ones are stored until some have passed their deadlines. An entry refuses some hundred
+/// requests a second at worst.
 const MAX_REMEMBERED: usize = 4_096;
 
 #[derive(Clone, Copy, Debug)]
 struct RefusedRequest {
-    /// When the caller first asked.
+    /// Time of the caller's first request.
     first_arrived: Millis,
     deadline_at: Millis,
 }
 
-/// The requests that an entry refused, until their deadlines.
+/// Requests that an entry refused, kept until their deadlines.
 ///
-/// Failure answered: a caller that was refused comes back, with a new request id, and
-/// its objective counts from its first request. Taken for a newcomer, it is given a
-/// slot in which it will be late, while a newcomer that would have been in time is
-/// refused, and comes back late in turn. So it is recognised: it asks for the same
-/// again and must have it by the same moment.
+/// Guards against wasted slots in an overload. A caller that was refused retries with a
+/// new request id, and its objective counts from its first request. Treated as a new
+/// caller, it would get a slot in which it misses its objective, while a new caller that
+/// would have met it is refused and returns late in turn. So the retry is recognised: it
+/// has the same content and the same deadline.
 #[derive(Debug, Default)]
 pub struct ReturningCallers {
     by_fingerprint: HashMap<u64, RefusedRequest>,
 }
 
 impl ReturningCallers {
-    /// When the caller of this request first asked, which is now for a newcomer.
+    /// Returns when the caller of this request sent its first request, which is `arrived`
+    /// for a new caller.
     pub fn first_arrived(&self, fingerprint: u64, deadline_at: Millis, arrived: Millis) -> Millis {
         let Some(refused) = self.by_fingerprint.get(&fingerprint) else {
             return arrived;
@@ -47,7 +50,7 @@
         }
     }
 
-    /// A request was refused, and its caller may come back.
+    /// Records that a request was refused and that its caller may retry.
     pub fn note_refused(&mut self, fingerprint: u64, deadline_at: Millis, first_arrived: Millis) {
         if self.by_fingerprint.len() >= MAX_REMEMBERED {
             return;
@@ -59,7 +62,7 @@
         self.by_fingerprint.insert(fingerprint, refused);
     }
 
-    /// Forgets requests whose deadlines have passed.
+    /// Discards requests whose deadlines have passed.
     pub fn forget_expired(&mut self, now: Millis) {
         self.by_fingerprint
             .retain(|_, refused| now < refused.deadline_at);
--- a/crates/dispatch/src/routes.rs
+++ b/crates/dispatch/src/routes.rs
@@ -1,4 +1,5 @@
-//! Routes by host and longest path prefix, as one immutable set a version.
+//! Routes by host and longest path prefix, as one immutable set per configuration
+//! version.
 
 use std::collections::{HashMap, HashSet};
 use std::sync::Arc;
@@ -10,7 +11,7 @@
 #[cfg(test)]
 pub(crate) mod tests;
 
-/// What may be repeated on a route.
+/// Says whether calls of a route may be repeated.
 #[derive(
     Clone,
     Copy,
@@ -24,68 +25,68 @@
 )]
 #[strum(serialize_all = "kebab-case")]
 pub enum CallKind {
-    /// Running it more than once is harmless.
+    /// Running the call more than once is harmless.
     Idempotent,
-    /// Runs at most once for each attempt of a caller.
+    /// The call runs at most once for each attempt of a caller.
     NonIdempotent,
-    /// A large body; as [`Self::NonIdempotent`] otherwise.
+    /// A call with a large body; otherwise as [`Self::NonIdempotent`].
     Upload,
 }
 
 impl CallKind {
-    /// Whether a run may be repeated.
+    /// Returns whether a run may be repeated.
     #[must_use]
     pub const fn is_idempotent(self) -> bool {
         matches!(self, Self::Idempotent)
     }
 }
 
-/// One part of a route's traffic.
+/// A service that receives a share of a route's traffic.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Destination {
-    /// The service that runs the requests of this part.
+    /// The service that runs the requests of this share.
     pub service: ServiceName,
-    /// Share of the route's requests, relative to the other parts.
+    /// Weight of this share, relative to the route's other destinations.
     pub weight: u32,
 }
 
-/// Where requests under one path prefix of a host go.
+/// Target services and limits of the requests under one path prefix of a host.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Route {
     /// Name of the route in the configuration.
     pub name: String,
-    /// Path prefix with a slash at both ends.
+    /// Path prefix, with a slash at both ends.
     pub prefix: String,
-    /// What may be repeated.
+    /// Whether its calls may be repeated.
     pub kind: CallKind,
-    /// Latency within which an answer is worth most to its caller.
+    /// Latency objective: an answer within this time is worth most to its caller.
     pub objective_ms: Millis,
-    /// Rank among routes that share a target; 0 goes first.
+    /// Priority among routes that share a target; 0 is the highest.
     pub priority: u8,
-    /// The parts; never empty.
+    /// Destinations among which the traffic is split; never empty.
     pub destinations: Vec<Destination>,
-    /// The longest time that a caller is kept waiting.
+    /// Maximum time that a caller is kept waiting.
     pub timeout_ms: Millis,
-    /// Targets to which one request may be sent at most.
+    /// Maximum number of targets to which one request is sent.
     pub max_attempts: u32,
 }
 
-/// Bounds on what a caller may send.
+/// Limits on what a caller may send.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CallerLimits {
-    /// Bytes of a request's head.
+    /// Maximum size of a request's head in bytes.
     pub header_bytes: usize,
-    /// Bytes of a request's body.
+    /// Maximum size of a request's body in bytes.
     pub body_bytes: u64,
-    /// From the first byte of a head to its last.
+    /// Maximum time from the first byte of a head to its last.
     pub header_timeout_ms: Millis,
-    /// A connection without a request for this long is closed.
+    /// Time after which a connection without a request is closed.
     pub idle_timeout_ms: Millis,
 }
 
 impl Default for CallerLimits {
-    /// What holds before a configuration is known: room for ordinary requests,
-    /// and the times that common HTTP servers use.
+    /// Returns the limits that hold before a configuration is known: room for ordinary
+    /// requests, and timeouts that are usual for HTTP servers.
     fn default() -> Self {
         Self {
             header_bytes: 16 * 1024,
@@ -101,14 +102,14 @@
 pub struct RouteSet {
     version: u64,
     limits: CallerLimits,
-    /// By host in lower case; longest prefix first.
+    /// Routes by host in lower case, longest prefix first.
     hosts: HashMap<String, Vec<Arc<Route>>>,
     /// Path of the health endpoint by service.
     health_paths: HashMap<ServiceName, String>,
 }
 
 impl RouteSet {
-    /// An empty set of this version.
+    /// Creates an empty set of this version.
     #[must_use]
     pub fn new(version: u64, limits: CallerLimits) -> Self {
         Self {
@@ -118,38 +119,38 @@
         }
     }
 
-    /// Adds a route of a host.
+    /// Adds a route to a host.
     pub fn add(&mut self, host: &str, route: Route) {
         let routes = self.hosts.entry(host.to_ascii_lowercase()).or_default();
         routes.push(Arc::new(route));
         routes.sort_by_key(|route| std::cmp::Reverse(route.prefix.len()));
     }
 
-    /// Sets where a service's health is asked for.
+    /// Sets the path of a service's health endpoint.
     pub fn set_health_path(&mut self, service: ServiceName, path: &str) {
         self.health_paths.insert(service, path.to_owned());
     }
 
-    /// Version of the configuration.
+    /// Returns the version of the configuration.
     #[must_use]
     pub const fn version(&self) -> u64 {
         self.version
     }
 
-    /// Bounds on callers.
+    /// Returns the limits on callers.
     #[must_use]
     pub const fn limits(&self) -> &CallerLimits {
         &self.limits
     }
 
-    /// Path of a service's health endpoint.
+    /// Returns the path of a service's health endpoint.
     #[must_use]
     pub fn health_path(&self, service: &ServiceName) -> Option<&str> {
         self.health_paths.get(service).map(String::as_str)
     }
 
-    /// The route of a host with the longest prefix that begins the path. A port
-    /// behind the host is ignored; `path` comes without its query.
+    /// Returns the route of a host with the longest prefix of the path. A port after the
+    /// host is ignored; `path` comes without its query.
     #[must_use]
     pub fn find(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
         let name = host.split(':').next().unwrap_or(host);
@@ -160,12 +161,13 @@
         routes.iter().find(|route| path.starts_with(&route.prefix))
     }
 
-    /// Services that have a health endpoint here.
+    /// Returns the services that have a health endpoint.
     pub fn services(&self) -> impl Iterator<Item = &ServiceName> {
         self.health_paths.keys()
     }
 
-    /// Every service that is named: as a destination, or with a health endpoint.
+    /// Returns every service that the configuration names, as a destination or with a
+    /// health endpoint.
     #[must_use]
     pub fn all_services(&self) -> HashSet<&ServiceName> {
         let mut services: HashSet<&ServiceName> = self.health_paths.keys().collect();
@@ -175,13 +177,13 @@
         services
     }
 
-    /// Names of all routes.
+    /// Returns the names of all routes.
     #[must_use]
     pub fn names(&self) -> HashSet<&str> {
         self.iter().map(|route| route.name.as_str()).collect()
     }
 
-    /// Every route, for reports.
+    /// Returns every route, in no particular order.
     pub fn iter(&self) -> impl Iterator<Item = &Arc<Route>> {
         self.hosts.values().flatten()
     }
--- a/crates/dispatch/src/split.rs
+++ b/crates/dispatch/src/split.rs
@@ -1,4 +1,4 @@
-//! Exact shares of a split route.
+//! Exact traffic shares for routes with several destinations.
 
 use std::collections::HashMap;
 
@@ -10,20 +10,20 @@
 #[cfg(test)]
 mod tests;
 
-/// Chooses the part of a split route for each request, by deficit: after any
-/// number of requests each part is within one request of its share.
+/// Chooses the destination of each request of a split route by deficit: after any number
+/// of requests, each destination is within one request of its share.
 ///
-/// A draw by chance would be off by the root of the count, which at a few
-/// hundred requests is more than a tenth. A part that is short of room keeps
-/// its requests: they are refused there and never moved to another part, or a
-/// canary would be fed by the failure of the version beside it.
+/// A random choice would be off by the square root of the count, which is more than a
+/// tenth at a few hundred requests. A destination without free capacity keeps its
+/// requests: they are refused there and never moved to another destination. Otherwise a
+/// canary would receive more traffic when the version beside it fails.
 #[derive(Debug)]
 pub struct Splitter {
     rng: Xoshiro256PlusPlus,
     deficits: HashMap<String, RouteDeficits>,
 }
 
-/// What each part of one route is owed, in millionths of a request.
+/// Deficit of each destination of one route, in millionths of a request.
 #[derive(Debug)]
 struct RouteDeficits {
     destinations: Vec<crate::routes::Destination>,
@@ -31,12 +31,13 @@
 }
 
 const ONE_REQUEST: i64 = 1_000_000;
-/// A new split starts at one of this many points of its sequence. Weights are
-/// commonly percentages, whose sequence is no longer than this.
+/// Number of phases from which a new split may start. Weights are commonly percentages,
+/// for which the sequence of choices is no longer than this.
 const PHASES: u32 = 100;
 
 impl Splitter {
-    /// A splitter with nothing owed.
+    /// Creates a splitter without any deficits. `seed` determines the phases from which
+    /// routes start.
     #[must_use]
     pub fn new(seed: u64) -> Self {
         Self {
@@ -45,7 +46,7 @@
         }
     }
 
-    /// The service for the next request of a route.
+    /// Returns the service for the next request of a route.
     pub fn choose(&mut self, route: &Route) -> ServiceName {
         if let [only] = route.destinations.as_slice() {
             return only.service.clone();
@@ -63,7 +64,7 @@
         route.destinations[part].service.clone()
     }
 
-    /// Forgets routes that are no longer configured.
+    /// Discards the state of routes that are no longer configured.
     pub fn retain(&mut self, routes: &RouteSet) {
         let names = routes.names();
         self.deficits
@@ -72,8 +73,9 @@
 }
 
 impl RouteDeficits {
-    /// Starts at a random phase. Many nodes take up a new split at once; from
-    /// the same phase each would send its first requests to the same part.
+    /// Starts at a random phase. Many nodes start using a new split at the same time;
+    /// with the same phase, all of them would send their first requests to the same
+    /// destination.
     fn new(route: &Route, rng: &mut Xoshiro256PlusPlus) -> Self {
         let mut fresh = Self {
             destinations: route.destinations.clone(),
--- a/crates/dispatch/src/waits.rs
+++ b/crates/dispatch/src/waits.rs
@@ -1,17 +1,18 @@
-//! The longest waits on a change's way from the source into force.
+//! Upper bounds of the delays between a change at the source and its use on every node.
 //!
-//! A change is confirmed by the source; a node's read is answered, the node tells others,
-//! and these act on it. What a node acts on is as old as the sum of the waits on the way
-//! that was really taken, and the worst way meets several troubles: a read that nobody
-//! answers, a reader that ends, a pause after a failed read. So each wait is a share of the
-//! one time in which a change must be in force, and the shares of each way add up to less
-//! than the whole. What breaks this is a wait with a figure of its own beside them.
+//! The source confirms a change, a node's read is answered, that node informs its
+//! subscribers, and these apply the change. The age of what a node applies is the sum of
+//! the delays on the path that was really taken, and the worst path combines several
+//! faults: a read without an answer, a reader that ends, and a backoff after a failed
+//! read. So each delay is a share of the one time within which a change must be in force,
+//! and the shares on each path add up to less than that time. A delay with a fixed value
+//! of its own would break this.
 //!
-//! Not contained is what a line takes to carry a large answer.
+//! The time to transfer a large answer over a link is not included.
 
 use crate::prelude::*;
 
-/// Shares in percent of the time in which a change must be in force.
+/// Shares in percent of the time within which a change must be in force.
 const REFRESH_INTERVAL: u64 = 30;
 const LED_READER_MAX_AGE: u64 = 42;
 const IDLE_TIMEOUT: u64 = 20;
@@ -30,153 +31,162 @@
 const MAX_OUTAGE: u64 = 400;
 const WHOLE: u64 = 100;
 
-/// A read that is lost as it begins: its end, a pause, and the read that replaces it.
+/// A read that is lost as it begins: its timeout, a backoff, and the read that replaces
+/// it.
 const _: () = assert!(REFRESH_INTERVAL + IDLE_TIMEOUT + INITIAL_BACKOFF + IDLE_TIMEOUT < WHOLE);
-/// The same at a reader that relied on another, which has ended.
+/// The same on a reader whose leader has ended.
 const _: () = assert!(LED_READER_MAX_AGE + IDLE_TIMEOUT + INITIAL_BACKOFF + IDLE_TIMEOUT < WHOLE);
-/// The source is back just after a read was lost.
+/// The source recovers just after a read was lost.
 const _: () = assert!(IDLE_TIMEOUT + MAX_BACKOFF + IDLE_TIMEOUT < WHOLE);
-/// The same at a node that others tell, whose readers ended as the source came back.
+/// The same on a follower whose readers ended as the source recovered.
 const _: () = assert!(IDLE_TIMEOUT + FOLLOWER_MAX_BACKOFF + IDLE_TIMEOUT < WHOLE);
-/// Readers whose knowledge grows old, for whatever reason, also unsaid.
+/// Readers whose state becomes too old, for whatever reason, even if they do not report
+/// it.
 const _: () = assert!(FOLLOWER_MAX_AGE + LOST_READERS_DELAY + IDLE_TIMEOUT < WHOLE);
-/// Readers that fall silent just after they told.
+/// Readers that stop sending just after an update.
 const _: () = assert!(READER_TIMEOUT + LOST_READERS_DELAY + IDLE_TIMEOUT < WHOLE);
-/// A removal that a reader tells in trouble: the read, two tellings, the hold.
+/// A removal that a failing reader relays: the read, two updates, and the hold.
 const _: () = assert!(REFRESH_INTERVAL + 2 * PUBLISH_INTERVAL + RELAYED_REMOVAL_HOLD < WHOLE);
 /// A gate's own target that leaves just after its entry was looked up.
 const _: () = assert!(OWN_HEALTH_INTERVAL + OWN_ENTRY_INTERVAL + IDLE_TIMEOUT < WHOLE);
 /// A node that has just started, whose last stale read is lost.
 const _: () = assert!(STARTUP_MAX_STALE + IDLE_TIMEOUT + IDLE_TIMEOUT < WHOLE);
-/// In calm times readers tell before anybody takes them for lost.
+/// Without faults, readers send updates before any other node considers them lost.
 const _: () = assert!(
     REFRESH_INTERVAL < LED_READER_MAX_AGE && REFRESH_INTERVAL + PUBLISH_INTERVAL < RESERVE_MAX_AGE
 );
-/// A reader takes the place of another before those who are told miss it.
+/// A reader takes the place of its leader before reserves consider the reader lost.
 const _: () = assert!(LED_READER_MAX_AGE < RESERVE_MAX_AGE);
-/// Readers say that the source is away before those who are told ask it as well.
+/// Readers report that the source is unavailable before their followers poll it too.
 const _: () = assert!(LED_READER_MAX_AGE + IDLE_TIMEOUT < FOLLOWER_MAX_AGE);
 
-/// How long a node waits for what, given the time in which changes must be in force.
+/// Timeouts and intervals, derived from the time within which changes must be in force.
 #[derive(Clone, Copy, Debug)]
 pub struct Waits {
     in_force_ms: Millis,
 }
 
 impl Waits {
-    /// Waits for changes that must be in force within this time.
+    /// Creates the waits for changes that must be in force within this time.
     #[must_use]
     pub const fn new(in_force_ms: Millis) -> Self {
         Self { in_force_ms }
     }
 
-    /// From one complete answer of the source to when the next is due.
+    /// Returns the time from one complete answer of the source until the next is due.
     ///
-    /// Failure answered: the source takes a watch and falls silent. Nothing new and no
-    /// source look alike until the watch is over, and all that is published after the
-    /// source's return is unknown for as long.
+    /// Guards against a source that accepts a watch and then stops responding. Until the
+    /// watch is over, a source without changes and a source that is gone look the same,
+    /// and all that is published after its return stays unknown.
     #[must_use]
     pub const fn refresh_interval_ms(&self) -> Millis {
         self.share(REFRESH_INTERVAL)
     }
 
-    /// A reader that relies on another's asking asks for itself when what it knows is this
-    /// old.
+    /// Returns the age of its state at which a led reader polls the source itself.
     #[must_use]
     pub const fn led_reader_max_age_ms(&self) -> Millis {
         self.share(LED_READER_MAX_AGE)
     }
 
-    /// An answer that is due and does not begin, or does not go on, within this is lost.
+    /// Returns the time after which an answer that is due counts as lost, if it does not
+    /// begin or does not continue.
     #[must_use]
     pub const fn idle_timeout_ms(&self) -> Millis {
         self.share(IDLE_TIMEOUT)
     }
 
-    /// Pause after the first failed read; doubled with each further one.
+    /// Returns the backoff after the first failed read; it is doubled with each further
+    /// one.
     #[must_use]
     pub const fn initial_backoff_ms(&self) -> Millis {
         self.share(INITIAL_BACKOFF)
     }
 
-    /// Longest pause after a failed read.
+    /// Returns the longest backoff after a failed read.
     #[must_use]
     pub const fn max_backoff_ms(&self) -> Millis {
         self.share(MAX_BACKOFF)
     }
 
-    /// The same for a node that others tell. Longer, since these are many, and all fail
-    /// together while the source is away.
+    /// Returns the longest backoff of a node that relies on other readers. It is longer
+    /// since these nodes are many, and all of them fail together while the source is
+    /// unavailable.
     #[must_use]
     pub const fn follower_max_backoff_ms(&self) -> Millis {
         self.share(FOLLOWER_MAX_BACKOFF)
     }
 
-    /// A reserve reads for itself when what it knows is this old.
+    /// Returns the age of its state at which a reserve reads for itself.
     #[must_use]
     pub const fn reserve_max_age_ms(&self) -> Millis {
         self.share(RESERVE_MAX_AGE)
     }
 
-    /// Any other node that is told reads for itself when what it knows is this old.
+    /// Returns the age of its state at which any other follower reads for itself.
     #[must_use]
     pub const fn follower_max_age_ms(&self) -> Millis {
         self.share(FOLLOWER_MAX_AGE)
     }
 
-    /// A node that has just started serves on a stale listing for so long at most, and
-    /// then reads for itself.
+    /// Returns how long a node that has just started serves from a stale listing at most,
+    /// before it reads for itself.
     #[must_use]
     pub const fn startup_max_stale_ms(&self) -> Millis {
         self.share(STARTUP_MAX_STALE)
     }
 
-    /// The same while its listings hold no configuration, so that it acts on nothing.
+    /// Returns the same for a node whose listings contain no configuration, so that it
+    /// acts on nothing.
     #[must_use]
     pub const fn unconfigured_max_stale_ms(&self) -> Millis {
         self.share(WHOLE)
     }
 
-    /// A node whose readers and their reserves all fail leaves asking to them for so long.
+    /// Returns how long a node whose readers and reserves all fail leaves polling to
+    /// them.
     #[must_use]
     pub const fn max_outage_ms(&self) -> Millis {
         self.share(MAX_OUTAGE)
     }
 
-    /// Pause of a node that lost its readers before it reads for itself. A reader whose
-    /// read failed reads again before it ends, so that one failed call of a reader does
-    /// not make a call of each of its subscribers.
+    /// Returns the delay after which a node that lost its readers reads for itself. A
+    /// reader whose read failed reads again within this time, so that one failed call of
+    /// a reader does not cause a call of each of its subscribers.
     #[must_use]
     pub const fn lost_readers_delay_ms(&self) -> Millis {
         self.share(LOST_READERS_DELAY)
     }
 
-    /// A reader tells its subscribers at least this often.
+    /// Returns the maximum interval between two updates of a reader to its subscribers.
     #[must_use]
     pub const fn publish_interval_ms(&self) -> Millis {
         self.share(PUBLISH_INTERVAL)
     }
 
-    /// A reader that is not heard for so long is lost. It tells three times meanwhile, so
-    /// this bears a lost packet, which is sent again.
+    /// Returns the time without updates after which a reader counts as lost. It sends
+    /// three updates in this time, so the loss of one packet, which is resent, is
+    /// tolerated.
     #[must_use]
     pub const fn reader_timeout_ms(&self) -> Millis {
         self.share(READER_TIMEOUT)
     }
 
-    /// How long a removal is held that a reader tells while it is in trouble.
+    /// Returns how long a removal is held if a failing reader relayed it.
     #[must_use]
     pub const fn relayed_removal_hold_ms(&self) -> Millis {
         self.share(RELAYED_REMOVAL_HOLD)
     }
 
-    /// A gate asks its target's health at least this often while it starts calls.
+    /// Returns the maximum interval between two health checks of a gate's target while
+    /// the gate starts calls.
     #[must_use]
     pub const fn own_health_interval_ms(&self) -> Millis {
         self.share(OWN_HEALTH_INTERVAL)
     }
 
-    /// A gate looks its target's entry up this often while the target is not well.
+    /// Returns the interval between two lookups of the target's entry while the target is
+    /// unhealthy.
     #[must_use]
     pub const fn own_entry_interval_ms(&self) -> Millis {
         self.share(OWN_ENTRY_INTERVAL)
--- a/crates/dispatch/src/work.rs
+++ b/crates/dispatch/src/work.rs
@@ -1,4 +1,4 @@
-//! How long the requests of a route take at a target of usual speed.
+//! Estimates how long the requests of a route take on a target of usual speed.
 
 use std::collections::HashMap;
 
@@ -7,41 +7,43 @@
 #[cfg(test)]
 mod tests;
 
-/// Weight of a new sample: about the last twenty count.
+/// Weight of a new sample in the moving average, which spans about the last twenty
+/// samples.
 const EWMA_GAIN: f64 = 0.05;
-/// Until samples come, a route's work is taken for this share of its latency
-/// objective; objectives are commonly set to a few times the usual work.
+/// Initial estimate of the run time, as a fraction of the route's latency objective.
+/// Objectives are commonly set to a few times the usual run time.
 const INITIAL_OBJECTIVE_SHARE: f64 = 0.3;
-/// Typical bytes of an answer before any was seen.
+/// Initial estimate of an answer's size in bytes.
 const INITIAL_ANSWER_BYTES: f64 = 2_000.0;
 
-/// What a route's requests cost.
+/// Estimated cost of a route's requests.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct WorkEstimate {
     /// Mean run time at usual speed, in milliseconds.
     pub run_ms: f64,
-    /// Mean bytes of an answer.
+    /// Mean size of an answer in bytes.
     pub answer_bytes: f64,
-    /// Answers that this was learnt from; without any, all of it is a guess.
+    /// Number of answers that the estimate is based on. At 0, all values are initial
+    /// guesses.
     pub samples: u32,
 }
 
 impl WorkEstimate {
-    /// The run time at a speed in percent of the usual time.
+    /// Returns the run time at a slowness in percent of the usual run time.
     #[must_use]
     pub fn run_at(&self, slowness_percent: u32) -> Millis {
         Millis((self.run_ms * f64::from(slowness_percent) / 100.0).ceil() as u64)
     }
 }
 
-/// Learnt costs by route name.
+/// Estimates by route name.
 #[derive(Debug, Default)]
 pub struct WorkEstimates {
     by_route: HashMap<String, WorkEstimate>,
 }
 
 impl WorkEstimates {
-    /// The present estimate for a route.
+    /// Returns the current estimate for a route.
     #[must_use]
     pub fn estimate(&self, route: &Route) -> WorkEstimate {
         let known = self.by_route.get(&route.name).copied();
@@ -52,8 +54,8 @@
         })
     }
 
-    /// Learns from a success: its run time, the target's slowness as it
-    /// started (100 is usual), and the size of its answer.
+    /// Learns from a successful run: its run time, the target's slowness at its start
+    /// (100 is usual), and the size of its answer in bytes.
     pub fn learn(&mut self, route: &Route, run: Millis, slowness_percent: u32, bytes: usize) {
         let mut estimate = self.estimate(route);
         let usual_ms = run.0 as f64 * 100.0 / f64::from(slowness_percent.max(1));
@@ -63,7 +65,7 @@
         self.by_route.insert(route.name.clone(), estimate);
     }
 
-    /// Forgets routes that are no longer configured.
+    /// Discards routes that are no longer configured.
     pub fn retain(&mut self, routes: &RouteSet) {
         let names = routes.names();
         self.by_route
