--- a/crates/dispatch/src/admission/tests.rs
+++ b/crates/dispatch/src/admission/tests.rs
@@ -1,4 +1,4 @@
-//! Admission at a gate in virtual time.
+//! Tests of admission control in virtual time.
 
 mod overload;
 mod properties;
@@ -44,9 +44,9 @@
     assert_eq!(admission.decide(position, &call, Millis(0)), Verdict::Start);
 }
 
-/// The caller's lookup meets a target whose host a neighbour has slowed five
-/// times. Started now it would take half a second, whatever comes later; a
-/// moment later, or elsewhere, it takes a tenth.
+/// Guards against runs that start in a slow spell. Another VM on the host has slowed the
+/// target down five times: a lookup that starts now takes half a second, and one that
+/// starts after the spell, or on another target, takes a tenth of a second.
 #[test]
 fn no_run_starts_in_a_slow_spell_while_it_can_wait() {
     let mut admission = gate(12);
@@ -55,7 +55,7 @@
     read(&mut admission, 500, 0);
     let verdict = admission.decide(position, &call, Millis(0));
     assert_eq!(verdict, Verdict::Wait(SPEED_READING_INTERVAL_MS));
-    // An old reading says nothing: the speed is read again.
+    // The reading has expired, so the speed is read again.
     assert_eq!(
         admission.decide(position, &call, Millis(15)),
         Verdict::ReadSpeed
@@ -67,9 +67,9 @@
     );
 }
 
-/// All VMs lost power and are back. Every target is cold for some seconds and
-/// takes twice as long; nothing faster is to be had, and the objective is still
-/// met. Refused as slow, all callers would be sent away until the cold is over.
+/// Guards against refusing all callers after a power loss. Every target is cold for some
+/// seconds and takes twice as long, so no faster target exists, and the objective is
+/// still met.
 #[test]
 fn a_cold_target_is_taken_where_the_objective_is_still_met() {
     let mut admission = gate(12);
@@ -80,11 +80,11 @@
         admission.decide(position, &lookup, Millis(0)),
         Verdict::Start
     );
-    // At 150 a cold run misses the objective and a usual one would meet it.
+    // At 150 ms a cold run would miss the objective and a usual run would meet it.
     read(&mut admission, 200, 150);
     let verdict = admission.decide(position, &lookup, Millis(150));
     assert_eq!(verdict, Verdict::Refuse(Refused::Slow));
-    // At 250 neither meets it, so waiting for a faster moment buys nothing.
+    // At 250 ms neither would meet it, so waiting for a faster moment gains nothing.
     read(&mut admission, 200, 250);
     let verdict = admission.decide(position, &lookup, Millis(250));
     assert_eq!(verdict, Verdict::Start);
@@ -118,8 +118,8 @@
     assert_eq!(verdict, Verdict::Refuse(Refused::Slow));
 }
 
-/// A target that hangs when it is full never answers what it cannot queue, nor
-/// anything else on that connection. The gate never sends it more than it runs.
+/// Guards against a target that hangs when it is full: it answers neither the calls that
+/// it cannot queue nor any other call on the same connection.
 #[test]
 fn no_more_runs_than_slots_are_ever_started() {
     let mut admission = gate(12);
@@ -135,8 +135,8 @@
     assert_eq!(admission.in_flight(), 12);
 }
 
-/// A target takes 1.7 times as long when more than nine of its twelve slots are used,
-/// for all that runs there. The gate learns it, and starts no tenth call.
+/// Guards against a target that takes 1.7 times as long for all its requests when more
+/// than nine of its twelve slots are used. The gate learns this and starts no tenth call.
 #[test]
 fn slots_beyond_the_knee_stay_free() {
     let mut admission = gate(12);
@@ -163,13 +163,13 @@
     let tenth = admission.enqueue(&lookup, Millis(2_000));
     let verdict = admission.decide(tenth, &lookup, Millis(2_000));
     assert_eq!(verdict, Verdict::Refuse(Refused::Busy));
-    // Another life of the target may have no knee.
+    // Another incarnation of the target may have no knee.
     admission.forget_target();
     assert_eq!(admission.limit(), 12);
 }
 
-/// Runs in a slow spell of the VM take long for another reason, and say nothing of
-/// how many may run at once.
+/// Guards against a limit learnt from a slow spell of the VM, in which runs take long
+/// whatever their number.
 #[test]
 fn slow_spells_are_not_taken_for_a_knee() {
     let mut admission = gate(12);
@@ -204,8 +204,8 @@
     assert_eq!(verdict, Verdict::Start);
 }
 
-/// More lookups come than a target can run. One that is late already waits
-/// behind one that is not: the other way round both would be late.
+/// Guards against an overload in which calls that can still meet their objective wait
+/// behind calls that already miss it, so that all of them miss it.
 #[test]
 fn a_call_that_misses_its_objective_goes_last() {
     let mut admission = gate(1);
@@ -228,8 +228,9 @@
     );
 }
 
-/// Uploads wait in line at a target, and another target asks it for a record
-/// on behalf of a payment. The payment holds a slot there all the while.
+/// Guards against lost payments: uploads are queued at a target, and another target
+/// fetches a record from it on behalf of a payment, which holds a slot there all the
+/// while.
 #[test]
 fn short_work_of_the_same_priority_goes_first() {
     let mut admission = gate(1);
@@ -250,7 +251,8 @@
     assert_eq!(verdict, Verdict::Start);
 }
 
-/// A fast gate of twelve slots, long work and work of a fifth of its length.
+/// Returns a gate with twelve slots and a fast target, a long call, and a call of a fifth
+/// of its length.
 fn gate_with_uploads_and_short_calls() -> (Admission, GateCall, GateCall) {
     let mut admission = gate(12);
     read(&mut admission, 100, 0);
@@ -272,7 +274,7 @@
     }
 }
 
-/// One question in a second takes a fiftieth of a slot: uploads may use all.
+/// One short call per second uses a fiftieth of a slot, so uploads may use all slots.
 #[test]
 fn rare_short_work_reserves_no_slot() {
     let (mut admission, upload, short_call) = gate_with_uploads_and_short_calls();
@@ -287,15 +289,16 @@
     }
 }
 
-/// A service has lost half of its targets. Uploads hold the slots of the rest, and
-/// questions that other targets ask for payments find none free: each refused one
-/// costs a payment, though it would take a fifth of an upload's time.
+/// Guards against lost payments when a service has lost half of its targets. Uploads hold
+/// the slots of the rest, and the short calls that other targets make for payments find
+/// none free: each refused one costs a payment, although it takes a fifth of an upload's
+/// time.
 #[test]
 fn long_work_leaves_slots_to_recent_short_work() {
     let (mut admission, upload, short_call) = gate_with_uploads_and_short_calls();
-    // Seventy-five questions of 20 ms a second hold one slot and a half.
+    // Seventy-five short calls of 20 ms per second use one and a half slots.
     run_short_calls(&mut admission, &short_call, 75);
-    // Of twelve slots three are left free.
+    // Three of the twelve slots are left free.
     for _ in 0..9 {
         let position = admission.enqueue(&upload, Millis(0));
         assert_eq!(
@@ -308,7 +311,7 @@
     let verdict = admission.decide(tenth, &upload, Millis(0));
     assert!(matches!(verdict, Verdict::Wait(_)), "{verdict:?}");
     run_short_calls(&mut admission, &short_call, 1);
-    // No more questions come, so nothing is left free for them.
+    // No more short calls arrive, so no slot is reserved for them.
     let later = RECENT_WINDOW_MS + Millis(1);
     read(&mut admission, 100, later.0);
     let verdict = admission.decide(tenth, &upload, later);
--- a/crates/dispatch/src/admission/tests/overload.rs
+++ b/crates/dispatch/src/admission/tests/overload.rs
@@ -1,22 +1,24 @@
-//! More calls than a target can run, each of which asks again until it gives up.
+//! An overload: more calls than a target can run, each of which is retried until its
+//! caller gives up.
 
 use super::*;
 
-/// One run.
+/// Duration of each run.
 const RUN_MS: u64 = 100;
 const SLOTS: u32 = 10;
-/// A call each 6 ms is five thirds of what ten slots run in 100 ms each.
+/// Interval between new calls. A call every 6 ms is five thirds of what ten slots run in
+/// 100 ms each.
 const ARRIVAL_INTERVAL_MS: u64 = 6;
 const OBJECTIVE_MS: u64 = 300;
-/// Entries ask a gate again after about this long ...
+/// Interval at which entries retry a call at a gate.
 const RETRY_INTERVAL_MS: u64 = 12;
-/// ... until the objective is out of reach; then the call is refused ...
+/// Time after which a call is refused, because its objective is out of reach.
 const GIVE_UP_AFTER_MS: u64 = 160;
-/// ... and its caller comes back once.
+/// Time after which a refused caller retries, once.
 const COME_BACK_AFTER_MS: u64 = 150;
 const LAST_ARRIVAL_MS: u64 = 10_000;
 
-/// One caller with the request that it has open.
+/// A caller with its open request.
 struct Caller {
     first_arrived: u64,
     arrived: u64,
@@ -53,7 +55,8 @@
         }
     }
 
-    /// Lets one caller ask; whether it still has to ask again.
+    /// Tries to start a caller's request if it is due; returns whether it must be
+    /// retried.
     fn attempt(&mut self, caller: &mut Caller, now: u64) -> bool {
         if now < caller.next_attempt_at {
             return true;
@@ -75,7 +78,8 @@
         false
     }
 
-    /// Every caller that is due asks; those that have asked for too long are refused.
+    /// Retries every request that is due, and refuses those that have been tried for too
+    /// long.
     fn step(&mut self, now: u64) {
         self.end_runs(now);
         read(&mut self.admission, 100, now);
@@ -83,7 +87,7 @@
             if now >= caller.arrived + GIVE_UP_AFTER_MS {
                 let is_first = caller.arrived == caller.first_arrived;
                 if is_first {
-                    // It stays away, and is a new request from then on.
+                    // The caller waits and then sends a new request.
                     caller.arrived = now + COME_BACK_AFTER_MS;
                     caller.next_attempt_at = caller.arrived;
                     self.caller.push(caller);
@@ -127,11 +131,12 @@
     overload.outcome
 }
 
-/// A crowd comes and stays: five calls for three that the target can run. Each asks
-/// again every few milliseconds, is refused when its objective is out of reach, and
-/// comes back once. Given to whoever asks next, slots go to callers who are back and
-/// late already, and newcomers become late behind them. Ten slots run 1,000 calls in
-/// ten seconds; nearly all of them have to be in time.
+/// Guards against an overload in which most runs are late. There are five calls for every
+/// three that the target can run. Each is retried every few milliseconds, is refused when
+/// its objective is out of reach, and is sent once more. If slots went to any call that
+/// asks next, they would go to callers that have returned and are late already, and new
+/// callers would become late behind them. Ten slots run 1,000 calls in ten seconds;
+/// nearly all of them must be in time.
 #[test]
 fn in_an_overload_slots_go_to_calls_that_can_be_in_time() {
     let outcome = simulate();
--- a/crates/dispatch/src/admission/tests/properties.rs
+++ b/crates/dispatch/src/admission/tests/properties.rs
@@ -1,4 +1,4 @@
-//! Any calls in any order, in virtual time.
+//! Properties of admission control for any calls in any order, in virtual time.
 
 use proptest::prelude::*;
 
@@ -13,7 +13,8 @@
 /// Longest time that a call may wait, in milliseconds.
 const LONGEST_HOLD_MS: u64 = 1_500;
 
-/// Bursts and lulls. Entries send sensible spans; a gate must bear others too.
+/// Generates bursts and lulls of calls. Entries send plausible times, but a gate must
+/// cope with any.
 fn arrival() -> impl Strategy<Value = Arrival> {
     let after_ms = prop_oneof![3 => Just(0_u64), 1 => 0_u64..40];
     let hold_ms = 0..=LONGEST_HOLD_MS;
@@ -28,7 +29,7 @@
         .prop_map(
             |(after_ms, priority, work_ms, hold_ms, deadline_ms, slow_percent)| Arrival {
                 after_ms,
-                // Spans, which become times as the call arrives.
+                // These are durations; `at` turns them into times when the call arrives.
                 call: GateCall {
                     priority,
                     work_ms: Millis(work_ms),
@@ -52,17 +53,17 @@
     }
 }
 
-/// How long a spell lasts.
+/// Duration of a spell in milliseconds.
 const SPELL_MS: u64 = 60;
 
-/// A gate and its target, whose speed changes as the hosts' neighbours do.
+/// A gate and its target, whose speed changes with the load of other VMs on the host.
 struct World {
     admission: Admission,
     now: Millis,
-    /// How slow the target is in each [`SPELL_MS`], over and over.
+    /// Slowness of the target in each [`SPELL_MS`], repeated endlessly.
     spells: Vec<u32>,
     queue: Vec<(QueuePosition, GateCall)>,
-    /// When each run ends.
+    /// End of each run.
     runs: Vec<Millis>,
     started: usize,
     refused: usize,
@@ -74,7 +75,7 @@
         self.spells[spell % self.spells.len()]
     }
 
-    /// Decides about every call in line until nothing changes.
+    /// Decides about every queued call until nothing changes.
     fn settle(&mut self, slots: u32) {
         let mut is_changed = true;
         while is_changed {
@@ -126,9 +127,9 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(400))]
 
-    /// Under any load and any spells of the target: no more runs than slots, no
-    /// start after a deadline, and every call starts or is refused by the time
-    /// at which it may no longer wait. Nothing stays in line for ever.
+    /// Under any load and any spells of the target, there are no more runs than slots, no
+    /// call starts after its deadline, and every call starts or is refused by the time
+    /// until which it may wait. No call stays queued for ever.
     #[test]
     fn every_call_starts_or_is_refused(
         arrivals in prop_oneof![
--- a/crates/dispatch/src/contention/tests.rs
+++ b/crates/dispatch/src/contention/tests.rs
@@ -1,4 +1,4 @@
-//! Whom slots are kept for.
+//! Tests of which calls yield to which.
 
 use super::*;
 
@@ -20,8 +20,8 @@
     Chance::of(&call(objective_at), RUN, Millis(now))
 }
 
-/// At usual speed a call is in time whenever it starts within half of its objective,
-/// so that the older ones need not give way to newcomers.
+/// At usual speed a call meets its objective if it starts within the first half of it, so
+/// calls of that age need not yield to new ones.
 #[test]
 fn calls_sure_to_meet_their_objective_do_not_yield() {
     let mut contention = Contention::default();
@@ -31,8 +31,8 @@
     assert!(contention.must_yield(1, chance(300, 400), Millis(0)));
 }
 
-/// Where work takes nearly all of the objective, as in cold targets, the newest go
-/// first: each moment of waiting makes a call later.
+/// When work takes nearly all of the objective, as on cold targets, the newest calls go
+/// first, since each moment of waiting makes a call later.
 #[test]
 fn the_newest_calls_go_first_when_work_takes_most_of_the_objective() {
     let slow = Millis(260);
@@ -45,7 +45,7 @@
     assert!(contention.must_yield(1, of(60), Millis(0)));
 }
 
-/// Nobody is turned away any more, and callers who are late are served again.
+/// Once no more calls are rejected, calls that miss their objective are served again.
 #[test]
 fn a_slot_is_held_for_a_part_of_a_run_only() {
     let mut contention = Contention::default();
@@ -55,8 +55,8 @@
     assert!(!contention.must_yield(1, late, Millis(25)));
 }
 
-/// Payments that are late go before lookups that are not, since operators rank them
-/// higher; lookups that are late give way to payments that are not.
+/// Late payments go before lookups that are in time, since operators give them a higher
+/// priority; late lookups yield to payments that are in time.
 #[test]
 fn a_higher_priority_does_not_yield_to_a_lower_one() {
     let mut contention = Contention::default();
@@ -67,7 +67,7 @@
     assert!(contention.must_yield(2, late, Millis(1)));
 }
 
-/// Only late calls come. They are as good as one another, and none is kept out.
+/// If only late calls arrive, all of them have the same chance, and none is kept out.
 #[test]
 fn late_calls_do_not_yield_to_one_another() {
     let mut contention = Contention::default();
@@ -75,8 +75,9 @@
     assert!(!contention.must_yield(1, chance(300, 900), Millis(351)));
 }
 
-/// A kind whose work takes longer than its objective allows is always late. Its
-/// newcomers do not give way to those of other kinds, or it would not be served at all.
+/// Guards against a route that is never served: if its work takes longer than its
+/// objective allows, all its calls are late. Its new calls do not yield to those of other
+/// routes.
 #[test]
 fn routes_that_always_miss_their_objective_are_served_as_well() {
     let mut contention = Contention::default();
--- a/crates/dispatch/src/departure/tests.rs
+++ b/crates/dispatch/src/departure/tests.rs
@@ -1,4 +1,4 @@
-//! What a gate makes of its target's health and of its entry.
+//! Tests of how a gate combines health checks and entries of its target.
 
 use super::*;
 
@@ -12,8 +12,9 @@
     TargetId::new("i-1")
 }
 
-/// Health checks may be wrong for seconds. A target whose entry is good goes on getting
-/// work, and its entry is looked up a few times only: each time costs a call.
+/// Guards against a health check that is wrong for seconds. The target's entry is good,
+/// so it keeps getting work, and the entry is looked up only a few times, since each
+/// lookup costs a call.
 #[test]
 fn a_target_whose_health_check_is_wrong_keeps_getting_work() {
     let mut departure = departure();
@@ -29,8 +30,8 @@
     assert_eq!(lookups, 8);
 }
 
-/// A target is ill, and leaves at any time after that. Its gate looks the entry up often
-/// enough to know in time, whenever that is.
+/// Guards against a late departure: an unhealthy target may leave at any later time, and
+/// its gate must look up the entry often enough to notice in time.
 #[test]
 fn the_departure_of_an_unhealthy_target_is_noticed_in_time() {
     for leaves_at in (0..3_000).step_by(10).map(Millis) {
@@ -55,8 +56,9 @@
     }
 }
 
-/// The entry of an ill target has lapsed, and is back two seconds later. No call starts
-/// meanwhile, so nobody asks the target's health; it must get work again all the same.
+/// The entry of an unhealthy target has expired and returns two seconds later. No call
+/// starts meanwhile, so no health check is made; the target must get work again all the
+/// same.
 #[test]
 fn a_target_gets_work_again_when_its_entry_returns() {
     let mut departure = departure();
@@ -70,7 +72,7 @@
     assert!(!departure.has_left(&target()));
 }
 
-/// What is known of one target is not held against the next at its address.
+/// The departure of one target does not affect the next one at its address.
 #[test]
 fn another_target_gets_work() {
     let mut departure = departure();
@@ -78,7 +80,7 @@
     assert!(!departure.has_left(&TargetId::new("i-2")));
 }
 
-/// A target that is always busy is asked for its health all the same.
+/// A target that is always busy has its health checked as well.
 #[test]
 fn health_is_checked_again_while_the_target_is_busy() {
     let mut departure = departure();
@@ -89,8 +91,8 @@
     assert!(!departure.start_lookup_if_due(Millis(300)));
 }
 
-/// A target said that it leaves, ended, and started again under its id. Nobody asks its
-/// health while it gets no work, so its entry has to tell.
+/// A target has announced that it leaves, has ended, and has restarted under the same id.
+/// Its health is not checked while it gets no work, so its entry must show the restart.
 #[test]
 fn a_target_that_starts_again_under_its_id_gets_work() {
     let mut departure = departure();
--- a/crates/dispatch/src/failures/tests.rs
+++ b/crates/dispatch/src/failures/tests.rs
@@ -1,4 +1,4 @@
-//! What is held against targets.
+//! Tests of failure scores.
 
 use super::*;
 use crate::members::tests::incarnation;
@@ -7,9 +7,9 @@
     incarnation(1)
 }
 
-/// A target fails, cannot be reached, and starts again under its id. The new life
-/// has failed nobody; held against it, the earlier one's failures would keep
-/// callers away from a sound target.
+/// Guards against avoiding a healthy target. It failed, was unreachable, and restarted
+/// under the same id; the failures of its earlier incarnation must not keep callers away
+/// from the new one.
 #[test]
 fn failures_of_one_incarnation_do_not_count_for_the_next() {
     let mut failures = Failures::default();
@@ -34,8 +34,8 @@
     assert!(!failures.is_avoided(&target(), Millis(3_000)));
 }
 
-/// A target fails every second request while its health endpoint says well. A
-/// single success in between must not make it sound again.
+/// Guards against a target that fails every second request while its health endpoint
+/// reports success. A single success must not clear its score.
 #[test]
 fn a_target_that_fails_every_second_request_stays_avoided() {
     let mut failures = Failures::default();
--- a/crates/dispatch/src/knee/tests.rs
+++ b/crates/dispatch/src/knee/tests.rs
@@ -1,20 +1,20 @@
-//! Learning the knee of a target from the run times of its requests.
+//! Tests of learning a target's knee from the run times of its requests.
 
 use rand::rngs::Xoshiro256PlusPlus;
 use rand::{RngExt, SeedableRng};
 
 use super::*;
 
-/// A target that takes `slowdown` times as long beyond `knee` requests at once.
+/// A target that takes `slowdown` times as long beyond `knee` concurrent requests.
 struct Target {
     slots: u32,
     knee: u32,
     slowdown: f64,
 }
 
-/// The mean limit in the second half of so many seconds of load that uses all it may
-/// get, with run times that spread by a third and 40 runs a second. The mean, since
-/// slots beyond a knee are tried again now and then.
+/// Returns the mean limit in the second half of `seconds` of load that uses all slots it
+/// gets, with 40 runs per second and run times that vary by a third. It is the mean
+/// because slots beyond a knee are tried again from time to time.
 fn mean_learnt_limit(
     knee: &mut KneeEstimator,
     target: &Target,
@@ -43,8 +43,9 @@
     u32::try_from((sum + measured / 2) / measured).expect("a mean of limits")
 }
 
-/// A target slows down by 1.7 when more than four fifths of its slots are taken.
-/// Filled up, it ends fewer requests a second, and each of them late.
+/// Guards against a target that slows down by a factor of 1.7 when more than four fifths
+/// of its slots are used. With all slots used, it completes fewer requests per second,
+/// and each of them late.
 #[test]
 fn a_knee_is_found_within_seconds() {
     for (slots, knee_at) in [(12, 9), (9, 7), (6, 4), (64, 51)] {
@@ -65,8 +66,8 @@
     }
 }
 
-/// A target takes all that it says it does. Slots kept free would turn callers away
-/// in an overload for nothing.
+/// Guards against refusals for nothing: a target without a knee runs as many requests as
+/// it announces, and free slots would cause refusals in an overload.
 #[test]
 fn without_a_knee_all_slots_are_used() {
     for slots in [1, 4, 6, 9, 12, 64] {
@@ -82,9 +83,10 @@
     }
 }
 
-/// One route mixes runs of a millisecond with runs of four times the usual time, and
-/// the long ones hold the slots, so that many run beside most others. That is chance
-/// and no knee; held to half of its slots, the target would turn callers away.
+/// Guards against a false knee. One route mixes runs of a millisecond with runs of four
+/// times the usual time, and the long ones hold the slots, so that most other runs start
+/// beside many. If the target were limited to half of its slots, callers would be
+/// refused.
 #[test]
 fn a_mix_of_short_and_long_runs_leaves_most_slots_in_use() {
     let mut rng = Xoshiro256PlusPlus::seed_from_u64(601);
@@ -101,8 +103,8 @@
     }
 }
 
-/// The neighbour that made the target slow down is gone. The slots beyond the knee
-/// are tried again, and stay in use.
+/// The other VM that slowed the target down is gone. The slots beyond the knee are tried
+/// again and stay in use.
 #[test]
 fn a_knee_that_disappears_is_forgotten() {
     let mut knee = KneeEstimator::default();
@@ -116,8 +118,8 @@
     assert!(mean_learnt_limit(&mut knee, &target, 20_000, 60, 2) >= 11);
 }
 
-/// What a route usually takes is learnt elsewhere and may be off by far, for all
-/// requests alike. That is no knee.
+/// Guards against a false knee: the usual time of a route is learnt elsewhere and may be
+/// wrong by a large factor, which is the same for all requests.
 #[test]
 fn a_wrong_usual_time_is_not_taken_for_a_knee() {
     for off in [0.3, 3.0] {
--- a/crates/dispatch/src/members.rs
+++ b/crates/dispatch/src/members.rs
@@ -20,7 +20,7 @@
 const STORE_FAILURE_WINDOW_MS: Millis = Millis(1_000);
 
 /// Time for which removed targets are remembered. It is far longer than the time in which
-/// an entry that was suspended may still send to one.
+/// an entry node that was suspended may still send to one.
 const REMOVED_RETENTION_MS: Millis = Millis::from_secs(60);
 
 /// Id of a target. A restarted target usually has another id.
--- a/crates/dispatch/src/members/tests.rs
+++ b/crates/dispatch/src/members/tests.rs
@@ -1,4 +1,4 @@
-//! Following the platform's list.
+//! Tests of tracking the platform's list.
 
 mod properties;
 
@@ -17,7 +17,7 @@
     }
 }
 
-/// The target `i-1` in the life that began at this time.
+/// Returns the incarnation of target `i-1` that started at this time.
 pub(crate) fn incarnation(started_at_ms: u64) -> Member {
     Member {
         started_at_ms: Some(Millis(started_at_ms)),
@@ -25,7 +25,7 @@
     }
 }
 
-/// Takes over a complete listing.
+/// Applies a complete listing.
 fn replace(tracker: &mut MemberTracker, listed: Vec<Member>, now: Millis) {
     let difference = tracker.difference(listed);
     for member in difference.written {
@@ -66,9 +66,9 @@
     assert!(known.is_some_and(|member| member.draining));
 }
 
-/// The store was away for some seconds and comes back without the entries of
-/// targets whose reports it missed. They serve all the while; callers must not
-/// be told that there is no target.
+/// Guards against answers that a service has no target. The store comes back from an
+/// outage of some seconds without the entries of targets whose reports it missed,
+/// although these targets run all the while.
 #[test]
 fn entries_missing_after_a_store_failure_are_kept_for_two_seconds() {
     let mut tracker = MemberTracker::default();
@@ -97,8 +97,8 @@
     assert_eq!(available_ids(&tracker), ["i-1"]);
 }
 
-/// A target crashes and starts again at its address. Its entry lapses only
-/// seconds after the new one has come.
+/// A target crashes and restarts at its address. Its old entry expires only seconds after
+/// the new one has appeared.
 #[test]
 fn only_the_latest_incarnation_at_an_address_is_available() {
     let mut tracker = MemberTracker::default();
@@ -122,9 +122,9 @@
     assert!(tracker.snapshot().is_empty());
 }
 
-/// Another writer puts an entry into the list, of a service that no configuration
-/// names, with the address of a target that serves, later than that target's own.
-/// Taken for the address's next life, it would take the target out of use.
+/// Guards against foreign entries. Another writer adds an entry for a service that no
+/// configuration names, with the address of a running target and a later listing order.
+/// Treated as the next incarnation at that address, it would take the target out of use.
 #[test]
 fn an_entry_of_an_unknown_service_takes_no_target_out_of_use() {
     let routes = {
@@ -152,10 +152,10 @@
     assert_eq!(members.vms().len(), 1);
 }
 
-/// A target leaves without a word, as some do: its entry is removed. One of the
-/// readers that this node hears has lost the store, this node has not. Kept for the
-/// whole time in which a lapsed entry may come back, the target would get work for
-/// longer than a target that leaves may get any.
+/// Guards against calls to a target that has left. It ends without draining, so its entry
+/// is removed. One of the readers that this node subscribes to cannot read the store, but
+/// this node can. If the removal were held for as long as an expired entry may take to
+/// return, the target would get work for longer than a leaving target may.
 #[test]
 fn a_removal_during_a_remote_store_failure_is_held_for_less() {
     let mut tracker = MemberTracker::default();
@@ -164,7 +164,7 @@
     tracker.remove(&TargetId::new("i-1"), Millis(5_100));
     assert!(!tracker.expire(Millis(5_999)));
     assert!(tracker.expire(Millis(6_000)));
-    // Its own trouble leaves it the whole time.
+    // A failure of the node's own reads still holds the removal for the whole time.
     tracker.upsert(member("i-1", "10.0.0.1:80"));
     tracker.note_store_failure(Millis(7_000));
     tracker.note_remote_store_failure(Millis(900), Millis(7_050));
@@ -173,8 +173,9 @@
     assert!(tracker.expire(Millis(9_100)));
 }
 
-/// The list is read anew and is as it was known: subscribers must not be told of
-/// a thousand targets that did not change. One that was missing is told of.
+/// Guards against informing subscribers of a thousand targets that did not change when
+/// the list is read again. A target whose entry was missing and is back counts as
+/// changed.
 #[test]
 fn a_listing_changes_only_entries_that_differ() {
     let mut tracker = MemberTracker::default();
--- a/crates/dispatch/src/members/tests/properties.rs
+++ b/crates/dispatch/src/members/tests/properties.rs
@@ -1,11 +1,11 @@
-//! The list under any order of news.
+//! Properties of the tracked list under any order of events.
 
 use proptest::prelude::*;
 
 use super::super::*;
 use super::{member, replace};
 
-/// Lives that the news speak of; two each share an address.
+/// Number of incarnations in the events; each two share an address.
 const INCARNATIONS: u64 = 8;
 
 #[derive(Clone, Debug)]
@@ -63,8 +63,8 @@
 }
 
 proptest! {
-    /// Callers are sent to open targets only: never to one that drains, never
-    /// to two lives at one address, never to one that is known to be gone.
+    /// Available targets are never draining, never two incarnations at one address, and
+    /// never targets that are known to be gone.
     #[test]
     fn available_targets_can_be_called(all in proptest::collection::vec(event(), 0..60)) {
         let mut tracker = MemberTracker::default();
@@ -82,8 +82,8 @@
         }
     }
 
-    /// Whatever came before, a removal in calm times counts at once, and one in
-    /// trouble at the end of its grace at the latest.
+    /// Whatever happened before, a removal without a store failure takes effect at once,
+    /// and one during a failure takes effect after its grace period at the latest.
     #[test]
     fn a_removed_target_does_not_stay(
         all in proptest::collection::vec(event(), 0..40),
--- a/crates/dispatch/src/order/tests.rs
+++ b/crates/dispatch/src/order/tests.rs
@@ -1,4 +1,4 @@
-//! Orders of asking.
+//! Tests of the order of targets.
 
 use rand::SeedableRng;
 use rand::rngs::Xoshiro256PlusPlus;
@@ -36,7 +36,7 @@
     (0..480).map(|_| candidates(&view, &mut rng)).collect()
 }
 
-/// The member of this id.
+/// Returns the member with this id.
 fn member(id: &str) -> Arc<Member> {
     let found = members()
         .into_iter()
--- a/crates/dispatch/src/patience/tests.rs
+++ b/crates/dispatch/src/patience/tests.rs
@@ -1,4 +1,4 @@
-//! Points in time of a call.
+//! Tests of the times up to which a call waits.
 
 use super::*;
 use crate::routes::tests::route;
@@ -23,7 +23,8 @@
 #[test]
 fn a_fast_target_is_waited_for_while_the_objective_can_be_met() {
     let plan = plan(0, 800);
-    // 300 of objective, 16 of the caller's way, 130 of run with its margin.
+    // 300 ms of objective, less 16 ms of the caller's round trip and 130 ms of run time
+    // with its margin.
     assert_eq!(plan.fast_until, Millis(1_154));
     assert_eq!(plan.last_start, Millis(1_710));
     assert_eq!(plan.slow_from, Millis(1_350));
@@ -40,9 +41,9 @@
     assert_eq!(plan(0, 400).slow_from, Millis::MAX);
 }
 
-/// No target has room. A lookup learns it while it can still come back in time;
-/// a short question of one target to another stays in line, since the work that
-/// waits for it would be lost.
+/// All targets are busy. A lookup is refused while its caller can still retry in time. A
+/// short call of one target to another stays queued, since the work that waits for it
+/// would be lost.
 #[test]
 fn short_work_stays_queued_and_long_work_is_refused_early() {
     assert_eq!(plan(0, 800).busy_until, Millis(1_154));
@@ -57,9 +58,9 @@
     assert_eq!(plan.busy_until, Millis(1_175));
 }
 
-/// A node has just started and knows nothing of a route's work. Taken for short, a
-/// lookup would stay in line for most of its deadline and be refused when it is of no
-/// use to come back.
+/// Guards against late refusals on a node that has just started and knows nothing of a
+/// route's work. If the work were treated as short, a lookup would stay queued for most
+/// of its deadline and be refused when a retry is useless.
 #[test]
 fn unknown_work_is_not_treated_as_short() {
     let route = route("r", "/", &[("s", 1)]);
--- a/crates/dispatch/src/reach/tests.rs
+++ b/crates/dispatch/src/reach/tests.rs
@@ -1,4 +1,4 @@
-//! When a node takes itself for cut off.
+//! Tests of when a node considers itself cut off.
 
 use super::*;
 
@@ -6,8 +6,8 @@
     IpAddr::from([10, 0, 0, number])
 }
 
-/// A VM is cut off from all others. It notices once several of them cannot be
-/// reached, and is back with the first that answers.
+/// A VM is cut off from all others. Its node detects this once several of them cannot be
+/// reached, and recovers with the first that answers.
 #[test]
 fn a_node_that_reaches_no_vm_is_partitioned() {
     let mut reach = Reachability::default();
@@ -22,7 +22,7 @@
     assert!(!reach.is_partitioned(13, Millis(9_000)));
 }
 
-/// Several VMs die together, and others answer in between.
+/// Several VMs fail at the same time, and others answer in between.
 #[test]
 fn a_node_that_reaches_any_vm_is_not_partitioned() {
     let mut reach = Reachability::default();
--- a/crates/dispatch/src/readers/tests.rs
+++ b/crates/dispatch/src/readers/tests.rs
@@ -1,4 +1,4 @@
-//! Who reads, who hears whom.
+//! Tests of which nodes read and which nodes subscribe to which.
 
 use std::collections::BTreeMap;
 use std::net::Ipv4Addr;
@@ -25,7 +25,7 @@
     DataCentre::new(&format!("dc-{number}"))
 }
 
-/// Data centres of these sizes.
+/// Returns the targets of data centres of these sizes.
 fn fleet(sizes: &[usize]) -> MemberTracker {
     let mut tracker = MemberTracker::default();
     for (data_centre, size) in sizes.iter().enumerate() {
@@ -69,8 +69,8 @@
     assert_eq!(role_of(&members, vm(7, 7)), Role::Alone);
 }
 
-/// A VM is cut off from the platform, and its entry lapses. Its node hears the
-/// readers of its data centre; nobody hears it.
+/// A VM is cut off from the platform, and its entry expires. Its node subscribes to the
+/// readers of its data centre and has no subscribers itself.
 #[test]
 fn an_unlisted_vm_subscribes_to_the_readers_of_its_data_centre() {
     let members = fleet(&[30]).snapshot();
@@ -88,8 +88,8 @@
     }
 }
 
-/// Small data centres share their readers: with three each, the calls of a fleet that
-/// is at rest would grow with the number of its data centres.
+/// Guards against calls of an idle fleet that grow with the number of its data centres,
+/// as they would with three readers in each.
 #[test]
 fn small_data_centres_share_their_readers() {
     for (sizes, expected) in [(&[8, 3][..], 3), (&[5, 4, 4], 3), (&[27, 27, 26], 5)] {
@@ -100,8 +100,9 @@
     }
 }
 
-/// Readers of one data centre may all fall deaf at once without an error, when
-/// the path to the platform is cut; they hear the others of the fleet.
+/// Guards against readers that miss changes without an error. When a path to the platform
+/// breaks, this may happen to all readers of a data centre at once, so they subscribe to
+/// readers elsewhere in the fleet.
 #[test]
 fn readers_subscribe_across_the_fleet_and_followers_within_their_data_centre() {
     let roles = roles(&[70, 70, 66]);
@@ -129,8 +130,8 @@
     assert!(!followers.any(|(own, role)| crosses(own, role)));
 }
 
-/// Guards against calls at rest that grow with the readers of a group, and against a leader
-/// that too many rely on.
+/// Guards against calls of an idle fleet that grow with the number of readers in a group,
+/// and against a leader on which too many readers rely.
 #[test]
 fn one_reader_in_twelve_leads_and_the_others_subscribe_to_it() {
     let cases = [
@@ -166,7 +167,8 @@
     }
 }
 
-/// Guards against a fleet of which only the readers ask, and all of these are turned away.
+/// Guards against a fleet in which only the readers poll the platform and it rejects all
+/// of them.
 #[test]
 fn each_reader_subscribes_to_one_of_as_many_reserves() {
     for sizes in [&[9][..], &[45], &[39, 39, 39, 39, 39], &[889]] {
@@ -182,7 +184,8 @@
     }
 }
 
-/// Guards against feeds that cross between data centres where a reader stands beside.
+/// Guards against feeds that cross between data centres although the own one has a
+/// reader.
 #[test]
 fn followers_prefer_the_readers_of_their_data_centre() {
     let roles = roles(&[39, 39, 39, 39, 39]);
@@ -203,7 +206,7 @@
     }
 }
 
-/// A VM whose target leaves goes with it, and must not be counted upon.
+/// A VM whose target is leaving will end with it, so no node may rely on it.
 #[test]
 fn a_leaving_vm_is_not_a_reader() {
     let mut tracker = fleet(&[20]);
@@ -226,8 +229,8 @@
     }
 }
 
-/// The load of telling is spread: at the size of the largest data centre no
-/// reader has many times the subscribers that it would have in the mean.
+/// Guards against an uneven load: even in the largest data centre, no reader has many
+/// times the mean number of subscribers.
 #[test]
 fn subscribers_are_spread_over_readers() {
     let roles = roles(&[889]);
@@ -242,8 +245,8 @@
 }
 
 proptest! {
-    /// Whatever the sizes, nodes with the same list agree on who reads, and one
-    /// VM's loss changes the subscriptions of few.
+    /// For data centres of any size, nodes with the same list agree on the readers, and
+    /// the loss of one VM changes few subscriptions.
     #[test]
     fn nodes_agree_and_losing_a_vm_changes_few_subscriptions(sizes in proptest::collection::vec(0usize..90, 1..5)) {
         let before = roles(&sizes);
--- a/crates/dispatch/src/refusals/tests.rs
+++ b/crates/dispatch/src/refusals/tests.rs
@@ -1,10 +1,10 @@
-//! What is remembered of refusals, in virtual time.
+//! Tests of remembered refusals, in virtual time.
 
 use super::*;
 use crate::members::tests::incarnation;
 
-/// More calls come than all targets can run. A refusal makes the next questions small,
-/// until a call is taken or the refusal says nothing any more.
+/// In an overload, a refusal makes the next offers small until a call is accepted or the
+/// refusal is too old.
 #[test]
 fn a_refusal_predicts_another_for_a_while() {
     let mut refusals = Refusals::default();
@@ -17,8 +17,8 @@
     assert!(!refusals.is_refusal_likely(&incarnation(1), Millis(701)));
 }
 
-/// A target that refused starts again under its id. What it refused says nothing of
-/// its next life.
+/// A target that refused restarts under the same id. The refusal does not apply to its
+/// new incarnation.
 #[test]
 fn a_refusal_of_an_earlier_incarnation_is_ignored() {
     let mut refusals = Refusals::default();
--- a/crates/dispatch/src/retry_budget/tests.rs
+++ b/crates/dispatch/src/retry_budget/tests.rs
@@ -1,4 +1,4 @@
-//! The shared retry budget, summed over entries.
+//! Tests of the retry budget, summed over entries.
 
 use proptest::prelude::*;
 
@@ -11,9 +11,9 @@
 };
 
 proptest! {
-    /// Every request fails at every entry, and each retries all it may. Over
-    /// any window the sum of retries stays within the shared limit, although
-    /// no entry sees more than its own.
+    /// Every request fails at every entry, and each entry retries as much as it may. In
+    /// any window the sum of all retries stays within the common limit, although no entry
+    /// sees more than its own.
     #[test]
     fn all_entries_together_keep_the_shared_limit(
         entries in 1_usize..40,
@@ -27,7 +27,7 @@
         let steps = 200_u64;
         let mut sent = 0;
         for step in 0..steps {
-            // 20 windows of 10 s, in steps of a second.
+            // 20 windows of 10 s, in steps of one second.
             let now = Millis(step * 1_000);
             let due = requests_per_window * (step + 1) / 10;
             while sent < due {
@@ -50,11 +50,11 @@
 }
 
 proptest! {
-    /// A caller's run asks another service up to twice. Everything fails at both, so
-    /// each entry retries all it may, and each repeated run asks anew. What arrives
-    /// at the asked service beyond the first of each request is its own retries and
-    /// all that repeated runs ask; no entry sees that sum, which must stay within
-    /// the limit in every window.
+    /// A caller's run makes up to two calls to another service. Everything fails at both
+    /// services, so each entry retries as much as it may, and each repeated run makes its
+    /// calls again. The extra arrivals at the called service are its own retries and all
+    /// calls of repeated runs. No entry sees their sum, which must stay within the limit
+    /// in every window.
     #[test]
     fn calls_of_repeated_runs_are_within_the_limit(
         entries in 1_usize..30,
--- a/crates/dispatch/src/returning/tests.rs
+++ b/crates/dispatch/src/returning/tests.rs
@@ -1,4 +1,4 @@
-//! Recognising callers who come back.
+//! Tests of recognising callers that retry.
 
 use super::*;
 
@@ -10,20 +10,20 @@
     returning
 }
 
-/// A caller asks, is refused, and asks for the same again 300 ms later, with 300 ms
-/// less of its deadline. Its objective counts from its first request.
+/// A caller is refused and sends the same request again 300 ms later, with 300 ms less of
+/// its deadline. Its objective counts from its first request.
 #[test]
 fn a_caller_that_retries_is_recognised() {
     let mut returning = refused_at_zero();
     let first = returning.first_arrived(LOOKUP, Millis(1_203), Millis(300));
     assert_eq!(first, Millis(0));
-    // Refused once more, it is still the same caller.
+    // Refused a second time, it is still the same caller.
     returning.note_refused(LOOKUP, Millis(1_203), first);
     let first = returning.first_arrived(LOOKUP, Millis(1_198), Millis(600));
     assert_eq!(first, Millis(0));
 }
 
-/// Another caller asks for the same. It has another deadline, and is a newcomer.
+/// Another caller sends the same request with another deadline, so it is a new caller.
 #[test]
 fn another_caller_of_the_same_request_is_not_recognised() {
     let returning = refused_at_zero();
@@ -33,8 +33,8 @@
     assert_eq!(first, Millis(300));
 }
 
-/// Refusals are remembered as long as their callers can come back, and a flood of them
-/// takes a bounded amount of memory.
+/// Refusals are remembered as long as their callers can retry, and a flood of them takes
+/// a bounded amount of memory.
 #[test]
 fn remembered_refusals_are_bounded_and_expire() {
     let mut returning = ReturningCallers::default();
--- a/crates/dispatch/src/routes/tests.rs
+++ b/crates/dispatch/src/routes/tests.rs
@@ -1,4 +1,4 @@
-//! Finding routes.
+//! Tests of finding routes.
 
 use super::*;
 
--- a/crates/dispatch/src/split/tests.rs
+++ b/crates/dispatch/src/split/tests.rs
@@ -1,12 +1,12 @@
-//! Shares of split routes.
+//! Tests of the shares of split routes.
 
 mod properties;
 
 use super::*;
 use crate::routes::tests::route;
 
-/// An operator gives a new version a tenth of a route. Drawn by chance, a few
-/// hundred requests would miss the tenth by a third of it.
+/// An operator gives a new version a tenth of a route. A random choice would miss this
+/// share by a third of it over a few hundred requests.
 #[test]
 fn each_part_stays_within_a_request_of_its_share() {
     for seed in 0..50 {
@@ -23,8 +23,9 @@
     }
 }
 
-/// All nodes take up a new split at once; from the same phase, each would send
-/// its first request to the larger part, and the smaller would get none.
+/// Guards against a smaller share that gets no requests at first: all nodes start using a
+/// new split at the same time, and with the same phase each would send its first request
+/// to the larger share.
 #[test]
 fn entries_start_at_different_phases() {
     let route = route("r", "/", &[("a", 50), ("b", 50)]);
--- a/crates/dispatch/src/split/tests/properties.rs
+++ b/crates/dispatch/src/split/tests/properties.rs
@@ -1,4 +1,4 @@
-//! Shares of any weights.
+//! Properties of splits with any weights.
 
 use proptest::prelude::*;
 
@@ -6,9 +6,9 @@
 use crate::routes::tests::route;
 
 proptest! {
-    /// Whatever weights an operator writes, no part gets ahead of or falls
-    /// behind its share by more requests than the route has parts, however many
-    /// were sent: the error does not grow.
+    /// For any weights, the number of requests of each destination differs from its share
+    /// by no more than the number of the route's destinations, however many requests were
+    /// sent: the error does not grow.
     #[test]
     fn no_part_drifts_from_its_share(
         weights in proptest::collection::vec(0_u32..10_000, 2..6),
@@ -39,7 +39,7 @@
         }
     }
 
-    /// A part of weight 0 was taken out by the operator and gets nothing.
+    /// A destination of weight 0 was disabled by the operator and gets no requests.
     #[test]
     fn a_part_without_weight_gets_nothing(seed in any::<u64>(), weight in 1_u32..100) {
         let route = route("r", "/", &[("on", weight), ("off", 0)]);
--- a/crates/dispatch/src/work/tests.rs
+++ b/crates/dispatch/src/work/tests.rs
@@ -1,4 +1,4 @@
-//! Learnt costs of routes.
+//! Tests of learnt run times and sizes.
 
 use super::*;
 use crate::routes::tests::route;
