--- a/crates/dispatch/src/admission.rs
+++ b/crates/dispatch/src/admission.rs
@@ -269,12 +269,11 @@
         if now + call.work_ms > call.deadline_at && self.in_flight > 0 || now >= call.deadline_at {
             return Verdict::Refuse(Refused::Late);
         }
-        let limit = self
-            .limit()
-            .saturating_sub(
-                self.short_work
-                    .slots_reserved_from(call.work_ms, self.slots, now),
-            );
+        let limit = self.limit().saturating_sub(self.short_work.reserved_slots(
+            call.work_ms,
+            self.slots,
+            now,
+        ));
         let limit = limit.max(1);
         let ahead = self.queue.range(..position).count() as u32;
         let free_slots = limit.saturating_sub(self.in_flight);
--- a/crates/dispatch/src/admission/tests.rs
+++ b/crates/dispatch/src/admission/tests.rs
@@ -6,11 +6,11 @@
 use super::*;
 use crate::short_work::RECENT_WINDOW_MS;
 
-fn call(hold_ms: u64, slow_from_ms: u64) -> GateCall {
+fn call(queue_ms: u64, slow_from_ms: u64) -> GateCall {
     GateCall {
         priority: 1,
         work_ms: Millis(100),
-        queue_until: Millis(hold_ms),
+        queue_until: Millis(queue_ms),
         objective_at: Millis(300),
         whole_objective_ms: Millis(300),
         slow_from: Millis(slow_from_ms),
@@ -188,8 +188,8 @@
 fn a_call_of_higher_priority_goes_first() {
     let mut admission = gate(1);
     read(&mut admission, 100, 0);
-    let runs = admission.enqueue(&call(1_000, 2_000), Millis(0));
-    admission.start(runs);
+    let running = admission.enqueue(&call(1_000, 2_000), Millis(0));
+    admission.start(running);
     let lookup = call(1_000, 2_000);
     let payment = GateCall {
         priority: 0,
@@ -211,8 +211,8 @@
     let mut admission = gate(1);
     read(&mut admission, 100, 0);
     let lookup = call(1_000, 2_000);
-    let runs = admission.enqueue(&lookup, Millis(0));
-    admission.start(runs);
+    let running = admission.enqueue(&lookup, Millis(0));
+    admission.start(running);
     let late = GateCall {
         objective_at: Millis(50),
         ..lookup
@@ -235,8 +235,8 @@
 fn short_work_of_the_same_priority_goes_first() {
     let mut admission = gate(1);
     read(&mut admission, 100, 0);
-    let runs = admission.enqueue(&call(1_000, 2_000), Millis(0));
-    admission.start(runs);
+    let running = admission.enqueue(&call(1_000, 2_000), Millis(0));
+    admission.start(running);
     let upload = call(1_000, 2_000);
     let record = GateCall {
         work_ms: Millis(20),
@@ -322,17 +322,17 @@
 fn a_call_that_would_wait_too_long_is_refused_at_once() {
     let mut admission = gate(1);
     read(&mut admission, 100, 0);
-    let runs = admission.enqueue(&call(1_000, 2_000), Millis(0));
-    admission.start(runs);
-    let waits = call(150, 2_000);
-    let position = admission.enqueue(&waits, Millis(0));
+    let running = admission.enqueue(&call(1_000, 2_000), Millis(0));
+    admission.start(running);
+    let waiting = call(150, 2_000);
+    let position = admission.enqueue(&waiting, Millis(0));
     assert!(matches!(
-        admission.decide(position, &waits, Millis(0)),
+        admission.decide(position, &waiting, Millis(0)),
         Verdict::Wait(_)
     ));
-    let behind = call(150, 2_000);
-    let position = admission.enqueue(&behind, Millis(0));
-    let verdict = admission.decide(position, &behind, Millis(0));
+    let second = call(150, 2_000);
+    let position = admission.enqueue(&second, Millis(0));
+    let verdict = admission.decide(position, &second, Millis(0));
     assert_eq!(verdict, Verdict::Refuse(Refused::Busy));
 }
 
--- a/crates/dispatch/src/admission/tests/overload.rs
+++ b/crates/dispatch/src/admission/tests/overload.rs
@@ -34,14 +34,14 @@
 
 struct Overload {
     admission: Admission,
-    caller: Vec<Caller>,
+    callers: Vec<Caller>,
     run_ends: Vec<u64>,
     outcome: Outcome,
 }
 
 impl Overload {
     fn arrive(&mut self, now: u64) {
-        self.caller.push(Caller {
+        self.callers.push(Caller {
             first_arrived: now,
             arrived: now,
             next_attempt_at: now,
@@ -83,21 +83,21 @@
     fn step(&mut self, now: u64) {
         self.end_runs(now);
         read(&mut self.admission, 100, now);
-        for mut caller in std::mem::take(&mut self.caller) {
+        for mut caller in std::mem::take(&mut self.callers) {
             if now >= caller.arrived + GIVE_UP_AFTER_MS {
                 let is_first = caller.arrived == caller.first_arrived;
                 if is_first {
                     // The caller waits and then sends a new request.
                     caller.arrived = now + COME_BACK_AFTER_MS;
                     caller.next_attempt_at = caller.arrived;
-                    self.caller.push(caller);
+                    self.callers.push(caller);
                 } else {
                     self.outcome.refused_twice += 1;
                 }
                 continue;
             }
             if self.attempt(&mut caller, now) {
-                self.caller.push(caller);
+                self.callers.push(caller);
             }
         }
     }
@@ -118,7 +118,7 @@
 fn simulate() -> Outcome {
     let mut overload = Overload {
         admission: gate(SLOTS),
-        caller: Vec::new(),
+        callers: Vec::new(),
         run_ends: Vec::new(),
         outcome: Outcome::default(),
     };
--- a/crates/dispatch/src/admission/tests/properties.rs
+++ b/crates/dispatch/src/admission/tests/properties.rs
@@ -11,29 +11,29 @@
 }
 
 /// Longest time that a call may wait, in milliseconds.
-const LONGEST_HOLD_MS: u64 = 1_500;
+const MAX_QUEUE_MS: u64 = 1_500;
 
 /// Generates bursts and lulls of calls. Entries send plausible times, but a gate must
 /// cope with any.
 fn arrival() -> impl Strategy<Value = Arrival> {
     let after_ms = prop_oneof![3 => Just(0_u64), 1 => 0_u64..40];
-    let hold_ms = 0..=LONGEST_HOLD_MS;
+    let queue_ms = 0..=MAX_QUEUE_MS;
     (
         after_ms,
         0_u8..3,
         1_u64..300,
-        hold_ms,
+        queue_ms,
         50_u64..1_500,
         0_u64..100,
     )
         .prop_map(
-            |(after_ms, priority, work_ms, hold_ms, deadline_ms, slow_percent)| Arrival {
+            |(after_ms, priority, work_ms, queue_ms, deadline_ms, slow_percent)| Arrival {
                 after_ms,
                 // These are durations; `at` turns them into times when the call arrives.
                 call: GateCall {
                     priority,
                     work_ms: Millis(work_ms),
-                    queue_until: Millis(hold_ms),
+                    queue_until: Millis(queue_ms),
                     objective_at: Millis(deadline_ms / 2),
                     whole_objective_ms: Millis(deadline_ms / 2),
                     slow_from: Millis(deadline_ms * slow_percent / 100),
@@ -64,7 +64,7 @@
     spells: Vec<u32>,
     queue: Vec<(QueuePosition, GateCall)>,
     /// End of each run.
-    runs: Vec<Millis>,
+    run_ends: Vec<Millis>,
     started: usize,
     refused: usize,
 }
@@ -88,7 +88,7 @@
                         assert!(self.admission.in_flight() <= slots, "more runs than slots");
                         assert!(self.now < call.deadline_at, "started after its deadline");
                         let run_ms = call.work_ms.0 * u64::from(self.slowness_percent()) / 100;
-                        self.runs.push(self.now + Millis(run_ms.max(1)));
+                        self.run_ends.push(self.now + Millis(run_ms.max(1)));
                         self.started += 1;
                     }
                     Verdict::Refuse(_) => {
@@ -115,9 +115,9 @@
     fn tick(&mut self, slots: u32) {
         self.now = self.now + Millis(1);
         let now = self.now;
-        let before = self.runs.len();
-        self.runs.retain(|ends_at| *ends_at > now);
-        for _ in self.runs.len()..before {
+        let before = self.run_ends.len();
+        self.run_ends.retain(|ends_at| *ends_at > now);
+        for _ in self.run_ends.len()..before {
             self.admission.finish();
         }
         self.settle(slots);
@@ -144,7 +144,7 @@
             now: Millis(1_000),
             spells,
             queue: Vec::new(),
-            runs: Vec::new(),
+            run_ends: Vec::new(),
             started: 0,
             refused: 0,
         };
@@ -158,7 +158,7 @@
             world.queue.push((position, call));
             world.settle(slots);
         }
-        for _ in 0..=LONGEST_HOLD_MS {
+        for _ in 0..=MAX_QUEUE_MS {
             world.tick(slots);
         }
         prop_assert_eq!(world.queue.len(), 0, "still in line");
--- a/crates/dispatch/src/contention.rs
+++ b/crates/dispatch/src/contention.rs
@@ -74,11 +74,11 @@
     /// Records that a call of this priority (0 is the highest) was rejected for lack of a
     /// slot.
     pub fn note_rejected(&mut self, priority: u8, chance: Chance, run_ms: Millis, now: Millis) {
-        let rejected = self
+        let best = self
             .by_priority
             .get(&priority)
-            .filter(|rejected| now < rejected.until);
-        if rejected.is_some_and(|rejected| rejected.chance > chance) {
+            .filter(|best| now < best.until);
+        if best.is_some_and(|best| best.chance > chance) {
             return;
         }
         let until = now + Millis(run_ms.0 / HOLD_DIVISOR);
@@ -90,12 +90,8 @@
     /// priority.
     #[must_use]
     pub fn must_yield(&self, priority: u8, chance: Chance, now: Millis) -> bool {
-        for rejected in self
-            .by_priority
-            .range(..=priority)
-            .map(|(_, rejected)| rejected)
-        {
-            if now < rejected.until && rejected.chance.0 - chance.0 > CHANCE_TOLERANCE {
+        for best in self.by_priority.range(..=priority).map(|(_, best)| best) {
+            if now < best.until && best.chance.0 - chance.0 > CHANCE_TOLERANCE {
                 return true;
             }
         }
--- a/crates/dispatch/src/contention/tests.rs
+++ b/crates/dispatch/src/contention/tests.rs
@@ -37,8 +37,8 @@
 fn the_newest_calls_go_first_when_work_takes_most_of_the_objective() {
     let slow = Millis(260);
     let mut contention = Contention::default();
-    let newcomer = Chance::of(&call(300), slow, Millis(0));
-    contention.note_rejected(1, newcomer, slow, Millis(0));
+    let new_call = Chance::of(&call(300), slow, Millis(0));
+    contention.note_rejected(1, new_call, slow, Millis(0));
     let of = |now| Chance::of(&call(300), slow, Millis(now));
     assert!(!contention.must_yield(1, of(0), Millis(0)));
     assert!(!contention.must_yield(1, of(20), Millis(0)));
@@ -50,9 +50,9 @@
 fn a_slot_is_held_for_a_part_of_a_run_only() {
     let mut contention = Contention::default();
     contention.note_rejected(1, chance(300, 0), RUN, Millis(0));
-    let late = chance(300, 400);
-    assert!(contention.must_yield(1, late, Millis(24)));
-    assert!(!contention.must_yield(1, late, Millis(25)));
+    let late_call = chance(300, 400);
+    assert!(contention.must_yield(1, late_call, Millis(24)));
+    assert!(!contention.must_yield(1, late_call, Millis(25)));
 }
 
 /// Late payments go before lookups that are in time, since operators give them a higher
@@ -60,11 +60,11 @@
 #[test]
 fn a_higher_priority_does_not_yield_to_a_lower_one() {
     let mut contention = Contention::default();
-    let late = chance(300, 400);
+    let late_call = chance(300, 400);
     contention.note_rejected(2, chance(300, 0), RUN, Millis(0));
-    assert!(!contention.must_yield(1, late, Millis(1)));
+    assert!(!contention.must_yield(1, late_call, Millis(1)));
     contention.note_rejected(1, chance(300, 0), RUN, Millis(0));
-    assert!(contention.must_yield(2, late, Millis(1)));
+    assert!(contention.must_yield(2, late_call, Millis(1)));
 }
 
 /// If only late calls arrive, all of them have the same chance, and none is kept out.
--- a/crates/dispatch/src/members.rs
+++ b/crates/dispatch/src/members.rs
@@ -15,7 +15,7 @@
 /// Time for which an entry that is missing after a store failure is kept. Entries that
 /// expired because of the failure are back within about this time if their target runs;
 /// one that is still missing is gone.
-const LAPSE_GRACE_MS: Millis = Millis(2_000);
+const REMOVAL_GRACE_MS: Millis = Millis(2_000);
 /// Time after a store failure in which a removal may be due to the failure.
 const STORE_FAILURE_WINDOW_MS: Millis = Millis(1_000);
 
@@ -226,12 +226,12 @@
     /// shortly after a store failure waits for the entry to return; any other removal
     /// takes effect at once.
     pub fn remove(&mut self, id: &TargetId, now: Millis) {
-        let may_be_lapse = self.may_be_lapse(now);
+        let may_be_spurious = self.may_be_spurious(now);
         let grace_ms = self.grace_ms(now);
         let Some(tracked) = self.known.get_mut(id) else {
             return;
         };
-        if !may_be_lapse || tracked.member.draining {
+        if !may_be_spurious || tracked.member.draining {
             self.known.remove(id);
             self.removed_at.insert(id.clone(), now);
             return;
@@ -378,7 +378,7 @@
         members
     }
 
-    fn may_be_lapse(&self, now: Millis) -> bool {
+    fn may_be_spurious(&self, now: Millis) -> bool {
         let remote_failed_at = self.remote_failure.map(|failure| failure.at);
         is_recent_failure(self.store_failed_at, now) || is_recent_failure(remote_failed_at, now)
     }
@@ -387,7 +387,7 @@
     fn grace_ms(&self, now: Millis) -> Millis {
         match self.remote_failure {
             Some(failure) if !is_recent_failure(self.store_failed_at, now) => failure.grace_ms,
-            _ => LAPSE_GRACE_MS,
+            _ => REMOVAL_GRACE_MS,
         }
     }
 }
--- a/crates/dispatch/src/members/tests/properties.rs
+++ b/crates/dispatch/src/members/tests/properties.rs
@@ -75,7 +75,11 @@
             let mut addresses = BTreeSet::new();
             for available in members.available(&ServiceName::new("cashier")) {
                 prop_assert!(!available.draining);
-                prop_assert!(addresses.insert(available.address), "two lives at {}", available.address);
+                prop_assert!(
+                    addresses.insert(available.address),
+                    "two lives at {}",
+                    available.address
+                );
                 prop_assert!(!members.has_left(&available.id));
                 prop_assert!(members.get(&available.id).is_some());
             }
@@ -94,14 +98,14 @@
         for event in &all {
             apply(&mut tracker, &mut now, event);
         }
-        let may_be_lapse = tracker.may_be_lapse(now);
+        let may_be_spurious = tracker.may_be_spurious(now);
         tracker.remove(&id(removed), now);
-        if !may_be_lapse {
+        if !may_be_spurious {
             let members = tracker.snapshot();
             let is_known = tracker.known.contains_key(&id(removed));
             prop_assert!(members.get(&id(removed)).is_none() && !is_known);
         }
-        let end = now + LAPSE_GRACE_MS;
+        let end = now + REMOVAL_GRACE_MS;
         tracker.expire(end);
         prop_assert!(tracker.snapshot().get(&id(removed)).is_none());
         prop_assert!(tracker.next_expiry().is_none_or(|at| at > end));
--- a/crates/dispatch/src/readers/tests.rs
+++ b/crates/dispatch/src/readers/tests.rs
@@ -200,9 +200,9 @@
         .collect();
     for (own, role) in roles.iter().filter(|(_, role)| role.is_follower()) {
         let is_near = |vm: &IpAddr| data_centre(vm) == data_centre(own);
-        let readers = readers.iter().filter(|vm| is_near(vm)).count();
+        let near_readers = readers.iter().filter(|vm| is_near(vm)).count();
         let subscribed = role.readers().iter().filter(|vm| is_near(vm)).count();
-        assert_eq!(subscribed, readers.min(SUBSCRIPTIONS), "{own}");
+        assert_eq!(subscribed, near_readers.min(SUBSCRIPTIONS), "{own}");
     }
 }
 
@@ -248,7 +248,9 @@
     /// For data centres of any size, nodes with the same list agree on the readers, and
     /// the loss of one VM changes few subscriptions.
     #[test]
-    fn nodes_agree_and_losing_a_vm_changes_few_subscriptions(sizes in proptest::collection::vec(0usize..90, 1..5)) {
+    fn nodes_agree_and_losing_a_vm_changes_few_subscriptions(
+        sizes in proptest::collection::vec(0usize..90, 1..5),
+    ) {
         let before = roles(&sizes);
         for role in before.values() {
             for subscribed in role.readers() {
@@ -259,7 +261,8 @@
         tracker.remove(&TargetId::new("i-0-0"), Millis(1));
         let members = tracker.snapshot();
         let becomes_small = sizes[0] == MAX_VMS_SHARING_READERS + 1;
-        let shared_group: usize = sizes.iter().filter(|size| **size <= MAX_VMS_SHARING_READERS).sum();
+        let shared_group: usize =
+            sizes.iter().filter(|size| **size <= MAX_VMS_SHARING_READERS).sum();
         if sizes[0] == 0 || becomes_small || shared_group == MAX_VMS_WITHOUT_READERS + 1 {
             return Ok(());
         }
--- a/crates/dispatch/src/short_work.rs
+++ b/crates/dispatch/src/short_work.rs
@@ -37,21 +37,21 @@
 impl ShortWork {
     /// Records that work of this length has arrived.
     pub fn note_call(&mut self, work_ms: Millis, now: Millis) {
-        let known = self.recent(now);
-        let mut known = match known {
-            Some(known) if !is_much_longer(known.shortest_ms, work_ms) => known,
+        let recent = self.recent(now);
+        let mut recent = match recent {
+            Some(recent) if !is_much_longer(recent.shortest_ms, work_ms) => recent,
             _ => RecentWork {
                 shortest_ms: work_ms,
                 updated_at: now,
                 demand_ms: 0.0,
             },
         };
-        if !is_much_longer(work_ms, known.shortest_ms) {
-            known.demand_ms = known.demand_ms(now) + work_ms.0 as f64;
-            known.updated_at = now;
-            known.shortest_ms = work_ms.min(known.shortest_ms);
+        if !is_much_longer(work_ms, recent.shortest_ms) {
+            recent.demand_ms = recent.demand_ms(now) + work_ms.0 as f64;
+            recent.updated_at = now;
+            recent.shortest_ms = work_ms.min(recent.shortest_ms);
         }
-        self.recent = Some(known);
+        self.recent = Some(recent);
     }
 
     /// Returns how many of a target's slots work of this length must leave free.
@@ -64,21 +64,21 @@
     /// calls are refused before they are queued. With slots left free, most of them start
     /// at once, and uploads lose little.
     #[must_use]
-    pub fn slots_reserved_from(&self, work_ms: Millis, slots: u32, now: Millis) -> u32 {
-        let Some(known) = self.recent(now) else {
+    pub fn reserved_slots(&self, work_ms: Millis, slots: u32, now: Millis) -> u32 {
+        let Some(recent) = self.recent(now) else {
             return 0;
         };
-        if !is_much_longer(work_ms, known.shortest_ms) {
+        if !is_much_longer(work_ms, recent.shortest_ms) {
             return 0;
         }
-        let mean_slots = known.demand_ms(now) / RECENT_WINDOW_MS.0 as f64;
-        let wanted = (mean_slots * RESERVE_FACTOR).round() as u32;
-        wanted.min(slots / MAX_RESERVED_DIVISOR)
+        let mean_slots = recent.demand_ms(now) / RECENT_WINDOW_MS.0 as f64;
+        let reserved = (mean_slots * RESERVE_FACTOR).round() as u32;
+        reserved.min(slots / MAX_RESERVED_DIVISOR)
     }
 
     fn recent(&self, now: Millis) -> Option<RecentWork> {
         self.recent
-            .filter(|known| now.since(known.updated_at) <= RECENT_WINDOW_MS)
+            .filter(|recent| now.since(recent.updated_at) <= RECENT_WINDOW_MS)
     }
 }
 
--- a/crates/dispatch/src/split.rs
+++ b/crates/dispatch/src/split.rs
@@ -27,7 +27,7 @@
 #[derive(Debug)]
 struct RouteDeficits {
     destinations: Vec<crate::routes::Destination>,
-    owed: Vec<i64>,
+    deficits: Vec<i64>,
 }
 
 const ONE_REQUEST: i64 = 1_000_000;
@@ -79,7 +79,7 @@
     fn new(route: &Route, rng: &mut Xoshiro256PlusPlus) -> Self {
         let mut fresh = Self {
             destinations: route.destinations.clone(),
-            owed: vec![0; route.destinations.len()],
+            deficits: vec![0; route.destinations.len()],
         };
         for _ in 0..rng.random_range(0..PHASES) {
             fresh.next_part();
@@ -101,13 +101,13 @@
 
     fn next_part(&mut self) -> usize {
         let mut largest = 0;
-        for part in 0..self.owed.len() {
-            self.owed[part] += self.share_per_request(part);
-            if self.owed[part] > self.owed[largest] {
+        for part in 0..self.deficits.len() {
+            self.deficits[part] += self.share_per_request(part);
+            if self.deficits[part] > self.deficits[largest] {
                 largest = part;
             }
         }
-        self.owed[largest] -= ONE_REQUEST;
+        self.deficits[largest] -= ONE_REQUEST;
         largest
     }
 }
