--- a/crates/dispatch/src/admission.rs
+++ b/crates/dispatch/src/admission.rs
@@ -322,8 +322,9 @@
             .note_rejected(call.priority, chance, run_ms, now);
     }
 
-    /// Returns whether a call waits for a slot. A call that would have to wait longer
-    /// than it may is refused at once.
+    /// Returns [`Verdict::Wait`] if the call can expect a slot in time; refuses a call
+    /// that would have to wait longer than it may. `ahead` calls must start before it,
+    /// beyond those for which slots are free.
     fn wait_for_slot(&self, call: &GateCall, ahead: u32, limit: u32, now: Millis) -> Verdict {
         let mut work_ms = call.work_ms.0;
         for position in &self.queue {
--- a/crates/dispatch/src/admission/tests/properties.rs
+++ b/crates/dispatch/src/admission/tests/properties.rs
@@ -161,7 +161,7 @@
         for _ in 0..=MAX_QUEUE_MS {
             world.tick(slots);
         }
-        prop_assert_eq!(world.queue.len(), 0, "still in line");
+        prop_assert_eq!(world.queue.len(), 0, "still queued");
         prop_assert_eq!(world.admission.queued(), 0);
         prop_assert_eq!(world.started + world.refused, arrivals.len());
     }
--- a/crates/dispatch/src/departure.rs
+++ b/crates/dispatch/src/departure.rs
@@ -2,7 +2,7 @@
 //! node receives.
 //!
 //! The gate checks the target's health before it starts calls. A target that fails the
-//! check is ill, is leaving, or has a wrong health check; its entry in the list tells
+//! check is failing, is leaving, or has a wrong health check; its entry in the list tells
 //! which. So the gate looks up the entry itself while the check fails, and refuses calls
 //! once the entry shows that the target leaves.
 //!
@@ -73,9 +73,9 @@
     /// Returns whether the target's entry must be looked up now, and if so counts it as
     /// looked up.
     ///
-    /// The entry is also looked up while the target gets no work: an expired entry may
-    /// return, and a target may restart under the same id, and no health check would show
-    /// it because none is made without calls.
+    /// The entry is also looked up while the target gets no work. An expired entry may
+    /// return, or the target may restart under the same id; no health check would show
+    /// this, since none is made without calls.
     #[must_use]
     pub fn start_lookup_if_due(&mut self, now: Millis) -> bool {
         if !self.is_unhealthy && self.departed.is_none() {
--- a/crates/dispatch/src/departure/tests.rs
+++ b/crates/dispatch/src/departure/tests.rs
@@ -12,9 +12,8 @@
     TargetId::new("i-1")
 }
 
-/// Guards against a health check that is wrong for seconds. The target's entry is good,
-/// so it keeps getting work, and the entry is looked up only a few times, since each
-/// lookup costs a call.
+/// A health check may be wrong for seconds. A target whose entry is good keeps getting
+/// work, and its entry is looked up only a few times, since each lookup costs a call.
 #[test]
 fn a_target_whose_health_check_is_wrong_keeps_getting_work() {
     let mut departure = departure();
--- a/crates/dispatch/src/members.rs
+++ b/crates/dispatch/src/members.rs
@@ -378,6 +378,7 @@
         members
     }
 
+    /// Returns whether a removal may be due to a recent store failure.
     fn may_be_spurious(&self, now: Millis) -> bool {
         let remote_failed_at = self.remote_failure.map(|failure| failure.at);
         is_recent_failure(self.store_failed_at, now) || is_recent_failure(remote_failed_at, now)
--- a/crates/dispatch/src/members/tests/properties.rs
+++ b/crates/dispatch/src/members/tests/properties.rs
@@ -77,7 +77,7 @@
                 prop_assert!(!available.draining);
                 prop_assert!(
                     addresses.insert(available.address),
-                    "two lives at {}",
+                    "two incarnations at {}",
                     available.address
                 );
                 prop_assert!(!members.has_left(&available.id));
--- a/crates/dispatch/src/order/tests.rs
+++ b/crates/dispatch/src/order/tests.rs
@@ -68,7 +68,7 @@
         first += u32::from(order[0].member.id == failing_id);
         last += u32::from(order[3].member.id == failing_id);
     }
-    assert!((8..=40).contains(&first), "{first} trials of 480");
+    assert!((8..=40).contains(&first), "{first} probes of 480");
     assert_eq!(first + last, 480);
 }
 
--- a/crates/dispatch/src/readers/tests.rs
+++ b/crates/dispatch/src/readers/tests.rs
@@ -112,7 +112,7 @@
         assert_eq!(subscribed.len(), SUBSCRIPTIONS, "{own}");
         assert!(
             subscribed.iter().all(is_reader),
-            "{own} hears {subscribed:?}"
+            "{own} subscribes to {subscribed:?}"
         );
         assert!(!subscribed.contains(own));
     }
--- a/crates/dispatch/src/short_work.rs
+++ b/crates/dispatch/src/short_work.rs
@@ -56,13 +56,13 @@
 
     /// Returns how many of a target's slots work of this length must leave free.
     ///
-    /// Guards against the loss of whole payments for want of a short call. When a service
-    /// has lost half of its targets, long uploads hold the slots of the rest. Targets of
-    /// other services make short calls to it, each on behalf of a payment. A short call
-    /// that is refused for lack of a slot costs a whole payment, although five of them
-    /// take no longer than one upload. Priority in the queue is not enough, since most
-    /// calls are refused before they are queued. With slots left free, most of them start
-    /// at once, and uploads lose little.
+    /// Guards against payments that are lost because a short call is refused. When a
+    /// service has lost half of its targets, long uploads hold the slots of the rest.
+    /// Targets of other services make short calls to it, each on behalf of a payment. A
+    /// short call that is refused for lack of a slot costs a whole payment, although five
+    /// of them take no longer than one upload. Priority in the queue is not enough, since
+    /// most calls are refused before they are queued. With slots left free, most of them
+    /// start at once, and uploads lose little.
     #[must_use]
     pub fn reserved_slots(&self, work_ms: Millis, slots: u32, now: Millis) -> u32 {
         let Some(recent) = self.recent(now) else {
--- a/crates/dispatch/src/split.rs
+++ b/crates/dispatch/src/split.rs
@@ -59,7 +59,7 @@
         let deficits = self
             .deficits
             .get_mut(&route.name)
-            .expect("the deficits of this route were just put there");
+            .expect("the deficits of this route were just inserted");
         let part = deficits.next_part();
         route.destinations[part].service.clone()
     }
--- a/crates/dispatch/src/waits.rs
+++ b/crates/dispatch/src/waits.rs
@@ -55,7 +55,7 @@
 const _: () = assert!(
     REFRESH_INTERVAL < LED_READER_MAX_AGE && REFRESH_INTERVAL + PUBLISH_INTERVAL < RESERVE_MAX_AGE
 );
-/// A reader takes the place of its leader before reserves consider the reader lost.
+/// A led reader polls in place of its leader before reserves consider the readers lost.
 const _: () = assert!(LED_READER_MAX_AGE < RESERVE_MAX_AGE);
 /// Readers report that the source is unavailable before their followers poll it too.
 const _: () = assert!(LED_READER_MAX_AGE + IDLE_TIMEOUT < FOLLOWER_MAX_AGE);
@@ -136,8 +136,8 @@
         self.share(STARTUP_MAX_STALE)
     }
 
-    /// Returns the same for a node whose listings contain no configuration, so that it
-    /// acts on nothing.
+    /// Returns the same limit for a node whose listings contain no configuration, so that
+    /// it acts on nothing.
     #[must_use]
     pub const fn unconfigured_max_stale_ms(&self) -> Millis {
         self.share(WHOLE)
