--- a/crates/edge/src/entry.rs
+++ b/crates/edge/src/entry.rs
@@ -199,7 +199,7 @@
         }
         let vm = self.state.lock().rng.random_range(0..others.len());
         let gate = std::net::SocketAddr::new(others[vm], self.gate_port);
-        if self.links.is_reached(gate).await {
+        if self.links.is_reachable(gate).await {
             log::info!("another VM is reached again");
             self.state.lock().reach.note_reached(self.clock.now());
         }
--- a/crates/edge/src/entry/call.rs
+++ b/crates/edge/src/entry/call.rs
@@ -240,7 +240,7 @@
     fn gate_said(&mut self, number: usize, event: GateEvent) -> Option<Given> {
         match event {
             // The link has sent it.
-            GateEvent::WantsBody => None,
+            GateEvent::WantsContent => None,
             GateEvent::Started { slowness_percent } => {
                 self.note_start(number, slowness_percent);
                 None
--- a/crates/edge/src/entry/call/asking.rs
+++ b/crates/edge/src/entry/call/asking.rs
@@ -120,7 +120,7 @@
                 idempotent: self.request.route.kind.is_idempotent(),
                 priority: self.request.route.priority,
                 work_ms: self.work.run_at(100),
-                hold_ms,
+                max_queue_ms: hold_ms,
                 objective_ms: self.patience.objective_at.since(now),
                 whole_objective_ms: self.patience.whole_objective_ms,
                 slow_after_ms,
@@ -132,7 +132,7 @@
             },
             head: self.request.head.clone(),
             body: self.request.body.clone(),
-            is_terms_first: {
+            offers_terms_first: {
                 let state = self.entry.state.lock();
                 state.refusals.is_likely(&candidate.member, now)
             },
--- a/crates/edge/src/entry/call/ending.rs
+++ b/crates/edge/src/entry/call/ending.rs
@@ -7,7 +7,7 @@
 use crate::entry::answer::Given;
 use crate::entry::progress;
 use crate::prelude::*;
-use crate::target::{is_server_fault, is_success};
+use crate::target::{is_server_error, is_success};
 
 /// Bounds of the time to stay away after a refusal. Slow spells and lines last
 /// about this long; the spread keeps callers from coming back in step.
@@ -25,7 +25,7 @@
         let target = self.close(number);
         self.trail.push(&target.id, &head.status.to_string());
         let mut state = self.entry.state.lock();
-        if !is_server_fault(head.status) {
+        if !is_server_error(head.status) {
             state.failures.note_success(&target, now);
             let slowness = started.map_or(100, |(_, slowness)| slowness);
             if is_success(head.status) {
--- a/crates/edge/src/entry/ended.rs
+++ b/crates/edge/src/entry/ended.rs
@@ -9,7 +9,7 @@
 use crate::directory::Directory;
 use crate::http1;
 use crate::prelude::*;
-use crate::target::is_server_fault;
+use crate::target::is_server_error;
 
 impl Entry {
     /// Writes down how a call ended.
@@ -34,7 +34,7 @@
         let tried = ended.trail.as_str();
         let code = given.code.number();
         let status = given.answer.status;
-        if given.code == ResultCode::Answered && !is_server_fault(status) {
+        if given.code == ResultCode::Answered && !is_server_error(status) {
             log::info!(request, route, service, config, known_ms, code, status, took_ms, tried; "answered");
             return given.answer;
         }
--- a/crates/edge/src/entry/progress.rs
+++ b/crates/edge/src/entry/progress.rs
@@ -8,7 +8,7 @@
 
 use super::Entry;
 use crate::gate::{CallContent, EventSink, GateRequest, Wanted, WholeCall};
-use crate::link::{Asked, LinkEvent, OutgoingCall};
+use crate::link::{LinkEvent, OutgoingCall, PendingRequest};
 use crate::prelude::*;
 
 /// An event of an attempt, with the attempt's number within its call.
@@ -22,7 +22,7 @@
 #[derive(Debug)]
 pub(super) enum Hold {
     Local(#[expect(dead_code, reason = "its drop is the signal")] Wanted),
-    Link(#[expect(dead_code, reason = "its drop is the signal")] Asked),
+    Link(#[expect(dead_code, reason = "its drop is the signal")] PendingRequest),
 }
 
 /// One send of a call to a gate.
--- a/crates/edge/src/feed.rs
+++ b/crates/edge/src/feed.rs
@@ -164,19 +164,19 @@
             changed.mark_unchanged();
             let Some(part) = self.after(known) else {
                 // A link that has ended needs no answer.
-                let _ = subscriber.send(ToEntry::NoFeed);
+                let _ = subscriber.send(ToEntry::FeedUnavailable);
                 return;
             };
             known = known.max(part.revision);
             for change in part.changes {
                 let _ = subscriber.send(ToEntry::Change(change));
             }
-            let known_to = ToEntry::KnownTo {
+            let progress = ToEntry::Progress {
                 revision: part.revision,
-                is_troubled: part.is_troubled,
+                last_read_failed: part.is_troubled,
                 age_ms: part.age_ms,
             };
-            if subscriber.send(known_to).is_err() {
+            if subscriber.send(progress).is_err() {
                 return;
             }
             // Whether the wait ends by a change or by its time makes no difference.
--- a/crates/edge/src/feed/links.rs
+++ b/crates/edge/src/feed/links.rs
@@ -44,7 +44,7 @@
             sockets::prepare(&stream);
             let (frames, mut writer) = stream.into_split();
             let mut buffer = BytesMut::new();
-            link::encode(&ToGate::Follow { revision: known }, &mut buffer)?;
+            link::encode(&ToGate::Subscribe { revision: known }, &mut buffer)?;
             writer.write_all(&buffer).await?;
             let subscribed: Box<dyn FeedWords> = Box::new(Subscribed {
                 reader: FrameReader::new(frames),
--- a/crates/edge/src/feed/subscriptions.rs
+++ b/crates/edge/src/feed/subscriptions.rs
@@ -246,9 +246,9 @@
                 Ok(change) => changes.push(change),
                 Err(fault) => return fault,
             },
-            ToEntry::KnownTo {
+            ToEntry::Progress {
                 revision,
-                is_troubled,
+                last_read_failed,
                 age_ms,
             } => {
                 if !*was_heard {
@@ -259,14 +259,14 @@
                     reader,
                     changes: std::mem::take(&mut changes),
                     revision,
-                    is_troubled,
+                    is_troubled: last_read_failed,
                     as_of: listening.clock.now().minus(age_ms),
                 };
                 if told.send(event).is_err() {
                     return LinkFault::Closed;
                 }
             }
-            ToEntry::NoFeed => return LinkFault::Closed,
+            ToEntry::FeedUnavailable => return LinkFault::Closed,
             // What a gate tells its entries is of no use here.
             _ => {}
         }
--- a/crates/edge/src/gate.rs
+++ b/crates/edge/src/gate.rs
@@ -186,7 +186,7 @@
         let call = GateCall {
             priority: terms.priority,
             work_ms: terms.work_ms,
-            hold_until: arrived + terms.hold_ms,
+            hold_until: arrived + terms.max_queue_ms,
             objective_at: arrived + terms.objective_ms,
             whole_objective_ms: terms.whole_objective_ms,
             slow_from: arrived + terms.slow_after_ms,
@@ -340,7 +340,7 @@
             CallContent::Whole(whole) => return Ok(whole),
             CallContent::Later(coming) => coming,
         };
-        sink(GateEvent::WantsBody);
+        sink(GateEvent::WantsContent);
         let deadline = self.clock.to_instant(deadline_at);
         match tokio::time::timeout_at(deadline, coming).await {
             Ok(Ok(whole)) => Ok(whole),
--- a/crates/edge/src/gate/lives.rs
+++ b/crates/edge/src/gate/lives.rs
@@ -19,7 +19,7 @@
         }
         if state.life.replace(life).is_some() {
             state.admission.forget_target();
-            self.target.close_resting();
+            self.target.close_idle();
             log::info!(target_id = member.id.as_str(); "another life of the target is listed");
         }
     }
--- a/crates/edge/src/gate/request.rs
+++ b/crates/edge/src/gate/request.rs
@@ -19,7 +19,7 @@
 pub enum CallContent {
     /// In hand.
     Whole(WholeCall),
-    /// Comes once [`GateEvent::WantsBody`] was told.
+    /// Comes once [`GateEvent::WantsContent`] was told.
     Later(oneshot::Receiver<WholeCall>),
 }
 
@@ -36,7 +36,7 @@
 #[derive(Clone, Debug)]
 pub enum GateEvent {
     /// It has a slot, and what was kept back of it is wanted.
-    WantsBody,
+    WantsContent,
     /// It was sent to the target.
     Started {
         /// Time that work took there just before, in percent of the usual.
--- a/crates/edge/src/gate/run.rs
+++ b/crates/edge/src/gate/run.rs
@@ -7,7 +7,7 @@
 use super::{Gate, GateEvent, RunningCall};
 use crate::http1;
 use crate::prelude::*;
-use crate::target::{Exchange, ExchangeFault, TargetAnswer, is_server_fault, is_success};
+use crate::target::{Exchange, ExchangeFault, TargetAnswer, is_server_error, is_success};
 
 /// Status of a target that is not the expected one.
 const MISDIRECTED: u16 = 421;
@@ -77,7 +77,7 @@
             self.learn_from(run);
         }
         match event {
-            Some(GateEvent::Answered { head, .. }) if !is_server_fault(head.status) => log::info!(
+            Some(GateEvent::Answered { head, .. }) if !is_server_error(head.status) => log::info!(
                 request, target_id, slowness_percent, waited_ms, ran_ms, known_ms,
                 status = head.status;
                 "ran"
@@ -92,7 +92,7 @@
                 end = <&'static str>::from(*end);
                 "ended without an answer"
             ),
-            Some(GateEvent::WantsBody | GateEvent::Started { .. }) => {}
+            Some(GateEvent::WantsContent | GateEvent::Started { .. }) => {}
             None => log::info!(
                 request, target_id, slowness_percent, waited_ms, ran_ms;
                 "cancelled: its caller has left or another attempt won"
@@ -186,7 +186,7 @@
         Exchange {
             method: method.clone(),
             request_id: Some(run.terms.request_id.clone()),
-            may_repeat: run.terms.idempotent,
+            is_idempotent: run.terms.idempotent,
             bytes: http1::request_bytes(method, path, &fields, run.body).freeze(),
         }
     }
--- a/crates/edge/src/gate/speed.rs
+++ b/crates/edge/src/gate/speed.rs
@@ -122,7 +122,7 @@
         let exchange = Exchange {
             method: "GET".to_owned(),
             request_id: None,
-            may_repeat: true,
+            is_idempotent: true,
             bytes: http1::request_bytes("GET", path, &[host], &[]).freeze(),
         };
         let answer = match tokio::time::timeout(READ_TIMEOUT, target.exchange(&exchange)).await {
--- a/crates/edge/src/link.rs
+++ b/crates/edge/src/link.rs
@@ -8,6 +8,6 @@
 
 pub(crate) use framed::{FrameReader, LinkFault};
 
-pub use client::{Asked, LinkEvent, LinkPool};
+pub use client::{LinkEvent, LinkPool, PendingRequest};
 pub use outgoing::OutgoingCall;
 pub use server::LinkServer;
--- a/crates/edge/src/link/client.rs
+++ b/crates/edge/src/link/client.rs
@@ -41,7 +41,7 @@
 
 /// A question to a gate that goes on until it is dropped, which withdraws it.
 #[derive(Debug)]
-pub struct Asked {
+pub struct PendingRequest {
     task: AbortHandle,
     sent: SentPlace,
 }
@@ -50,7 +50,7 @@
 /// without a pause in between, so a drop meets it either unsent or filled.
 type SentPlace = Arc<Mutex<Option<(Arc<Link>, CallId)>>>;
 
-impl Drop for Asked {
+impl Drop for PendingRequest {
     fn drop(&mut self) {
         self.task.abort();
         if let Some((link, id)) = self.sent.lock().take() {
@@ -91,16 +91,31 @@
     }
 
     /// Sends a call to a gate.
-    pub fn call(self: &Arc<Self>, gate: SocketAddr, call: OutgoingCall, sink: LinkSink) -> Asked {
+    pub fn call(
+        self: &Arc<Self>,
+        gate: SocketAddr,
+        call: OutgoingCall,
+        sink: LinkSink,
+    ) -> PendingRequest {
         self.ask(gate, Question::Call(Box::new(call)), sink)
     }
 
     /// Asks a gate about a key, which fences it.
-    pub fn fence(self: &Arc<Self>, gate: SocketAddr, key: CallKey, sink: LinkSink) -> Asked {
+    pub fn fence(
+        self: &Arc<Self>,
+        gate: SocketAddr,
+        key: CallKey,
+        sink: LinkSink,
+    ) -> PendingRequest {
         self.ask(gate, Question::Fence(key), sink)
     }
 
-    fn ask(self: &Arc<Self>, gate: SocketAddr, question: Question, sink: LinkSink) -> Asked {
+    fn ask(
+        self: &Arc<Self>,
+        gate: SocketAddr,
+        question: Question,
+        sink: LinkSink,
+    ) -> PendingRequest {
         let sent = SentPlace::default();
         let pool = Arc::clone(self);
         let place = Arc::clone(&sent);
@@ -117,14 +132,14 @@
                 }
             }
         });
-        Asked {
+        PendingRequest {
             task: task.abort_handle(),
             sent,
         }
     }
 
     /// Whether a link to a gate can be had now.
-    pub async fn is_reached(&self, gate: SocketAddr) -> bool {
+    pub async fn is_reachable(&self, gate: SocketAddr) -> bool {
         self.link(gate).await.is_ok_and(|link| !link.is_doubted())
     }
 
@@ -328,7 +343,7 @@
                     self.push(ToGate::Facts(encoded));
                 }
             }
-            ToEntry::WantsBody { id } => self.send_rest(id),
+            ToEntry::WantsContent { id } => self.send_rest(id),
             ToEntry::Started {
                 id,
                 slowness_percent,
@@ -357,7 +372,7 @@
             }
             ToEntry::Ended { id, end } => self.tell_last(id, GateEvent::Ended(end)),
             // Only subscribers are told these, on connections of their own.
-            ToEntry::Change(_) | ToEntry::KnownTo { .. } | ToEntry::NoFeed => {}
+            ToEntry::Change(_) | ToEntry::Progress { .. } | ToEntry::FeedUnavailable => {}
         }
     }
 
--- a/crates/edge/src/link/outgoing.rs
+++ b/crates/edge/src/link/outgoing.rs
@@ -15,7 +15,7 @@
     /// Its whole body.
     pub body: Bytes,
     /// The gate is likely to refuse it, so only its terms are sent at first.
-    pub is_terms_first: bool,
+    pub offers_terms_first: bool,
 }
 
 /// What of a call is sent only when the gate wants it.
@@ -31,15 +31,15 @@
         terms,
         head,
         body,
-        is_terms_first,
+        offers_terms_first,
     } = call;
     let body_bytes = body.len() as u64;
-    if is_terms_first {
+    if offers_terms_first {
         let kept_back = KeptBack {
             head: Some(head),
             body,
         };
-        let frame = ToGate::Ask {
+        let frame = ToGate::Offer {
             id,
             terms,
             body_bytes,
--- a/crates/edge/src/link/server.rs
+++ b/crates/edge/src/link/server.rs
@@ -136,7 +136,7 @@
                     let content = self.take_content(id, head, body_bytes, body);
                     self.submit(id, GateRequest { terms, content });
                 }
-                ToGate::Ask {
+                ToGate::Offer {
                     id,
                     terms,
                     body_bytes,
@@ -169,7 +169,7 @@
                 ToGate::Ping => {
                     let _ = self.answers.send(ToEntry::Pong);
                 }
-                ToGate::Follow { revision } => {
+                ToGate::Subscribe { revision } => {
                     let feed = Arc::clone(&self.feed);
                     let answers = self.answers.clone();
                     tokio::spawn(async move { feed.tell(revision, &answers).await });
@@ -234,8 +234,8 @@
             in_hand.lock().remove(&id);
         }
         match event {
-            GateEvent::WantsBody => {
-                let _ = answers.send(ToEntry::WantsBody { id });
+            GateEvent::WantsContent => {
+                let _ = answers.send(ToEntry::WantsContent { id });
             }
             GateEvent::Started { slowness_percent } => {
                 let _ = answers.send(ToEntry::Started {
--- a/crates/edge/src/target.rs
+++ b/crates/edge/src/target.rs
@@ -51,7 +51,7 @@
     /// Id that the answer must echo; `None` for a health check.
     pub request_id: Option<String>,
     /// Running it more than once is harmless.
-    pub may_repeat: bool,
+    pub is_idempotent: bool,
     /// Head and body.
     pub bytes: Bytes,
 }
@@ -106,7 +106,7 @@
     ///
     /// The fault says whether anything was sent.
     pub async fn exchange(&self, exchange: &Exchange) -> Result<TargetAnswer, ExchangeFault> {
-        let mut connection = match self.take_rested(exchange.may_repeat) {
+        let mut connection = match self.take_rested(exchange.is_idempotent) {
             Some(connection) => connection,
             None => self.connect().await?,
         };
@@ -130,17 +130,17 @@
     }
 
     /// Closes the connections that rest: they lead to an earlier life of the target.
-    pub fn close_resting(&self) {
+    pub fn close_idle(&self) {
         self.resting.lock().clear();
     }
 
     /// The most recently used first, so that spare ones age out.
-    fn take_rested(&self, may_repeat: bool) -> Option<Connection> {
+    fn take_rested(&self, is_idempotent: bool) -> Option<Connection> {
         let now = self.clock.now();
         let mut resting = self.resting.lock();
         resting.retain(|kept| now < kept.until);
         let newest = resting.last()?;
-        if !may_repeat && now.since(newest.since) > MAX_REST_ONCE_MS {
+        if !is_idempotent && now.since(newest.since) > MAX_REST_ONCE_MS {
             return None;
         }
         while let Some(kept) = resting.pop() {
@@ -272,7 +272,7 @@
 
 /// Whether a status tells of a failure of whoever answers.
 #[must_use]
-pub const fn is_server_fault(status: u16) -> bool {
+pub const fn is_server_error(status: u16) -> bool {
     status >= 500
 }
 
--- a/crates/edge/tests/all/answers.rs
+++ b/crates/edge/tests/all/answers.rs
@@ -9,7 +9,7 @@
 async fn a_spoilt_answer_of_a_lookup_is_replaced_by_a_whole_one() {
     for behaviour in ["break", "cut", "garbage", "unsigned", "fail"] {
         let fleet = fleet(&["s", "s"]).await;
-        fleet.vms[0].target.set_usual(behaviour);
+        fleet.vms[0].target.set_default_behaviour(behaviour);
         for number in 0..4 {
             let answer = ask(
                 fleet.vms[0].callers,
--- a/crates/edge/tests/all/asking.rs
+++ b/crates/edge/tests/all/asking.rs
@@ -38,7 +38,7 @@
         let mut gate = GateEnd::accept(&listener, u64::from(number)).await;
         while let Some(frame) = gate.rest().await {
             let (id, terms) = match frame {
-                ToGate::Call { id, terms, .. } | ToGate::Ask { id, terms, .. } => (id, terms),
+                ToGate::Call { id, terms, .. } | ToGate::Offer { id, terms, .. } => (id, terms),
                 ToGate::Ping => {
                     gate.send(&ToEntry::Pong).await;
                     continue;
--- a/crates/edge/tests/all/at_most_once.rs
+++ b/crates/edge/tests/all/at_most_once.rs
@@ -38,7 +38,7 @@
 #[tokio::test]
 async fn a_payment_that_was_shed_runs_elsewhere_once() {
     let fleet = fleet(&["s", "s"]).await;
-    fleet.vms[0].target.set_usual("shed");
+    fleet.vms[0].target.set_default_behaviour("shed");
     for number in 0..4 {
         let answer = ask(
             fleet.vms[0].callers,
@@ -69,7 +69,7 @@
     let fleet = fleet(&["s"]).await;
     let target = &fleet.vms[0].target;
     // Longer than the gate lets a payment's connection rest.
-    target.forget_idle_after(Duration::from_millis(260));
+    target.reset_idle_after(Duration::from_millis(260));
     // Three connections rest; the gate's question for the speed takes one.
     let callers = fleet.vms[0].callers;
     let (one, two, three) = tokio::join!(
--- a/crates/edge/tests/all/giving_up.rs
+++ b/crates/edge/tests/all/giving_up.rs
@@ -59,7 +59,7 @@
 #[tokio::test]
 async fn a_target_that_cannot_be_reached_is_gone_round() {
     let fleet = fleet(&["s", "s"]).await;
-    fleet.vms[0].target.set_usual("hang");
+    fleet.vms[0].target.set_default_behaviour("hang");
     // The first target holds the lookup; after two and a half usual runs it
     // counts as stuck, and the second one is asked beside it.
     let answer = ask(fleet.vms[0].callers, "GET", "/read/", "id-1").await;
--- a/crates/edge/tests/all/links.rs
+++ b/crates/edge/tests/all/links.rs
@@ -49,12 +49,12 @@
     // It has refused, so it is asked with the terms alone from now on.
     let before = gate.read_bytes;
     for _ in 0..2 {
-        let ToGate::Ask { id, .. } = gate.next().await else {
+        let ToGate::Offer { id, .. } = gate.next().await else {
             panic!("a question was expected");
         };
         gate.send(&ToEntry::Ended { id, end }).await;
     }
-    let ToGate::Ask { id, body_bytes, .. } = gate.next().await else {
+    let ToGate::Offer { id, body_bytes, .. } = gate.next().await else {
         panic!("a question was expected");
     };
     let asked = gate.read_bytes - before;
@@ -62,7 +62,7 @@
         asked <= 3 * MOST_ASK_BYTES,
         "{asked} bytes for three questions"
     );
-    gate.send(&ToEntry::WantsBody { id }).await;
+    gate.send(&ToEntry::WantsContent { id }).await;
     let ToGate::Head { head, .. } = gate.next().await else {
         panic!("the head was expected");
     };
--- a/crates/edge/tests/all/lives.rs
+++ b/crates/edge/tests/all/lives.rs
@@ -21,13 +21,13 @@
 async fn a_target_that_was_another_is_used_in_its_next_life() {
     let fleet = fleet(&["s"]).await;
     list_life(&fleet, 1);
-    fleet.vms[0].target.set_life("somebody-else");
+    fleet.vms[0].target.set_target_id("somebody-else");
     for number in 0..2 {
         let id = format!("id-{number}");
         let answer = ask(fleet.vms[0].callers, "POST", "/pay/", &id).await;
         assert_eq!(answer.status(), 503);
     }
-    fleet.vms[0].target.set_life("life-0");
+    fleet.vms[0].target.set_target_id("life-0");
     list_life(&fleet, 2);
     let answer = ask(fleet.vms[0].callers, "POST", "/pay/", "id-9").await;
     assert_eq!(answer.status(), 200);
--- a/crates/edge/tests/all/support/target.rs
+++ b/crates/edge/tests/all/support/target.rs
@@ -18,14 +18,14 @@
 
 /// What the target remembers of a request that it ran.
 #[derive(Clone, Debug)]
-pub struct Ran {
+pub struct RecordedRun {
     pub head: RequestHead,
     pub body: Vec<u8>,
 }
 
 #[derive(Debug, Default)]
 struct Journal {
-    ran: Mutex<Vec<Ran>>,
+    ran: Mutex<Vec<RecordedRun>>,
     /// A request has crashed the target.
     crashed: tokio::sync::Notify,
     /// Connections that closed within a run.
@@ -90,7 +90,7 @@
     }
 
     /// Requests that ran, in their order.
-    pub fn ran(&self) -> Vec<Ran> {
+    pub fn ran(&self) -> Vec<RecordedRun> {
         self.journal.ran.lock().clone()
     }
 
@@ -129,18 +129,18 @@
     }
 
     /// From now on forgets connections that rest for this long, without notice.
-    pub fn forget_idle_after(&self, span: Duration) {
+    pub fn reset_idle_after(&self, span: Duration) {
         let ms = u32::try_from(span.as_millis()).expect("a short span");
         self.journal.forgets_after_ms.store(ms, Ordering::Relaxed);
     }
 
     /// From now on answers to this id alone.
-    pub fn set_life(&self, life: &str) {
+    pub fn set_target_id(&self, life: &str) {
         *self.journal.life.lock() = life.to_owned();
     }
 
     /// What requests without a behaviour of their own meet.
-    pub fn set_usual(&self, behaviour: &str) {
+    pub fn set_default_behaviour(&self, behaviour: &str) {
         *self.journal.usual.lock() = behaviour.to_owned();
     }
 }
@@ -210,7 +210,7 @@
     }
     let head_framing = head.framing().unwrap_or(Framing::Length(0));
     if behaviour == "early" {
-        journal.ran.lock().push(Ran {
+        journal.ran.lock().push(RecordedRun {
             head,
             body: Vec::new(),
         });
@@ -223,7 +223,7 @@
     let Ok(body) = reader.body(head_framing, u64::MAX).await else {
         return false;
     };
-    journal.ran.lock().push(Ran {
+    journal.ran.lock().push(RecordedRun {
         head,
         body: body.to_vec(),
     });
--- a/crates/wire/src/control/codec.rs
+++ b/crates/wire/src/control/codec.rs
@@ -39,7 +39,7 @@
     if *version != FORMAT_VERSION {
         return Err(WireError::FormatVersion {
             found: *version,
-            spoken: FORMAT_VERSION,
+            supported: FORMAT_VERSION,
         });
     }
     postcard::from_bytes(body).map_err(|error| malformed(what, error))
--- a/crates/wire/src/control/tests.rs
+++ b/crates/wire/src/control/tests.rs
@@ -134,7 +134,7 @@
     bytes[0] = FORMAT_VERSION + 1;
     let error = WireError::FormatVersion {
         found: FORMAT_VERSION + 1,
-        spoken: FORMAT_VERSION,
+        supported: FORMAT_VERSION,
     };
     assert_eq!(Datagram::decode(&bytes), Err(error));
 }
--- a/crates/wire/src/error.rs
+++ b/crates/wire/src/error.rs
@@ -6,12 +6,12 @@
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum WireError {
     /// The message claims a format that this build does not speak.
-    #[error("format version {found} is not spoken here, {spoken} is")]
+    #[error("format version {found} is not spoken here, {supported} is")]
     FormatVersion {
         /// The version in the message.
         found: u8,
         /// The version of this build.
-        spoken: u8,
+        supported: u8,
     },
     /// The message is longer than its limit.
     #[error("{found_bytes} bytes are above the limit of {limit_bytes}")]
--- a/crates/wire/src/link.rs
+++ b/crates/wire/src/link.rs
@@ -67,7 +67,7 @@
     /// Mean run time of its route at usual speed.
     pub work_ms: Millis,
     /// It may wait at the gate this long.
-    pub hold_ms: Millis,
+    pub max_queue_ms: Millis,
     /// Its caller is served well if it ends within this span.
     pub objective_ms: Millis,
     /// That span for a call whose caller asks for the first time.
@@ -157,7 +157,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ToGate {
     /// A call with its body, or with nothing of a body that is kept back until
-    /// [`ToEntry::WantsBody`].
+    /// [`ToEntry::WantsContent`].
     Call {
         /// Its number on this link.
         id: CallId,
@@ -171,8 +171,8 @@
         body: Bytes,
     },
     /// The terms of a call alone, for a gate that is likely to refuse it. Its head and
-    /// body are kept back until [`ToEntry::WantsBody`].
-    Ask {
+    /// body are kept back until [`ToEntry::WantsContent`].
+    Offer {
         /// Its number on this link.
         id: CallId,
         /// Terms.
@@ -180,7 +180,7 @@
         /// Bytes of the whole body.
         body_bytes: u64,
     },
-    /// The head that [`Self::Ask`] kept back; its body follows.
+    /// The head that [`Self::Offer`] kept back; its body follows.
     Head {
         /// The call.
         id: CallId,
@@ -216,7 +216,7 @@
     Ping,
     /// A subscription: tell what changed after this revision of the platform's
     /// list, now and from now on.
-    Follow {
+    Subscribe {
         /// Up to this revision everything is known.
         revision: u64,
     },
@@ -231,7 +231,7 @@
         incarnation: Incarnation,
     },
     /// The call has a slot; what was kept back of it is wanted now.
-    WantsBody {
+    WantsContent {
         /// The call.
         id: CallId,
     },
@@ -274,20 +274,20 @@
     /// I am.
     Pong,
     /// One change of routes or targets, for a subscriber. It counts once
-    /// [`Self::KnownTo`] follows.
+    /// [`Self::Progress`] follows.
     Change(Bytes),
     /// Every change up to this revision was told. Sent again when there is
     /// nothing to tell, so that silence means trouble.
-    KnownTo {
+    Progress {
         /// The revision.
         revision: u64,
         /// The reader's own last read failed.
-        is_troubled: bool,
+        last_read_failed: bool,
         /// So long ago this was all that the source had published.
         age_ms: Millis,
     },
     /// This node is no reader, or no longer knows what came after the revision.
-    NoFeed,
+    FeedUnavailable,
 }
 
 /// Appends a message as a frame.
--- a/crates/wire/src/ticket.rs
+++ b/crates/wire/src/ticket.rs
@@ -74,7 +74,7 @@
         if *version != FORMAT_VERSION {
             return Err(WireError::FormatVersion {
                 found: *version,
-                spoken: FORMAT_VERSION,
+                supported: FORMAT_VERSION,
             });
         }
         postcard::from_bytes(body).map_err(malformed)
