--- a/crates/edge/src/link.rs
+++ b/crates/edge/src/link.rs
@@ -2,7 +2,7 @@
 
 mod client;
 mod framed;
-mod hearing;
+mod liveness;
 mod outgoing;
 mod server;
 
--- a/crates/edge/src/link/client.rs
+++ b/crates/edge/src/link/client.rs
@@ -13,9 +13,11 @@
 use tokio::task::AbortHandle;
 use tokio::time::Instant;
 
-use super::framed::{FrameReader, LinkFault, PartialBody, next_part, pass_on, write_frames};
-use super::hearing::Hearing;
-use super::outgoing::{KeptBack, OutgoingCall, call_frame};
+use super::framed::{
+    FrameReader, LinkFault, PartialBody, forward_notices, next_part, write_frames,
+};
+use super::liveness::Liveness;
+use super::outgoing::{DeferredContent, OutgoingCall, call_frame};
 use crate::gate::GateEvent;
 use crate::prelude::*;
 use crate::sockets;
@@ -43,18 +45,18 @@
 #[derive(Debug)]
 pub struct PendingRequest {
     task: AbortHandle,
-    sent: SentPlace,
+    sent: SentRequest,
 }
 
 /// Where a question went, once it was sent. The task that sends it fills this
 /// without a pause in between, so a drop meets it either unsent or filled.
-type SentPlace = Arc<Mutex<Option<(Arc<Link>, CallId)>>>;
+type SentRequest = Arc<Mutex<Option<(Arc<Link>, CallId)>>>;
 
 impl Drop for PendingRequest {
     fn drop(&mut self) {
         self.task.abort();
         if let Some((link, id)) = self.sent.lock().take() {
-            link.withdraw(id);
+            link.cancel(id);
         }
     }
 }
@@ -74,7 +76,7 @@
 }
 
 /// What is sent over a link.
-enum Question {
+enum LinkRequest {
     Call(Box<OutgoingCall>),
     Fence(CallKey),
 }
@@ -97,7 +99,7 @@
         call: OutgoingCall,
         sink: LinkSink,
     ) -> PendingRequest {
-        self.ask(gate, Question::Call(Box::new(call)), sink)
+        self.start(gate, LinkRequest::Call(Box::new(call)), sink)
     }
 
     /// Asks a gate about a key, which fences it.
@@ -107,24 +109,24 @@
         key: CallKey,
         sink: LinkSink,
     ) -> PendingRequest {
-        self.ask(gate, Question::Fence(key), sink)
+        self.start(gate, LinkRequest::Fence(key), sink)
     }
 
-    fn ask(
+    fn start(
         self: &Arc<Self>,
         gate: SocketAddr,
-        question: Question,
+        request: LinkRequest,
         sink: LinkSink,
     ) -> PendingRequest {
-        let sent = SentPlace::default();
+        let sent = SentRequest::default();
         let pool = Arc::clone(self);
-        let place = Arc::clone(&sent);
+        let sent_by_task = Arc::clone(&sent);
         let task = tokio::spawn(async move {
             match pool.link(gate).await {
-                Ok(link) if link.refuses(&question) => sink(LinkEvent::Unreachable),
+                Ok(link) if link.must_withhold(&request) => sink(LinkEvent::Unreachable),
                 Ok(link) => {
-                    let id = link.send(question, sink);
-                    *place.lock() = Some((link, id));
+                    let id = link.send(request, sink);
+                    *sent_by_task.lock() = Some((link, id));
                 }
                 Err(fault) => {
                     log::debug!("no link to {gate}: {fault}");
@@ -140,7 +142,9 @@
 
     /// Whether a link to a gate can be had now.
     pub async fn is_reachable(&self, gate: SocketAddr) -> bool {
-        self.link(gate).await.is_ok_and(|link| !link.is_doubted())
+        self.link(gate)
+            .await
+            .is_ok_and(|link| !link.is_unresponsive())
     }
 
     /// Drops links to gates that are no longer listed.
@@ -150,14 +154,14 @@
 
     async fn link(&self, gate: SocketAddr) -> Result<Arc<Link>, LinkFault> {
         let slot = Arc::clone(self.links.lock().entry(gate).or_default());
-        let mut kept = slot.link.lock().await;
-        if let Some(link) = kept.as_ref()
+        let mut current = slot.link.lock().await;
+        if let Some(link) = current.as_ref()
             && !link.is_dead()
         {
             return Ok(Arc::clone(link));
         }
         let link = Link::open(gate, &self.suspicion, &self.directory).await?;
-        *kept = Some(Arc::clone(&link));
+        *current = Some(Arc::clone(&link));
         Ok(link)
     }
 }
@@ -173,14 +177,14 @@
     last_id: AtomicU64,
     dead: AtomicBool,
     /// The gate did not answer lately.
-    doubted: AtomicBool,
+    unresponsive: AtomicBool,
     /// Something was sent, so an answer is due.
-    asked: tokio::sync::Notify,
+    request_sent: tokio::sync::Notify,
 }
 
 struct OpenCall {
     sink: LinkSink,
-    kept_back: KeptBack,
+    deferred: DeferredContent,
     answer: Option<(AnswerHead, PartialBody)>,
 }
 
@@ -213,25 +217,25 @@
             calls: Mutex::default(),
             last_id: AtomicU64::new(0),
             dead: AtomicBool::new(false),
-            doubted: AtomicBool::new(false),
-            asked: tokio::sync::Notify::new(),
+            unresponsive: AtomicBool::new(false),
+            request_sent: tokio::sync::Notify::new(),
         });
-        let (known, news) = suspicion.follow();
+        let (known, updates) = suspicion.follow();
         for notice in known {
             link.push(ToGate::Suspect(notice));
         }
-        let telling = pass_on(news, link.frames.clone(), ToGate::Suspect);
-        let driven = Arc::clone(&link);
+        let forwarding = forward_notices(updates, link.frames.clone(), ToGate::Suspect);
+        let driver = Arc::clone(&link);
         tokio::spawn(async move {
             let ended = tokio::select! {
-                ended = driven.read(reader) => ended,
+                ended = driver.read(reader) => ended,
                 ended = write_frames(writer, to_write) => ended,
-                () = telling => Ok(()),
+                () = forwarding => Ok(()),
             };
             if let Err(fault) = ended {
                 log::info!("the link to {gate} ended: {fault}");
             }
-            driven.end();
+            driver.end();
         });
         Ok(link)
     }
@@ -240,8 +244,8 @@
         self.dead.load(Ordering::Acquire)
     }
 
-    fn is_doubted(&self) -> bool {
-        self.doubted.load(Ordering::Acquire)
+    fn is_unresponsive(&self) -> bool {
+        self.unresponsive.load(Ordering::Acquire)
     }
 
     /// Whether a question is better not sent.
@@ -252,24 +256,24 @@
     /// from the first unanswered question on, they have not been sent, and go
     /// elsewhere without using the retry budget. A question about a key is sent:
     /// only this gate can answer it.
-    fn refuses(&self, question: &Question) -> bool {
-        matches!(question, Question::Call(_)) && self.is_doubted()
+    fn must_withhold(&self, request: &LinkRequest) -> bool {
+        matches!(request, LinkRequest::Call(_)) && self.is_unresponsive()
     }
 
-    fn send(&self, question: Question, sink: LinkSink) -> CallId {
+    fn send(&self, request: LinkRequest, sink: LinkSink) -> CallId {
         let id = CallId(self.last_id.fetch_add(1, Ordering::Relaxed) + 1);
-        let (frame, kept_back) = match question {
-            Question::Fence(key) => (ToGate::Fence { id, key }, KeptBack::default()),
-            Question::Call(call) => call_frame(id, *call),
+        let (frame, deferred) = match request {
+            LinkRequest::Fence(key) => (ToGate::Fence { id, key }, DeferredContent::default()),
+            LinkRequest::Call(call) => call_frame(id, *call),
         };
         let open = OpenCall {
             sink,
-            kept_back,
+            deferred,
             answer: None,
         };
         self.calls.lock().insert(id, open);
         self.push(frame);
-        self.asked.notify_one();
+        self.request_sent.notify_one();
         if self.is_dead() {
             // It ended while the call was put in; nobody else tells its sink.
             self.end();
@@ -283,7 +287,7 @@
         let _ = self.frames.send(frame);
     }
 
-    fn withdraw(&self, id: CallId) {
+    fn cancel(&self, id: CallId) {
         if self.calls.lock().remove(&id).is_some() {
             self.push(ToGate::Cancel { id });
         }
@@ -297,44 +301,44 @@
     /// [`Hearing`]); an idle link costs nothing. A link in doubt is followed to
     /// its end without calls too, or it would stay in doubt for ever.
     async fn read(&self, mut reader: FrameReader) -> Result<(), LinkFault> {
-        let mut hearing = Hearing::Heard(Instant::now());
+        let mut liveness = Liveness::Alive(Instant::now());
         loop {
-            let awaits = !self.calls.lock().is_empty() || self.is_doubted();
+            let is_awaiting = !self.calls.lock().is_empty() || self.is_unresponsive();
             tokio::select! {
                 // What has come goes first: a process that was paused wakes with
                 // answers to read and with all its waits over.
                 biased;
                 frame = reader.next() => {
-                    hearing = Hearing::Heard(Instant::now());
-                    self.doubted.store(false, Ordering::Release);
-                    self.take(frame?);
+                    liveness = Liveness::Alive(Instant::now());
+                    self.unresponsive.store(false, Ordering::Release);
+                    self.handle(frame?);
                 }
-                () = self.asked.notified(), if !awaits => {
-                    hearing = Hearing::Heard(Instant::now());
+                () = self.request_sent.notified(), if !is_awaiting => {
+                    liveness = Liveness::Alive(Instant::now());
                 }
-                () = tokio::time::sleep_until(hearing.ends_at()), if awaits => {
-                    hearing = self.listen_harder(hearing)?;
+                () = tokio::time::sleep_until(liveness.expires_at()), if is_awaiting => {
+                    liveness = self.escalate_silence(liveness)?;
                 }
             }
         }
     }
 
     /// The next step of a silence.
-    fn listen_harder(&self, hearing: Hearing) -> Result<Hearing, LinkFault> {
-        match hearing {
-            Hearing::Heard(_) => {
+    fn escalate_silence(&self, liveness: Liveness) -> Result<Liveness, LinkFault> {
+        match liveness {
+            Liveness::Alive(_) => {
                 self.push(ToGate::Ping);
-                Ok(Hearing::Asked(Instant::now()))
+                Ok(Liveness::Pinged(Instant::now()))
             }
-            Hearing::Asked(at) => {
-                self.doubted.store(true, Ordering::Release);
-                Ok(Hearing::Doubted(at))
+            Liveness::Pinged(at) => {
+                self.unresponsive.store(true, Ordering::Release);
+                Ok(Liveness::Unresponsive(at))
             }
-            Hearing::Doubted(_) => Err(LinkFault::Closed),
+            Liveness::Unresponsive(_) => Err(LinkFault::Closed),
         }
     }
 
-    fn take(&self, frame: ToEntry) {
+    fn handle(&self, frame: ToEntry) {
         match frame {
             ToEntry::Hello { .. } | ToEntry::Pong => {}
             ToEntry::Suspect(notice) => self.suspicion.hear(&notice),
@@ -343,7 +347,7 @@
                     self.push(ToGate::Facts(encoded));
                 }
             }
-            ToEntry::WantsContent { id } => self.send_rest(id),
+            ToEntry::WantsContent { id } => self.send_deferred(id),
             ToEntry::Started {
                 id,
                 slowness_percent,
@@ -364,21 +368,21 @@
                 if let Some(open) = self.calls.lock().get_mut(&id) {
                     open.answer = Some((head, body));
                 }
-                self.tell_whole_answer(id);
+                self.deliver_if_complete(id);
             }
             ToEntry::Body { id, part } => {
                 self.push_part(id, &part);
-                self.tell_whole_answer(id);
+                self.deliver_if_complete(id);
             }
-            ToEntry::Ended { id, end } => self.tell_last(id, GateEvent::Ended(end)),
+            ToEntry::Ended { id, end } => self.deliver_last(id, GateEvent::Ended(end)),
             // Only subscribers are told these, on connections of their own.
             ToEntry::Change(_) | ToEntry::Progress { .. } | ToEntry::FeedUnavailable => {}
         }
     }
 
-    fn send_rest(&self, id: CallId) {
-        let KeptBack { head, mut body } = match self.calls.lock().get_mut(&id) {
-            Some(open) => std::mem::take(&mut open.kept_back),
+    fn send_deferred(&self, id: CallId) {
+        let DeferredContent { head, mut body } = match self.calls.lock().get_mut(&id) {
+            Some(open) => std::mem::take(&mut open.deferred),
             None => return,
         };
         if let Some(head) = head {
@@ -398,27 +402,27 @@
         }
     }
 
-    fn tell_whole_answer(&self, id: CallId) {
+    fn deliver_if_complete(&self, id: CallId) {
         let mut calls = self.calls.lock();
         let Some(open) = calls.get_mut(&id) else {
             return;
         };
-        let is_whole = open
+        let is_complete = open
             .answer
             .as_ref()
-            .is_some_and(|(_, body)| body.is_whole());
-        if !is_whole {
+            .is_some_and(|(_, body)| body.is_complete());
+        if !is_complete {
             return;
         }
         let answer = open.answer.take();
         drop(calls);
         if let Some((head, body)) = answer {
             let body = body.into_bytes();
-            self.tell_last(id, GateEvent::Answered { head, body });
+            self.deliver_last(id, GateEvent::Answered { head, body });
         }
     }
 
-    fn tell_last(&self, id: CallId, event: GateEvent) {
+    fn deliver_last(&self, id: CallId, event: GateEvent) {
         let open = self.calls.lock().remove(&id);
         if let Some(open) = open {
             (open.sink)(LinkEvent::Gate(event, self.incarnation));
--- a/crates/edge/src/link/framed.rs
+++ b/crates/edge/src/link/framed.rs
@@ -74,15 +74,15 @@
 }
 
 /// Sends each notice as a frame; ends when the link's frames are read no more.
-pub(super) async fn pass_on<T>(
-    mut news: broadcast::Receiver<SuspectNotice>,
+pub(super) async fn forward_notices<T>(
+    mut notices: broadcast::Receiver<SuspectNotice>,
     frames: mpsc::UnboundedSender<T>,
-    frame: fn(SuspectNotice) -> T,
+    to_frame: fn(SuspectNotice) -> T,
 ) {
     loop {
-        match news.recv().await {
+        match notices.recv().await {
             Ok(notice) => {
-                if frames.send(frame(notice)).is_err() {
+                if frames.send(to_frame(notice)).is_err() {
                     return;
                 }
             }
@@ -117,7 +117,7 @@
         self.parts.extend_from_slice(part);
     }
 
-    pub(super) fn is_whole(&self) -> bool {
+    pub(super) fn is_complete(&self) -> bool {
         self.parts.len() as u64 >= self.expected_bytes
     }
 
--- a/crates/edge/src/link/hearing.rs
+++ b/crates/edge/src/link/liveness.rs
@@ -10,7 +10,7 @@
 const PING_AFTER: Duration = Duration::from_millis(150);
 /// A gate that has not answered after this long is in doubt. It answers in one
 /// round trip, 20 ms at most, unless the network or its VM is in trouble.
-const DOUBT_AFTER: Duration = Duration::from_millis(150);
+const UNRESPONSIVE_AFTER: Duration = Duration::from_millis(150);
 /// The link is given up when the gate has not answered for this long. A lost
 /// packet is sent again after 200 ms or a little more, and the next time after
 /// twice as long, so one loss or two do not end a link.
@@ -18,22 +18,22 @@
 
 /// How long the gate has been silent.
 #[derive(Clone, Copy, Debug)]
-pub(super) enum Hearing {
+pub(super) enum Liveness {
     /// It was last heard then.
-    Heard(Instant),
+    Alive(Instant),
     /// It was asked then whether it is there.
-    Asked(Instant),
+    Pinged(Instant),
     /// The same, and it should have answered.
-    Doubted(Instant),
+    Unresponsive(Instant),
 }
 
-impl Hearing {
+impl Liveness {
     /// When the next step is due.
-    pub(super) fn ends_at(self) -> Instant {
+    pub(super) fn expires_at(self) -> Instant {
         match self {
-            Self::Heard(at) => at + PING_AFTER,
-            Self::Asked(at) => at + DOUBT_AFTER,
-            Self::Doubted(at) => at + DEAD_AFTER,
+            Self::Alive(at) => at + PING_AFTER,
+            Self::Pinged(at) => at + UNRESPONSIVE_AFTER,
+            Self::Unresponsive(at) => at + DEAD_AFTER,
         }
     }
 }
--- a/crates/edge/src/link/outgoing.rs
+++ b/crates/edge/src/link/outgoing.rs
@@ -20,13 +20,13 @@
 
 /// What of a call is sent only when the gate wants it.
 #[derive(Default)]
-pub(super) struct KeptBack {
+pub(super) struct DeferredContent {
     pub(super) head: Option<CallHead>,
     pub(super) body: Bytes,
 }
 
 /// The first frame of a call, and what is kept back from it.
-pub(super) fn call_frame(id: CallId, call: OutgoingCall) -> (ToGate, KeptBack) {
+pub(super) fn call_frame(id: CallId, call: OutgoingCall) -> (ToGate, DeferredContent) {
     let OutgoingCall {
         terms,
         head,
@@ -35,7 +35,7 @@
     } = call;
     let body_bytes = body.len() as u64;
     if offers_terms_first {
-        let kept_back = KeptBack {
+        let deferred = DeferredContent {
             head: Some(head),
             body,
         };
@@ -44,12 +44,12 @@
             terms,
             body_bytes,
         };
-        return (frame, kept_back);
+        return (frame, deferred);
     }
-    let (inline, kept_back) = if body.len() <= INLINE_BODY_BYTES {
-        (body, KeptBack::default())
+    let (inline, deferred) = if body.len() <= INLINE_BODY_BYTES {
+        (body, DeferredContent::default())
     } else {
-        (Bytes::new(), KeptBack { head: None, body })
+        (Bytes::new(), DeferredContent { head: None, body })
     };
     let frame = ToGate::Call {
         id,
@@ -58,5 +58,5 @@
         body_bytes,
         body: inline,
     };
-    (frame, kept_back)
+    (frame, deferred)
 }
--- a/crates/edge/src/link/server.rs
+++ b/crates/edge/src/link/server.rs
@@ -10,7 +10,9 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{mpsc, oneshot};
 
-use super::framed::{FrameReader, LinkFault, PartialBody, next_part, pass_on, write_frames};
+use super::framed::{
+    FrameReader, LinkFault, PartialBody, forward_notices, next_part, write_frames,
+};
 use crate::directory::adopt_facts;
 use crate::feed::ChangeFeed;
 use crate::gate::{CallContent, EventSink, Gate, GateEvent, GateRequest, Wanted, WholeCall};
@@ -20,7 +22,7 @@
 
 type Answers = mpsc::UnboundedSender<ToEntry>;
 /// Calls in hand on one link; dropping one cancels it.
-type InHand = Arc<Mutex<HashMap<CallId, Wanted>>>;
+type ActiveCalls = Arc<Mutex<HashMap<CallId, Wanted>>>;
 
 /// Accepts links for a gate.
 #[derive(Debug)]
@@ -39,19 +41,19 @@
 
 /// A node that has just started reads the store within this time, if it can be
 /// read; after that it asks whoever opens a link, and again as often.
-const ASK_FOR_FACTS_AFTER: Duration = Duration::from_millis(400);
+const REQUEST_FACTS_AFTER: Duration = Duration::from_millis(400);
 
 /// A call of which something was kept back until the gate wants it.
-struct Arriving {
+struct PartialCall {
     head: Option<CallHead>,
     body: PartialBody,
-    whole: oneshot::Sender<WholeCall>,
+    sender: oneshot::Sender<WholeCall>,
 }
 
-impl Arriving {
+impl PartialCall {
     /// Whether the head and the whole body are in hand.
-    fn is_whole(&self) -> bool {
-        self.head.is_some() && self.body.is_whole()
+    fn is_complete(&self) -> bool {
+        self.head.is_some() && self.body.is_complete()
     }
 }
 
@@ -68,27 +70,27 @@
             incarnation: self.incarnation,
         };
         let _ = answers.send(hello);
-        let (known, news) = self.suspicion.follow();
+        let (known, updates) = self.suspicion.follow();
         for notice in known {
             let _ = answers.send(ToEntry::Suspect(notice));
         }
-        let telling = pass_on(news, answers.clone(), ToEntry::Suspect);
-        let asking = ask_for_facts(Arc::clone(&self.directory), answers.clone());
+        let forwarding = forward_notices(updates, answers.clone(), ToEntry::Suspect);
+        let requesting = request_facts(Arc::clone(&self.directory), answers.clone());
         let link = Link {
             gate: Arc::clone(&self.gate),
             directory: Arc::clone(&self.directory),
             suspicion: Arc::clone(&self.suspicion),
             feed: Arc::clone(&self.feed),
             answers,
-            in_hand: InHand::default(),
-            arriving: HashMap::new(),
+            active_calls: ActiveCalls::default(),
+            partial: HashMap::new(),
         };
         tokio::spawn(async move {
             let ended = tokio::select! {
                 ended = link.read(FrameReader::new(reader)) => ended,
                 ended = write_frames(writer, to_write) => ended,
-                () = telling => Ok(()),
-                () = asking => Ok(()),
+                () = forwarding => Ok(()),
+                () = requesting => Ok(()),
             };
             if let Err(fault) = ended {
                 log::debug!("a link ended: {fault}");
@@ -99,9 +101,9 @@
 
 /// Asks the other side for facts while this node knows none; never ends while
 /// the link lives.
-async fn ask_for_facts(directory: SharedDirectory, answers: Answers) {
+async fn request_facts(directory: SharedDirectory, answers: Answers) {
     loop {
-        tokio::time::sleep(ASK_FOR_FACTS_AFTER).await;
+        tokio::time::sleep(REQUEST_FACTS_AFTER).await;
         if directory.load().routes.is_some() {
             std::future::pending::<()>().await;
         }
@@ -117,8 +119,8 @@
     suspicion: Arc<Suspicion>,
     feed: Arc<ChangeFeed>,
     answers: Answers,
-    in_hand: InHand,
-    arriving: HashMap<CallId, Arriving>,
+    active_calls: ActiveCalls,
+    partial: HashMap<CallId, PartialCall>,
 }
 
 impl Link {
@@ -141,27 +143,27 @@
                     terms,
                     body_bytes,
                 } => {
-                    let content = self.expect_rest(id, None, body_bytes);
+                    let content = self.expect_content(id, None, body_bytes);
                     self.submit(id, GateRequest { terms, content });
                 }
                 ToGate::Head { id, head } => {
-                    if let Some(arriving) = self.arriving.get_mut(&id) {
-                        arriving.head = Some(head);
-                        self.hand_over_whole(id);
+                    if let Some(partial) = self.partial.get_mut(&id) {
+                        partial.head = Some(head);
+                        self.deliver_if_complete(id);
                     }
                 }
                 ToGate::Body { id, part } => {
-                    if let Some(arriving) = self.arriving.get_mut(&id) {
-                        arriving.body.push(&part);
-                        self.hand_over_whole(id);
+                    if let Some(partial) = self.partial.get_mut(&id) {
+                        partial.body.push(&part);
+                        self.deliver_if_complete(id);
                     }
                 }
                 ToGate::Cancel { id } => {
-                    self.arriving.remove(&id);
-                    self.in_hand.lock().remove(&id);
+                    self.partial.remove(&id);
+                    self.active_calls.lock().remove(&id);
                 }
                 ToGate::Fence { id, key } => {
-                    let sink = answer_sink(id, self.answers.clone(), InHand::default());
+                    let sink = answer_sink(id, self.answers.clone(), ActiveCalls::default());
                     self.gate.fence(key, sink);
                 }
                 ToGate::Suspect(notice) => self.suspicion.hear(&notice),
@@ -188,27 +190,32 @@
         if body.len() as u64 >= body_bytes {
             return CallContent::Whole(WholeCall { head, body });
         }
-        self.expect_rest(id, Some(head), body_bytes)
+        self.expect_content(id, Some(head), body_bytes)
     }
 
-    fn expect_rest(&mut self, id: CallId, head: Option<CallHead>, body_bytes: u64) -> CallContent {
-        let (whole, coming) = oneshot::channel();
-        self.arriving
-            .retain(|_, arriving| !arriving.whole.is_closed());
-        let arriving = Arriving {
+    fn expect_content(
+        &mut self,
+        id: CallId,
+        head: Option<CallHead>,
+        body_bytes: u64,
+    ) -> CallContent {
+        let (sender, receiver) = oneshot::channel();
+        self.partial
+            .retain(|_, partial| !partial.sender.is_closed());
+        let partial = PartialCall {
             head,
             body: PartialBody::new(body_bytes),
-            whole,
+            sender,
         };
-        self.arriving.insert(id, arriving);
-        CallContent::Later(coming)
+        self.partial.insert(id, partial);
+        CallContent::Later(receiver)
     }
 
-    fn hand_over_whole(&mut self, id: CallId) {
-        if !self.arriving.get(&id).is_some_and(Arriving::is_whole) {
+    fn deliver_if_complete(&mut self, id: CallId) {
+        if !self.partial.get(&id).is_some_and(PartialCall::is_complete) {
             return;
         }
-        let Some(Arriving { head, body, whole }) = self.arriving.remove(&id) else {
+        let Some(PartialCall { head, body, sender }) = self.partial.remove(&id) else {
             return;
         };
         let Some(head) = head else {
@@ -216,22 +223,22 @@
         };
         let body = body.into_bytes();
         // A call that was withdrawn meanwhile needs none of it.
-        let _ = whole.send(WholeCall { head, body });
+        let _ = sender.send(WholeCall { head, body });
     }
 
     fn submit(&mut self, id: CallId, request: GateRequest) {
-        let sink = answer_sink(id, self.answers.clone(), Arc::clone(&self.in_hand));
+        let sink = answer_sink(id, self.answers.clone(), Arc::clone(&self.active_calls));
         let wanted = self.gate.submit(request, sink);
-        self.in_hand.lock().insert(id, wanted);
+        self.active_calls.lock().insert(id, wanted);
     }
 }
 
 /// Sends a call's events as frames. The link may be gone by then; its entry
 /// asks about what matters to it over another.
-fn answer_sink(id: CallId, answers: Answers, in_hand: InHand) -> EventSink {
+fn answer_sink(id: CallId, answers: Answers, active_calls: ActiveCalls) -> EventSink {
     Box::new(move |event| {
         if event.is_last() {
-            in_hand.lock().remove(&id);
+            active_calls.lock().remove(&id);
         }
         match event {
             GateEvent::WantsContent => {
