--- a/crates/edge/src/link.rs
+++ b/crates/edge/src/link.rs
@@ -1,4 +1,4 @@
-//! Links between nodes: one TCP connection that carries many calls.
+//! Links between nodes. A link is one TCP connection that multiplexes many calls.
 
 mod client;
 mod framed;
--- a/crates/edge/src/link/client.rs
+++ b/crates/edge/src/link/client.rs
@@ -1,4 +1,4 @@
-//! The entry's end of links.
+//! The entry's side of links: a pool of connections to gates.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -23,33 +23,37 @@
 use crate::sockets;
 use crate::suspicion::Suspicion;
 
-/// Data centres of one region are milliseconds apart; a VM that does not answer
-/// in this time is dark or its queue of connections is full.
+/// Limit on connecting and on the gate's first frame.
+///
+/// Data centres of one region are milliseconds apart. A VM that does not answer
+/// within this time is down or its accept queue is full.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// What becomes of a call, seen from its entry.
+/// Progress of a call, as its entry sees it.
 #[derive(Debug)]
 pub enum LinkEvent {
-    /// Told by the gate in this life.
+    /// The gate with this incarnation reported an event.
     Gate(GateEvent, Incarnation),
-    /// No link could be had; nothing was sent.
+    /// No usable link to the gate could be opened. Nothing was sent.
     Unreachable,
-    /// The link broke after the call was sent to this life of the gate.
+    /// The link broke after the call was sent to the gate with this incarnation.
     Lost(Incarnation),
 }
 
-/// Takes the events of one call.
+/// Receives the events of one call.
 pub type LinkSink = Box<dyn Fn(LinkEvent) + Send + Sync>;
 
-/// A question to a gate that goes on until it is dropped, which withdraws it.
+/// Handle of a request to a gate. Dropping it cancels the request.
 #[derive(Debug)]
 pub struct PendingRequest {
     task: AbortHandle,
     sent: SentRequest,
 }
 
-/// Where a question went, once it was sent. The task that sends it fills this
-/// without a pause in between, so a drop meets it either unsent or filled.
+/// The link and id of a request, once it was sent.
+///
+/// The sending task does not await between sending and setting this, so a drop
+/// finds a request that is either unsent or recorded here.
 type SentRequest = Arc<Mutex<Option<(Arc<Link>, CallId)>>>;
 
 impl Drop for PendingRequest {
@@ -61,7 +65,7 @@
     }
 }
 
-/// Links by the gate's address, opened on need and kept.
+/// Links by the gate's address. A link is opened on first use and then reused.
 #[derive(Debug)]
 pub struct LinkPool {
     suspicion: Arc<Suspicion>,
@@ -71,18 +75,18 @@
 
 #[derive(Debug, Default)]
 struct LinkSlot {
-    /// Held while connecting, so that a burst opens one link.
+    /// Locked while connecting, so that a burst of calls opens only one link.
     link: tokio::sync::Mutex<Option<Arc<Link>>>,
 }
 
-/// What is sent over a link.
+/// A request to a gate.
 enum LinkRequest {
     Call(Box<OutgoingCall>),
     Fence(CallKey),
 }
 
 impl LinkPool {
-    /// A pool without links.
+    /// Creates a pool without links.
     #[must_use]
     pub fn new(suspicion: Arc<Suspicion>, directory: SharedDirectory) -> Self {
         Self {
@@ -102,7 +106,8 @@
         self.start(gate, LinkRequest::Call(Box::new(call)), sink)
     }
 
-    /// Asks a gate about a key, which fences it.
+    /// Asks a gate for the outcome of a key and fences the key: a call with it that
+    /// has not started will never run.
     pub fn fence(
         self: &Arc<Self>,
         gate: SocketAddr,
@@ -140,14 +145,14 @@
         }
     }
 
-    /// Whether a link to a gate can be had now.
+    /// Whether the gate has a responsive link now or one can be opened.
     pub async fn is_reachable(&self, gate: SocketAddr) -> bool {
         self.link(gate)
             .await
             .is_ok_and(|link| !link.is_unresponsive())
     }
 
-    /// Drops links to gates that are no longer listed.
+    /// Drops the links to gates for which `known` returns false.
     pub fn retain(&self, known: impl Fn(&SocketAddr) -> bool) {
         self.links.lock().retain(|address, _| known(address));
     }
@@ -176,9 +181,9 @@
     calls: Mutex<HashMap<CallId, OpenCall>>,
     last_id: AtomicU64,
     dead: AtomicBool,
-    /// The gate did not answer lately.
+    /// The gate has not answered the last ping in time.
     unresponsive: AtomicBool,
-    /// Something was sent, so an answer is due.
+    /// Wakes the reading task after a request, since a response is now due.
     request_sent: tokio::sync::Notify,
 }
 
@@ -203,7 +208,8 @@
         let stream = sockets::connect(gate, CONNECT_TIMEOUT).await?;
         let (reader, writer) = stream.into_split();
         let mut reader = FrameReader::new(reader);
-        // A paused gate accepts, in its kernel, and says nothing.
+        // The kernel of a paused gate still accepts connections, but the gate sends no
+        // first frame.
         let hello = tokio::time::timeout(CONNECT_TIMEOUT, reader.next()).await;
         let ToEntry::Hello { incarnation } = hello.map_err(std::io::Error::from)?? else {
             return Err(LinkFault::Closed);
@@ -248,14 +254,14 @@
         self.unresponsive.load(Ordering::Acquire)
     }
 
-    /// Whether a question is better not sent.
+    /// Whether a request must not be sent on this link now.
     ///
-    /// Failure answered: until a cut or a frozen VM is noticed for certain, calls
-    /// go on being sent there. They run nowhere, yet nobody can tell, so their
-    /// callers are told "unknown" and may not send a payment again. Held back
-    /// from the first unanswered question on, they have not been sent, and go
-    /// elsewhere without using the retry budget. A question about a key is sent:
-    /// only this gate can answer it.
+    /// Calls are not sent to an unresponsive gate. It takes a while until a network
+    /// partition or a frozen VM is detected for certain. A call that is sent in the
+    /// meantime does not run, but nobody can know that: its caller gets "unknown"
+    /// and may not repeat a payment. A call that was never sent goes to another
+    /// target without using the retry budget. A fence request is always sent,
+    /// because only this gate can answer it.
     fn must_withhold(&self, request: &LinkRequest) -> bool {
         matches!(request, LinkRequest::Call(_)) && self.is_unresponsive()
     }
@@ -275,15 +281,16 @@
         self.push(frame);
         self.request_sent.notify_one();
         if self.is_dead() {
-            // It ended while the call was put in; nobody else tells its sink.
+            // The link ended while the call was inserted, so nothing else notifies its
+            // sink.
             self.end();
         }
         id
     }
 
     fn push(&self, frame: ToGate) {
-        // A closed channel means that the link has ended, which is told to
-        // every call in hand.
+        // A closed channel means that the link has ended. `end` reports that to every
+        // open call.
         let _ = self.frames.send(frame);
     }
 
@@ -293,20 +300,21 @@
         }
     }
 
-    /// Reads until the link ends or falls silent.
+    /// Reads frames until the link ends or the gate stays silent for too long.
     ///
-    /// Failure answered: a VM that lost power, a partition or a frozen process
-    /// leaves a link open that answers nothing, and each call on it would wait
-    /// for its deadline. While calls wait, silence is noticed step by step (see
-    /// [`Hearing`]); an idle link costs nothing. A link in doubt is followed to
-    /// its end without calls too, or it would stay in doubt for ever.
+    /// After a power loss, a network partition or a process freeze, the link stays
+    /// open but nothing arrives, and each call on it would wait for its deadline.
+    /// While calls are open, silence is therefore detected in steps (see
+    /// [`Liveness`]); an idle link causes no traffic. An unresponsive link is
+    /// monitored without open calls too, because it would otherwise stay
+    /// unresponsive for ever.
     async fn read(&self, mut reader: FrameReader) -> Result<(), LinkFault> {
         let mut liveness = Liveness::Alive(Instant::now());
         loop {
             let is_awaiting = !self.calls.lock().is_empty() || self.is_unresponsive();
             tokio::select! {
-                // What has come goes first: a process that was paused wakes with
-                // answers to read and with all its waits over.
+                // Received frames take precedence: after a pause of this process, there
+                // are frames to read and all timers have expired.
                 biased;
                 frame = reader.next() => {
                     liveness = Liveness::Alive(Instant::now());
@@ -323,7 +331,11 @@
         }
     }
 
-    /// The next step of a silence.
+    /// Moves to the next state when the gate was silent for the whole current one.
+    ///
+    /// # Errors
+    ///
+    /// The gate was silent for so long that the link is given up.
     fn escalate_silence(&self, liveness: Liveness) -> Result<Liveness, LinkFault> {
         match liveness {
             Liveness::Alive(_) => {
@@ -375,7 +387,7 @@
                 self.deliver_if_complete(id);
             }
             ToEntry::Ended { id, end } => self.deliver_last(id, GateEvent::Ended(end)),
-            // Only subscribers are told these, on connections of their own.
+            // A gate sends these only to subscribers, which use separate connections.
             ToEntry::Change(_) | ToEntry::Progress { .. } | ToEntry::FeedUnavailable => {}
         }
     }
--- a/crates/edge/src/link/framed.rs
+++ b/crates/edge/src/link/framed.rs
@@ -1,4 +1,4 @@
-//! Frames on a connection.
+//! Reading and writing of length-prefixed frames on a TCP connection.
 
 use bytes::{Bytes, BytesMut};
 use hornbeamhitch_wire::WireError;
@@ -10,13 +10,13 @@
 use tokio::sync::{broadcast, mpsc};
 
 const READ_BYTES: usize = 32 * 1024;
-/// Frames that wait are written together up to about this many bytes.
+/// Queued frames are written in one batch of up to about this many bytes.
 const WRITE_BYTES: usize = 64 * 1024;
 
 /// Why a link ended.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum LinkFault {
-    #[error("the other side closed")]
+    #[error("the peer closed the connection")]
     Closed,
     #[error(transparent)]
     Io(#[from] std::io::Error),
@@ -24,7 +24,7 @@
     Wire(#[from] WireError),
 }
 
-/// Reads frames.
+/// Decodes frames from the read half of a connection.
 #[derive(Debug)]
 pub(crate) struct FrameReader {
     inner: OwnedReadHalf,
@@ -39,7 +39,13 @@
         }
     }
 
-    /// The next message. Safe to cancel: what was read stays in the buffer.
+    /// Reads the next message.
+    ///
+    /// This is cancel safe: bytes that have been read stay in the buffer.
+    ///
+    /// # Errors
+    ///
+    /// The peer closed the connection, reading failed, or a frame is malformed.
     pub(crate) async fn next<T: DeserializeOwned>(&mut self) -> Result<T, LinkFault> {
         loop {
             if let Some(message) = link::decode(&mut self.buffer)? {
@@ -53,7 +59,7 @@
     }
 }
 
-/// Writes what comes over a channel until its last sender is gone.
+/// Writes the messages of a channel as frames until its last sender is dropped.
 pub(super) async fn write_frames<T: Serialize>(
     mut writer: OwnedWriteHalf,
     mut messages: mpsc::UnboundedReceiver<T>,
@@ -73,7 +79,7 @@
     Ok(())
 }
 
-/// Sends each notice as a frame; ends when the link's frames are read no more.
+/// Sends each notice as a frame. Returns once the link's frame channel is closed.
 pub(super) async fn forward_notices<T>(
     mut notices: broadcast::Receiver<SuspectNotice>,
     frames: mpsc::UnboundedSender<T>,
@@ -86,19 +92,19 @@
                     return;
                 }
             }
-            // Missed notices reach the other side over other links.
+            // The peer receives the missed notices over other links.
             Err(broadcast::error::RecvError::Lagged(_)) => {}
             Err(broadcast::error::RecvError::Closed) => return,
         }
     }
 }
 
-/// Takes the next part of a body.
+/// Splits the next part off a body.
 pub(super) fn next_part(body: &mut Bytes) -> Bytes {
     body.split_to(body.len().min(BODY_PART_BYTES))
 }
 
-/// A body on its way in parts.
+/// A body that arrives in parts.
 #[derive(Debug)]
 pub(super) struct PartialBody {
     expected_bytes: u64,
--- a/crates/edge/src/link/liveness.rs
+++ b/crates/edge/src/link/liveness.rs
@@ -1,34 +1,38 @@
-//! How long the other end of a link has been silent, and what that means.
+//! Detection of a silent gate on a link, in steps.
 
 use std::time::Duration;
 
 use tokio::time::Instant;
 
-/// While answers are awaited and nothing is heard for this long, the gate is
-/// asked whether it is there. Runs take about this long, so that a link with
-/// work on it mostly speaks before.
+/// Silence while responses are due after which the gate is pinged.
+///
+/// Runs take about this long, so a link with open calls mostly receives frames
+/// before.
 const PING_AFTER: Duration = Duration::from_millis(150);
-/// A gate that has not answered after this long is in doubt. It answers in one
-/// round trip, 20 ms at most, unless the network or its VM is in trouble.
+/// Silence after a ping after which the gate counts as unresponsive.
+///
+/// It answers within one round trip, 20 ms at most, unless the network or its VM
+/// has a fault.
 const UNRESPONSIVE_AFTER: Duration = Duration::from_millis(150);
-/// The link is given up when the gate has not answered for this long. A lost
-/// packet is sent again after 200 ms or a little more, and the next time after
-/// twice as long, so one loss or two do not end a link.
+/// Silence after a ping after which the link is closed.
+///
+/// TCP retransmits a lost packet after 200 ms or a little more, and the next time
+/// after twice as long, so one or two losses do not end a link.
 const DEAD_AFTER: Duration = Duration::from_millis(800);
 
-/// How long the gate has been silent.
+/// Liveness of the gate, as seen by the entry.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum Liveness {
-    /// It was last heard then.
+    /// The last frame arrived at this time, or nothing was due until then.
     Alive(Instant),
-    /// It was asked then whether it is there.
+    /// A ping was sent at this time.
     Pinged(Instant),
-    /// The same, and it should have answered.
+    /// The ping of this time was not answered within [`UNRESPONSIVE_AFTER`].
     Unresponsive(Instant),
 }
 
 impl Liveness {
-    /// When the next step is due.
+    /// End of this state if the gate stays silent.
     pub(super) fn expires_at(self) -> Instant {
         match self {
             Self::Alive(at) => at + PING_AFTER,
--- a/crates/edge/src/link/outgoing.rs
+++ b/crates/edge/src/link/outgoing.rs
@@ -1,31 +1,32 @@
-//! A call on its way to a gate: what is sent at once and what is kept back.
+//! Outgoing calls: which part is sent at once and which is deferred until the gate
+//! requests it.
 
 use bytes::Bytes;
 use hornbeamhitch_wire::link::{CallId, INLINE_BODY_BYTES, ToGate};
 
 use crate::prelude::*;
 
-/// A call as it is sent to a gate.
+/// A call to a gate.
 #[derive(Clone, Debug)]
 pub struct OutgoingCall {
-    /// What the gate decides by.
+    /// The values that the gate's admission uses.
     pub terms: CallTerms,
-    /// The request.
+    /// Head of the request.
     pub head: CallHead,
-    /// Its whole body.
+    /// The whole body of the request.
     pub body: Bytes,
-    /// The gate is likely to refuse it, so only its terms are sent at first.
+    /// Only the terms are sent at first, because the gate is likely to refuse the call.
     pub offers_terms_first: bool,
 }
 
-/// What of a call is sent only when the gate wants it.
+/// The part of a call that is sent only when the gate requests it.
 #[derive(Default)]
 pub(super) struct DeferredContent {
     pub(super) head: Option<CallHead>,
     pub(super) body: Bytes,
 }
 
-/// The first frame of a call, and what is kept back from it.
+/// Returns the first frame of a call and the part that is deferred.
 pub(super) fn call_frame(id: CallId, call: OutgoingCall) -> (ToGate, DeferredContent) {
     let OutgoingCall {
         terms,
--- a/crates/edge/src/link/server.rs
+++ b/crates/edge/src/link/server.rs
@@ -1,4 +1,4 @@
-//! The gate's end of links.
+//! The gate's side of links.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -21,7 +21,7 @@
 use crate::suspicion::Suspicion;
 
 type Answers = mpsc::UnboundedSender<ToEntry>;
-/// Calls in hand on one link; dropping one cancels it.
+/// Open calls of one link. Dropping an element cancels its call.
 type ActiveCalls = Arc<Mutex<HashMap<CallId, Wanted>>>;
 
 /// Accepts links for a gate.
@@ -29,21 +29,23 @@
 pub struct LinkServer {
     /// The gate.
     pub gate: Arc<Gate>,
-    /// This life of the process.
+    /// Incarnation of this process.
     pub incarnation: Incarnation,
-    /// What is held against requests.
+    /// Requests that are suspected of crashing targets.
     pub suspicion: Arc<Suspicion>,
-    /// Facts in force.
+    /// Routes and targets in force.
     pub directory: SharedDirectory,
-    /// What subscribers are told.
+    /// Changes for subscribers.
     pub feed: Arc<ChangeFeed>,
 }
 
-/// A node that has just started reads the store within this time, if it can be
-/// read; after that it asks whoever opens a link, and again as often.
+/// Interval at which a node without routes requests them from a peer with a link.
+///
+/// A node that has just started reads the store within this time if the store is
+/// available.
 const REQUEST_FACTS_AFTER: Duration = Duration::from_millis(400);
 
-/// A call of which something was kept back until the gate wants it.
+/// A call whose head or body the entry deferred and which has not arrived whole.
 struct PartialCall {
     head: Option<CallHead>,
     body: PartialBody,
@@ -51,14 +53,14 @@
 }
 
 impl PartialCall {
-    /// Whether the head and the whole body are in hand.
+    /// Whether the head and the whole body have arrived.
     fn is_complete(&self) -> bool {
         self.head.is_some() && self.body.is_complete()
     }
 }
 
 impl LinkServer {
-    /// Accepts links for as long as the process lives.
+    /// Accepts links until the process ends.
     pub async fn accept(self, listener: TcpListener) {
         sockets::accept_all(listener, "a link", |stream| self.serve(stream)).await;
     }
@@ -99,8 +101,8 @@
     }
 }
 
-/// Asks the other side for facts while this node knows none; never ends while
-/// the link lives.
+/// Requests routes and targets from the peer for as long as this node knows none.
+/// Does not return before the link ends.
 async fn request_facts(directory: SharedDirectory, answers: Answers) {
     loop {
         tokio::time::sleep(REQUEST_FACTS_AFTER).await;
@@ -124,7 +126,7 @@
 }
 
 impl Link {
-    /// Reads until the link ends, which cancels what is in hand.
+    /// Reads frames until the link ends, which cancels all open calls.
     async fn read(mut self, mut reader: FrameReader) -> Result<(), LinkFault> {
         loop {
             match reader.next().await? {
@@ -222,7 +224,7 @@
             return;
         };
         let body = body.into_bytes();
-        // A call that was withdrawn meanwhile needs none of it.
+        // The call may have been cancelled in the meantime.
         let _ = sender.send(WholeCall { head, body });
     }
 
@@ -233,8 +235,10 @@
     }
 }
 
-/// Sends a call's events as frames. The link may be gone by then; its entry
-/// asks about what matters to it over another.
+/// Creates a sink that sends a call's events as frames.
+///
+/// A send fails silently when the link has ended. The entry then requests the
+/// outcomes that it needs over a new link.
 fn answer_sink(id: CallId, answers: Answers, active_calls: ActiveCalls) -> EventSink {
     Box::new(move |event| {
         if event.is_last() {
