--- a/crates/edge/src/http1/stream.rs
+++ b/crates/edge/src/http1/stream.rs
@@ -50,7 +50,7 @@
 
     /// Whether bytes were read that belong to no message yet.
     #[must_use]
-    pub fn has_rest(&self) -> bool {
+    pub fn has_buffered_bytes(&self) -> bool {
         !self.buffer.is_empty()
     }
 
@@ -96,7 +96,7 @@
                 self.buffer.advance(length);
                 return Ok(head);
             }
-            self.more_of_head(max_bytes).await?;
+            self.fill_head(max_bytes).await?;
         }
     }
 
@@ -114,7 +114,7 @@
                 }
                 continue;
             }
-            self.more_of_head(max_bytes).await?;
+            self.fill_head(max_bytes).await?;
         }
     }
 
@@ -178,7 +178,7 @@
         }
     }
 
-    async fn more_of_head(&mut self, max_bytes: usize) -> Result<(), ReadFault> {
+    async fn fill_head(&mut self, max_bytes: usize) -> Result<(), ReadFault> {
         if self.buffer.len() > max_bytes {
             return Err(HeadFault::TooLarge.into());
         }
--- a/crates/edge/src/http1/tests.rs
+++ b/crates/edge/src/http1/tests.rs
@@ -11,9 +11,9 @@
 use super::*;
 
 /// Hands out bytes one at a time, so that every split of the input is met.
-struct Drip(Vec<u8>, usize);
+struct OneByteReader(Vec<u8>, usize);
 
-impl AsyncRead for Drip {
+impl AsyncRead for OneByteReader {
     fn poll_read(
         mut self: Pin<&mut Self>,
         _: &mut Context<'_>,
@@ -27,8 +27,8 @@
     }
 }
 
-fn reader(text: &str) -> HttpReader<Drip> {
-    HttpReader::new(Drip(text.as_bytes().to_vec(), 0))
+fn reader(text: &str) -> HttpReader<OneByteReader> {
+    HttpReader::new(OneByteReader(text.as_bytes().to_vec(), 0))
 }
 
 async fn framing_of(fields: &str) -> Result<Framing, ReadFault> {
--- a/crates/edge/src/http1/tests/properties.rs
+++ b/crates/edge/src/http1/tests/properties.rs
@@ -4,7 +4,7 @@
 use proptest::prelude::*;
 
 use super::super::*;
-use super::Drip;
+use super::OneByteReader;
 use crate::prelude::*;
 
 const MAX_HEAD_BYTES: usize = 4_096;
@@ -16,7 +16,7 @@
 }
 
 /// Bytes of which most are ones that a head is made of.
-fn hostile() -> impl Strategy<Value = Vec<u8>> {
+fn malformed_input() -> impl Strategy<Value = Vec<u8>> {
     let pieces = prop_oneof![
         Just(b"GET /a HTTP/1.1\r\n".to_vec()),
         Just(b"HTTP/1.1 200 OK\r\n".to_vec()),
@@ -53,9 +53,9 @@
     /// Whatever a caller or a target sends, reading ends: with a head, a body, a
     /// fault or the end of the connection, and never with a panic.
     #[test]
-    fn any_bytes_are_read_to_an_end(bytes in hostile()) {
+    fn any_bytes_are_read_to_an_end(bytes in malformed_input()) {
         runtime().block_on(async {
-            let mut reader = HttpReader::new(Drip(bytes.clone(), 0));
+            let mut reader = HttpReader::new(OneByteReader(bytes.clone(), 0));
             while let Ok(head) = reader.request_head(MAX_HEAD_BYTES).await {
                 let Ok(framing) = head.framing() else {
                     break;
@@ -64,7 +64,7 @@
                     break;
                 }
             }
-            let mut reader = HttpReader::new(Drip(bytes, 0));
+            let mut reader = HttpReader::new(OneByteReader(bytes, 0));
             while let Ok(head) = reader.response_head(MAX_HEAD_BYTES).await {
                 let Ok(framing) = head.framing("GET") else {
                     break;
@@ -88,7 +88,7 @@
             text.push_str(&encoded(body.as_bytes(), *chunk_bytes));
         }
         let read = runtime().block_on(async {
-            let mut reader = HttpReader::new(Drip(text.into_bytes(), 0));
+            let mut reader = HttpReader::new(OneByteReader(text.into_bytes(), 0));
             let mut read = Vec::new();
             while let Ok(head) = reader.request_head(MAX_HEAD_BYTES).await {
                 let framing = head.framing().expect("a clear framing");
@@ -123,7 +123,7 @@
         }
         let bytes = request_bytes("POST", &path, &fields, &body);
         let (head, read) = runtime().block_on(async {
-            let mut reader = HttpReader::new(Drip(bytes.to_vec(), 0));
+            let mut reader = HttpReader::new(OneByteReader(bytes.to_vec(), 0));
             let head = reader.request_head(MAX_HEAD_BYTES).await.expect("a head");
             let framing = head.framing().expect("a clear framing");
             (head, reader.body(framing, 1_000).await.expect("a body"))
--- a/crates/edge/src/sockets.rs
+++ b/crates/edge/src/sockets.rs
@@ -8,7 +8,7 @@
 
 /// Sent data that is not acknowledged for this long ends the connection. A VM
 /// that lost power answers nothing, and its connections would hang for minutes.
-const UNACKNOWLEDGED_MS: Duration = Duration::from_millis(2_500);
+const USER_TIMEOUT: Duration = Duration::from_millis(2_500);
 /// A silent connection is asked after this span, as often as this, and given up
 /// after two questions without an answer: about as long as above.
 const KEEPALIVE_IDLE: Duration = Duration::from_secs(1);
@@ -41,7 +41,7 @@
     let results = [
         stream.set_nodelay(true),
         socket.set_tcp_keepalive(&keepalive),
-        socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED_MS)),
+        socket.set_tcp_user_timeout(Some(USER_TIMEOUT)),
     ];
     for result in results {
         if let Err(error) = result {
@@ -70,7 +70,7 @@
 /// Whether a connection at rest can carry another request: it is open, and no
 /// byte lies unread that would be taken for the next answer.
 #[must_use]
-pub fn is_quiet(stream: &TcpStream) -> bool {
+pub fn is_idle(stream: &TcpStream) -> bool {
     let mut byte = [std::mem::MaybeUninit::uninit(); 1];
     match SockRef::from(stream).peek(&mut byte) {
         Ok(_) => false,
--- a/crates/edge/src/target.rs
+++ b/crates/edge/src/target.rs
@@ -22,17 +22,17 @@
 /// one than this ends as broken.
 pub const MAX_ANSWER_BYTES: u64 = 32 * 1024 * 1024;
 /// How long a connection rests when the target states no timeout.
-const UNSTATED_REST_MS: Millis = Millis(4_000);
+const DEFAULT_IDLE_MS: Millis = Millis(4_000);
 /// Part of the stated timeout for which a connection is used again. At the end
 /// of it, a request and the target's close would cross on their way.
-const REST_PERCENT: u64 = 70;
+const IDLE_TIMEOUT_PERCENT: u64 = 70;
 /// What may run only once takes only connections that rested this briefly. A
 /// target may drop one that rests without notice, and what is sent on it next is
 /// reset: a payment would end as "nobody can tell" though nothing ran. A new
 /// connection costs the target about a millisecond.
-const MAX_REST_ONCE_MS: Millis = Millis(250);
+const MAX_IDLE_NON_IDEMPOTENT_MS: Millis = Millis(250);
 /// Answers to other requests that are skipped in front of the expected one.
-const MAX_FOREIGN_ANSWERS: u32 = 3;
+const MAX_MISMATCHED_ANSWERS: u32 = 3;
 
 /// Why an exchange brought no answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -72,7 +72,7 @@
 }
 
 #[derive(Debug)]
-struct Resting {
+struct IdleConnection {
     connection: Connection,
     since: Millis,
     until: Millis,
@@ -84,7 +84,7 @@
     address: SocketAddr,
     dialect: Arc<dyn Dialect>,
     clock: ProcessClock,
-    resting: Mutex<Vec<Resting>>,
+    idle: Mutex<Vec<IdleConnection>>,
 }
 
 impl TargetClient {
@@ -95,7 +95,7 @@
             address,
             dialect,
             clock,
-            resting: Mutex::new(Vec::new()),
+            idle: Mutex::new(Vec::new()),
         }
     }
 
@@ -106,13 +106,13 @@
     ///
     /// The fault says whether anything was sent.
     pub async fn exchange(&self, exchange: &Exchange) -> Result<TargetAnswer, ExchangeFault> {
-        let mut connection = match self.take_rested(exchange.is_idempotent) {
+        let mut connection = match self.take_idle(exchange.is_idempotent) {
             Some(connection) => connection,
             None => self.connect().await?,
         };
         let (answer, is_reusable) = connection.exchange(exchange, &*self.dialect).await?;
         if is_reusable {
-            self.rest(connection, &answer.head);
+            self.release(connection, &answer.head);
         }
         Ok(answer)
     }
@@ -122,7 +122,7 @@
     pub async fn accepts_connections(&self) -> bool {
         match self.connect().await {
             Ok(connection) => {
-                self.put_to_rest(connection, UNSTATED_REST_MS);
+                self.add_idle(connection, DEFAULT_IDLE_MS);
                 true
             }
             Err(_) => false,
@@ -131,40 +131,40 @@
 
     /// Closes the connections that rest: they lead to an earlier life of the target.
     pub fn close_idle(&self) {
-        self.resting.lock().clear();
+        self.idle.lock().clear();
     }
 
     /// The most recently used first, so that spare ones age out.
-    fn take_rested(&self, is_idempotent: bool) -> Option<Connection> {
+    fn take_idle(&self, is_idempotent: bool) -> Option<Connection> {
         let now = self.clock.now();
-        let mut resting = self.resting.lock();
-        resting.retain(|kept| now < kept.until);
-        let newest = resting.last()?;
-        if !is_idempotent && now.since(newest.since) > MAX_REST_ONCE_MS {
+        let mut idle = self.idle.lock();
+        idle.retain(|kept| now < kept.until);
+        let newest = idle.last()?;
+        if !is_idempotent && now.since(newest.since) > MAX_IDLE_NON_IDEMPOTENT_MS {
             return None;
         }
-        while let Some(kept) = resting.pop() {
-            if kept.connection.is_quiet() {
+        while let Some(kept) = idle.pop() {
+            if kept.connection.is_idle() {
                 return Some(kept.connection);
             }
         }
         None
     }
 
-    fn rest(&self, connection: Connection, head: &ResponseHead) {
-        let rest_ms = match stated_timeout(head) {
-            Some(stated) => Millis(stated.0 * REST_PERCENT / 100),
-            None => UNSTATED_REST_MS,
+    fn release(&self, connection: Connection, head: &ResponseHead) {
+        let idle_ms = match keep_alive_timeout(head) {
+            Some(timeout) => Millis(timeout.0 * IDLE_TIMEOUT_PERCENT / 100),
+            None => DEFAULT_IDLE_MS,
         };
-        self.put_to_rest(connection, rest_ms);
+        self.add_idle(connection, idle_ms);
     }
 
-    fn put_to_rest(&self, connection: Connection, rest_ms: Millis) {
+    fn add_idle(&self, connection: Connection, idle_ms: Millis) {
         let since = self.clock.now();
-        self.resting.lock().push(Resting {
+        self.idle.lock().push(IdleConnection {
             connection,
             since,
-            until: since + rest_ms,
+            until: since + idle_ms,
         });
     }
 
@@ -186,8 +186,8 @@
 }
 
 impl Connection {
-    fn is_quiet(&self) -> bool {
-        !self.reader.has_rest() && sockets::is_quiet(self.reader.get_ref().as_ref())
+    fn is_idle(&self) -> bool {
+        !self.reader.has_buffered_bytes() && sockets::is_idle(self.reader.get_ref().as_ref())
     }
 
     /// With the answer comes whether the connection may carry another request.
@@ -199,11 +199,11 @@
         exchange: &Exchange,
         dialect: &dyn Dialect,
     ) -> Result<(TargetAnswer, bool), ExchangeFault> {
-        let (answer, framing, is_written) = self.write_and_read(exchange, dialect).await?;
-        let is_reusable = is_written
+        let (answer, framing, is_request_written) = self.write_and_read(exchange, dialect).await?;
+        let is_reusable = is_request_written
             && framing != Framing::UntilClose
             && answer.head.keeps_connection()
-            && self.is_quiet();
+            && self.is_idle();
         Ok((answer, is_reusable))
     }
 
@@ -216,20 +216,20 @@
         let Self { reader, writer } = self;
         let mut writing = std::pin::pin!(writer.write_all(&exchange.bytes));
         let mut reading = std::pin::pin!(read_answer(reader, exchange, dialect));
-        let mut is_written = false;
+        let mut is_request_written = false;
         loop {
             tokio::select! {
                 biased;
-                written = &mut writing, if !is_written => {
+                written = &mut writing, if !is_request_written => {
                     // Even when writing fails, an early answer may be there.
-                    is_written = true;
+                    is_request_written = true;
                     if let Err(error) = written {
                         log::debug!("writing to the target failed: {error}");
                     }
                 }
                 read = &mut reading => {
                     let (answer, framing) = read?;
-                    return Ok((answer, framing, is_written));
+                    return Ok((answer, framing, is_request_written));
                 }
             }
         }
@@ -243,20 +243,20 @@
     exchange: &Exchange,
     dialect: &dyn Dialect,
 ) -> Result<(TargetAnswer, Framing), ExchangeFault> {
-    for _ in 0..=MAX_FOREIGN_ANSWERS {
-        let head = reader.response_head(MAX_HEAD_BYTES).await.map_err(broken)?;
+    for _ in 0..=MAX_MISMATCHED_ANSWERS {
+        let head = reader.response_head(MAX_HEAD_BYTES).await.map_err(to_exchange_fault)?;
         let framing = head
             .framing(&exchange.method)
             .map_err(|_| ExchangeFault::Broken("unclear framing"))?;
         let body = reader.body(framing, MAX_ANSWER_BYTES).await;
-        let body = body.map_err(broken)?;
+        let body = body.map_err(to_exchange_fault)?;
         let echoed = http1::field(&head.fields, dialect.names().request_id);
-        let is_foreign = match (&exchange.request_id, echoed) {
+        let is_mismatched = match (&exchange.request_id, echoed) {
             (Some(expected), Some(echoed)) => expected != echoed,
             (Some(_), None) => is_success(head.status),
             (None, echoed) => echoed.is_some(),
         };
-        if !is_foreign {
+        if !is_mismatched {
             return Ok((TargetAnswer { head, body }, framing));
         }
         log::warn!("an answer to another request was skipped");
@@ -276,7 +276,7 @@
     status >= 500
 }
 
-fn broken(fault: ReadFault) -> ExchangeFault {
+fn to_exchange_fault(fault: ReadFault) -> ExchangeFault {
     ExchangeFault::Broken(match fault {
         ReadFault::Closed => "closed without an answer",
         ReadFault::Cut => "cut within the answer",
@@ -287,7 +287,7 @@
 }
 
 /// The timeout that a `Keep-Alive: timeout=N` field states.
-fn stated_timeout(head: &ResponseHead) -> Option<Millis> {
+fn keep_alive_timeout(head: &ResponseHead) -> Option<Millis> {
     let value = http1::field(&head.fields, "keep-alive")?;
     for part in value.split(',') {
         let Some((name, seconds)) = part.split_once('=') else {
