--- a/crates/edge/src/http1.rs
+++ b/crates/edge/src/http1.rs
@@ -1,8 +1,9 @@
 //! HTTP/1.1 with strict framing, for callers, the target and the store.
 //!
-//! The library's server answers pipelined requests one after the other and its
-//! client hides where an answer ended; both cost what the routed path promises.
-//! So heads are parsed by `httparse`, and what stands here is the framing.
+//! The HTTP library is not used here. Its server answers pipelined requests one
+//! after the other, and its client hides where an answer ended. Either would break
+//! guarantees of the routed path. `httparse` parses the heads, and this module
+//! implements the framing of bodies.
 
 mod body;
 mod head;
--- a/crates/edge/src/http1/body.rs
+++ b/crates/edge/src/http1/body.rs
@@ -1,26 +1,26 @@
-//! Decoding of bodies.
+//! Incremental decoding of message bodies.
 
 use bytes::{Buf, BytesMut};
 
 use super::head::HeadFault;
 
-/// Longest line of a chunk's size with its extensions.
+/// Limit on the size line of a chunk, including its extensions.
 const MAX_CHUNK_LINE_BYTES: usize = 256;
-/// Longest trailer section behind the last chunk.
+/// Limit on the trailer section after the last chunk.
 const MAX_TRAILER_BYTES: usize = 8 * 1024;
 
-/// How the end of a body is told.
+/// How the end of a body is determined.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Framing {
-    /// After this many bytes.
+    /// The body has this many bytes.
     Length(u64),
-    /// By a chunk of no bytes.
+    /// The body ends with an empty chunk.
     Chunked,
-    /// By the end of the connection.
+    /// The body ends when the peer closes the connection.
     UntilClose,
 }
 
-/// Progress through one body.
+/// State of decoding one body.
 #[derive(Debug)]
 pub(super) enum Decoder {
     Length(u64),
@@ -36,7 +36,7 @@
     Trailers(usize),
 }
 
-/// What a step of decoding came to.
+/// Result of a decoding step.
 #[derive(Debug, PartialEq, Eq)]
 pub(super) enum Step {
     NeedMore,
@@ -133,8 +133,8 @@
     }
 }
 
-/// Takes a line without its end, which must be a carriage return and a line
-/// feed: a bare line feed is read differently elsewhere.
+/// Splits a line off the input and strips its CRLF. A bare line feed is an error,
+/// because other parsers read it differently.
 fn take_line(input: &mut BytesMut, most: usize) -> Result<Option<BytesMut>, HeadFault> {
     let Some(end) = input.iter().position(|byte| *byte == b'\n') else {
         if input.len() > most {
--- a/crates/edge/src/http1/head.rs
+++ b/crates/edge/src/http1/head.rs
@@ -1,14 +1,14 @@
-//! Heads of requests and responses.
+//! Parsing of request and response heads.
 
 use bytes::Bytes;
 use hornbeamhitch_wire::link::HeaderField;
 
 use super::body::Framing;
 
-/// Header fields of one head.
+/// Limit on the number of header fields of one head.
 const MAX_FIELDS: usize = 128;
 
-/// Header fields that concern one connection only.
+/// Hop-by-hop header fields, and `Content-Length`, which each hop sets itself.
 const HOP_BY_HOP: [&str; 8] = [
     "connection",
     "keep-alive",
@@ -20,13 +20,13 @@
     "content-length",
 ];
 
-/// Why a head cannot be served.
+/// Why a head is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum HeadFault {
-    /// It is no head of HTTP/1, or its framing can be read in two ways.
+    /// The bytes are not an HTTP/1 head, or the framing is ambiguous.
     #[error("malformed head: {0}")]
     Malformed(&'static str),
-    /// It exceeds the limit on heads.
+    /// The head exceeds a size limit.
     #[error("the head is too large")]
     TooLarge,
 }
@@ -55,7 +55,7 @@
     pub fields: Vec<HeaderField>,
 }
 
-/// The value of the first field of this name, when it is text.
+/// Returns the trimmed value of the first field with this name, if it is UTF-8.
 #[must_use]
 pub fn field<'a>(fields: &'a [HeaderField], name: &str) -> Option<&'a str> {
     for field in fields {
@@ -66,7 +66,7 @@
     None
 }
 
-/// Whether a field that lists tokens holds this one.
+/// Whether a comma-separated field contains the token, ignoring case.
 #[must_use]
 pub fn has_token(fields: &[HeaderField], name: &str, token: &str) -> bool {
     for field in fields {
@@ -85,9 +85,10 @@
     false
 }
 
-/// Removes the fields that concern one connection only, those that the
-/// `Connection` field names included. The length goes too: each hop states it
-/// anew for the body that it has in hand.
+/// Removes the hop-by-hop fields, including those that the `Connection` field names.
+///
+/// `Content-Length` is removed too, because each hop sets it for the body that it
+/// sends.
 pub fn strip_hop_by_hop(fields: &mut Vec<HeaderField>) {
     let mut named = Vec::new();
     for field in fields.iter() {
@@ -118,8 +119,10 @@
     fields
 }
 
-/// Where a line ends and the next begins with white space, some readers see
-/// one field and others two; `httparse` accepts it in some modes only.
+/// Whether a line starts with white space, as in obsolete line folding.
+///
+/// Some parsers read a folded line as one field and others as two. `httparse`
+/// accepts it in some modes only.
 fn has_folded_line(bytes: &[u8]) -> bool {
     bytes
         .windows(2)
@@ -132,7 +135,7 @@
     ///
     /// # Errors
     ///
-    /// The head is malformed.
+    /// The head is malformed or has too many fields.
     pub fn parse(bytes: &[u8]) -> Result<Option<(Self, usize)>, HeadFault> {
         let mut headers = [httparse::EMPTY_HEADER; MAX_FIELDS];
         let mut request = httparse::Request::new(&mut headers);
@@ -159,15 +162,15 @@
         Ok(Some((head, length)))
     }
 
-    /// How the body is framed.
+    /// Returns the framing of the body.
     ///
-    /// Failure answered: a length and chunks together, or two lengths, let two
-    /// readers disagree where the request ends, and the rest is taken for a
-    /// request that nobody sent. Such a request is refused whole.
+    /// Ambiguous requests are rejected to prevent request smuggling: with both a
+    /// length and chunks, or with two lengths, two parsers can disagree where the
+    /// request ends, and one of them takes the rest for a request that nobody sent.
     ///
     /// # Errors
     ///
-    /// The framing is ambiguous.
+    /// The framing is ambiguous, or the transfer coding is not supported.
     pub fn framing(&self) -> Result<Framing, HeadFault> {
         let codings = self.values("transfer-encoding");
         let lengths = self.values("content-length");
@@ -192,7 +195,7 @@
         self.is_http11 || has_token(&self.fields, "connection", "keep-alive")
     }
 
-    /// Whether the caller waits for leave to send its body.
+    /// Whether the caller waits for `100 Continue` before it sends the body.
     #[must_use]
     pub fn expects_continue(&self) -> bool {
         has_token(&self.fields, "expect", "100-continue")
@@ -229,7 +232,7 @@
     ///
     /// # Errors
     ///
-    /// The bytes are no response.
+    /// The head is malformed or has too many fields.
     pub fn parse(bytes: &[u8]) -> Result<Option<(Self, usize)>, HeadFault> {
         let mut headers = [httparse::EMPTY_HEADER; MAX_FIELDS];
         let mut response = httparse::Response::new(&mut headers);
@@ -247,11 +250,11 @@
         Ok(Some((head, length)))
     }
 
-    /// How the body is framed, given the method of the request.
+    /// Returns the framing of the body. `method` is the method of the request.
     ///
     /// # Errors
     ///
-    /// The framing is ambiguous.
+    /// The framing is ambiguous, or the transfer coding is not supported.
     pub fn framing(&self, method: &str) -> Result<Framing, HeadFault> {
         if method == "HEAD" || matches!(self.status, 100..=199 | 204 | 304) {
             return Ok(Framing::Length(0));
@@ -287,7 +290,7 @@
     }
 }
 
-/// Digits only: a sign or a list would be read differently elsewhere.
+/// Parses a length of digits only. Other parsers read a sign or a list differently.
 fn parse_length(value: &[u8]) -> Result<u64, HeadFault> {
     if value.is_empty() || !value.iter().all(u8::is_ascii_digit) {
         return Err(HeadFault::Malformed("the length is no number"));
--- a/crates/edge/src/http1/stream.rs
+++ b/crates/edge/src/http1/stream.rs
@@ -1,4 +1,4 @@
-//! Reading heads and bodies from a connection.
+//! Reading of heads and bodies from a connection.
 
 use bytes::{Buf, Bytes, BytesMut};
 use tokio::io::{AsyncRead, AsyncReadExt};
@@ -8,22 +8,22 @@
 
 const READ_BYTES: usize = 16 * 1024;
 
-/// Why nothing more can be read as HTTP.
+/// Why no further HTTP message can be read from a connection.
 #[derive(Debug, thiserror::Error)]
 pub enum ReadFault {
-    /// The other side closed between two messages.
+    /// The peer closed the connection between two messages.
     #[error("the connection was closed")]
     Closed,
-    /// The other side closed within a message.
+    /// The peer closed the connection within a message.
     #[error("the connection was closed within a message")]
     Cut,
-    /// The head or its framing is at fault.
+    /// The head or the framing of the body is malformed.
     #[error(transparent)]
     Head(#[from] HeadFault),
     /// The body exceeds its limit.
-    #[error("the body is above the limit")]
+    #[error("the body exceeds the limit")]
     BodyTooLarge,
-    /// Too many bodies are held already.
+    /// The limit on memory for buffered bodies is reached.
     #[error("no memory is left for the body")]
     NoRoom,
     /// The connection failed.
@@ -31,7 +31,7 @@
     Io(#[from] std::io::Error),
 }
 
-/// Bytes read from a connection and not yet used.
+/// Buffered reader of HTTP/1 messages.
 #[derive(Debug)]
 pub struct HttpReader<R> {
     inner: R,
@@ -39,7 +39,7 @@
 }
 
 impl<R: AsyncRead + Unpin> HttpReader<R> {
-    /// A reader without bytes.
+    /// Creates a reader with an empty buffer.
     #[must_use]
     pub fn new(inner: R) -> Self {
         Self {
@@ -48,23 +48,23 @@
         }
     }
 
-    /// Whether bytes were read that belong to no message yet.
+    /// Whether the buffer has bytes that were read but not yet parsed.
     #[must_use]
     pub fn has_buffered_bytes(&self) -> bool {
         !self.buffer.is_empty()
     }
 
-    /// The connection below, for looking at its state.
+    /// Returns the underlying connection, to inspect its state.
     pub const fn get_ref(&self) -> &R {
         &self.inner
     }
 
-    /// The connection below, for setting its limits.
+    /// Returns the underlying connection, to set its limits.
     pub const fn get_mut(&mut self) -> &mut R {
         &mut self.inner
     }
 
-    /// Waits until at least one byte of the next message is there.
+    /// Waits until at least one byte of the next message is buffered.
     ///
     /// # Errors
     ///
@@ -74,7 +74,7 @@
             if self.fill().await? == 0 {
                 return Err(ReadFault::Closed);
             }
-            // Empty lines before a request are allowed, and belong to none.
+            // Empty lines before a request are allowed and ignored.
             while self.buffer.starts_with(b"\r\n") {
                 self.buffer.advance(2);
             }
@@ -86,7 +86,7 @@
     ///
     /// # Errors
     ///
-    /// The head is at fault or the connection ended.
+    /// The head is malformed or too large, or the connection ended.
     pub async fn request_head(&mut self, max_bytes: usize) -> Result<RequestHead, ReadFault> {
         loop {
             if let Some((head, length)) = RequestHead::parse(&self.buffer)? {
@@ -100,11 +100,11 @@
         }
     }
 
-    /// Reads the head of a response, interim ones left out.
+    /// Reads the head of a response and skips interim (1xx) responses.
     ///
     /// # Errors
     ///
-    /// The head is at fault or the connection ended.
+    /// The head is malformed or too large, or the connection ended.
     pub async fn response_head(&mut self, max_bytes: usize) -> Result<ResponseHead, ReadFault> {
         loop {
             if let Some((head, length)) = ResponseHead::parse(&self.buffer)? {
@@ -122,16 +122,19 @@
     ///
     /// # Errors
     ///
-    /// The body is cut, above the limit, or its framing is at fault.
+    /// The body is truncated, exceeds `max_bytes`, or its framing is malformed.
     pub async fn body(&mut self, framing: Framing, max_bytes: u64) -> Result<Bytes, ReadFault> {
         self.body_within(framing, max_bytes, |_| true).await
     }
 
-    /// The same while `has_room` says of its length so far that it can be held.
+    /// Reads a whole body, as [`Self::body`] does, while `has_room` allows it.
+    ///
+    /// `has_room` gets the length that was read so far and returns whether memory for
+    /// it is available.
     ///
     /// # Errors
     ///
-    /// As [`Self::body`], or there is no room.
+    /// Those of [`Self::body`], and [`ReadFault::NoRoom`].
     pub async fn body_within(
         &mut self,
         framing: Framing,
@@ -159,7 +162,7 @@
             if self.fill().await? > 0 {
                 continue;
             }
-            // A reset is an error above; only a clean end ends such a body.
+            // `fill` fails on a reset, so only a clean close ends such a body.
             if framing == Framing::UntilClose {
                 return Ok(body.freeze());
             }
@@ -167,7 +170,7 @@
         }
     }
 
-    /// Reads and drops what comes until the connection ends.
+    /// Reads and discards bytes until the connection ends.
     pub async fn discard_rest(&mut self) {
         loop {
             self.buffer.clear();
--- a/crates/edge/src/http1/tests.rs
+++ b/crates/edge/src/http1/tests.rs
@@ -1,4 +1,4 @@
-//! Framing of HTTP/1.
+//! Tests of HTTP/1 parsing and framing.
 
 mod properties;
 
@@ -10,7 +10,7 @@
 
 use super::*;
 
-/// Hands out bytes one at a time, so that every split of the input is met.
+/// A reader that returns one byte at a time, which tests every split of the input.
 struct OneByteReader(Vec<u8>, usize);
 
 impl AsyncRead for OneByteReader {
@@ -116,7 +116,7 @@
     assert!(result.is_err());
 }
 
-/// A target's answer breaks off. It must not look complete.
+/// The connection ends within a body. The truncated body must not look complete.
 #[tokio::test]
 async fn a_cut_body_is_a_fault_and_a_close_ends_only_what_has_no_length() {
     let result = reader("ab").body(Framing::Length(3), 100).await;
--- a/crates/edge/src/http1/tests/properties.rs
+++ b/crates/edge/src/http1/tests/properties.rs
@@ -1,4 +1,4 @@
-//! Any bytes, and requests in any pieces.
+//! Property tests with arbitrary bytes, and with requests that are split anywhere.
 
 use bytes::Bytes;
 use proptest::prelude::*;
@@ -15,7 +15,7 @@
         .expect("a runtime")
 }
 
-/// Bytes of which most are ones that a head is made of.
+/// Arbitrary bytes, most of which are valid or nearly valid parts of a head.
 fn malformed_input() -> impl Strategy<Value = Vec<u8>> {
     let pieces = prop_oneof![
         Just(b"GET /a HTTP/1.1\r\n".to_vec()),
@@ -34,7 +34,7 @@
     proptest::collection::vec(pieces, 0..12).prop_map(|pieces| pieces.concat())
 }
 
-/// A body as it travels: in one piece with its length, or in chunks.
+/// Encodes a body with its length, or in chunks if `chunk_bytes` is not 0.
 fn encoded(body: &[u8], chunk_bytes: usize) -> String {
     let text = std::str::from_utf8(body).expect("letters");
     if chunk_bytes == 0 {
@@ -50,8 +50,8 @@
 }
 
 proptest! {
-    /// Whatever a caller or a target sends, reading ends: with a head, a body, a
-    /// fault or the end of the connection, and never with a panic.
+    /// For any input, reading ends with a head, a body, an error or the end of the
+    /// connection, and never with a panic.
     #[test]
     fn any_bytes_are_read_to_an_end(bytes in malformed_input()) {
         runtime().block_on(async {
@@ -76,8 +76,8 @@
         });
     }
 
-    /// Requests that follow each other on a connection are read as they were
-    /// sent: none takes a byte of the next, however their bodies are framed.
+    /// Consecutive requests on a connection are read as they were sent. None consumes
+    /// bytes of the next one, whichever framing their bodies have.
     #[test]
     fn requests_do_not_run_into_each_other(
         sent in proptest::collection::vec(("[a-z]{0,40}", 0_usize..7), 1..6),
@@ -104,7 +104,7 @@
         prop_assert_eq!(read, expected);
     }
 
-    /// What is written for a target is read by it as the caller sent it.
+    /// A target that parses an encoded request gets what the caller sent.
     #[test]
     fn a_written_request_is_read_back(
         path in "/[a-z0-9/?=&%]{0,40}",
--- a/crates/edge/src/http1/write.rs
+++ b/crates/edge/src/http1/write.rs
@@ -1,9 +1,10 @@
-//! Heads and bodies as bytes.
+//! Encoding of requests and responses.
 
 use bytes::{BufMut, BytesMut};
 use hornbeamhitch_wire::link::HeaderField;
 
-/// A request with its length stated.
+/// Encodes a request. `Content-Length` is left out only for an empty body with a
+/// method that usually has none.
 #[must_use]
 pub fn request_bytes(method: &str, path: &str, fields: &[HeaderField], body: &[u8]) -> BytesMut {
     let mut bytes = BytesMut::with_capacity(512 + body.len());
@@ -21,7 +22,8 @@
     bytes
 }
 
-/// A response with its length stated; `closes` says that the connection ends.
+/// Encodes a response. `Content-Length` is set if there is a body, except for 204 and
+/// 304; `closes` adds `Connection: close`.
 #[must_use]
 pub fn response_bytes(
     status: u16,
@@ -64,7 +66,8 @@
     bytes.put_slice(b"\r\n");
 }
 
-/// Nobody reads the words, but a status line without any is refused by some.
+/// Returns the reason phrase. It has no meaning, but some clients reject a status
+/// line without one.
 fn reason(status: u16) -> &'static str {
     match status {
         200 => "OK",
--- a/crates/edge/src/sockets.rs
+++ b/crates/edge/src/sockets.rs
@@ -1,4 +1,4 @@
-//! Options of TCP sockets that every connection of a node shares.
+//! TCP socket options that all connections of a node share.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -6,23 +6,24 @@
 use socket2::{SockRef, TcpKeepalive};
 use tokio::net::{TcpListener, TcpStream};
 
-/// Sent data that is not acknowledged for this long ends the connection. A VM
-/// that lost power answers nothing, and its connections would hang for minutes.
+/// `TCP_USER_TIMEOUT`: a connection ends when sent data stays unacknowledged for
+/// this long. Without it, connections to a VM that lost power hang for minutes.
 const USER_TIMEOUT: Duration = Duration::from_millis(2_500);
-/// A silent connection is asked after this span, as often as this, and given up
-/// after two questions without an answer: about as long as above.
+/// Idle time before the first TCP keepalive probe, and the interval between probes.
+/// A connection ends after [`KEEPALIVE_RETRIES`] unanswered probes, which takes about
+/// as long as [`USER_TIMEOUT`].
 const KEEPALIVE_IDLE: Duration = Duration::from_secs(1);
 const KEEPALIVE_RETRIES: u32 = 2;
 
-/// After a failed accept (out of descriptors, say) the next is not tried at
-/// once, or the loop would spin.
+/// Delay before the next accept after a failed one, for example when the process is
+/// out of file descriptors. Without it, the accept loop would spin.
 pub const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
-/// Connects and sets the options.
+/// Connects and sets the socket options.
 ///
 /// # Errors
 ///
-/// No connection within `timeout`.
+/// The connection failed or was not established within `timeout`.
 pub async fn connect(address: SocketAddr, timeout: Duration) -> std::io::Result<TcpStream> {
     let connecting = tokio::time::timeout(timeout, TcpStream::connect(address));
     let stream = connecting.await??;
@@ -30,8 +31,10 @@
     Ok(stream)
 }
 
-/// Sets the options of a connection. One that does not take them still works,
-/// and is found dead only by the timeouts above it.
+/// Sets the socket options of a connection.
+///
+/// A failure is only logged: the connection still works, but only the timeouts of
+/// the layers above then detect that it is dead.
 pub fn prepare(stream: &TcpStream) {
     let socket = SockRef::from(stream);
     let keepalive = TcpKeepalive::new()
@@ -45,13 +48,14 @@
     ];
     for result in results {
         if let Err(error) = result {
-            log::debug!("a socket option was not taken: {error}");
+            log::debug!("cannot set a socket option: {error}");
         }
     }
 }
 
-/// Serves each connection of a listener for as long as the process lives; `what`
-/// names the other side in the log.
+/// Accepts connections until the process ends and passes each one to `serve`.
+///
+/// `what` names the kind of connection in the log.
 pub async fn accept_all(listener: TcpListener, what: &str, serve: impl Fn(TcpStream)) {
     loop {
         match listener.accept().await {
@@ -67,8 +71,8 @@
     }
 }
 
-/// Whether a connection at rest can carry another request: it is open, and no
-/// byte lies unread that would be taken for the next answer.
+/// Whether an idle connection can carry another request: it is open and has no
+/// unread bytes, which would be taken for the next answer.
 #[must_use]
 pub fn is_idle(stream: &TcpStream) -> bool {
     let mut byte = [std::mem::MaybeUninit::uninit(); 1];
--- a/crates/edge/src/target.rs
+++ b/crates/edge/src/target.rs
@@ -13,55 +13,60 @@
 use crate::prelude::*;
 use crate::sockets;
 
-/// The target is on the same VM, so a connection takes microseconds unless its
-/// queue of new connections is full.
+/// Limit on connecting to the target.
+///
+/// The target runs on the same VM, so connecting takes microseconds unless the
+/// target's accept queue is full.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// Longest head of an answer.
+/// Limit on the head of an answer.
 const MAX_HEAD_BYTES: usize = 64 * 1024;
-/// Answers are taken in whole, so that a cut one is never passed on; a longer
-/// one than this ends as broken.
+/// Limit on the body of an answer. A larger answer is reported as
+/// [`ExchangeFault::Broken`].
+///
+/// Answers are read whole, so that a truncated one is never forwarded.
 pub const MAX_ANSWER_BYTES: u64 = 32 * 1024 * 1024;
-/// How long a connection rests when the target states no timeout.
+/// Idle timeout of a connection when the target does not state one.
 const DEFAULT_IDLE_MS: Millis = Millis(4_000);
-/// Part of the stated timeout for which a connection is used again. At the end
-/// of it, a request and the target's close would cross on their way.
+/// Share of the target's keep-alive timeout during which a connection is reused.
+/// Near the end of the timeout, a request could cross with the target's close.
 const IDLE_TIMEOUT_PERCENT: u64 = 70;
-/// What may run only once takes only connections that rested this briefly. A
-/// target may drop one that rests without notice, and what is sent on it next is
-/// reset: a payment would end as "nobody can tell" though nothing ran. A new
-/// connection costs the target about a millisecond.
+/// Limit on the idle time of a connection that a non-idempotent request uses.
+///
+/// A target may drop an idle connection without notice. The next request on it is
+/// reset, and a payment would end with an unknown outcome although nothing ran. A
+/// new connection costs the target about a millisecond.
 const MAX_IDLE_NON_IDEMPOTENT_MS: Millis = Millis(250);
-/// Answers to other requests that are skipped in front of the expected one.
+/// Limit on answers to other requests that are skipped before the expected one.
 const MAX_MISMATCHED_ANSWERS: u32 = 3;
 
-/// Why an exchange brought no answer.
+/// Why an exchange failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ExchangeFault {
-    /// No connection could be had; nothing was sent.
+    /// No connection could be opened. Nothing was sent.
     Unreachable,
-    /// The request was sent, at least in part.
+    /// The request was sent at least in part, but no valid answer arrived.
     Broken(&'static str),
 }
 
-/// A request as bytes, with what its answer is recognised by.
+/// An encoded request and the values that its answer is matched by.
 #[derive(Clone, Debug)]
 pub struct Exchange {
     /// Method.
     pub method: String,
-    /// Id that the answer must echo; `None` for a health check.
+    /// Id that the answer must echo, or `None` for a health check.
     pub request_id: Option<String>,
-    /// Running it more than once is harmless.
+    /// The request may run more than once.
     pub is_idempotent: bool,
-    /// Head and body.
+    /// Encoded head and body.
     pub bytes: Bytes,
 }
 
-/// A whole answer.
+/// A complete answer of the target.
 #[derive(Clone, Debug)]
 pub struct TargetAnswer {
-    /// Its head as it came.
+    /// The head as received.
     pub head: ResponseHead,
-    /// Its body.
+    /// The whole body.
     pub body: Bytes,
 }
 
@@ -78,7 +83,7 @@
     until: Millis,
 }
 
-/// Connections to the one target of this VM.
+/// Client with a pool of connections to the one target of this VM.
 #[derive(Debug)]
 pub struct TargetClient {
     address: SocketAddr,
@@ -88,7 +93,7 @@
 }
 
 impl TargetClient {
-    /// A client without connections.
+    /// Creates a client without connections.
     #[must_use]
     pub fn new(address: SocketAddr, dialect: Arc<dyn Dialect>, clock: ProcessClock) -> Self {
         Self {
@@ -99,12 +104,14 @@
         }
     }
 
-    /// Sends a request and takes in the whole answer. Dropping the future
-    /// closes the connection, which stops the target's work on the request.
+    /// Sends a request and reads the whole answer.
+    ///
+    /// Dropping the future closes the connection, which stops the target's work on
+    /// the request.
     ///
     /// # Errors
     ///
-    /// The fault says whether anything was sent.
+    /// No answer was received; the fault says whether anything was sent.
     pub async fn exchange(&self, exchange: &Exchange) -> Result<TargetAnswer, ExchangeFault> {
         let mut connection = match self.take_idle(exchange.is_idempotent) {
             Some(connection) => connection,
@@ -117,8 +124,8 @@
         Ok(answer)
     }
 
-    /// Whether the target accepts a connection now. The connection is kept for
-    /// the next request: it is needed in place of the broken one.
+    /// Whether the target accepts a connection now. The connection is pooled for the
+    /// next request, where it replaces the broken one.
     pub async fn accepts_connections(&self) -> bool {
         match self.connect().await {
             Ok(connection) => {
@@ -129,12 +136,13 @@
         }
     }
 
-    /// Closes the connections that rest: they lead to an earlier life of the target.
+    /// Closes the idle connections, for use when they lead to an earlier incarnation
+    /// of the target.
     pub fn close_idle(&self) {
         self.idle.lock().clear();
     }
 
-    /// The most recently used first, so that spare ones age out.
+    /// Takes the most recently used idle connection, so that surplus ones expire.
     fn take_idle(&self, is_idempotent: bool) -> Option<Connection> {
         let now = self.clock.now();
         let mut idle = self.idle.lock();
@@ -190,10 +198,10 @@
         !self.reader.has_buffered_bytes() && sockets::is_idle(self.reader.get_ref().as_ref())
     }
 
-    /// With the answer comes whether the connection may carry another request.
+    /// Returns the answer and whether the connection can be reused.
     ///
-    /// A target may answer before it has read a long body. Its answer counts,
-    /// but the rest of the body is still due on the connection, so it is closed.
+    /// A target may answer before it has read a long body. The answer is used, but
+    /// the rest of the body is still unsent, so the connection is not reused.
     async fn exchange(
         &mut self,
         exchange: &Exchange,
@@ -207,7 +215,8 @@
         Ok((answer, is_reusable))
     }
 
-    /// With the answer comes whether the whole request was written by then.
+    /// Returns the answer, its framing, and whether the whole request was written
+    /// before the answer was complete.
     async fn write_and_read(
         &mut self,
         exchange: &Exchange,
@@ -221,7 +230,7 @@
             tokio::select! {
                 biased;
                 written = &mut writing, if !is_request_written => {
-                    // Even when writing fails, an early answer may be there.
+                    // When writing fails, the target may have answered early.
                     is_request_written = true;
                     if let Err(error) = written {
                         log::debug!("writing to the target failed: {error}");
@@ -236,18 +245,23 @@
     }
 }
 
-/// Reads the answer to this request. A late second answer to an earlier one may
-/// stand in front of it on a kept connection; its id tells, and it is skipped.
+/// Reads the answer to this request.
+///
+/// On a reused connection, a late duplicate answer to an earlier request may arrive
+/// first. It is recognised by its request id and skipped.
 async fn read_answer(
     reader: &mut HttpReader<OwnedReadHalf>,
     exchange: &Exchange,
     dialect: &dyn Dialect,
 ) -> Result<(TargetAnswer, Framing), ExchangeFault> {
     for _ in 0..=MAX_MISMATCHED_ANSWERS {
-        let head = reader.response_head(MAX_HEAD_BYTES).await.map_err(to_exchange_fault)?;
+        let head = reader
+            .response_head(MAX_HEAD_BYTES)
+            .await
+            .map_err(to_exchange_fault)?;
         let framing = head
             .framing(&exchange.method)
-            .map_err(|_| ExchangeFault::Broken("unclear framing"))?;
+            .map_err(|_| ExchangeFault::Broken("the framing of the answer is ambiguous"))?;
         let body = reader.body(framing, MAX_ANSWER_BYTES).await;
         let body = body.map_err(to_exchange_fault)?;
         let echoed = http1::field(&head.fields, dialect.names().request_id);
@@ -259,18 +273,18 @@
         if !is_mismatched {
             return Ok((TargetAnswer { head, body }, framing));
         }
-        log::warn!("an answer to another request was skipped");
+        log::warn!("skipped an answer to another request");
     }
     Err(ExchangeFault::Broken("only answers to other requests"))
 }
 
-/// Whether a status tells of success.
+/// Whether a status code is in the 2xx range.
 #[must_use]
 pub const fn is_success(status: u16) -> bool {
     status >= 200 && status < 300
 }
 
-/// Whether a status tells of a failure of whoever answers.
+/// Whether a status code is 500 or higher.
 #[must_use]
 pub const fn is_server_error(status: u16) -> bool {
     status >= 500
@@ -278,15 +292,15 @@
 
 fn to_exchange_fault(fault: ReadFault) -> ExchangeFault {
     ExchangeFault::Broken(match fault {
-        ReadFault::Closed => "closed without an answer",
-        ReadFault::Cut => "cut within the answer",
-        ReadFault::Head(_) => "no answer in the protocol",
+        ReadFault::Closed => "the connection was closed without an answer",
+        ReadFault::Cut => "the connection was closed within the answer",
+        ReadFault::Head(_) => "the answer is not valid HTTP/1",
         ReadFault::BodyTooLarge | ReadFault::NoRoom => "the answer is too large",
         ReadFault::Io(_) => "the connection failed",
     })
 }
 
-/// The timeout that a `Keep-Alive: timeout=N` field states.
+/// The timeout of a `Keep-Alive: timeout=N` header field.
 fn keep_alive_timeout(head: &ResponseHead) -> Option<Millis> {
     let value = http1::field(&head.fields, "keep-alive")?;
     for part in value.split(',') {
