--- a/crates/edge/src/callers/connection.rs
+++ b/crates/edge/src/callers/connection.rs
@@ -224,7 +224,7 @@
 
     async fn refuse(&mut self, fault: &ReadFault) -> Stop {
         let answer = match fault {
-            ReadFault::Closed | ReadFault::Cut | ReadFault::Io(_) => return Stop::CallerLeft,
+            ReadFault::Closed | ReadFault::Truncated | ReadFault::Io(_) => return Stop::CallerLeft,
             ReadFault::Head(HeadFault::TooLarge) => CallerAnswer::plain(431, "head too large"),
             ReadFault::Head(fault) => CallerAnswer::plain(400, &fault.to_string()),
             ReadFault::BodyTooLarge => CallerAnswer::plain(413, "body too large"),
--- a/crates/edge/src/http1/stream.rs
+++ b/crates/edge/src/http1/stream.rs
@@ -16,7 +16,7 @@
     Closed,
     /// The peer closed the connection within a message.
     #[error("the connection was closed within a message")]
-    Cut,
+    Truncated,
     /// The head or the framing of the body is malformed.
     #[error(transparent)]
     Head(#[from] HeadFault),
@@ -166,7 +166,7 @@
             if framing == Framing::UntilClose {
                 return Ok(body.freeze());
             }
-            return Err(ReadFault::Cut);
+            return Err(ReadFault::Truncated);
         }
     }
 
@@ -191,7 +191,7 @@
         Err(if self.buffer.is_empty() {
             ReadFault::Closed
         } else {
-            ReadFault::Cut
+            ReadFault::Truncated
         })
     }
 
--- a/crates/edge/src/http1/tests.rs
+++ b/crates/edge/src/http1/tests.rs
@@ -38,7 +38,7 @@
 }
 
 #[tokio::test]
-async fn framing_that_can_be_read_in_two_ways_is_refused() {
+async fn ambiguous_framing_is_rejected() {
     for fields in [
         "Content-Length: 3\r\nTransfer-Encoding: chunked\r\n",
         "Content-Length: 3\r\nContent-Length: 3\r\n",
@@ -56,7 +56,7 @@
 }
 
 #[tokio::test]
-async fn plain_framing_is_understood() {
+async fn unambiguous_framing_is_parsed() {
     for (fields, expected) in [
         ("", Framing::Length(0)),
         ("Content-Length: 12\r\n", Framing::Length(12)),
@@ -67,7 +67,7 @@
 }
 
 #[tokio::test]
-async fn targets_that_are_no_path_are_refused() {
+async fn request_targets_other_than_paths_are_rejected() {
     for target in ["http://h/a", "*", "h:80"] {
         let text = format!("GET {target} HTTP/1.1\r\nHost: h\r\n\r\n");
         assert!(reader(&text).request_head(4_096).await.is_err(), "{target}");
@@ -75,7 +75,7 @@
 }
 
 #[tokio::test]
-async fn chunks_are_joined_and_the_next_request_begins_behind_them() {
+async fn chunks_are_joined_and_the_next_request_follows() {
     let text = "POST /a HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n\
                 3;x=y\r\nabc\r\n2\r\nde\r\n0\r\nTrailer: t\r\n\r\nGET /b HTTP/1.1\r\nHost: h\r\n\r\n";
     let mut reader = reader(text);
@@ -88,7 +88,7 @@
 }
 
 #[tokio::test]
-async fn malformed_chunks_are_refused() {
+async fn malformed_chunks_are_rejected() {
     for body in [
         "x\r\n",
         "3\nabc\r\n",
@@ -106,7 +106,7 @@
 }
 
 #[tokio::test]
-async fn limits_hold_for_heads_and_bodies() {
+async fn limits_on_heads_and_bodies_are_enforced() {
     let long = format!("GET /{} HTTP/1.1\r\nHost: h\r\n\r\n", "a".repeat(300));
     let result = reader(&long).request_head(200).await;
     assert!(matches!(result, Err(ReadFault::Head(HeadFault::TooLarge))));
@@ -118,11 +118,11 @@
 
 /// The connection ends within a body. The truncated body must not look complete.
 #[tokio::test]
-async fn a_cut_body_is_a_fault_and_a_close_ends_only_what_has_no_length() {
+async fn a_truncated_body_is_an_error_unless_it_ends_by_close() {
     let result = reader("ab").body(Framing::Length(3), 100).await;
-    assert!(matches!(result, Err(ReadFault::Cut)));
+    assert!(matches!(result, Err(ReadFault::Truncated)));
     let result = reader("3\r\nab").body(Framing::Chunked, 100).await;
-    assert!(matches!(result, Err(ReadFault::Cut)));
+    assert!(matches!(result, Err(ReadFault::Truncated)));
     let whole = reader("ab").body(Framing::UntilClose, 100).await;
     assert_eq!(&whole.expect("a whole body")[..], b"ab");
 }
@@ -136,7 +136,7 @@
 }
 
 #[test]
-fn fields_of_one_connection_are_removed() {
+fn hop_by_hop_fields_are_removed() {
     let mut fields = Vec::new();
     for (name, value) in [
         ("Connection", "keep-alive, X-Private"),
--- a/crates/edge/src/http1/tests/properties.rs
+++ b/crates/edge/src/http1/tests/properties.rs
@@ -53,7 +53,7 @@
     /// For any input, reading ends with a head, a body, an error or the end of the
     /// connection, and never with a panic.
     #[test]
-    fn any_bytes_are_read_to_an_end(bytes in malformed_input()) {
+    fn arbitrary_bytes_never_cause_a_panic(bytes in malformed_input()) {
         runtime().block_on(async {
             let mut reader = HttpReader::new(OneByteReader(bytes.clone(), 0));
             while let Ok(head) = reader.request_head(MAX_HEAD_BYTES).await {
@@ -79,7 +79,7 @@
     /// Consecutive requests on a connection are read as they were sent. None consumes
     /// bytes of the next one, whichever framing their bodies have.
     #[test]
-    fn requests_do_not_run_into_each_other(
+    fn consecutive_requests_are_separated(
         sent in proptest::collection::vec(("[a-z]{0,40}", 0_usize..7), 1..6),
     ) {
         let mut text = String::new();
@@ -106,7 +106,7 @@
 
     /// A target that parses an encoded request gets what the caller sent.
     #[test]
-    fn a_written_request_is_read_back(
+    fn an_encoded_request_is_parsed_back(
         path in "/[a-z0-9/?=&%]{0,40}",
         values in proptest::collection::vec("[!-~]([ -~]{0,20}[!-~])?", 0..5),
         body in proptest::collection::vec(any::<u8>(), 0..200),
--- a/crates/edge/src/target.rs
+++ b/crates/edge/src/target.rs
@@ -293,7 +293,7 @@
 fn to_exchange_fault(fault: ReadFault) -> ExchangeFault {
     ExchangeFault::Broken(match fault {
         ReadFault::Closed => "the connection was closed without an answer",
-        ReadFault::Cut => "the connection was closed within the answer",
+        ReadFault::Truncated => "the connection was closed within the answer",
         ReadFault::Head(_) => "the answer is not valid HTTP/1",
         ReadFault::BodyTooLarge | ReadFault::NoRoom => "the answer is too large",
         ReadFault::Io(_) => "the connection failed",
--- a/crates/edge/tests/all/links.rs
+++ b/crates/edge/tests/all/links.rs
@@ -15,10 +15,10 @@
 
 /// A question is this long at most: a call's key, its fingerprint, the ids of the
 /// request and the target, and six spans, in bytes.
-const MOST_ASK_BYTES: usize = 80;
+const MAX_OFFER_BYTES: usize = 80;
 
 /// A fleet whose only target of the service stands behind a gate of the test.
-async fn with_own_gate() -> (crate::support::Fleet, TcpListener) {
+async fn with_fake_gate() -> (crate::support::Fleet, TcpListener) {
     let fleet = fleet(&["other", "none"]).await;
     let ip = "127.200.0.1";
     let port = fleet.gate_port;
@@ -33,8 +33,8 @@
 /// Most gates that are asked refuse. An upload that travelled to each of them
 /// would fill the lines between data centres for nothing.
 #[tokio::test]
-async fn a_large_body_travels_only_when_the_gate_wants_it() {
-    let (fleet, listener) = with_own_gate().await;
+async fn a_large_body_is_sent_only_when_the_gate_requests_it() {
+    let (fleet, listener) = with_fake_gate().await;
     let mut caller = Caller::connect(fleet.vms[0].callers).await;
     let body = "b".repeat(60_000);
     caller.send("POST", "/pay/x", "id-1", &body).await;
@@ -57,10 +57,10 @@
     let ToGate::Offer { id, body_bytes, .. } = gate.next().await else {
         panic!("a question was expected");
     };
-    let asked = gate.read_bytes - before;
+    let offer_bytes = gate.read_bytes - before;
     assert!(
-        asked <= 3 * MOST_ASK_BYTES,
-        "{asked} bytes for three questions"
+        offer_bytes <= 3 * MAX_OFFER_BYTES,
+        "{offer_bytes} bytes for three questions"
     );
     gate.send(&ToEntry::WantsContent { id }).await;
     let ToGate::Head { head, .. } = gate.next().await else {
@@ -70,14 +70,14 @@
         (head.method.as_str(), head.path.as_str()),
         ("POST", "/pay/x")
     );
-    let mut got = 0;
-    while got < body_bytes {
+    let mut received = 0;
+    while received < body_bytes {
         let ToGate::Body { part, .. } = gate.next().await else {
             panic!("a part of the body was expected");
         };
-        got += part.len() as u64;
+        received += part.len() as u64;
     }
-    assert_eq!(got, 60_000);
+    assert_eq!(received, 60_000);
     gate.send(&answer(id, "id-1")).await;
     assert_eq!(caller.answer().await.expect("an answer").status(), 200);
 }
@@ -85,9 +85,9 @@
 /// The link breaks while a payment is at its gate, which says nothing more of
 /// it. The entry asks the gate over a new link and passes on what it learns.
 #[tokio::test]
-async fn a_payment_whose_link_broke_is_asked_about() {
+async fn a_payment_whose_link_broke_is_fenced() {
     for (has_run, status) in [(true, 200), (false, 200)] {
-        let (fleet, listener) = with_own_gate().await;
+        let (fleet, listener) = with_fake_gate().await;
         let mut caller = Caller::connect(fleet.vms[0].callers).await;
         caller.send("POST", "/pay/x", "id-1", "").await;
         let mut gate = GateEnd::accept(&listener, 1).await;
@@ -120,8 +120,8 @@
 /// place. The new one knows nothing of the payment, so it must not be believed
 /// that nothing ran.
 #[tokio::test]
-async fn a_new_life_of_a_gate_cannot_say_that_nothing_ran() {
-    let (fleet, listener) = with_own_gate().await;
+async fn a_fence_answer_of_a_new_incarnation_does_not_prove_that_nothing_ran() {
+    let (fleet, listener) = with_fake_gate().await;
     let mut caller = Caller::connect(fleet.vms[0].callers).await;
     caller.send("POST", "/pay/x", "id-1", "").await;
     let mut gate = GateEnd::accept(&listener, 1).await;
@@ -142,8 +142,8 @@
 /// The gate's VM goes dark in the middle of a payment: the link stays open and
 /// silent. The caller learns long before its deadline that nobody can tell.
 #[tokio::test]
-async fn a_silent_gate_is_given_up_before_the_deadline() {
-    let (fleet, listener) = with_own_gate().await;
+async fn a_silent_gate_is_abandoned_before_the_deadline() {
+    let (fleet, listener) = with_fake_gate().await;
     let mut caller = Caller::connect(fleet.vms[0].callers).await;
     caller.send("POST", "/pay/x", "id-1", "").await;
     let mut gate = GateEnd::accept(&listener, 1).await;
@@ -157,7 +157,7 @@
 /// lets packets through one way only. Each may have run it, so no more of them
 /// are asked than the route allows targets.
 #[tokio::test]
-async fn a_send_of_unknown_outcome_counts_as_one_of_the_routes_attempts() {
+async fn a_send_with_unknown_outcome_counts_as_an_attempt() {
     let fleet = fleet(&["other", "none"]).await;
     let port = fleet.gate_port;
     let calls = Arc::new(AtomicU32::new(0));
@@ -187,20 +187,20 @@
 /// refuse everything until the store returns; a node that opens a link to it
 /// tells what is in force.
 #[tokio::test]
-async fn a_node_that_knows_nothing_hears_it_from_another() {
+async fn a_node_without_configuration_gets_it_from_a_peer() {
     let fleet = fleet(&["s", "s"]).await;
     let ip = "127.202.0.1".parse().expect("an address");
-    let links = TcpListener::bind((ip, fleet.gate_port))
+    let listener = TcpListener::bind((ip, fleet.gate_port))
         .await
         .expect("the gate's port");
     let target = FakeTarget::start(ip, "life-9").await;
-    let unknowing: SharedDirectory = Arc::default();
+    let empty_directory: SharedDirectory = Arc::default();
     let address = target.address;
     let vm = start_vm(
         "s",
         target,
-        links,
-        &unknowing,
+        listener,
+        &empty_directory,
         &fleet.source,
         fleet.gate_port,
     )
@@ -226,10 +226,10 @@
         .await;
     }
     until("the node has heard the configuration", || {
-        unknowing.load().routes.is_some()
+        empty_directory.load().routes.is_some()
     })
     .await;
-    assert_eq!(unknowing.load().members.len(), 3);
+    assert_eq!(empty_directory.load().members.len(), 3);
     assert_eq!(
         ask(vm.callers, "GET", "/read/x", "id-2").await.status(),
         200
@@ -240,8 +240,8 @@
 /// payment that comes before the link is given up is refused as not run: sent
 /// into the silence it would end as "nobody can tell".
 #[tokio::test]
-async fn no_call_is_sent_to_a_gate_that_does_not_answer() {
-    let (fleet, listener) = with_own_gate().await;
+async fn no_call_is_sent_to_an_unresponsive_gate() {
+    let (fleet, listener) = with_fake_gate().await;
     let callers = fleet.vms[0].callers;
     let lookup = tokio::spawn(ask(callers, "GET", "/read/x", "id-1"));
     let mut gate = GateEnd::accept(&listener, 7).await;
@@ -263,8 +263,8 @@
 /// The gate was only late. Once it is heard again, calls are sent over the same
 /// link as before.
 #[tokio::test]
-async fn a_gate_that_is_heard_again_gets_calls_again() {
-    let (fleet, listener) = with_own_gate().await;
+async fn a_gate_that_responds_again_gets_calls_again() {
+    let (fleet, listener) = with_fake_gate().await;
     let callers = fleet.vms[0].callers;
     let lookup = tokio::spawn(ask(callers, "GET", "/read/x", "id-1"));
     let mut gate = GateEnd::accept(&listener, 7).await;
--- a/crates/edge/tests/all/support/target.rs
+++ b/crates/edge/tests/all/support/target.rs
@@ -38,11 +38,11 @@
     is_leaving: AtomicBool,
     /// Connections that rest longer than this many milliseconds reset whatever
     /// comes next; 0 for never.
-    forgets_after_ms: AtomicU32,
+    reset_idle_after_ms: AtomicU32,
     /// The behaviour for all requests that name none.
-    usual: Mutex<String>,
+    default_behaviour: Mutex<String>,
     /// The id that it answers to.
-    life: Mutex<String>,
+    target_id: Mutex<String>,
 }
 
 /// A target on loopback.
@@ -55,26 +55,26 @@
 }
 
 impl FakeTarget {
-    pub async fn start(ip: IpAddr, life: &str) -> Self {
+    pub async fn start(ip: IpAddr, target_id: &str) -> Self {
         let listener = TcpListener::bind((ip, 0)).await.expect("a free port");
         let address = listener.local_addr().expect("an address");
         let journal = Arc::new(Journal::default());
         journal.slowness_percent.store(100, Ordering::Relaxed);
-        *journal.usual.lock() = "ok".to_owned();
-        let accepted = Arc::clone(&journal);
-        *journal.life.lock() = life.to_owned();
+        *journal.default_behaviour.lock() = "ok".to_owned();
+        let served_journal = Arc::clone(&journal);
+        *journal.target_id.lock() = target_id.to_owned();
         let accepting = tokio::spawn(async move {
-            let mut served = tokio::task::JoinSet::new();
+            let mut connections = tokio::task::JoinSet::new();
             loop {
                 // A target that crashes closes its listener and its connections
                 // together, and is back after some seconds.
-                let crashed = accepted.crashed.notified();
+                let crashed = served_journal.crashed.notified();
                 let (stream, _) = tokio::select! {
                     stream = listener.accept() => stream.expect("accepted"),
                     () = crashed => return,
                 };
-                accepted.connections.fetch_add(1, Ordering::Relaxed);
-                served.spawn(serve(stream, Arc::clone(&accepted)));
+                served_journal.connections.fetch_add(1, Ordering::Relaxed);
+                connections.spawn(serve(stream, Arc::clone(&served_journal)));
             }
         });
         Self {
@@ -131,34 +131,36 @@
     /// From now on forgets connections that rest for this long, without notice.
     pub fn reset_idle_after(&self, span: Duration) {
         let ms = u32::try_from(span.as_millis()).expect("a short span");
-        self.journal.forgets_after_ms.store(ms, Ordering::Relaxed);
+        self.journal
+            .reset_idle_after_ms
+            .store(ms, Ordering::Relaxed);
     }
 
     /// From now on answers to this id alone.
-    pub fn set_target_id(&self, life: &str) {
-        *self.journal.life.lock() = life.to_owned();
+    pub fn set_target_id(&self, target_id: &str) {
+        *self.journal.target_id.lock() = target_id.to_owned();
     }
 
     /// What requests without a behaviour of their own meet.
     pub fn set_default_behaviour(&self, behaviour: &str) {
-        *self.journal.usual.lock() = behaviour.to_owned();
+        *self.journal.default_behaviour.lock() = behaviour.to_owned();
     }
 }
 
 async fn serve(stream: TcpStream, journal: Arc<Journal>) {
     let (reader, mut writer) = stream.into_split();
     let mut reader = HttpReader::new(reader);
-    let mut rests_since = std::time::Instant::now();
+    let mut idle_since = std::time::Instant::now();
     while let Ok(head) = reader.request_head(64 * 1024).await {
-        let forgets_after_ms = journal.forgets_after_ms.load(Ordering::Relaxed);
-        let rested_ms = rests_since.elapsed().as_millis();
-        if forgets_after_ms > 0 && rested_ms > u128::from(forgets_after_ms) {
+        let reset_idle_after_ms = journal.reset_idle_after_ms.load(Ordering::Relaxed);
+        let idle_ms = idle_since.elapsed().as_millis();
+        if reset_idle_after_ms > 0 && idle_ms > u128::from(reset_idle_after_ms) {
             return;
         }
         if !answer(&mut reader, &mut writer, head, &journal).await {
             return;
         }
-        rests_since = std::time::Instant::now();
+        idle_since = std::time::Instant::now();
     }
 }
 
@@ -186,16 +188,16 @@
         .unwrap_or_default()
         .to_owned();
     let expected = http1::field(&head.fields, super::EXPECTED_TARGET);
-    if expected.is_some_and(|expected| expected != *journal.life.lock()) {
+    if expected.is_some_and(|expected| expected != *journal.target_id.lock()) {
         let text = "HTTP/1.1 421 Misdirected Request\r\nContent-Length: 0\r\n\r\n";
         return writer.write_all(text.as_bytes()).await.is_ok();
     }
-    let named = head.path.rsplit('/').next().unwrap_or_default().to_owned();
-    let behaviour = match named.as_str() {
-        "" => journal.usual.lock().clone(),
-        named => named.to_owned(),
+    let path_name = head.path.rsplit('/').next().unwrap_or_default().to_owned();
+    let behaviour = match path_name.as_str() {
+        "" => journal.default_behaviour.lock().clone(),
+        name => name.to_owned(),
     };
-    let good = |body: &str| {
+    let success = |body: &str| {
         let length = body.len();
         format!(
             "HTTP/1.1 200 OK\r\n{REQUEST_ID}: {id}\r\n{DIGEST}: d-{id}\r\n{LOAD}: {load}\r\n\
@@ -216,7 +218,7 @@
         });
         // It answers at once and reads the body later, on the same connection.
         let framing = head_framing;
-        let is_written = writer.write_all(good("early").as_bytes()).await.is_ok();
+        let is_written = writer.write_all(success("early").as_bytes()).await.is_ok();
         tokio::time::sleep(Duration::from_millis(50)).await;
         return is_written && reader.body(framing, u64::MAX).await.is_ok();
     }
@@ -238,16 +240,20 @@
             return std::future::pending().await;
         }
         "cut" => {
-            let text = good("a whole body");
+            let text = success("a whole body");
             let _ = writer.write_all(&text.as_bytes()[..text.len() - 4]).await;
             return false;
         }
         "garbage" => "this is no answer\r\n\r\n".to_owned(),
-        "twice" => format!("{}{}", good("first"), good("second")),
-        "foreign" => format!("{}{}", good("theirs").replace(&id, "another"), good("mine")),
-        "unsigned" => good("unsigned").replace(DIGEST, "T-Other"),
+        "twice" => format!("{}{}", success("first"), success("second")),
+        "foreign" => format!(
+            "{}{}",
+            success("theirs").replace(&id, "another"),
+            success("mine")
+        ),
+        "unsigned" => success("unsigned").replace(DIGEST, "T-Other"),
         "until-close" => {
-            let text = good("open").replace("Content-Length: 4\r\n", "");
+            let text = success("open").replace("Content-Length: 4\r\n", "");
             let _ = writer.write_all(text.as_bytes()).await;
             return false;
         }
@@ -259,9 +265,9 @@
         }
         "slow" => {
             tokio::time::sleep(Duration::from_millis(120)).await;
-            good("slow")
+            success("slow")
         }
-        _ => good(&format!("served {}", body.len())),
+        _ => success(&format!("served {}", body.len())),
     };
     writer.write_all(text.as_bytes()).await.is_ok()
 }
--- a/crates/wire/src/link/tests.rs
+++ b/crates/wire/src/link/tests.rs
@@ -33,7 +33,7 @@
     /// The network hands over a stream in any pieces; each frame comes out
     /// whole, once, in its order.
     #[test]
-    fn frames_come_out_as_they_went_in(
+    fn frames_round_trip_in_any_pieces(
         messages in proptest::collection::vec(message(), 0..12),
         piece_bytes in 1_usize..64,
     ) {
@@ -54,7 +54,7 @@
     /// Whatever else arrives ends in a fault or a wait for more, never in a
     /// panic or in a frame larger than allowed.
     #[test]
-    fn other_bytes_do_no_harm(
+    fn arbitrary_bytes_never_cause_a_panic(
         length in 0_u32..400,
         bytes in proptest::collection::vec(any::<u8>(), 0..400),
     ) {
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn a_frame_that_is_too_long_is_refused_by_its_length_alone() {
+fn an_oversized_frame_is_rejected_by_its_length_alone() {
     let mut buffer = BytesMut::new();
     buffer.put_u32_le(u32::MAX);
     assert!(matches!(
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn a_message_that_is_too_long_is_not_written() {
+fn an_oversized_message_is_not_encoded() {
     let facts = ToGate::Facts(Bytes::from(vec![0; MAX_FRAME_BYTES + 1]));
     let mut stream = BytesMut::new();
     assert!(matches!(
