--- a/crates/edge/tests/all/links.rs
+++ b/crates/edge/tests/all/links.rs
@@ -1,4 +1,4 @@
-//! Links between nodes, with the gate's end played by the tests.
+//! Tests of links between nodes, with the gate's side played by the test.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -13,11 +13,12 @@
 use crate::support::target::{FakeTarget, until};
 use crate::support::{fleet, member, set_directory, start_vm};
 
-/// A question is this long at most: a call's key, its fingerprint, the ids of the
-/// request and the target, and six spans, in bytes.
+/// Upper bound on the size of an offer in bytes: a call's key, its fingerprint, the ids
+/// of the request and the target, and six durations.
 const MAX_OFFER_BYTES: usize = 80;
 
-/// A fleet whose only target of the service stands behind a gate of the test.
+/// Starts a fleet in which the only target of service `s` is behind a gate that the
+/// test plays.
 async fn with_fake_gate() -> (crate::support::Fleet, TcpListener) {
     let fleet = fleet(&["other", "none"]).await;
     let ip = "127.200.0.1";
@@ -30,8 +31,8 @@
     (fleet, listener)
 }
 
-/// Most gates that are asked refuse. An upload that travelled to each of them
-/// would fill the lines between data centres for nothing.
+/// Most gates refuse a call under overload. If an upload were sent to each gate that is
+/// tried, it would waste the bandwidth between data centres.
 #[tokio::test]
 async fn a_large_body_is_sent_only_when_the_gate_requests_it() {
     let (fleet, listener) = with_fake_gate().await;
@@ -46,21 +47,21 @@
     let end = CallEnd::Slow;
     gate.send(&ToEntry::Ended { id, end }).await;
     assert!(gate.read_bytes < 1_000, "{} bytes", gate.read_bytes);
-    // It has refused, so it is asked with the terms alone from now on.
+    // The gate has refused a call, so from now on the entry offers only the terms.
     let before = gate.read_bytes;
     for _ in 0..2 {
         let ToGate::Offer { id, .. } = gate.next().await else {
-            panic!("a question was expected");
+            panic!("an offer was expected");
         };
         gate.send(&ToEntry::Ended { id, end }).await;
     }
     let ToGate::Offer { id, body_bytes, .. } = gate.next().await else {
-        panic!("a question was expected");
+        panic!("an offer was expected");
     };
     let offer_bytes = gate.read_bytes - before;
     assert!(
         offer_bytes <= 3 * MAX_OFFER_BYTES,
-        "{offer_bytes} bytes for three questions"
+        "{offer_bytes} bytes for three offers"
     );
     gate.send(&ToEntry::WantsContent { id }).await;
     let ToGate::Head { head, .. } = gate.next().await else {
@@ -82,8 +83,8 @@
     assert_eq!(caller.answer().await.expect("an answer").status(), 200);
 }
 
-/// The link breaks while a payment is at its gate, which says nothing more of
-/// it. The entry asks the gate over a new link and passes on what it learns.
+/// The link breaks while a payment is at its gate. The entry requests the outcome over a
+/// new link, which fences the payment's key, and acts on the gate's answer.
 #[tokio::test]
 async fn a_payment_whose_link_broke_is_fenced() {
     for (has_run, status) in [(true, 200), (false, 200)] {
@@ -97,17 +98,17 @@
         drop(gate);
         let mut gate = GateEnd::accept(&listener, 1).await;
         let ToGate::Fence { id, key } = gate.next().await else {
-            panic!("a question about the key was expected");
+            panic!("a fence request was expected");
         };
         assert_eq!(key, terms.key);
         if has_run {
             gate.send(&answer(id, "id-1")).await;
         } else {
-            // Fenced: it did not run and never will, so it may go on.
+            // The payment did not run and never will with this key, so it may be sent again.
             let end = CallEnd::Fenced;
             gate.send(&ToEntry::Ended { id, end }).await;
             let ToGate::Call { id, terms, .. } = gate.next().await else {
-                panic!("the payment was to be sent again");
+                panic!("the payment was expected to be sent again");
             };
             assert_ne!(terms.key, key);
             gate.send(&answer(id, "id-1")).await;
@@ -116,9 +117,9 @@
     }
 }
 
-/// The gate's process ends while a payment is there, and a new one takes its
-/// place. The new one knows nothing of the payment, so it must not be believed
-/// that nothing ran.
+/// The gate's process ends while it has a payment, and a new process replaces it. The new
+/// one has no record of the payment, so its answer must not be taken as proof that the
+/// payment did not run.
 #[tokio::test]
 async fn a_fence_answer_of_a_new_incarnation_does_not_prove_that_nothing_ran() {
     let (fleet, listener) = with_fake_gate().await;
@@ -129,7 +130,7 @@
     drop(gate);
     let mut gate = GateEnd::accept(&listener, 2).await;
     let ToGate::Fence { id, .. } = gate.next().await else {
-        panic!("a question about the key was expected");
+        panic!("a fence request was expected");
     };
     let end = CallEnd::Fenced;
     gate.send(&ToEntry::Ended { id, end }).await;
@@ -139,8 +140,8 @@
     }
 }
 
-/// The gate's VM goes dark in the middle of a payment: the link stays open and
-/// silent. The caller learns long before its deadline that nobody can tell.
+/// The gate's VM fails during a payment, so that the link stays open but silent. The
+/// caller gets the answer "unknown" long before its deadline.
 #[tokio::test]
 async fn a_silent_gate_is_abandoned_before_the_deadline() {
     let (fleet, listener) = with_fake_gate().await;
@@ -153,9 +154,9 @@
     assert_eq!(answer.status(), 502);
 }
 
-/// Gates take a lookup and nothing more is heard of them, as behind a cut that
-/// lets packets through one way only. Each may have run it, so no more of them
-/// are asked than the route allows targets.
+/// Gates receive a lookup and stay silent, as in a network partition that drops packets
+/// in one direction only. Each gate may have run the lookup, so the entry tries no more
+/// gates than the route allows attempts.
 #[tokio::test]
 async fn a_send_with_unknown_outcome_counts_as_an_attempt() {
     let fleet = fleet(&["other", "none"]).await;
@@ -183,9 +184,9 @@
     assert_eq!(calls.load(Ordering::Relaxed), 2);
 }
 
-/// A node was restarted while the store is away. It knows nothing and would
-/// refuse everything until the store returns; a node that opens a link to it
-/// tells what is in force.
+/// A node restarts while the store is unavailable. Without a configuration it would refuse
+/// every call until the store returns, so a node that opens a link to it sends it the
+/// configuration in force.
 #[tokio::test]
 async fn a_node_without_configuration_gets_it_from_a_peer() {
     let fleet = fleet(&["s", "s"]).await;
@@ -210,7 +211,7 @@
         503
     );
 
-    // It is listed, so that others send to it.
+    // The other nodes get the new node in their directory, so that they send calls to it.
     let mut members = vec![member(9, "s", address)];
     for (number, known) in fleet.vms.iter().enumerate() {
         members.push(member(number, "s", known.target.address));
@@ -225,7 +226,7 @@
         )
         .await;
     }
-    until("the node has heard the configuration", || {
+    until("the node has received the configuration", || {
         empty_directory.load().routes.is_some()
     })
     .await;
@@ -236,9 +237,9 @@
     );
 }
 
-/// A gate takes a lookup and falls silent, as behind a cut or in a frozen VM. A
-/// payment that comes before the link is given up is refused as not run: sent
-/// into the silence it would end as "nobody can tell".
+/// A gate receives a lookup and then stays silent, as in a network partition or on a frozen
+/// VM. A payment that arrives before the link is closed is refused as not run. If it were
+/// sent to the gate, its outcome would be unknown.
 #[tokio::test]
 async fn no_call_is_sent_to_an_unresponsive_gate() {
     let (fleet, listener) = with_fake_gate().await;
@@ -247,7 +248,7 @@
     let mut gate = GateEnd::accept(&listener, 7).await;
     assert!(matches!(gate.next_of_all().await, ToGate::Call { .. }));
     assert!(matches!(gate.next_of_all().await, ToGate::Ping));
-    // Twice the time in which it should have answered.
+    // Twice the time in which the gate must answer a ping.
     tokio::time::sleep(std::time::Duration::from_millis(300)).await;
     let payment = ask(callers, "POST", "/pay/x", "id-2").await;
     assert_eq!(payment.status(), 503);
@@ -257,11 +258,10 @@
     while let Some(frame) = gate.rest().await {
         calls += u32::from(matches!(frame, ToGate::Call { .. }));
     }
-    assert_eq!(calls, 0, "sent into the silence");
+    assert_eq!(calls, 0, "a call was sent to an unresponsive gate");
 }
 
-/// The gate was only late. Once it is heard again, calls are sent over the same
-/// link as before.
+/// A gate answers a ping late. After that, calls are sent over the same link again.
 #[tokio::test]
 async fn a_gate_that_responds_again_gets_calls_again() {
     let (fleet, listener) = with_fake_gate().await;
--- a/crates/edge/tests/all/support/target.rs
+++ b/crates/edge/tests/all/support/target.rs
@@ -1,6 +1,6 @@
-//! A target that does what the path of a request asks for.
+//! A fake target whose behaviour each request selects.
 //!
-//! The last segment of the path names its behaviour; see [`Behaviour`].
+//! The last segment of the request's path names the behaviour; see [`answer`].
 
 use std::collections::HashMap;
 use std::net::{IpAddr, SocketAddr};
@@ -16,7 +16,7 @@
 
 use super::{DIGEST, LOAD, NOT_RUN, REQUEST_ID};
 
-/// What the target remembers of a request that it ran.
+/// A request that the target has run.
 #[derive(Clone, Debug)]
 pub struct RecordedRun {
     pub head: RequestHead,
@@ -26,31 +26,32 @@
 #[derive(Debug, Default)]
 struct Journal {
     ran: Mutex<Vec<RecordedRun>>,
-    /// A request has crashed the target.
+    /// Notified when a request crashes the target.
     crashed: tokio::sync::Notify,
-    /// Connections that closed within a run.
+    /// Number of runs during which the connection was closed.
     cancelled: AtomicU32,
     connections: AtomicU32,
     slowness_percent: AtomicU32,
     /// Health checks are answered as by a target that is still starting.
     is_starting: AtomicBool,
-    /// Health checks say that it leaves.
+    /// Health checks report that the target is leaving.
     is_leaving: AtomicBool,
-    /// Connections that rest longer than this many milliseconds reset whatever
-    /// comes next; 0 for never.
+    /// Connections that were idle for longer than this are closed on the next request,
+    /// which resets it. 0 disables this.
     reset_idle_after_ms: AtomicU32,
-    /// The behaviour for all requests that name none.
+    /// The behaviour for requests that do not name one.
     default_behaviour: Mutex<String>,
-    /// The id that it answers to.
+    /// The target id that requests must expect; others get status 421.
     target_id: Mutex<String>,
 }
 
-/// A target on loopback.
+/// A fake target on a loopback address.
 #[derive(Clone, Debug)]
 pub struct FakeTarget {
     pub address: SocketAddr,
     journal: Arc<Journal>,
-    /// The accepting task; aborted, connections are refused.
+    /// The task that accepts connections. It ends when the target crashes, and new
+    /// connections are then refused.
     accepting: Arc<tokio::task::JoinHandle<()>>,
 }
 
@@ -66,8 +67,8 @@
         let accepting = tokio::spawn(async move {
             let mut connections = tokio::task::JoinSet::new();
             loop {
-                // A target that crashes closes its listener and its connections
-                // together, and is back after some seconds.
+                // As in a real crash, the listener and all connections close together. A
+                // real target is back after some seconds.
                 let crashed = served_journal.crashed.notified();
                 let (stream, _) = tokio::select! {
                     stream = listener.accept() => stream.expect("accepted"),
@@ -84,17 +85,17 @@
         }
     }
 
-    /// Whether a request has crashed it.
+    /// Whether a request has crashed the target.
     pub fn has_crashed(&self) -> bool {
         self.accepting.is_finished()
     }
 
-    /// Requests that ran, in their order.
+    /// The requests that ran, in order.
     pub fn ran(&self) -> Vec<RecordedRun> {
         self.journal.ran.lock().clone()
     }
 
-    /// How often a request ran.
+    /// The number of runs of a request.
     pub fn runs_of(&self, request_id: &str) -> usize {
         let ran = self.journal.ran.lock();
         ran.iter()
@@ -116,19 +117,19 @@
             .store(percent, Ordering::Relaxed);
     }
 
-    /// While it starts, its health checks fail and tell no load.
+    /// Makes health checks fail without a load report, as while a target starts.
     pub fn set_starting(&self, is_starting: bool) {
         self.journal
             .is_starting
             .store(is_starting, Ordering::Relaxed);
     }
 
-    /// It says that it leaves, and goes on serving.
+    /// Makes health checks report that the target is leaving. It continues to serve.
     pub fn set_leaving(&self, is_leaving: bool) {
         self.journal.is_leaving.store(is_leaving, Ordering::Relaxed);
     }
 
-    /// From now on forgets connections that rest for this long, without notice.
+    /// From now on, drops connections without notice once they are idle for this long.
     pub fn reset_idle_after(&self, span: Duration) {
         let ms = u32::try_from(span.as_millis()).expect("a short span");
         self.journal
@@ -136,12 +137,12 @@
             .store(ms, Ordering::Relaxed);
     }
 
-    /// From now on answers to this id alone.
+    /// From now on, serves only requests that expect this target id.
     pub fn set_target_id(&self, target_id: &str) {
         *self.journal.target_id.lock() = target_id.to_owned();
     }
 
-    /// What requests without a behaviour of their own meet.
+    /// Sets the behaviour for requests that do not name one.
     pub fn set_default_behaviour(&self, behaviour: &str) {
         *self.journal.default_behaviour.lock() = behaviour.to_owned();
     }
@@ -164,7 +165,8 @@
     }
 }
 
-/// Plays one request; false when the connection ends.
+/// Handles one request with the behaviour that it names. Returns false when the
+/// connection must end.
 async fn answer(
     reader: &mut HttpReader<OwnedReadHalf>,
     writer: &mut OwnedWriteHalf,
@@ -216,7 +218,7 @@
             head,
             body: Vec::new(),
         });
-        // It answers at once and reads the body later, on the same connection.
+        // Answers at once and reads the body later, on the same connection.
         let framing = head_framing;
         let is_written = writer.write_all(success("early").as_bytes()).await.is_ok();
         tokio::time::sleep(Duration::from_millis(50)).await;
@@ -258,7 +260,7 @@
             return false;
         }
         "hang" => {
-            // Whoever sent it closes; nothing else is to come.
+            // Waits until the sender closes the connection; it sends nothing more.
             let _ = reader.wait_for_bytes().await;
             journal.cancelled.fetch_add(1, Ordering::Relaxed);
             return false;
@@ -272,7 +274,11 @@
     writer.write_all(text.as_bytes()).await.is_ok()
 }
 
-/// Waits until something holds; the runtime's clock bounds it.
+/// Waits until `holds` returns true.
+///
+/// # Panics
+///
+/// The condition did not hold within 10 s of the runtime's clock.
 pub async fn until(what: &str, holds: impl Fn() -> bool) {
     let waiting = async {
         while !holds() {
@@ -280,10 +286,10 @@
         }
     };
     let waited = tokio::time::timeout(Duration::from_secs(10), waiting).await;
-    assert!(waited.is_ok(), "waited in vain: {what}");
+    assert!(waited.is_ok(), "timed out waiting until {what}");
 }
 
-/// Runs by request id over several targets.
+/// The number of runs by request id, over several targets.
 pub fn runs(targets: &[&FakeTarget]) -> HashMap<String, usize> {
     let mut runs = HashMap::new();
     for target in targets {
