--- a/crates/edge/tests/all/links.rs
+++ b/crates/edge/tests/all/links.rs
@@ -31,8 +31,8 @@
     (fleet, listener)
 }
 
-/// Most gates refuse a call under overload. If an upload were sent to each gate that is
-/// tried, it would waste the bandwidth between data centres.
+/// Most gates that are tried refuse the call. If an upload were sent to each of them, it
+/// would waste the bandwidth between data centres.
 #[tokio::test]
 async fn a_large_body_is_sent_only_when_the_gate_requests_it() {
     let (fleet, listener) = with_fake_gate().await;
--- a/crates/wire/src/error.rs
+++ b/crates/wire/src/error.rs
@@ -1,38 +1,38 @@
-//! Errors of decoding what another process sent.
+//! Errors of encoding and decoding messages between processes.
 
 use thiserror::Error;
 
-/// Why bytes or text from outside were not understood.
+/// Why a message cannot be encoded or decoded.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum WireError {
-    /// The message claims a format that this build does not speak.
-    #[error("format version {found} is not spoken here, {supported} is")]
+    /// The message has a format version that this build does not support.
+    #[error("format version {found} is not supported, only version {supported} is")]
     FormatVersion {
-        /// The version in the message.
+        /// Version of the message.
         found: u8,
-        /// The version of this build.
+        /// Version that this build supports.
         supported: u8,
     },
-    /// The message is longer than its limit.
-    #[error("{found_bytes} bytes are above the limit of {limit_bytes}")]
+    /// The message exceeds its size limit.
+    #[error("{found_bytes} bytes exceed the limit of {limit_bytes}")]
     TooLong {
-        /// Length found.
+        /// Length of the message.
         found_bytes: usize,
-        /// Length allowed.
+        /// Limit on the length.
         limit_bytes: usize,
     },
-    /// The bytes are no message of this kind.
+    /// The bytes are not a valid message of the expected kind.
     #[error("malformed {what}: {reason}")]
     Malformed {
-        /// What was expected.
+        /// Kind of the expected message.
         what: &'static str,
-        /// The codec's reason.
+        /// Reason of the decoder.
         reason: String,
     },
-    /// The checksum does not fit the content.
-    #[error("the checksum of the {what} does not fit its content")]
+    /// The checksum does not match the content.
+    #[error("the checksum of the {what} does not match its content")]
     Checksum {
-        /// What was expected.
+        /// Kind of the expected message.
         what: &'static str,
     },
 }
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -1,8 +1,8 @@
-//! What travels between nodes: control messages, tickets, load reports and the
-//! names of headers.
+//! Messages between nodes: control messages, link messages, tickets, load reports and
+//! the names of headers.
 //!
-//! Codecs come from `postcard`; this crate adds the format version, the
-//! sender's incarnation and the limits on sizes. It decides nothing.
+//! `postcard` provides the encoding. This crate adds the format version, the sender's
+//! incarnation and size limits. It makes no load balancing decisions.
 
 pub mod control;
 pub mod header;
--- a/crates/wire/src/link.rs
+++ b/crates/wire/src/link.rs
@@ -1,8 +1,10 @@
-//! Frames on the link between an entry and a gate.
+//! Messages on the link between an entry and a gate, and their framing.
 //!
-//! A link is one TCP connection that carries many calls at once. Each frame is
-//! a length of four bytes (little endian) and a message in `postcard`. Bodies
-//! travel in parts, so that a large one does not hold up the calls beside it.
+//! A link is one TCP connection that multiplexes many calls. Each frame is a length of
+//! four bytes (little endian), followed by a message that is encoded with `postcard`.
+//! Bodies are sent in parts, so that a large body does not block other calls.
+//!
+//! `postcard` writes no names: the order of fields and variants is the protocol.
 
 use bytes::{Buf, BufMut, Bytes, BytesMut};
 use hornbeamhitch_types::prelude::*;
@@ -13,95 +15,99 @@
 #[cfg(test)]
 mod tests;
 
-/// Bytes of a body that travel in one frame.
+/// Limit on the bytes of a body in one frame.
 pub const BODY_PART_BYTES: usize = 32 * 1024;
-/// A body up to this size travels with its call. A longer one is kept back until
-/// the gate has a slot for the call: most gates that are asked refuse, and
-/// between data centres each byte that was sent for nothing costs.
+/// Limit on the size of a body that is sent together with its call.
+///
+/// A longer body is deferred until the gate has a slot for the call. Most gates that are
+/// tried refuse the call, and a body that is sent to no effect costs bandwidth between
+/// data centres.
 pub const INLINE_BODY_BYTES: usize = 1024;
-/// A longer frame is an error: a head of 64 KiB, one body part and room for
-/// the fields.
+/// Limit on the size of a frame: a head of 64 KiB, one body part, and room for the
+/// other fields.
 pub const MAX_FRAME_BYTES: usize = 256 * 1024;
 const LENGTH_BYTES: usize = 4;
 
 /// One header field of a request or an answer.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HeaderField {
-    /// Name as it was sent.
+    /// Name as received.
     pub name: String,
-    /// Value as it was sent.
+    /// Value as received.
     pub value: Bytes,
 }
 
-/// Number of a call on its link.
+/// Identifier of a call on its link. The entry assigns it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct CallId(pub u64);
 
-/// A request as its target is to see it, body apart.
+/// A request without its body, as the target receives it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CallHead {
-    /// Method.
+    /// HTTP method.
     pub method: String,
-    /// Path and query as they came.
+    /// Path and query as received.
     pub path: String,
-    /// End-to-end header fields in their order.
+    /// End-to-end header fields in their original order.
     pub fields: Vec<HeaderField>,
 }
 
-/// What the gate needs to decide about a call. Spans count from the arrival of
-/// the frame, so that no two clocks need agree.
+/// The properties of a call that the gate's admission uses.
+///
+/// Durations count from the arrival of the frame, so that the clocks of entry and gate
+/// need not agree.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CallTerms {
-    /// Id of the life of the target that must run it.
+    /// Id of the target incarnation that must run the call.
     pub target_id: String,
-    /// The caller's id of the request; the target echoes it.
+    /// The caller's request id, which the target echoes.
     pub request_id: String,
-    /// Fleet-wide key of this send; a gate runs a key at most once.
+    /// Fleet-wide key of this attempt. A gate runs a key at most once.
     pub key: CallKey,
-    /// Hash of what the request has in common with its next sending.
+    /// Hash of the parts of the request that do not change when it is sent again.
     pub fingerprint: u64,
-    /// Running it more than once is harmless.
+    /// The request may run more than once.
     pub idempotent: bool,
-    /// Rank of its route; 0 goes first.
+    /// Priority of the route. 0 is the highest.
     pub priority: u8,
-    /// Mean run time of its route at usual speed.
+    /// Mean run time of the route's calls at the target's usual speed.
     pub work_ms: Millis,
-    /// It may wait at the gate this long.
+    /// Limit on the time in the gate's queue.
     pub max_queue_ms: Millis,
-    /// Its caller is served well if it ends within this span.
+    /// Time within which the call must end to meet its latency objective.
     pub objective_ms: Millis,
-    /// That span for a call whose caller asks for the first time.
+    /// Value of `objective_ms` for a request that its caller sends for the first time.
     pub whole_objective_ms: Millis,
-    /// After this span a slow target is better than none.
+    /// Time after which a slow target is accepted rather than none.
     pub slow_after_ms: Millis,
-    /// It must have ended within this span.
+    /// Time until the deadline of the call.
     pub deadline_ms: Millis,
-    /// How much of this run repeats an earlier one, in percent: 100 for a retry or a
-    /// hedge, and the expected part for a call that a repeated run may have made.
+    /// The part of this run that repeats an earlier one, in percent: 100 for a retry or a
+    /// hedge, and an expected value for a call that a repeated run may have made.
     pub repeated_percent: u8,
 }
 
-/// An answer of a target, body apart.
+/// An answer of a target, without its body.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AnswerHead {
-    /// Status.
+    /// HTTP status.
     pub status: u16,
-    /// End-to-end header fields in their order.
+    /// End-to-end header fields in their original order.
     pub fields: Vec<HeaderField>,
-    /// Time from the start of the run to the whole answer.
+    /// Time from the start of the run to the end of the answer.
     pub run_ms: Millis,
 }
 
-/// What one node tells others about a request that may crash targets.
+/// A node's observation about a request that may crash targets.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SuspectNotice {
-    /// Hash of what the request has in common with its next sending.
+    /// Hash of the parts of the request that do not change when it is sent again.
     pub fingerprint: u64,
-    /// Count of observations that led here; a higher one overrides.
+    /// Number of observations of the request; a notice with a higher one wins.
     pub version: u32,
     /// `clear`, `suspect` or `convicted`.
     pub standing: String,
-    /// Crashes since it last ran well.
+    /// Number of crashes since the request last ran without one.
     pub crashes: u8,
     /// Time since the observation.
     pub age_ms: Millis,
@@ -111,39 +117,39 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, strum::IntoStaticStr)]
 #[strum(serialize_all = "kebab-case")]
 pub enum CallEnd {
-    /// The gate takes no new work. Not run.
+    /// The gate is leaving and accepts no new calls. The call did not run.
     Leaving,
-    /// The target cannot be reached. Not run.
+    /// The target is unreachable. The call did not run.
     Down,
-    /// The target is in a slow spell. Not run.
+    /// The target is slow at the moment. The call did not run.
     Slow,
-    /// No slot is free soon enough. Not run.
+    /// No slot is free soon enough. The call did not run.
     Busy,
-    /// The deadline would pass first. Not run.
+    /// The deadline would pass before the call ends. The call did not run.
     Late,
-    /// The request crashed targets before and is refused everywhere. Not run.
+    /// The request has crashed targets and is refused by all gates. The call did not run.
     Convicted,
     /// The target stated that it did not run the request.
     Shed,
-    /// Another life of a target has the address. Not run.
+    /// Another incarnation of a target has the address. The call did not run.
     Misdirected,
-    /// The key was asked about before it had started, and now never will.
+    /// The key was fenced before the call started, so the call will never run.
     Fenced,
-    /// The connection to the target broke, or it sent no valid answer, after
-    /// the request was sent. It may have run.
+    /// After the request was sent, the connection to the target broke or the answer was
+    /// invalid. The call may have run.
     Broken,
-    /// The deadline passed during the run. It may have run.
+    /// The deadline passed during the run. The call may have run.
     TimedOut,
 }
 
 impl CallEnd {
-    /// Whether the request certainly did not run and never will.
+    /// Whether the request did certainly not run and never will.
     #[must_use]
     pub const fn is_not_run(self) -> bool {
         !matches!(self, Self::Broken | Self::TimedOut)
     }
 
-    /// Whether the target itself was reached, so that it counts as an arrival.
+    /// Whether the request reached the target, so that it counts as an arrival there.
     #[must_use]
     pub const fn reached_target(self) -> bool {
         matches!(
@@ -153,84 +159,84 @@
     }
 }
 
-/// From an entry to a gate.
+/// A message from an entry to a gate.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ToGate {
-    /// A call with its body, or with nothing of a body that is kept back until
+    /// A call with its whole body, or without a body that is deferred until
     /// [`ToEntry::WantsContent`].
     Call {
-        /// Its number on this link.
+        /// Id of the call on this link.
         id: CallId,
-        /// Terms.
+        /// Properties for admission.
         terms: CallTerms,
-        /// The request.
+        /// Head of the request.
         head: CallHead,
-        /// Bytes of the whole body.
+        /// Length of the whole body.
         body_bytes: u64,
-        /// The whole body, or nothing.
+        /// The whole body, or empty if it is deferred.
         body: Bytes,
     },
-    /// The terms of a call alone, for a gate that is likely to refuse it. Its head and
-    /// body are kept back until [`ToEntry::WantsContent`].
+    /// The terms of a call alone, for a gate that is likely to refuse the call. Head and
+    /// body are deferred until [`ToEntry::WantsContent`].
     Offer {
-        /// Its number on this link.
+        /// Id of the call on this link.
         id: CallId,
-        /// Terms.
+        /// Properties for admission.
         terms: CallTerms,
-        /// Bytes of the whole body.
+        /// Length of the whole body.
         body_bytes: u64,
     },
-    /// The head that [`Self::Offer`] kept back; its body follows.
+    /// The head that [`Self::Offer`] deferred. The body follows.
     Head {
         /// The call.
         id: CallId,
-        /// The request.
+        /// Head of the request.
         head: CallHead,
     },
-    /// A part of a body that the gate has asked for.
+    /// A part of a deferred body.
     Body {
         /// The call.
         id: CallId,
         /// The next part.
         part: Bytes,
     },
-    /// The caller has left, or another attempt won. A non-idempotent call that
-    /// has started goes on.
+    /// Cancels a call whose caller has left or for which another attempt won. A
+    /// non-idempotent call that has started continues.
     Cancel {
         /// The call.
         id: CallId,
     },
-    /// What became of a key that was sent over a link that broke? One that has
-    /// not started never will.
+    /// Requests the outcome of a key that was sent over a broken link, and fences the
+    /// key: if its call has not started, it never will.
     Fence {
-        /// Number for the answer.
+        /// Id for the answer.
         id: CallId,
         /// The key.
         key: CallKey,
     },
-    /// Something was learnt about a request that may crash targets.
+    /// A new observation about a request that may crash targets.
     Suspect(SuspectNotice),
-    /// What the entry knows of routes and targets, for a gate that asked.
+    /// The routes and targets that the entry knows, in answer to
+    /// [`ToEntry::WantsFacts`].
     Facts(Bytes),
-    /// Are you there?
+    /// Liveness check, answered by [`ToEntry::Pong`].
     Ping,
-    /// A subscription: tell what changed after this revision of the platform's
-    /// list, now and from now on.
+    /// Subscribes to the changes of routes and targets after a revision of the source.
     Subscribe {
-        /// Up to this revision everything is known.
+        /// The subscriber knows all changes up to this revision.
         revision: u64,
     },
 }
 
-/// From a gate to an entry.
+/// A message from a gate to an entry or a subscriber.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ToEntry {
-    /// First frame of a link: this life of the gate.
+    /// First frame of a link.
     Hello {
-        /// Which life.
+        /// Incarnation of the gate's process.
         incarnation: Incarnation,
     },
-    /// The call has a slot; what was kept back of it is wanted now.
+    /// The call has a slot, and the gate requests the deferred head and body.
     WantsContent {
         /// The call.
         id: CallId,
@@ -239,18 +245,18 @@
     Started {
         /// The call.
         id: CallId,
-        /// Time that work took there just before, in percent of the usual.
+        /// Recent run time at the target, in percent of the usual one.
         slowness_percent: u32,
     },
-    /// The target's answer; `body_bytes` in all, the first part of them here.
+    /// The target's answer with the first part of its body.
     Answered {
         /// The call.
         id: CallId,
-        /// Its head.
+        /// Head of the answer.
         head: AnswerHead,
-        /// Bytes of the whole body.
+        /// Length of the whole body.
         body_bytes: u64,
-        /// The first part.
+        /// The first part of the body.
         part: Bytes,
     },
     /// A further part of an answer's body.
@@ -264,29 +270,31 @@
     Ended {
         /// The call.
         id: CallId,
-        /// How.
+        /// The reason.
         end: CallEnd,
     },
-    /// Something was learnt about a request that may crash targets.
+    /// A new observation about a request that may crash targets.
     Suspect(SuspectNotice),
-    /// This node knows no configuration and cannot read any.
+    /// This node has no configuration, cannot read one, and requests
+    /// [`ToGate::Facts`].
     WantsFacts,
-    /// I am.
+    /// Answer to [`ToGate::Ping`].
     Pong,
-    /// One change of routes or targets, for a subscriber. It counts once
-    /// [`Self::Progress`] follows.
+    /// One change of routes or targets, for a subscriber. It takes effect with the next
+    /// [`Self::Progress`].
     Change(Bytes),
-    /// Every change up to this revision was told. Sent again when there is
-    /// nothing to tell, so that silence means trouble.
+    /// All changes up to this revision were sent. It is repeated as a heartbeat while
+    /// nothing changes, so that silence indicates a fault.
     Progress {
         /// The revision.
         revision: u64,
-        /// The reader's own last read failed.
+        /// The last read of the source by this node failed.
         last_read_failed: bool,
-        /// So long ago this was all that the source had published.
+        /// Time since the source is known to have published nothing newer.
         age_ms: Millis,
     },
-    /// This node is no reader, or no longer knows what came after the revision.
+    /// This node does not read the source, or no longer has the changes after the
+    /// subscriber's revision.
     FeedUnavailable,
 }
 
@@ -294,7 +302,7 @@
 ///
 /// # Errors
 ///
-/// [`WireError::TooLong`] when the message exceeds [`MAX_FRAME_BYTES`].
+/// [`WireError::TooLong`] if the encoded message exceeds [`MAX_FRAME_BYTES`].
 pub fn encode<T: Serialize>(message: &T, into: &mut BytesMut) -> Result<(), WireError> {
     let encoded = postcard::to_stdvec(message).map_err(|error| WireError::Malformed {
         what: "link frame",
@@ -312,12 +320,12 @@
     Ok(())
 }
 
-/// Takes the first whole message out of what was read; `None` when more bytes
-/// are needed.
+/// Takes the first complete message out of the bytes that were read. Returns `None` when
+/// more bytes are needed.
 ///
 /// # Errors
 ///
-/// A frame that is too long or no message: the link is of no use any more.
+/// The frame is too long or malformed. The link cannot be used any further.
 pub fn decode<T: for<'de> Deserialize<'de>>(from: &mut BytesMut) -> Result<Option<T>, WireError> {
     let Some(length) = from.first_chunk::<LENGTH_BYTES>() else {
         return Ok(None);
--- a/crates/wire/src/link/tests.rs
+++ b/crates/wire/src/link/tests.rs
@@ -1,4 +1,4 @@
-//! Frames in any pieces, and bytes that are none.
+//! Tests of decoding frames that arrive in pieces, and of malformed input.
 
 use proptest::prelude::*;
 
@@ -30,8 +30,8 @@
 }
 
 proptest! {
-    /// The network hands over a stream in any pieces; each frame comes out
-    /// whole, once, in its order.
+    /// However the network splits the stream, each frame is decoded whole, once and in
+    /// order.
     #[test]
     fn frames_round_trip_in_any_pieces(
         messages in proptest::collection::vec(message(), 0..12),
@@ -51,8 +51,8 @@
         prop_assert!(buffer.is_empty());
     }
 
-    /// Whatever else arrives ends in a fault or a wait for more, never in a
-    /// panic or in a frame larger than allowed.
+    /// Arbitrary bytes lead to an error or to waiting for more, and never to a panic or
+    /// to a growing buffer.
     #[test]
     fn arbitrary_bytes_never_cause_a_panic(
         length in 0_u32..400,
--- a/crates/wire/src/load.rs
+++ b/crates/wire/src/load.rs
@@ -1,4 +1,4 @@
-//! The load report that rides on every answer of a gate.
+//! The load report that a gate adds to every answer.
 
 use std::fmt;
 use std::str::FromStr;
@@ -8,22 +8,22 @@
 
 use crate::error::WireError;
 
-/// What a gate knows about its target at the moment of an answer.
+/// Load of a gate and its target at the time of an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LoadReport {
-    /// Calls running in the target.
+    /// Number of calls that run in the target.
     pub in_flight: u32,
-    /// Calls waiting in the gate.
+    /// Number of calls that are queued at the gate.
     pub queued: u32,
-    /// The gate's present concurrency limit.
+    /// Current concurrency limit of the gate.
     pub limit: u32,
     /// Smoothed service time of the target in microseconds.
     pub service_time_us: u32,
-    /// The gate's clock, from which tickets' expiry is reckoned.
+    /// The gate's clock, to which the expiry of its tickets refers.
     pub gate_clock_ms: Millis,
-    /// The life of the gate.
+    /// Incarnation of the gate.
     pub incarnation: Incarnation,
-    /// The gate takes no new work.
+    /// The gate accepts no new calls.
     pub leaving: bool,
 }
 
