--- a/crates/routed/src/dialect.rs
+++ b/crates/routed/src/dialect.rs
@@ -15,9 +15,9 @@
 
 /// The heads of our own deployments.
 #[derive(Clone, Copy, Debug)]
-pub struct OwnDialect;
+pub struct NativeDialect;
 
-impl Dialect for OwnDialect {
+impl Dialect for NativeDialect {
     fn names(&self) -> &HeaderNames {
         &NAMES
     }
--- a/crates/routed/src/program.rs
+++ b/crates/routed/src/program.rs
@@ -14,8 +14,8 @@
 use hornbeamhitch_node::settings::Config;
 use hornbeamhitch_types::prelude::*;
 
-use crate::dialect::OwnDialect;
-use crate::source::OwnSource;
+use crate::dialect::NativeDialect;
+use crate::source::NativeSource;
 
 /// Path of the readiness question, as of the other node.
 const READINESS_PATH: &str = "/v1/ready";
@@ -79,8 +79,8 @@
     let path = path.to_owned();
     Deployment {
         config: edge_config(config),
-        dialect: Arc::new(OwnDialect),
-        source: Arc::new(OwnSource::new(reader, config.peer_address.port())),
+        dialect: Arc::new(NativeDialect),
+        source: Arc::new(NativeSource::new(reader, config.peer_address.port())),
         reload: Box::new(move || match Config::load(&path) {
             Ok(_) => Some(tunables()),
             Err(faults) => {
--- a/crates/routed/src/source.rs
+++ b/crates/routed/src/source.rs
@@ -19,7 +19,7 @@
 /// It counts versions of the text and of the list; their sum is the one revision
 /// that a source has, since it rises with each change of either.
 #[derive(Debug)]
-pub struct OwnSource {
+pub struct NativeSource {
     reader: PlatformReader,
     published: Mutex<Published>,
 }
@@ -28,21 +28,21 @@
 #[derive(Debug)]
 struct Published {
     /// All nodes have their links at this port.
-    links_port: u16,
+    link_port: u16,
     text: Option<CheckedText>,
     text_version: ConfigVersion,
     vms: Vec<ListedVm>,
     list_version: ListVersion,
 }
 
-impl OwnSource {
+impl NativeSource {
     /// A source that has read nothing.
     #[must_use]
-    pub const fn new(reader: PlatformReader, links_port: u16) -> Self {
+    pub const fn new(reader: PlatformReader, link_port: u16) -> Self {
         Self {
             reader,
             published: Mutex::new(Published {
-                links_port,
+                link_port,
                 text: None,
                 text_version: ConfigVersion(0),
                 vms: Vec::new(),
@@ -52,17 +52,17 @@
     }
 
     /// Reads both, whatever is known.
-    async fn read_both(&self) -> Result<Listing, SourceFault> {
+    async fn read_text_and_vms(&self) -> Result<Listing, SourceFault> {
         let at_once = Millis::ZERO;
         let text = self.reader.text(ConfigVersion(0), at_once).await;
         let vms = self.reader.vms(None, ListVersion(0), at_once).await;
-        let (text, vms) = (text.map_err(failed)?, vms.map_err(failed)?);
+        let (text, vms) = (text.map_err(read_failed)?, vms.map_err(read_failed)?);
         let mut published = self.published.lock();
         if let Some(text) = text {
-            published.take_text(&text);
+            published.apply_text(&text);
         }
         if let Some(vms) = vms {
-            published.take_vms(vms);
+            published.apply_vms(vms);
         }
         Ok(Listing {
             routes: published.routes(),
@@ -73,21 +73,21 @@
     }
 
     /// Waits until one of both changes.
-    async fn watch_both(&self, wait_ms: Millis) -> Result<Changes, SourceFault> {
-        let read = self.next(wait_ms).await.map_err(failed)?;
+    async fn watch_text_and_vms(&self, wait_ms: Millis) -> Result<Changes, SourceFault> {
+        let read = self.next_change(wait_ms).await.map_err(read_failed)?;
         let mut published = self.published.lock();
         let members = published.members();
         let version = published.text_version;
         match read {
-            Some(Read::Text(text)) => published.take_text(&text),
-            Some(Read::Vms(vms)) => published.take_vms(vms),
+            Some(WatchEvent::Text(text)) => published.apply_text(&text),
+            Some(WatchEvent::Vms(vms)) => published.apply_vms(vms),
             None => {}
         }
         let mut facts = Vec::new();
         if published.text_version > version {
             facts.extend(published.routes().map(Fact::Routes));
         }
-        facts.extend(difference(&members, published.members()));
+        facts.extend(diff_members(&members, published.members()));
         let revision = published.revision();
         let changes = facts.into_iter().map(|fact| Change { revision, fact });
         Ok(Changes {
@@ -98,7 +98,7 @@
     }
 
     /// The first change of either; `None` when both waits have passed.
-    async fn next(&self, wait_ms: Millis) -> eyre::Result<Option<Read>> {
+    async fn next_change(&self, wait_ms: Millis) -> eyre::Result<Option<WatchEvent>> {
         let (text_version, list_version) = {
             let published = self.published.lock();
             (published.text_version, published.list_version)
@@ -107,12 +107,12 @@
         let mut vms = std::pin::pin!(self.reader.vms(None, list_version, wait_ms));
         tokio::select! {
             read = &mut text => match read? {
-                Some(read) => Ok(Some(Read::Text(read))),
-                None => Ok(vms.await?.map(Read::Vms)),
+                Some(read) => Ok(Some(WatchEvent::Text(read))),
+                None => Ok(vms.await?.map(WatchEvent::Vms)),
             },
             read = &mut vms => match read? {
-                Some(read) => Ok(Some(Read::Vms(read))),
-                None => Ok(text.await?.map(Read::Text)),
+                Some(read) => Ok(Some(WatchEvent::Vms(read))),
+                None => Ok(text.await?.map(WatchEvent::Text)),
             },
         }
     }
@@ -124,14 +124,14 @@
     }
 
     /// A text with faults leaves the one before in force.
-    fn take_text(&mut self, read: &PublishedText) {
+    fn apply_text(&mut self, read: &PublishedText) {
         self.text_version = read.version;
         if let Some(checked) = check(read) {
             self.text = Some(checked);
         }
     }
 
-    fn take_vms(&mut self, read: PublishedVms) {
+    fn apply_vms(&mut self, read: PublishedVms) {
         self.list_version = read.version;
         self.vms = read.vms;
     }
@@ -145,12 +145,12 @@
     fn members(&self) -> BTreeMap<TargetId, Member> {
         let mut members = BTreeMap::new();
         for vm in &self.vms {
-            if vm.peer.port() != self.links_port {
+            if vm.peer.port() != self.link_port {
                 log::warn!(
                     "the VM {} is left out: its links are at port {} and not {}",
                     vm.vm,
                     vm.peer.port(),
-                    self.links_port
+                    self.link_port
                 );
                 continue;
             }
@@ -178,14 +178,17 @@
 }
 
 /// What a watch brought.
-enum Read {
+enum WatchEvent {
     Text(PublishedText),
     Vms(PublishedVms),
 }
 
-impl Source for OwnSource {
+impl Source for NativeSource {
     fn read_all(&self, silence_ms: Millis) -> Reading<'_, Listing> {
-        Box::pin(unless_silent(silence_ms.to_duration(), self.read_both()))
+        Box::pin(with_timeout(
+            silence_ms.to_duration(),
+            self.read_text_and_vms(),
+        ))
     }
 
     fn read_stale(&self, silence_ms: Millis) -> Reading<'_, Listing> {
@@ -195,14 +198,14 @@
 
     fn watch(&self, after: u64, wait_ms: Millis, silence_ms: Millis) -> Reading<'_, Changes> {
         let limit = wait_ms.to_duration() + silence_ms.to_duration();
-        Box::pin(unless_silent(limit, async move {
+        Box::pin(with_timeout(limit, async move {
             let known = self.published.lock().revision();
             if after != known {
                 // The difference is told from what was read last, and the caller
                 // has heard of more from others.
                 return Err(SourceFault::HistoryGone);
             }
-            self.watch_both(wait_ms).await
+            self.watch_text_and_vms(wait_ms).await
         }))
     }
 
@@ -211,9 +214,9 @@
         id: &'a TargetId,
         silence_ms: Millis,
     ) -> Reading<'a, Option<Member>> {
-        Box::pin(unless_silent(silence_ms.to_duration(), async move {
+        Box::pin(with_timeout(silence_ms.to_duration(), async move {
             let read = self.reader.vms(None, ListVersion(0), Millis::ZERO).await;
-            let Some(read) = read.map_err(failed)? else {
+            let Some(read) = read.map_err(read_failed)? else {
                 return Ok(None);
             };
             let published = self.published.lock();
@@ -223,9 +226,9 @@
     }
 
     fn read_routes(&self, silence_ms: Millis) -> Reading<'_, Option<RouteSet>> {
-        Box::pin(unless_silent(silence_ms.to_duration(), async move {
+        Box::pin(with_timeout(silence_ms.to_duration(), async move {
             let read = self.reader.text(ConfigVersion(0), Millis::ZERO).await;
-            Ok(read.map_err(failed)?.as_ref().and_then(route_set))
+            Ok(read.map_err(read_failed)?.as_ref().and_then(route_set))
         }))
     }
 }
@@ -249,7 +252,7 @@
 
 /// Gives a read up after this time. Texts and lists are small enough for one limit on the
 /// whole answer.
-async fn unless_silent<T>(
+async fn with_timeout<T>(
     limit: Duration,
     reading: impl Future<Output = Result<T, SourceFault>>,
 ) -> Result<T, SourceFault> {
@@ -257,7 +260,7 @@
     read.unwrap_or_else(|_| Err(SourceFault::Failed("no answer in time".to_owned())))
 }
 
-fn difference(before: &BTreeMap<TargetId, Member>, now: BTreeMap<TargetId, Member>) -> Vec<Fact> {
+fn diff_members(before: &BTreeMap<TargetId, Member>, now: BTreeMap<TargetId, Member>) -> Vec<Fact> {
     let gone = before.keys().filter(|id| !now.contains_key(*id));
     let mut facts: Vec<Fact> = gone.cloned().map(Fact::Left).collect();
     for (id, member) in now {
@@ -268,6 +271,6 @@
     facts
 }
 
-fn failed(error: eyre::Report) -> SourceFault {
+fn read_failed(error: eyre::Report) -> SourceFault {
     SourceFault::Failed(format!("{error:#}"))
 }
--- a/tests/all/routed.rs
+++ b/tests/all/routed.rs
@@ -17,14 +17,14 @@
 const DRAIN_TIMEOUT_MS: u64 = 2_000;
 
 /// Routes of two services; templates go to one of them.
-fn text(templates_go_to: &str) -> String {
+fn text(template_service: &str) -> String {
     format!(
         r#"{{
   "deployment": "test",
   "services": {{ "layouts": {{ "slots": 4 }}, "cashier": {{ "slots": 4 }} }},
   "routes": [
     {{ "name": "templates", "host": "print.example", "prefix": "/templates/",
-      "to": {{ "{templates_go_to}": 1 }}, "idempotent": true, "timeout_ms": 2000 }},
+      "to": {{ "{template_service}": 1 }}, "idempotent": true, "timeout_ms": 2000 }},
     {{ "name": "fees", "host": "print.example", "prefix": "/fees/",
       "to": {{ "cashier": 1 }}, "timeout_ms": 2000 }},
   ],
@@ -33,9 +33,9 @@
 }
 
 /// VMs with a node and a target each.
-struct Routed(Deployment);
+struct RoutedNodes(Deployment);
 
-impl Routed {
+impl RoutedNodes {
     /// Starts a VM for each service.
     async fn start(services: &[&str]) -> Result<Self> {
         let mut members = Vec::new();
@@ -56,8 +56,13 @@
     }
 
     /// One request at the first VM; its answer, and whose it is.
-    async fn ask(&self, method: &str, host: &str, path: &str) -> Result<(RawAnswer, String)> {
-        let answer = ask(self.0.entry("vm-0"), method, host, path).await;
+    async fn send_request(
+        &self,
+        method: &str,
+        host: &str,
+        path: &str,
+    ) -> Result<(RawAnswer, String)> {
+        let answer = send_request(self.0.entry("vm-0"), method, host, path).await;
         let answer = answer.ok_or_else(|| eyre::eyre!("no answer to {path}"))?;
         let target = answer
             .field("standin-target")
@@ -67,9 +72,14 @@
     }
 }
 
-async fn ask(address: SocketAddr, method: &str, host: &str, path: &str) -> Option<RawAnswer> {
+async fn send_request(
+    address: SocketAddr,
+    method: &str,
+    host: &str,
+    path: &str,
+) -> Option<RawAnswer> {
     let mut caller = RawCaller::connect(address).await.ok()?;
-    let id: u64 = rand_id();
+    let id: u64 = next_request_id();
     let request = format!(
         "{method} {path} HTTP/1.1\r\nHost: {host}\r\nhitch-request-id: {id}\r\n\
          hitch-deadline-ms: 2000\r\nContent-Length: 0\r\n\r\n"
@@ -79,7 +89,7 @@
 }
 
 /// Ids need only differ within one test.
-fn rand_id() -> u64 {
+fn next_request_id() -> u64 {
     use std::sync::atomic::{AtomicU64, Ordering};
     static LAST: AtomicU64 = AtomicU64::new(0);
     LAST.fetch_add(1, Ordering::Relaxed)
@@ -97,19 +107,21 @@
 }
 
 #[tokio::test]
-async fn routes_of_the_text_lead_to_their_services() -> Result<()> {
-    let routed = Routed::start(&["layouts", "cashier"]).await?;
-    let (answer, target) = routed
-        .ask("GET", "print.example", "/templates/7?size=a4")
+async fn calls_follow_the_routes_of_the_text() -> Result<()> {
+    let nodes = RoutedNodes::start(&["layouts", "cashier"]).await?;
+    let (answer, target) = nodes
+        .send_request("GET", "print.example", "/templates/7?size=a4")
         .await?;
     assert_eq!((answer.status(), target.as_str()), (200, "vm-0"));
-    let (answer, target) = routed.ask("POST", "print.example", "/fees/charge").await?;
+    let (answer, target) = nodes
+        .send_request("POST", "print.example", "/fees/charge")
+        .await?;
     assert_eq!((answer.status(), target.as_str()), (200, "vm-1"));
-    let runs = routed.0.target("vm-1").all_runs();
+    let runs = nodes.0.target("vm-1").all_runs();
     assert_eq!(runs.len(), 1);
     assert_eq!(runs[0].marks.path, "/fees/charge");
     for (host, path) in [("print.example", "/other/"), ("else.example", "/fees/x")] {
-        let (answer, _) = routed.ask("GET", host, path).await?;
+        let (answer, _) = nodes.send_request("GET", host, path).await?;
         assert_eq!(answer.status(), 404, "{host}{path}");
     }
     Ok(())
@@ -118,57 +130,65 @@
 /// An operator edits the text, twice: first with a fault, then well. Callers see
 /// the old routes until the good edit, and the new ones after it.
 #[tokio::test]
-async fn an_edit_moves_a_route_and_a_faulty_one_moves_none() -> Result<()> {
-    let routed = Routed::start(&["layouts", "cashier"]).await?;
-    let platform = &routed.0.platform;
+async fn a_valid_edit_moves_a_route_and_an_invalid_one_is_ignored() -> Result<()> {
+    let nodes = RoutedNodes::start(&["layouts", "cashier"]).await?;
+    let platform = &nodes.0.platform;
     platform.set_text(r#"{ "services": { "layouts": 3 } }"#)?;
     platform.set_vm_state("vm-1", VmState::Leaving)?;
-    let leaving = || async {
-        let answer = ask(routed.0.entry("vm-0"), "POST", "print.example", "/fees/x").await;
+    let is_refused = || async {
+        let answer = send_request(nodes.0.entry("vm-0"), "POST", "print.example", "/fees/x").await;
         answer.is_some_and(|answer| answer.status() == 503)
     };
-    until("the list behind the faulty text is in force", leaving).await?;
-    let (_, target) = routed.ask("GET", "print.example", "/templates/1").await?;
+    until("the list behind the faulty text is in force", is_refused).await?;
+    let (_, target) = nodes
+        .send_request("GET", "print.example", "/templates/1")
+        .await?;
     assert_eq!(target, "vm-0");
 
     platform.set_vm_state("vm-1", VmState::Live)?;
     platform.set_text(&text("cashier"))?;
-    let moved = || async {
-        let asked = routed.ask("GET", "print.example", "/templates/2").await;
-        asked.is_ok_and(|(_, target)| target == "vm-1")
+    let is_moved = || async {
+        let response = nodes
+            .send_request("GET", "print.example", "/templates/2")
+            .await;
+        response.is_ok_and(|(_, target)| target == "vm-1")
     };
-    until("the new text is in force", moved).await
+    until("the new text is in force", is_moved).await
 }
 
 /// The platform says that a VM is about to be replaced. Its target gets no new
 /// calls; the other one of its service gets them.
 #[tokio::test]
 async fn a_leaving_vm_gets_no_new_calls() -> Result<()> {
-    let routed = Routed::start(&["cashier", "layouts", "layouts"]).await?;
-    routed.0.platform.set_vm_state("vm-1", VmState::Leaving)?;
-    let seen = || async {
-        let before = routed.0.target("vm-1").all_runs().len();
+    let nodes = RoutedNodes::start(&["cashier", "layouts", "layouts"]).await?;
+    nodes.0.platform.set_vm_state("vm-1", VmState::Leaving)?;
+    let no_new_calls = || async {
+        let before = nodes.0.target("vm-1").all_runs().len();
         for number in 0..10 {
             let path = format!("/templates/{number}");
-            if routed.ask("GET", "print.example", &path).await.is_err() {
+            if nodes
+                .send_request("GET", "print.example", &path)
+                .await
+                .is_err()
+            {
                 return false;
             }
         }
-        routed.0.target("vm-1").all_runs().len() == before
+        nodes.0.target("vm-1").all_runs().len() == before
     };
-    until("the VM is seen as leaving", seen).await?;
+    until("the VM is seen as leaving", no_new_calls).await?;
     for number in 0..20 {
         let path = format!("/templates/{number}");
-        let (answer, target) = routed.ask("GET", "print.example", &path).await?;
+        let (answer, target) = nodes.send_request("GET", "print.example", &path).await?;
         assert_eq!((answer.status(), target.as_str()), (200, "vm-2"));
     }
     Ok(())
 }
 
 #[tokio::test]
-async fn a_node_that_is_told_to_end_ends_well() -> Result<()> {
-    let mut routed = Routed::start(&["layouts"]).await?;
-    let fleet = &mut routed.0.fleet;
+async fn a_terminated_node_exits_successfully() -> Result<()> {
+    let mut nodes = RoutedNodes::start(&["layouts"]).await?;
+    let fleet = &mut nodes.0.fleet;
     fleet.terminate("vm-0")?;
     let status = fleet.wait_exit("vm-0", PATIENCE).await?;
     assert!(status.success(), "{status}");
@@ -176,7 +196,7 @@
 }
 
 #[test]
-fn faulty_settings_are_told_with_their_place() -> Result<()> {
+fn settings_faults_are_printed_with_their_position() -> Result<()> {
     let file = std::env::temp_dir().join(format!("routed-faulty-{}", std::process::id()));
     std::fs::write(&file, "{ \"vm\": 3 }")?;
     let output = Command::new(ROUTED)
@@ -185,7 +205,7 @@
         .output()?;
     std::fs::remove_file(&file)?;
     assert_eq!(output.status.code(), Some(1));
-    let told = String::from_utf8(output.stderr)?;
-    assert!(told.contains("line 1, column 9: vm"), "{told}");
+    let stderr = String::from_utf8(output.stderr)?;
+    assert!(stderr.contains("line 1, column 9: vm"), "{stderr}");
     Ok(())
 }
