--- a/crates/routed/src/dialect.rs
+++ b/crates/routed/src/dialect.rs
@@ -1,4 +1,4 @@
-//! What our own callers and targets call the fields of their heads.
+//! Header names of callers and targets on the native platform.
 
 use hornbeamhitch_edge::dialect::{Dialect, HeaderNames, TargetLoad};
 use hornbeamhitch_wire::header;
@@ -13,7 +13,7 @@
     caller_service: header::CALLER_SERVICE,
 };
 
-/// The heads of our own deployments.
+/// The native header dialect.
 #[derive(Clone, Copy, Debug)]
 pub struct NativeDialect;
 
@@ -22,7 +22,8 @@
         &NAMES
     }
 
-    /// Our targets tell their load for picking, and nothing of their VM's speed.
+    /// Always `None`: native targets report their load for target selection, but not the
+    /// speed of their VM.
     fn load(&self, _value: &str) -> Option<TargetLoad> {
         None
     }
--- a/crates/routed/src/lib.rs
+++ b/crates/routed/src/lib.rs
@@ -1,8 +1,8 @@
-//! The routed path on our own platform: routes from the operators' text, targets
-//! from the VM list, callers and targets by our own header names.
+//! The routed path on the project's native platform.
 //!
-//! The decisions and the traffic are those of `hornbeamhitch-edge`; here is only
-//! what tells it of our platform.
+//! Routes come from the operators' configuration text, targets from the VM list, and
+//! callers and targets use the native header names. `hornbeamhitch-edge` makes the
+//! decisions and carries the traffic. This crate only connects it to the platform.
 
 pub mod dialect;
 pub mod program;
--- a/crates/routed/src/program.rs
+++ b/crates/routed/src/program.rs
@@ -1,4 +1,4 @@
-//! The routed node on our own platform as a program.
+//! The program `hornbeamhitch-routed`: a routed node on the native platform.
 
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -17,20 +17,21 @@
 use crate::dialect::NativeDialect;
 use crate::source::NativeSource;
 
-/// Path of the readiness question, as of the other node.
+/// Path of the readiness endpoint. `hornbeamhitch-node` uses the same path.
 const READINESS_PATH: &str = "/v1/ready";
-/// A change of the text or the list is in force within this; callers who were
-/// told of a change wait about as long.
+/// Time within which a change of the text or the VM list is in force. Callers that are
+/// notified of a change wait about as long.
 const IN_FORCE_MS: Millis = Millis(2_000);
-/// Extra arrivals at a service, over all entries: a fifth of its requests, and
-/// some for a service that has few. The usual share of retry budgets.
+/// Retry budget of a service over all entries: extra attempts up to a fifth of its
+/// requests, which is the usual ratio, plus a fixed number for services with few
+/// requests.
 const RETRY_LIMIT: RetryLimit = RetryLimit {
     ratio: 0.2,
     slack: 64.0,
     window_ms: Millis(10_000),
 };
 
-/// A node that routes by host and path as the text says.
+/// Runs a node that routes calls by host and path.
 #[derive(Debug, Options)]
 struct Arguments {
     /// Prints this text.
@@ -49,7 +50,7 @@
     check: bool,
 }
 
-/// Follows the arguments until the node has ended.
+/// Parses the command line and runs the node until it ends.
 #[must_use]
 pub fn run() -> ExitCode {
     let arguments = Arguments::parse_args_default_or_exit();
@@ -102,7 +103,7 @@
         vm: config.vm.clone(),
         service: config.service.clone(),
         data_centre: config.data_centre.clone(),
-        // The VM list names nodes, not targets.
+        // The VM list has the addresses of nodes, not of targets.
         listed_address: config.peer_address,
         callers_address: config.callers_address,
         links_address: config.peer_address,
--- a/crates/routed/src/source.rs
+++ b/crates/routed/src/source.rs
@@ -1,4 +1,4 @@
-//! The text and the VM list as the source of routes and targets.
+//! The configuration text and the VM list as a source of routes and targets.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -11,23 +11,23 @@
 use hornbeamhitch_wire::control::{ListVersion, ListedVm};
 use parking_lot::Mutex;
 
-/// Slots of a target whose service the text does not know (yet).
+/// Slots of a target whose service the configuration text does not define (yet).
 const UNKNOWN_SLOTS: u32 = 1;
 
-/// Reads our platform.
+/// Reads routes and targets from the native platform.
 ///
-/// It counts versions of the text and of the list; their sum is the one revision
-/// that a source has, since it rises with each change of either.
+/// The platform has separate versions for the configuration text and the VM list. The
+/// revision of this source is their sum, which grows with each change of either.
 #[derive(Debug)]
 pub struct NativeSource {
     reader: PlatformReader,
     published: Mutex<Published>,
 }
 
-/// What was read last.
+/// The last text and list that were read.
 #[derive(Debug)]
 struct Published {
-    /// All nodes have their links at this port.
+    /// All nodes listen for links at this port.
     link_port: u16,
     text: Option<CheckedText>,
     text_version: ConfigVersion,
@@ -36,7 +36,7 @@
 }
 
 impl NativeSource {
-    /// A source that has read nothing.
+    /// Creates a source that has not read anything yet.
     #[must_use]
     pub const fn new(reader: PlatformReader, link_port: u16) -> Self {
         Self {
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Reads both, whatever is known.
+    /// Reads the text and the list, whichever versions are known already.
     async fn read_text_and_vms(&self) -> Result<Listing, SourceFault> {
         let at_once = Millis::ZERO;
         let text = self.reader.text(ConfigVersion(0), at_once).await;
@@ -72,7 +72,7 @@
         })
     }
 
-    /// Waits until one of both changes.
+    /// Waits until the text or the list changes, or until both waits time out.
     async fn watch_text_and_vms(&self, wait_ms: Millis) -> Result<Changes, SourceFault> {
         let read = self.next_change(wait_ms).await.map_err(read_failed)?;
         let mut published = self.published.lock();
@@ -97,7 +97,8 @@
         })
     }
 
-    /// The first change of either; `None` when both waits have passed.
+    /// Returns the first change of the text or the list, or `None` when both waits time
+    /// out.
     async fn next_change(&self, wait_ms: Millis) -> eyre::Result<Option<WatchEvent>> {
         let (text_version, list_version) = {
             let published = self.published.lock();
@@ -123,7 +124,7 @@
         self.text_version.0 + self.list_version.0
     }
 
-    /// A text with faults leaves the one before in force.
+    /// Applies a text. If it has faults, the previous one stays in force.
     fn apply_text(&mut self, read: &PublishedText) {
         self.text_version = read.version;
         if let Some(checked) = check(read) {
@@ -141,13 +142,13 @@
         Some(text.route_set(self.text_version.0))
     }
 
-    /// The listed targets with what the text says of their services.
+    /// Returns the listed targets with the settings of their services from the text.
     fn members(&self) -> BTreeMap<TargetId, Member> {
         let mut members = BTreeMap::new();
         for vm in &self.vms {
             if vm.peer.port() != self.link_port {
                 log::warn!(
-                    "the VM {} is left out: its links are at port {} and not {}",
+                    "ignoring VM {}: its links use port {} instead of {}",
                     vm.vm,
                     vm.peer.port(),
                     self.link_port
@@ -164,7 +165,7 @@
         let text = self.text.as_ref();
         let service = text.and_then(|text| text.service(vm.service.as_str()));
         Member {
-            // The list knows VMs and no single lives of their targets.
+            // The list identifies VMs, not incarnations of their targets.
             id: TargetId::new(vm.vm.as_str()),
             service: vm.service.clone(),
             address: vm.peer,
@@ -177,7 +178,7 @@
     }
 }
 
-/// What a watch brought.
+/// The result of a watch.
 enum WatchEvent {
     Text(PublishedText),
     Vms(PublishedVms),
@@ -192,7 +193,7 @@
     }
 
     fn read_stale(&self, silence_ms: Millis) -> Reading<'_, Listing> {
-        // This platform has no cheaper read.
+        // This platform has no cheaper stale read.
         self.read_all(silence_ms)
     }
 
@@ -201,8 +202,8 @@
         Box::pin(with_timeout(limit, async move {
             let known = self.published.lock().revision();
             if after != known {
-                // The difference is told from what was read last, and the caller
-                // has heard of more from others.
+                // Changes are computed against the last read of this node, but the
+                // caller has learned of changes up to another revision from its peers.
                 return Err(SourceFault::HistoryGone);
             }
             self.watch_text_and_vms(wait_ms).await
@@ -233,13 +234,13 @@
     }
 }
 
-/// The routes of a text; `None` for one with faults.
+/// Returns the routes of a text, or `None` if it has faults.
 fn route_set(read: &PublishedText) -> Option<RouteSet> {
     let checked = check(read)?;
     Some(checked.route_set(read.version.0))
 }
 
-/// Checks a text; `None` for one with faults, which are written down.
+/// Checks a text. Logs the faults and returns `None` if it has any.
 fn check(read: &PublishedText) -> Option<CheckedText> {
     match hornbeamhitch_text::check(&read.text) {
         Ok(checked) => Some(checked),
@@ -250,7 +251,7 @@
     }
 }
 
-/// Gives a read up after this time. Texts and lists are small enough for one limit on the
+/// Aborts a read after `limit`. Texts and lists are small enough for one limit on the
 /// whole answer.
 async fn with_timeout<T>(
     limit: Duration,
--- a/tests/all/routed.rs
+++ b/tests/all/routed.rs
@@ -1,4 +1,4 @@
-//! Nodes that route by host and path as the operators' text says.
+//! Tests of `hornbeamhitch-routed`: routing by host and path from the configuration text.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -13,10 +13,11 @@
 use crate::support::{Deployment, Member, PATIENCE};
 
 const ROUTED: &str = env!("CARGO_BIN_EXE_hornbeamhitch-routed");
-/// Nothing that these tests start takes longer.
+/// Every call that these tests start ends within this time.
 const DRAIN_TIMEOUT_MS: u64 = 2_000;
 
-/// Routes of two services; templates go to one of them.
+/// A configuration text with two services and two routes. The templates route leads to
+/// `template_service`.
 fn text(template_service: &str) -> String {
     format!(
         r#"{{
@@ -32,11 +33,11 @@
     )
 }
 
-/// VMs with a node and a target each.
+/// A deployment of VMs with a routed node and a target each.
 struct RoutedNodes(Deployment);
 
 impl RoutedNodes {
-    /// Starts a VM for each service.
+    /// Starts one VM for each element of `services`.
     async fn start(services: &[&str]) -> Result<Self> {
         let mut members = Vec::new();
         for (number, service) in services.iter().enumerate() {
@@ -55,7 +56,8 @@
         Ok(Self(deployment))
     }
 
-    /// One request at the first VM; its answer, and whose it is.
+    /// Sends a request to the first VM. Returns the answer and the name of the target
+    /// that gave it.
     async fn send_request(
         &self,
         method: &str,
@@ -88,7 +90,7 @@
     caller.answer(method).await.ok()
 }
 
-/// Ids need only differ within one test.
+/// Returns a new request id. Ids must only be unique within one test.
 fn next_request_id() -> u64 {
     use std::sync::atomic::{AtomicU64, Ordering};
     static LAST: AtomicU64 = AtomicU64::new(0);
@@ -102,7 +104,7 @@
         }
     };
     let waited = tokio::time::timeout(PATIENCE, waiting).await;
-    ensure!(waited.is_ok(), "waited in vain: {what}");
+    ensure!(waited.is_ok(), "timed out waiting until {what}");
     Ok(())
 }
 
@@ -127,8 +129,8 @@
     Ok(())
 }
 
-/// An operator edits the text, twice: first with a fault, then well. Callers see
-/// the old routes until the good edit, and the new ones after it.
+/// An operator edits the text twice, first with a fault and then without one. Calls follow
+/// the old routes until the valid edit, and the new ones after it.
 #[tokio::test]
 async fn a_valid_edit_moves_a_route_and_an_invalid_one_is_ignored() -> Result<()> {
     let nodes = RoutedNodes::start(&["layouts", "cashier"]).await?;
@@ -156,8 +158,8 @@
     until("the new text is in force", is_moved).await
 }
 
-/// The platform says that a VM is about to be replaced. Its target gets no new
-/// calls; the other one of its service gets them.
+/// The platform announces that a VM is about to be replaced. Its target gets no new calls,
+/// and the other target of its service gets them instead.
 #[tokio::test]
 async fn a_leaving_vm_gets_no_new_calls() -> Result<()> {
     let nodes = RoutedNodes::start(&["cashier", "layouts", "layouts"]).await?;
