--- a/crates/edge/src/link/client.rs
+++ b/crates/edge/src/link/client.rs
@@ -1,4 +1,4 @@
-//! The entry's end of links.
+//! The entry's side of links: a pool of connections to gates.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -13,53 +13,59 @@
 use tokio::task::AbortHandle;
 use tokio::time::Instant;
 
-use super::framed::{FrameReader, LinkFault, PartialBody, next_part, pass_on, write_frames};
-use super::hearing::Hearing;
-use super::outgoing::{KeptBack, OutgoingCall, call_frame};
+use super::framed::{
+    FrameReader, LinkFault, PartialBody, forward_notices, next_part, write_frames,
+};
+use super::liveness::Liveness;
+use super::outgoing::{DeferredContent, OutgoingCall, call_frame};
 use crate::gate::GateEvent;
 use crate::prelude::*;
 use crate::sockets;
 use crate::suspicion::Suspicion;
 
-/// Data centres of one region are milliseconds apart; a VM that does not answer
-/// in this time is dark or its queue of connections is full.
+/// Limit on connecting and on the gate's first frame.
+///
+/// Data centres of one region are milliseconds apart. A VM that does not answer
+/// within this time is down or its accept queue is full.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// What becomes of a call, seen from its entry.
+/// Progress of a call, as its entry sees it.
 #[derive(Debug)]
 pub enum LinkEvent {
-    /// Told by the gate in this life.
+    /// The gate with this incarnation reported an event.
     Gate(GateEvent, Incarnation),
-    /// No link could be had; nothing was sent.
+    /// No usable link to the gate could be opened. Nothing was sent.
     Unreachable,
-    /// The link broke after the call was sent to this life of the gate.
+    /// The link broke after the call was sent to the gate with this incarnation.
     Lost(Incarnation),
 }
 
-/// Takes the events of one call.
+/// Receives the events of one call.
 pub type LinkSink = Box<dyn Fn(LinkEvent) + Send + Sync>;
 
-/// A question to a gate that goes on until it is dropped, which withdraws it.
+/// Handle of a request to a gate. Dropping it cancels the request.
 #[derive(Debug)]
-pub struct Asked {
+pub struct PendingRequest {
     task: AbortHandle,
-    sent: SentPlace,
+    sent: SentRequest,
 }
 
-/// Where a question went, once it was sent. The task that sends it fills this
-/// without a pause in between, so a drop meets it either unsent or filled.
-type SentPlace = Arc<Mutex<Option<(Arc<Link>, CallId)>>>;
+/// The link and id of a request, once it was sent.
+///
+/// The sending task does not await between sending and setting this, so a drop
+/// finds a request that is either unsent or recorded here.
+type SentRequest = Arc<Mutex<Option<(Arc<Link>, CallId)>>>;
 
-impl Drop for Asked {
+impl Drop for PendingRequest {
     fn drop(&mut self) {
         self.task.abort();
         if let Some((link, id)) = self.sent.lock().take() {
-            link.withdraw(id);
+            link.cancel(id);
         }
     }
 }
 
-/// Links by the gate's address, opened on need and kept.
+/// Links by the gate's address. A link is opened on first use and then reused.
 #[derive(Debug)]
 pub struct LinkPool {
     suspicion: Arc<Suspicion>,
@@ -69,18 +75,18 @@
 
 #[derive(Debug, Default)]
 struct LinkSlot {
-    /// Held while connecting, so that a burst opens one link.
+    /// Locked while connecting, so that a burst of calls opens only one link.
     link: tokio::sync::Mutex<Option<Arc<Link>>>,
 }
 
-/// What is sent over a link.
-enum Question {
+/// A request to a gate.
+enum LinkRequest {
     Call(Box<OutgoingCall>),
     Fence(CallKey),
 }
 
 impl LinkPool {
-    /// A pool without links.
+    /// Creates a pool without links.
     #[must_use]
     pub fn new(suspicion: Arc<Suspicion>, directory: SharedDirectory) -> Self {
         Self {
@@ -91,25 +97,41 @@
     }
 
     /// Sends a call to a gate.
-    pub fn call(self: &Arc<Self>, gate: SocketAddr, call: OutgoingCall, sink: LinkSink) -> Asked {
-        self.ask(gate, Question::Call(Box::new(call)), sink)
+    pub fn call(
+        self: &Arc<Self>,
+        gate: SocketAddr,
+        call: OutgoingCall,
+        sink: LinkSink,
+    ) -> PendingRequest {
+        self.start(gate, LinkRequest::Call(Box::new(call)), sink)
     }
 
-    /// Asks a gate about a key, which fences it.
-    pub fn fence(self: &Arc<Self>, gate: SocketAddr, key: CallKey, sink: LinkSink) -> Asked {
-        self.ask(gate, Question::Fence(key), sink)
+    /// Asks a gate for the outcome of a key and fences the key: a call with it that
+    /// has not started will never run.
+    pub fn fence(
+        self: &Arc<Self>,
+        gate: SocketAddr,
+        key: CallKey,
+        sink: LinkSink,
+    ) -> PendingRequest {
+        self.start(gate, LinkRequest::Fence(key), sink)
     }
 
-    fn ask(self: &Arc<Self>, gate: SocketAddr, question: Question, sink: LinkSink) -> Asked {
-        let sent = SentPlace::default();
+    fn start(
+        self: &Arc<Self>,
+        gate: SocketAddr,
+        request: LinkRequest,
+        sink: LinkSink,
+    ) -> PendingRequest {
+        let sent = SentRequest::default();
         let pool = Arc::clone(self);
-        let place = Arc::clone(&sent);
+        let sent_by_task = Arc::clone(&sent);
         let task = tokio::spawn(async move {
             match pool.link(gate).await {
-                Ok(link) if link.refuses(&question) => sink(LinkEvent::Unreachable),
+                Ok(link) if link.must_withhold(&request) => sink(LinkEvent::Unreachable),
                 Ok(link) => {
-                    let id = link.send(question, sink);
-                    *place.lock() = Some((link, id));
+                    let id = link.send(request, sink);
+                    *sent_by_task.lock() = Some((link, id));
                 }
                 Err(fault) => {
                     log::debug!("no link to {gate}: {fault}");
@@ -117,32 +139,34 @@
                 }
             }
         });
-        Asked {
+        PendingRequest {
             task: task.abort_handle(),
             sent,
         }
     }
 
-    /// Whether a link to a gate can be had now.
-    pub async fn is_reached(&self, gate: SocketAddr) -> bool {
-        self.link(gate).await.is_ok_and(|link| !link.is_doubted())
+    /// Whether the gate has a responsive link now or one can be opened.
+    pub async fn is_reachable(&self, gate: SocketAddr) -> bool {
+        self.link(gate)
+            .await
+            .is_ok_and(|link| !link.is_unresponsive())
     }
 
-    /// Drops links to gates that are no longer listed.
+    /// Drops the links to gates for which `known` returns false.
     pub fn retain(&self, known: impl Fn(&SocketAddr) -> bool) {
         self.links.lock().retain(|address, _| known(address));
     }
 
     async fn link(&self, gate: SocketAddr) -> Result<Arc<Link>, LinkFault> {
         let slot = Arc::clone(self.links.lock().entry(gate).or_default());
-        let mut kept = slot.link.lock().await;
-        if let Some(link) = kept.as_ref()
+        let mut current = slot.link.lock().await;
+        if let Some(link) = current.as_ref()
             && !link.is_dead()
         {
             return Ok(Arc::clone(link));
         }
         let link = Link::open(gate, &self.suspicion, &self.directory).await?;
-        *kept = Some(Arc::clone(&link));
+        *current = Some(Arc::clone(&link));
         Ok(link)
     }
 }
@@ -157,15 +181,15 @@
     calls: Mutex<HashMap<CallId, OpenCall>>,
     last_id: AtomicU64,
     dead: AtomicBool,
-    /// The gate did not answer lately.
-    doubted: AtomicBool,
-    /// Something was sent, so an answer is due.
-    asked: tokio::sync::Notify,
+    /// The gate has not answered the last ping in time.
+    unresponsive: AtomicBool,
+    /// Wakes the reading task after a request, since a response is now due.
+    request_sent: tokio::sync::Notify,
 }
 
 struct OpenCall {
     sink: LinkSink,
-    kept_back: KeptBack,
+    deferred: DeferredContent,
     answer: Option<(AnswerHead, PartialBody)>,
 }
 
@@ -184,7 +208,8 @@
         let stream = sockets::connect(gate, CONNECT_TIMEOUT).await?;
         let (reader, writer) = stream.into_split();
         let mut reader = FrameReader::new(reader);
-        // A paused gate accepts, in its kernel, and says nothing.
+        // The kernel of a paused gate still accepts connections, but the gate sends no
+        // first frame.
         let hello = tokio::time::timeout(CONNECT_TIMEOUT, reader.next()).await;
         let ToEntry::Hello { incarnation } = hello.map_err(std::io::Error::from)?? else {
             return Err(LinkFault::Closed);
@@ -198,25 +223,25 @@
             calls: Mutex::default(),
             last_id: AtomicU64::new(0),
             dead: AtomicBool::new(false),
-            doubted: AtomicBool::new(false),
-            asked: tokio::sync::Notify::new(),
+            unresponsive: AtomicBool::new(false),
+            request_sent: tokio::sync::Notify::new(),
         });
-        let (known, news) = suspicion.follow();
+        let (known, updates) = suspicion.follow();
         for notice in known {
             link.push(ToGate::Suspect(notice));
         }
-        let telling = pass_on(news, link.frames.clone(), ToGate::Suspect);
-        let driven = Arc::clone(&link);
+        let forwarding = forward_notices(updates, link.frames.clone(), ToGate::Suspect);
+        let driver = Arc::clone(&link);
         tokio::spawn(async move {
             let ended = tokio::select! {
-                ended = driven.read(reader) => ended,
+                ended = driver.read(reader) => ended,
                 ended = write_frames(writer, to_write) => ended,
-                () = telling => Ok(()),
+                () = forwarding => Ok(()),
             };
             if let Err(fault) = ended {
                 log::info!("the link to {gate} ended: {fault}");
             }
-            driven.end();
+            driver.end();
         });
         Ok(link)
     }
@@ -225,101 +250,107 @@
         self.dead.load(Ordering::Acquire)
     }
 
-    fn is_doubted(&self) -> bool {
-        self.doubted.load(Ordering::Acquire)
+    fn is_unresponsive(&self) -> bool {
+        self.unresponsive.load(Ordering::Acquire)
     }
 
-    /// Whether a question is better not sent.
+    /// Whether a request must not be sent on this link now.
     ///
-    /// Failure answered: until a cut or a frozen VM is noticed for certain, calls
-    /// go on being sent there. They run nowhere, yet nobody can tell, so their
-    /// callers are told "unknown" and may not send a payment again. Held back
-    /// from the first unanswered question on, they have not been sent, and go
-    /// elsewhere without using the retry budget. A question about a key is sent:
-    /// only this gate can answer it.
-    fn refuses(&self, question: &Question) -> bool {
-        matches!(question, Question::Call(_)) && self.is_doubted()
+    /// Calls are not sent to an unresponsive gate. It takes a while until a network
+    /// partition or a frozen VM is detected for certain. A call that is sent in the
+    /// meantime does not run, but nobody can know that: its caller gets "unknown"
+    /// and may not repeat a payment. A call that was never sent goes to another
+    /// target without using the retry budget. A fence request is always sent,
+    /// because only this gate can answer it.
+    fn must_withhold(&self, request: &LinkRequest) -> bool {
+        matches!(request, LinkRequest::Call(_)) && self.is_unresponsive()
     }
 
-    fn send(&self, question: Question, sink: LinkSink) -> CallId {
+    fn send(&self, request: LinkRequest, sink: LinkSink) -> CallId {
         let id = CallId(self.last_id.fetch_add(1, Ordering::Relaxed) + 1);
-        let (frame, kept_back) = match question {
-            Question::Fence(key) => (ToGate::Fence { id, key }, KeptBack::default()),
-            Question::Call(call) => call_frame(id, *call),
+        let (frame, deferred) = match request {
+            LinkRequest::Fence(key) => (ToGate::Fence { id, key }, DeferredContent::default()),
+            LinkRequest::Call(call) => call_frame(id, *call),
         };
         let open = OpenCall {
             sink,
-            kept_back,
+            deferred,
             answer: None,
         };
         self.calls.lock().insert(id, open);
         self.push(frame);
-        self.asked.notify_one();
+        self.request_sent.notify_one();
         if self.is_dead() {
-            // It ended while the call was put in; nobody else tells its sink.
+            // The link ended while the call was inserted, so nothing else notifies its
+            // sink.
             self.end();
         }
         id
     }
 
     fn push(&self, frame: ToGate) {
-        // A closed channel means that the link has ended, which is told to
-        // every call in hand.
+        // A closed channel means that the link has ended. `end` reports that to every
+        // open call.
         let _ = self.frames.send(frame);
     }
 
-    fn withdraw(&self, id: CallId) {
+    fn cancel(&self, id: CallId) {
         if self.calls.lock().remove(&id).is_some() {
             self.push(ToGate::Cancel { id });
         }
     }
 
-    /// Reads until the link ends or falls silent.
+    /// Reads frames until the link ends or the gate stays silent for too long.
     ///
-    /// Failure answered: a VM that lost power, a partition or a frozen process
-    /// leaves a link open that answers nothing, and each call on it would wait
-    /// for its deadline. While calls wait, silence is noticed step by step (see
-    /// [`Hearing`]); an idle link costs nothing. A link in doubt is followed to
-    /// its end without calls too, or it would stay in doubt for ever.
+    /// After a power loss, a network partition or a process freeze, the link stays
+    /// open but nothing arrives, and each call on it would wait for its deadline.
+    /// While calls are open, silence is therefore detected in steps (see
+    /// [`Liveness`]); an idle link causes no traffic. An unresponsive link is
+    /// monitored without open calls too, because it would otherwise stay
+    /// unresponsive for ever.
     async fn read(&self, mut reader: FrameReader) -> Result<(), LinkFault> {
-        let mut hearing = Hearing::Heard(Instant::now());
+        let mut liveness = Liveness::Alive(Instant::now());
         loop {
-            let awaits = !self.calls.lock().is_empty() || self.is_doubted();
+            let is_awaiting = !self.calls.lock().is_empty() || self.is_unresponsive();
             tokio::select! {
-                // What has come goes first: a process that was paused wakes with
-                // answers to read and with all its waits over.
+                // Received frames take precedence: after a pause of this process, there
+                // are frames to read and all timers have expired.
                 biased;
                 frame = reader.next() => {
-                    hearing = Hearing::Heard(Instant::now());
-                    self.doubted.store(false, Ordering::Release);
-                    self.take(frame?);
+                    liveness = Liveness::Alive(Instant::now());
+                    self.unresponsive.store(false, Ordering::Release);
+                    self.handle(frame?);
                 }
-                () = self.asked.notified(), if !awaits => {
-                    hearing = Hearing::Heard(Instant::now());
+                () = self.request_sent.notified(), if !is_awaiting => {
+                    liveness = Liveness::Alive(Instant::now());
                 }
-                () = tokio::time::sleep_until(hearing.ends_at()), if awaits => {
-                    hearing = self.listen_harder(hearing)?;
+                () = tokio::time::sleep_until(liveness.expires_at()), if is_awaiting => {
+                    liveness = self.escalate_silence(liveness)?;
                 }
             }
         }
     }
 
-    /// The next step of a silence.
-    fn listen_harder(&self, hearing: Hearing) -> Result<Hearing, LinkFault> {
-        match hearing {
-            Hearing::Heard(_) => {
+    /// Moves to the next state when the gate was silent for the whole current one.
+    ///
+    /// # Errors
+    ///
+    /// The gate was silent for so long that the link is given up.
+    fn escalate_silence(&self, liveness: Liveness) -> Result<Liveness, LinkFault> {
+        match liveness {
+            Liveness::Alive(_) => {
                 self.push(ToGate::Ping);
-                Ok(Hearing::Asked(Instant::now()))
+                Ok(Liveness::Pinged(Instant::now()))
             }
-            Hearing::Asked(at) => {
-                self.doubted.store(true, Ordering::Release);
-                Ok(Hearing::Doubted(at))
+            Liveness::Pinged(at) => {
+                self.unresponsive.store(true, Ordering::Release);
+                Ok(Liveness::Unresponsive(at))
             }
-            Hearing::Doubted(_) => Err(LinkFault::Closed),
+            Liveness::Unresponsive(_) => Err(LinkFault::Closed),
         }
     }
 
-    fn take(&self, frame: ToEntry) {
+    fn handle(&self, frame: ToEntry) {
         match frame {
             ToEntry::Hello { .. } | ToEntry::Pong => {}
             ToEntry::Suspect(notice) => self.suspicion.hear(&notice),
@@ -328,7 +359,7 @@
                     self.push(ToGate::Facts(encoded));
                 }
             }
-            ToEntry::WantsBody { id } => self.send_rest(id),
+            ToEntry::WantsContent { id } => self.send_deferred(id),
             ToEntry::Started {
                 id,
                 slowness_percent,
@@ -349,21 +380,21 @@
                 if let Some(open) = self.calls.lock().get_mut(&id) {
                     open.answer = Some((head, body));
                 }
-                self.tell_whole_answer(id);
+                self.deliver_if_complete(id);
             }
             ToEntry::Body { id, part } => {
                 self.push_part(id, &part);
-                self.tell_whole_answer(id);
+                self.deliver_if_complete(id);
             }
-            ToEntry::Ended { id, end } => self.tell_last(id, GateEvent::Ended(end)),
-            // Only subscribers are told these, on connections of their own.
-            ToEntry::Change(_) | ToEntry::KnownTo { .. } | ToEntry::NoFeed => {}
+            ToEntry::Ended { id, end } => self.deliver_last(id, GateEvent::Ended(end)),
+            // A gate sends these only to subscribers, which use separate connections.
+            ToEntry::Change(_) | ToEntry::Progress { .. } | ToEntry::FeedUnavailable => {}
         }
     }
 
-    fn send_rest(&self, id: CallId) {
-        let KeptBack { head, mut body } = match self.calls.lock().get_mut(&id) {
-            Some(open) => std::mem::take(&mut open.kept_back),
+    fn send_deferred(&self, id: CallId) {
+        let DeferredContent { head, mut body } = match self.calls.lock().get_mut(&id) {
+            Some(open) => std::mem::take(&mut open.deferred),
             None => return,
         };
         if let Some(head) = head {
@@ -383,27 +414,27 @@
         }
     }
 
-    fn tell_whole_answer(&self, id: CallId) {
+    fn deliver_if_complete(&self, id: CallId) {
         let mut calls = self.calls.lock();
         let Some(open) = calls.get_mut(&id) else {
             return;
         };
-        let is_whole = open
+        let is_complete = open
             .answer
             .as_ref()
-            .is_some_and(|(_, body)| body.is_whole());
-        if !is_whole {
+            .is_some_and(|(_, body)| body.is_complete());
+        if !is_complete {
             return;
         }
         let answer = open.answer.take();
         drop(calls);
         if let Some((head, body)) = answer {
             let body = body.into_bytes();
-            self.tell_last(id, GateEvent::Answered { head, body });
+            self.deliver_last(id, GateEvent::Answered { head, body });
         }
     }
 
-    fn tell_last(&self, id: CallId, event: GateEvent) {
+    fn deliver_last(&self, id: CallId, event: GateEvent) {
         let open = self.calls.lock().remove(&id);
         if let Some(open) = open {
             (open.sink)(LinkEvent::Gate(event, self.incarnation));
--- a/crates/routed/src/source.rs
+++ b/crates/routed/src/source.rs
@@ -1,4 +1,4 @@
-//! The text and the VM list as the source of routes and targets.
+//! The configuration text and the VM list as a source of routes and targets.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -11,38 +11,38 @@
 use hornbeamhitch_wire::control::{ListVersion, ListedVm};
 use parking_lot::Mutex;
 
-/// Slots of a target whose service the text does not know (yet).
+/// Slots of a target whose service the configuration text does not define (yet).
 const UNKNOWN_SLOTS: u32 = 1;
 
-/// Reads our platform.
+/// Reads routes and targets from the native platform.
 ///
-/// It counts versions of the text and of the list; their sum is the one revision
-/// that a source has, since it rises with each change of either.
+/// The platform has separate versions for the configuration text and the VM list. The
+/// revision of this source is their sum, which grows with each change of either.
 #[derive(Debug)]
-pub struct OwnSource {
+pub struct NativeSource {
     reader: PlatformReader,
     published: Mutex<Published>,
 }
 
-/// What was read last.
+/// The last text and list that were read.
 #[derive(Debug)]
 struct Published {
-    /// All nodes have their links at this port.
-    links_port: u16,
+    /// All nodes listen for links at this port.
+    link_port: u16,
     text: Option<CheckedText>,
     text_version: ConfigVersion,
     vms: Vec<ListedVm>,
     list_version: ListVersion,
 }
 
-impl OwnSource {
-    /// A source that has read nothing.
+impl NativeSource {
+    /// Creates a source that has not read anything yet.
     #[must_use]
-    pub const fn new(reader: PlatformReader, links_port: u16) -> Self {
+    pub const fn new(reader: PlatformReader, link_port: u16) -> Self {
         Self {
             reader,
             published: Mutex::new(Published {
-                links_port,
+                link_port,
                 text: None,
                 text_version: ConfigVersion(0),
                 vms: Vec::new(),
@@ -51,18 +51,18 @@
         }
     }
 
-    /// Reads both, whatever is known.
-    async fn read_both(&self) -> Result<Listing, SourceFault> {
+    /// Reads the text and the list, whichever versions are known already.
+    async fn read_text_and_vms(&self) -> Result<Listing, SourceFault> {
         let at_once = Millis::ZERO;
         let text = self.reader.text(ConfigVersion(0), at_once).await;
         let vms = self.reader.vms(None, ListVersion(0), at_once).await;
-        let (text, vms) = (text.map_err(failed)?, vms.map_err(failed)?);
+        let (text, vms) = (text.map_err(read_failed)?, vms.map_err(read_failed)?);
         let mut published = self.published.lock();
         if let Some(text) = text {
-            published.take_text(&text);
+            published.apply_text(&text);
         }
         if let Some(vms) = vms {
-            published.take_vms(vms);
+            published.apply_vms(vms);
         }
         Ok(Listing {
             routes: published.routes(),
@@ -72,22 +72,22 @@
         })
     }
 
-    /// Waits until one of both changes.
-    async fn watch_both(&self, wait_ms: Millis) -> Result<Changes, SourceFault> {
-        let read = self.next(wait_ms).await.map_err(failed)?;
+    /// Waits until the text or the list changes, or until both waits time out.
+    async fn watch_text_and_vms(&self, wait_ms: Millis) -> Result<Changes, SourceFault> {
+        let read = self.next_change(wait_ms).await.map_err(read_failed)?;
         let mut published = self.published.lock();
         let members = published.members();
         let version = published.text_version;
         match read {
-            Some(Read::Text(text)) => published.take_text(&text),
-            Some(Read::Vms(vms)) => published.take_vms(vms),
+            Some(WatchEvent::Text(text)) => published.apply_text(&text),
+            Some(WatchEvent::Vms(vms)) => published.apply_vms(vms),
             None => {}
         }
         let mut facts = Vec::new();
         if published.text_version > version {
             facts.extend(published.routes().map(Fact::Routes));
         }
-        facts.extend(difference(&members, published.members()));
+        facts.extend(diff_members(&members, published.members()));
         let revision = published.revision();
         let changes = facts.into_iter().map(|fact| Change { revision, fact });
         Ok(Changes {
@@ -97,8 +97,9 @@
         })
     }
 
-    /// The first change of either; `None` when both waits have passed.
-    async fn next(&self, wait_ms: Millis) -> eyre::Result<Option<Read>> {
+    /// Returns the first change of the text or the list, or `None` when both waits time
+    /// out.
+    async fn next_change(&self, wait_ms: Millis) -> eyre::Result<Option<WatchEvent>> {
         let (text_version, list_version) = {
             let published = self.published.lock();
             (published.text_version, published.list_version)
@@ -107,12 +108,12 @@
         let mut vms = std::pin::pin!(self.reader.vms(None, list_version, wait_ms));
         tokio::select! {
             read = &mut text => match read? {
-                Some(read) => Ok(Some(Read::Text(read))),
-                None => Ok(vms.await?.map(Read::Vms)),
+                Some(read) => Ok(Some(WatchEvent::Text(read))),
+                None => Ok(vms.await?.map(WatchEvent::Vms)),
             },
             read = &mut vms => match read? {
-                Some(read) => Ok(Some(Read::Vms(read))),
-                None => Ok(text.await?.map(Read::Text)),
+                Some(read) => Ok(Some(WatchEvent::Vms(read))),
+                None => Ok(text.await?.map(WatchEvent::Text)),
             },
         }
     }
@@ -123,15 +124,15 @@
         self.text_version.0 + self.list_version.0
     }
 
-    /// A text with faults leaves the one before in force.
-    fn take_text(&mut self, read: &PublishedText) {
+    /// Applies a text. If it has faults, the previous one stays in force.
+    fn apply_text(&mut self, read: &PublishedText) {
         self.text_version = read.version;
         if let Some(checked) = check(read) {
             self.text = Some(checked);
         }
     }
 
-    fn take_vms(&mut self, read: PublishedVms) {
+    fn apply_vms(&mut self, read: PublishedVms) {
         self.list_version = read.version;
         self.vms = read.vms;
     }
@@ -141,16 +142,16 @@
         Some(text.route_set(self.text_version.0))
     }
 
-    /// The listed targets with what the text says of their services.
+    /// Returns the listed targets with the settings of their services from the text.
     fn members(&self) -> BTreeMap<TargetId, Member> {
         let mut members = BTreeMap::new();
         for vm in &self.vms {
-            if vm.peer.port() != self.links_port {
+            if vm.peer.port() != self.link_port {
                 log::warn!(
-                    "the VM {} is left out: its links are at port {} and not {}",
+                    "ignoring VM {}: its links use port {} instead of {}",
                     vm.vm,
                     vm.peer.port(),
-                    self.links_port
+                    self.link_port
                 );
                 continue;
             }
@@ -164,7 +165,7 @@
         let text = self.text.as_ref();
         let service = text.and_then(|text| text.service(vm.service.as_str()));
         Member {
-            // The list knows VMs and no single lives of their targets.
+            // The list identifies VMs, not incarnations of their targets.
             id: TargetId::new(vm.vm.as_str()),
             service: vm.service.clone(),
             address: vm.peer,
@@ -177,32 +178,35 @@
     }
 }
 
-/// What a watch brought.
-enum Read {
+/// The result of a watch.
+enum WatchEvent {
     Text(PublishedText),
     Vms(PublishedVms),
 }
 
-impl Source for OwnSource {
+impl Source for NativeSource {
     fn read_all(&self, silence_ms: Millis) -> Reading<'_, Listing> {
-        Box::pin(unless_silent(silence_ms.to_duration(), self.read_both()))
+        Box::pin(with_timeout(
+            silence_ms.to_duration(),
+            self.read_text_and_vms(),
+        ))
     }
 
     fn read_stale(&self, silence_ms: Millis) -> Reading<'_, Listing> {
-        // This platform has no cheaper read.
+        // This platform has no cheaper stale read.
         self.read_all(silence_ms)
     }
 
     fn watch(&self, after: u64, wait_ms: Millis, silence_ms: Millis) -> Reading<'_, Changes> {
         let limit = wait_ms.to_duration() + silence_ms.to_duration();
-        Box::pin(unless_silent(limit, async move {
+        Box::pin(with_timeout(limit, async move {
             let known = self.published.lock().revision();
             if after != known {
-                // The difference is told from what was read last, and the caller
-                // has heard of more from others.
+                // Changes are computed against the last read of this node, but the
+                // caller has learned of changes up to another revision from its peers.
                 return Err(SourceFault::HistoryGone);
             }
-            self.watch_both(wait_ms).await
+            self.watch_text_and_vms(wait_ms).await
         }))
     }
 
@@ -211,9 +215,9 @@
         id: &'a TargetId,
         silence_ms: Millis,
     ) -> Reading<'a, Option<Member>> {
-        Box::pin(unless_silent(silence_ms.to_duration(), async move {
+        Box::pin(with_timeout(silence_ms.to_duration(), async move {
             let read = self.reader.vms(None, ListVersion(0), Millis::ZERO).await;
-            let Some(read) = read.map_err(failed)? else {
+            let Some(read) = read.map_err(read_failed)? else {
                 return Ok(None);
             };
             let published = self.published.lock();
@@ -223,20 +227,20 @@
     }
 
     fn read_routes(&self, silence_ms: Millis) -> Reading<'_, Option<RouteSet>> {
-        Box::pin(unless_silent(silence_ms.to_duration(), async move {
+        Box::pin(with_timeout(silence_ms.to_duration(), async move {
             let read = self.reader.text(ConfigVersion(0), Millis::ZERO).await;
-            Ok(read.map_err(failed)?.as_ref().and_then(route_set))
+            Ok(read.map_err(read_failed)?.as_ref().and_then(route_set))
         }))
     }
 }
 
-/// The routes of a text; `None` for one with faults.
+/// Returns the routes of a text, or `None` if it has faults.
 fn route_set(read: &PublishedText) -> Option<RouteSet> {
     let checked = check(read)?;
     Some(checked.route_set(read.version.0))
 }
 
-/// Checks a text; `None` for one with faults, which are written down.
+/// Checks a text. Logs the faults and returns `None` if it has any.
 fn check(read: &PublishedText) -> Option<CheckedText> {
     match hornbeamhitch_text::check(&read.text) {
         Ok(checked) => Some(checked),
@@ -247,9 +251,9 @@
     }
 }
 
-/// Gives a read up after this time. Texts and lists are small enough for one limit on the
+/// Aborts a read after `limit`. Texts and lists are small enough for one limit on the
 /// whole answer.
-async fn unless_silent<T>(
+async fn with_timeout<T>(
     limit: Duration,
     reading: impl Future<Output = Result<T, SourceFault>>,
 ) -> Result<T, SourceFault> {
@@ -257,7 +261,7 @@
     read.unwrap_or_else(|_| Err(SourceFault::Failed("no answer in time".to_owned())))
 }
 
-fn difference(before: &BTreeMap<TargetId, Member>, now: BTreeMap<TargetId, Member>) -> Vec<Fact> {
+fn diff_members(before: &BTreeMap<TargetId, Member>, now: BTreeMap<TargetId, Member>) -> Vec<Fact> {
     let gone = before.keys().filter(|id| !now.contains_key(*id));
     let mut facts: Vec<Fact> = gone.cloned().map(Fact::Left).collect();
     for (id, member) in now {
@@ -268,6 +272,6 @@
     facts
 }
 
-fn failed(error: eyre::Report) -> SourceFault {
+fn read_failed(error: eyre::Report) -> SourceFault {
     SourceFault::Failed(format!("{error:#}"))
 }
