--- a/crates/edge/src/link/outgoing.rs
+++ b/crates/edge/src/link/outgoing.rs
@@ -1,55 +1,56 @@
-//! A call on its way to a gate: what is sent at once and what is kept back.
+//! Outgoing calls: which part is sent at once and which is deferred until the gate
+//! requests it.
 
 use bytes::Bytes;
 use hornbeamhitch_wire::link::{CallId, INLINE_BODY_BYTES, ToGate};
 
 use crate::prelude::*;
 
-/// A call as it is sent to a gate.
+/// A call to a gate.
 #[derive(Clone, Debug)]
 pub struct OutgoingCall {
-    /// What the gate decides by.
+    /// The values that the gate's admission uses.
     pub terms: CallTerms,
-    /// The request.
+    /// Head of the request.
     pub head: CallHead,
-    /// Its whole body.
+    /// The whole body of the request.
     pub body: Bytes,
-    /// The gate is likely to refuse it, so only its terms are sent at first.
-    pub is_terms_first: bool,
+    /// Only the terms are sent at first, because the gate is likely to refuse the call.
+    pub offers_terms_first: bool,
 }
 
-/// What of a call is sent only when the gate wants it.
+/// The part of a call that is sent only when the gate requests it.
 #[derive(Default)]
-pub(super) struct KeptBack {
+pub(super) struct DeferredContent {
     pub(super) head: Option<CallHead>,
     pub(super) body: Bytes,
 }
 
-/// The first frame of a call, and what is kept back from it.
-pub(super) fn call_frame(id: CallId, call: OutgoingCall) -> (ToGate, KeptBack) {
+/// Returns the first frame of a call and the part that is deferred.
+pub(super) fn call_frame(id: CallId, call: OutgoingCall) -> (ToGate, DeferredContent) {
     let OutgoingCall {
         terms,
         head,
         body,
-        is_terms_first,
+        offers_terms_first,
     } = call;
     let body_bytes = body.len() as u64;
-    if is_terms_first {
-        let kept_back = KeptBack {
+    if offers_terms_first {
+        let deferred = DeferredContent {
             head: Some(head),
             body,
         };
-        let frame = ToGate::Ask {
+        let frame = ToGate::Offer {
             id,
             terms,
             body_bytes,
         };
-        return (frame, kept_back);
+        return (frame, deferred);
     }
-    let (inline, kept_back) = if body.len() <= INLINE_BODY_BYTES {
-        (body, KeptBack::default())
+    let (inline, deferred) = if body.len() <= INLINE_BODY_BYTES {
+        (body, DeferredContent::default())
     } else {
-        (Bytes::new(), KeptBack { head: None, body })
+        (Bytes::new(), DeferredContent { head: None, body })
     };
     let frame = ToGate::Call {
         id,
@@ -58,5 +59,5 @@
         body_bytes,
         body: inline,
     };
-    (frame, kept_back)
+    (frame, deferred)
 }
