--- a/crates/core/src/control.rs
+++ b/crates/core/src/control.rs
@@ -155,10 +155,10 @@
             ControlEvent::BulkFailed { peer } => Input::AnswerFailed(peer),
             ControlEvent::GateLoad(load) => Input::GateLoad(load),
             ControlEvent::TargetState { draining, .. } => Input::TargetState { draining },
-            ControlEvent::Heard { vm, load } => Input::Heard { vm, load },
+            ControlEvent::LoadReported { vm, load } => Input::LoadReported { vm, load },
             ControlEvent::SentTo(service) => Input::SentTo(service),
             ControlEvent::ReceivedFrom { control } => Input::ReceivedFrom(control),
-            ControlEvent::Interest(service) => Input::Interest(service),
+            ControlEvent::ServiceRequested(service) => Input::ServiceRequested(service),
             ControlEvent::LeaveRequested => Input::LeaveRequested,
             ControlEvent::Suspicion(entry) => Input::Suspicion(entry),
         })
--- a/crates/core/src/control/api.rs
+++ b/crates/core/src/control/api.rs
@@ -134,7 +134,7 @@
         reachable: bool,
     },
     /// A load report came with an answer to a call of this node.
-    Heard {
+    LoadReported {
         /// The VM of the answering gate.
         vm: VmId,
         /// Its report.
@@ -148,7 +148,7 @@
         control: SocketAddr,
     },
     /// A call asked for a service that the route table does not hold.
-    Interest(ServiceName),
+    ServiceRequested(ServiceName),
     /// The process was told to shut down gracefully.
     LeaveRequested,
     /// The own gate holds something against a request.
--- a/crates/core/src/control/board.rs
+++ b/crates/core/src/control/board.rs
@@ -79,13 +79,13 @@
     TargetState {
         draining: bool,
     },
-    Heard {
+    LoadReported {
         vm: VmId,
         load: LoadReport,
     },
     SentTo(ServiceName),
     ReceivedFrom(SocketAddr),
-    Interest(ServiceName),
+    ServiceRequested(ServiceName),
     LeaveRequested,
     Suspicion(SuspectEntry),
 }
--- a/crates/core/src/control/membership.rs
+++ b/crates/core/src/control/membership.rs
@@ -182,9 +182,11 @@
                     Self::hear(board, &note.digest, note.age_ms);
                 }
             }
-            Input::Heard { vm, load } => Self::hear_load(board, vm, *load),
+            Input::LoadReported { vm, load } => Self::hear_load(board, vm, *load),
             Input::GateLoad(load) => Self::take_own_load(board, *load),
-            Input::Interest(service) | Input::SentTo(service) => board.touch_interest(service),
+            Input::ServiceRequested(service) | Input::SentTo(service) => {
+                board.touch_interest(service)
+            }
             _ => {}
         }
     }
--- a/crates/core/src/control/tests/configuration.rs
+++ b/crates/core/src/control/tests/configuration.rs
@@ -306,7 +306,7 @@
     let darkroom = ServiceName::new("darkroom");
     let service = darkroom.clone();
     assert!(!fleet.nodes[0].table.services.contains_key(&darkroom));
-    fleet.event(0, ControlEvent::Interest(darkroom.clone()));
+    fleet.event(0, ControlEvent::ServiceRequested(darkroom.clone()));
     let took = fleet.run_until(Millis::from_secs(2), "the service", |fleet| {
         let view = fleet.nodes[0].table.services.get(&service);
         view.is_some_and(|view| view.targets.len() == 3)
--- a/crates/core/src/control/tests/membership.rs
+++ b/crates/core/src/control/tests/membership.rs
@@ -315,7 +315,7 @@
                 leaving: false,
             };
             let vm = gate.vm.clone();
-            fleet.event(5, ControlEvent::Heard { vm, load });
+            fleet.event(5, ControlEvent::LoadReported { vm, load });
         }
         fleet.run(Millis(100));
     }
--- a/crates/lab/src/capacity/fleet.rs
+++ b/crates/lab/src/capacity/fleet.rs
@@ -400,7 +400,7 @@
                 if self.nodes[callee].as_ref().is_some_and(|node| node.alive) {
                     let load = self.load_of(callee);
                     let vm = target.vm.clone();
-                    self.handle(index, ControlEvent::Heard { vm, load });
+                    self.handle(index, ControlEvent::LoadReported { vm, load });
                 }
             }
         }
--- a/crates/node/src/control_loop/handle.rs
+++ b/crates/node/src/control_loop/handle.rs
@@ -87,7 +87,7 @@
     pub fn heard(&self, vm: &VmId, load: LoadReport) {
         // Leaving must be known at once, whatever was passed on lately.
         if load.leaving || self.remembered.reports.is_due(vm, self.clock.now()) {
-            self.send(ControlEvent::Heard {
+            self.send(ControlEvent::LoadReported {
                 vm: vm.clone(),
                 load,
             });
@@ -103,7 +103,7 @@
 
     /// A call asks for a service that is not held.
     pub fn interest(&self, service: &ServiceName) {
-        self.send(ControlEvent::Interest(service.clone()));
+        self.send(ControlEvent::ServiceRequested(service.clone()));
     }
 
     /// The own target's state changed.
