--- a/crates/edge/src/callers.rs
+++ b/crates/edge/src/callers.rs
@@ -13,9 +13,9 @@
 
 /// How far a node has come in leaving.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Leaving {
+pub enum DrainPhase {
     /// It serves.
-    Not,
+    Serving,
     /// It serves on, and each answer ends its connection, so that callers move
     /// to other nodes between two requests.
     Announced,
@@ -29,13 +29,16 @@
     /// Finds a target for each request.
     pub entry: Arc<Entry>,
     /// How far the node has come in leaving.
-    pub leaving: watch::Receiver<Leaving>,
+    pub drain_phase: watch::Receiver<DrainPhase>,
 }
 
 impl CallerServer {
-    /// Serves until every connection has ended after [`Leaving::Closing`].
+    /// Serves until every connection has ended after [`DrainPhase::Closing`].
     pub async fn serve(self, listener: TcpListener) {
-        let Self { entry, mut leaving } = self;
+        let Self {
+            entry,
+            mut drain_phase,
+        } = self;
         // Every connection holds a sender; the receiver ends with the last.
         let (open, mut all_closed) = mpsc::channel::<()>(1);
         loop {
@@ -44,7 +47,7 @@
             let accepted = tokio::select! {
                 biased;
                 accepted = listener.accept() => accepted,
-                _ = leaving.wait_for(|leaving| *leaving == Leaving::Closing) => break,
+                _ = drain_phase.wait_for(|drain_phase| *drain_phase == DrainPhase::Closing) => break,
             };
             let stream = match accepted {
                 Ok((stream, _)) => stream,
@@ -57,7 +60,7 @@
             sockets::prepare(&stream);
             let connection = Connection {
                 entry: Arc::clone(&entry),
-                leaving: leaving.clone(),
+                drain_phase: drain_phase.clone(),
             };
             let open = open.clone();
             tokio::spawn(async move {
--- a/crates/edge/src/callers/connection.rs
+++ b/crates/edge/src/callers/connection.rs
@@ -11,7 +11,7 @@
 use tokio::sync::{mpsc, oneshot, watch};
 use tokio::task::JoinSet;
 
-use super::Leaving;
+use super::DrainPhase;
 use crate::entry::{CallerAnswer, CallerRequest, Entry};
 use crate::http1::{self, HeadFault, HttpReader, ReadFault, RequestHead};
 use crate::prelude::*;
@@ -40,7 +40,7 @@
 /// One connection from its first byte to its last.
 pub(super) struct Connection {
     pub(super) entry: Arc<Entry>,
-    pub(super) leaving: watch::Receiver<Leaving>,
+    pub(super) drain_phase: watch::Receiver<DrainPhase>,
 }
 
 /// Why no further request is read.
@@ -59,7 +59,7 @@
         let unanswered = Arc::new(AtomicUsize::new(0));
         let mut reading = Reading {
             entry: self.entry,
-            leaving: self.leaving.clone(),
+            drain_phase: self.drain_phase.clone(),
             reader: HttpReader::new(reader),
             outgoing,
             unanswered: Arc::clone(&unanswered),
@@ -97,7 +97,7 @@
 /// The reading side of a connection.
 struct Reading {
     entry: Arc<Entry>,
-    leaving: watch::Receiver<Leaving>,
+    drain_phase: watch::Receiver<DrainPhase>,
     reader: HttpReader<OwnedReadHalf>,
     outgoing: mpsc::Sender<Outgoing>,
     /// Requests read whose answers are not written.
@@ -147,7 +147,7 @@
                     read?;
                     return Ok(true);
                 }
-                _ = self.leaving.wait_for(|leaving| *leaving == Leaving::Closing) => {
+                _ = self.drain_phase.wait_for(|drain_phase| *drain_phase == DrainPhase::Closing) => {
                     return Ok(false);
                 }
                 () = tokio::time::sleep(idle_timeout.to_duration()) => {}
@@ -190,7 +190,7 @@
         // While the node leaves, the first request that is read is the last one
         // of its connection; what was sent behind it stays unread and is sent
         // again elsewhere.
-        let keeps = head.keeps_connection() && *self.leaving.borrow() == Leaving::Not;
+        let keeps = head.keeps_connection() && *self.drain_phase.borrow() == DrainPhase::Serving;
         let (sender, answer) = oneshot::channel();
         let outgoing = Outgoing::Answer {
             answer,
--- a/crates/edge/src/daemon.rs
+++ b/crates/edge/src/daemon.rs
@@ -18,7 +18,7 @@
 use tokio::signal::unix::{Signal, SignalKind, signal};
 use tokio::sync::watch;
 
-use crate::callers::{CallerServer, Leaving};
+use crate::callers::{CallerServer, DrainPhase};
 use crate::config::{EdgeConfig, Reload};
 use crate::directory::{Directory, DirectoryWriter};
 use crate::entry::{Entry, EntryParts};
@@ -169,7 +169,7 @@
     }));
     let gauges_directory = Arc::clone(&directory);
     let gauges_metrics = Arc::clone(&metrics);
-    let (announce, leaving) = watch::channel(Leaving::Not);
+    let (announce, drain_phase) = watch::channel(DrainPhase::Serving);
     let links = LinkServer {
         gate: Arc::clone(&gate),
         incarnation,
@@ -180,13 +180,13 @@
     let status = StatusServer {
         directory,
         entry: Arc::clone(&entry),
-        leaving: leaving.clone(),
+        drain_phase: drain_phase.clone(),
         readiness_path: config.readiness_path,
         metrics,
     };
     let callers = CallerServer {
         entry: Arc::clone(&entry),
-        leaving,
+        drain_phase,
     };
     tokio::spawn(links.accept(listen(sockets.links)?));
     tokio::spawn(status.clone().accept(listen(sockets.readiness)?));
@@ -301,15 +301,15 @@
 /// their last answer; what runs in the target comes last.
 async fn leave(
     config: &EdgeConfig,
-    announce: &watch::Sender<Leaving>,
+    announce: &watch::Sender<DrainPhase>,
     gate: &Arc<Gate>,
     serving: tokio::task::JoinHandle<()>,
 ) {
     let started = tokio::time::Instant::now();
     let share = |percent: u64| Duration::from_millis(config.grace_ms.0 * percent / 100);
-    let _ = announce.send(Leaving::Announced);
+    let _ = announce.send(DrainPhase::Announced);
     tokio::time::sleep(share(ANNOUNCE_PERCENT)).await;
-    let _ = announce.send(Leaving::Closing);
+    let _ = announce.send(DrainPhase::Closing);
     gate.leave();
     let finishing = async {
         if let Err(error) = serving.await {
--- a/crates/edge/src/entry/progress.rs
+++ b/crates/edge/src/entry/progress.rs
@@ -7,7 +7,7 @@
 use tokio::sync::mpsc;
 
 use super::Entry;
-use crate::gate::{CallContent, EventSink, GateRequest, Wanted, WholeCall};
+use crate::gate::{CallContent, CallGuard, EventSink, GateRequest, WholeCall};
 use crate::link::{Asked, LinkEvent, OutgoingCall};
 use crate::prelude::*;
 
@@ -21,7 +21,7 @@
 /// Keeps an attempt going; dropped, it is withdrawn.
 #[derive(Debug)]
 pub(super) enum Hold {
-    Local(#[expect(dead_code, reason = "its drop is the signal")] Wanted),
+    Local(#[expect(dead_code, reason = "its drop is the signal")] CallGuard),
     Link(#[expect(dead_code, reason = "its drop is the signal")] Asked),
 }
 
--- a/crates/edge/src/gate.rs
+++ b/crates/edge/src/gate.rs
@@ -25,7 +25,7 @@
 use crate::target::TargetClient;
 use places::{InLine, Slot};
 use records::{Fencing, Records};
-pub use request::{CallContent, EventSink, GateEvent, GateRequest, Wanted, WholeCall};
+pub use request::{CallContent, CallGuard, EventSink, GateEvent, GateRequest, WholeCall};
 use run::Run;
 use speed::SpeedProbe;
 
@@ -117,11 +117,11 @@
     }
 
     /// Takes in a call; what becomes of it goes to `sink`.
-    pub fn submit(self: &Arc<Self>, request: GateRequest, sink: EventSink) -> Wanted {
+    pub fn submit(self: &Arc<Self>, request: GateRequest, sink: EventSink) -> CallGuard {
         let (wanted, left) = watch::channel(());
         let gate = Arc::clone(self);
         tokio::spawn(async move { gate.serve(request, &sink, left).await });
-        Wanted(wanted)
+        CallGuard(wanted)
     }
 
     /// What became of a key? One that has not started never will.
--- a/crates/edge/src/gate/request.rs
+++ b/crates/edge/src/gate/request.rs
@@ -67,6 +67,6 @@
 /// Keeps a call wanted; dropped, the call is cancelled. One that may run only
 /// once and has started goes on.
 #[derive(Debug)]
-pub struct Wanted(
+pub struct CallGuard(
     #[expect(dead_code, reason = "its drop is the signal")] pub(super) watch::Sender<()>,
 );
--- a/crates/edge/src/link/server.rs
+++ b/crates/edge/src/link/server.rs
@@ -13,14 +13,14 @@
 use super::framed::{FrameReader, LinkFault, PartialBody, next_part, pass_on, write_frames};
 use crate::directory::adopt_facts;
 use crate::feed::ChangeFeed;
-use crate::gate::{CallContent, EventSink, Gate, GateEvent, GateRequest, Wanted, WholeCall};
+use crate::gate::{CallContent, CallGuard, EventSink, Gate, GateEvent, GateRequest, WholeCall};
 use crate::prelude::*;
 use crate::sockets;
 use crate::suspicion::Suspicion;
 
 type Answers = mpsc::UnboundedSender<ToEntry>;
 /// Calls in hand on one link; dropping one cancels it.
-type InHand = Arc<Mutex<HashMap<CallId, Wanted>>>;
+type InHand = Arc<Mutex<HashMap<CallId, CallGuard>>>;
 
 /// Accepts links for a gate.
 #[derive(Debug)]
--- a/crates/edge/src/status.rs
+++ b/crates/edge/src/status.rs
@@ -7,7 +7,7 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 
-use crate::callers::Leaving;
+use crate::callers::DrainPhase;
 use crate::entry::Entry;
 use crate::http1::{self, HttpReader};
 use crate::prelude::*;
@@ -26,7 +26,7 @@
     /// The entry, which knows whether it reaches others.
     pub entry: Arc<Entry>,
     /// How far the node has come in leaving.
-    pub leaving: watch::Receiver<Leaving>,
+    pub drain_phase: watch::Receiver<DrainPhase>,
     /// Path of the readiness question.
     pub readiness_path: &'static str,
     /// Counts and histograms.
@@ -46,7 +46,7 @@
     /// from all others.
     #[must_use]
     pub fn is_ready(&self) -> bool {
-        let is_leaving = *self.leaving.borrow() != Leaving::Not;
+        let is_leaving = *self.drain_phase.borrow() != DrainPhase::Serving;
         self.directory.load().routes.is_some() && !is_leaving && !self.entry.is_cut_off()
     }
 
--- a/crates/edge/tests/all/answers.rs
+++ b/crates/edge/tests/all/answers.rs
@@ -1,6 +1,6 @@
 //! Whole answers of one's own, and nothing else.
 
-use crate::support::caller::{Caller, ask};
+use crate::support::caller::{Caller, request};
 use crate::support::{DIGEST, fleet};
 
 /// A target breaks off, answers nonsense or leaves out its digest. A lookup is
@@ -11,7 +11,7 @@
         let fleet = fleet(&["s", "s"]).await;
         fleet.vms[0].target.set_usual(behaviour);
         for number in 0..4 {
-            let answer = ask(
+            let answer = request(
                 fleet.vms[0].callers,
                 "GET",
                 "/read/",
@@ -27,7 +27,7 @@
 #[tokio::test]
 async fn an_answer_that_ends_with_its_connection_is_whole() {
     let fleet = fleet(&["s"]).await;
-    let answer = ask(fleet.vms[0].callers, "GET", "/read/until-close", "id-1").await;
+    let answer = request(fleet.vms[0].callers, "GET", "/read/until-close", "id-1").await;
     assert_eq!((answer.status(), answer.body.as_str()), (200, "open"));
 }
 
@@ -44,7 +44,7 @@
             "/read/ok"
         };
         let id = format!("id-{number}");
-        let answer = caller.ask("GET", path, &id).await;
+        let answer = caller.request("GET", path, &id).await;
         assert_eq!(answer.field(DIGEST), Some(format!("d-{id}").as_str()));
         assert_ne!(answer.body, "second");
     }
@@ -53,7 +53,7 @@
 #[tokio::test]
 async fn an_answer_to_another_request_is_skipped() {
     let fleet = fleet(&["s"]).await;
-    let answer = ask(fleet.vms[0].callers, "POST", "/pay/foreign", "id-1").await;
+    let answer = request(fleet.vms[0].callers, "POST", "/pay/foreign", "id-1").await;
     assert_eq!((answer.status(), answer.body.as_str()), (200, "mine"));
     assert_eq!(fleet.vms[0].target.runs_of("id-1"), 1);
 }
@@ -67,7 +67,7 @@
     let body = "b".repeat(8 * 1024 * 1024);
     caller.send("POST", "/pay/early", "id-1", &body).await;
     assert_eq!(caller.answer().await.expect("an answer").body, "early");
-    let answer = caller.ask("GET", "/read/ok", "id-2").await;
+    let answer = caller.request("GET", "/read/ok", "id-2").await;
     assert_eq!((answer.status(), answer.body.as_str()), (200, "served 0"));
     assert_eq!(fleet.vms[0].target.runs_of("id-2"), 1);
 }
@@ -111,7 +111,9 @@
     let fleet = fleet(&["s"]).await;
     let mut caller = Caller::connect(fleet.vms[0].callers).await;
     for number in 0..20 {
-        let answer = caller.ask("GET", "/read/ok", &format!("id-{number}")).await;
+        let answer = caller
+            .request("GET", "/read/ok", &format!("id-{number}"))
+            .await;
         assert_eq!(answer.status(), 200);
     }
     assert_eq!(fleet.vms[0].target.connections(), 1);
--- a/crates/edge/tests/all/asking.rs
+++ b/crates/edge/tests/all/asking.rs
@@ -9,8 +9,8 @@
 use parking_lot::Mutex;
 use tokio::net::TcpListener;
 
-use crate::support::caller::{Caller, DEADLINE, ask};
-use crate::support::gate_end::{GateEnd, answer};
+use crate::support::caller::{Caller, DEADLINE, request};
+use crate::support::gate_end::{FakeGate, answer};
 use crate::support::{Fleet, fleet, member, set_directory};
 
 /// A gate that takes no more is left alone for at least this long.
@@ -35,8 +35,8 @@
     let asked = AskedFor::default();
     let counted = Arc::clone(&asked);
     tokio::spawn(async move {
-        let mut gate = GateEnd::accept(&listener, u64::from(number)).await;
-        while let Some(frame) = gate.rest().await {
+        let mut gate = FakeGate::accept(&listener, u64::from(number)).await;
+        while let Some(frame) = gate.next_unless_closed().await {
             let (id, terms) = match frame {
                 ToGate::Call { id, terms, .. } | ToGate::Ask { id, terms, .. } => (id, terms),
                 ToGate::Ping => {
@@ -68,7 +68,7 @@
     let began = Instant::now();
     for number in 0..40 {
         let id = format!("id-{number}");
-        let answer = ask(fleet.vms[0].callers, "GET", "/read/x", &id).await;
+        let answer = request(fleet.vms[0].callers, "GET", "/read/x", &id).await;
         assert_eq!(answer.status(), 200);
     }
     let most = 1 + began.elapsed().as_millis() / LEFT_ALONE.as_millis();
@@ -87,11 +87,13 @@
     set_directory(&fleet.directory, "s", vec![full]);
     let mut caller = Caller::connect(fleet.vms[0].callers).await;
     let began = Instant::now();
-    let first = caller.look_up_until("/read/x", "id-1", DEADLINE).await;
+    let first = caller
+        .look_up_with_deadline("/read/x", "id-1", DEADLINE)
+        .await;
     assert_eq!(first.status(), 503);
     let waited = began.elapsed();
     let left = DEADLINE - waited;
-    let second = caller.look_up_until("/read/x", "id-2", left).await;
+    let second = caller.look_up_with_deadline("/read/x", "id-2", left).await;
     assert_eq!(second.status(), 503);
     let asked = asked.lock();
     let again = asked.iter().find(|terms| terms.request_id == "id-2");
--- a/crates/edge/tests/all/at_most_once.rs
+++ b/crates/edge/tests/all/at_most_once.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use crate::support::caller::ask;
+use crate::support::caller::request;
 use crate::support::fleet;
 use crate::support::target::runs;
 
@@ -13,7 +13,7 @@
     let fleet = fleet(&["s", "s"]).await;
     for number in 0..8 {
         let id = format!("id-{number}");
-        let answer = ask(fleet.vms[0].callers, "POST", "/pay/fail", &id).await;
+        let answer = request(fleet.vms[0].callers, "POST", "/pay/fail", &id).await;
         assert_eq!((answer.status(), answer.body.as_str()), (500, "fail"));
     }
     let runs = runs(&[&fleet.vms[0].target, &fleet.vms[1].target]);
@@ -27,7 +27,7 @@
     for behaviour in ["break", "cut", "garbage", "unsigned"] {
         let fleet = fleet(&["s", "s"]).await;
         let path = format!("/pay/{behaviour}");
-        let answer = ask(fleet.vms[0].callers, "POST", &path, "id-1").await;
+        let answer = request(fleet.vms[0].callers, "POST", &path, "id-1").await;
         assert_eq!(answer.status(), 502, "{behaviour}");
         let runs = runs(&[&fleet.vms[0].target, &fleet.vms[1].target]);
         assert_eq!(runs.values().sum::<usize>(), 1, "{behaviour}");
@@ -40,7 +40,7 @@
     let fleet = fleet(&["s", "s"]).await;
     fleet.vms[0].target.set_usual("shed");
     for number in 0..4 {
-        let answer = ask(
+        let answer = request(
             fleet.vms[0].callers,
             "POST",
             "/pay/",
@@ -57,7 +57,7 @@
 #[tokio::test]
 async fn a_status_that_promises_not_run_is_not_taken_over_without_proof() {
     let fleet = fleet(&["s"]).await;
-    let answer = ask(fleet.vms[0].callers, "POST", "/pay/full", "id-1").await;
+    let answer = request(fleet.vms[0].callers, "POST", "/pay/full", "id-1").await;
     assert_eq!(answer.status(), 502);
 }
 
@@ -73,9 +73,9 @@
     // Three connections rest; the gate's question for the speed takes one.
     let callers = fleet.vms[0].callers;
     let (one, two, three) = tokio::join!(
-        ask(callers, "GET", "/read/slow", "id-1"),
-        ask(callers, "GET", "/read/slow", "id-2"),
-        ask(callers, "GET", "/read/slow", "id-3"),
+        request(callers, "GET", "/read/slow", "id-1"),
+        request(callers, "GET", "/read/slow", "id-2"),
+        request(callers, "GET", "/read/slow", "id-3"),
     );
     assert!(
         [one, two, three]
@@ -83,7 +83,7 @@
             .all(|answer| answer.status() == 200)
     );
     tokio::time::sleep(Duration::from_millis(400)).await;
-    let answer = ask(callers, "POST", "/pay/ok", "id-4").await;
+    let answer = request(callers, "POST", "/pay/ok", "id-4").await;
     assert_eq!(answer.status(), 200);
     assert_eq!(target.runs_of("id-4"), 1);
 }
--- a/crates/edge/tests/all/bounded_age.rs
+++ b/crates/edge/tests/all/bounded_age.rs
@@ -11,7 +11,7 @@
 use hornbeamhitch_edge::prelude::*;
 use hornbeamhitch_edge::source::Fact;
 
-use crate::support::caller::ask;
+use crate::support::caller::request;
 use crate::support::source::{Mood, Published, TestSource};
 use crate::support::target::FakeTarget;
 use crate::support::{self, member, route, same_port, start_following_vm};
@@ -96,7 +96,8 @@
     routes.set_health_path(ServiceName::new("s"), "/health");
     published.put_all(vec![Fact::Routes(routes), Fact::Listed(entry.clone())]);
     let (vm, source) = start_following_vm(&published, target, links, gate_port).await;
-    let pay = async |number: usize| ask(vm.callers, "POST", "/pay/", &format!("id-{number}")).await;
+    let pay =
+        async |number: usize| request(vm.callers, "POST", "/pay/", &format!("id-{number}")).await;
     while pay(0).await.status() != 200 {}
 
     source.set_mood(Mood::LosingWatches);
--- a/crates/edge/tests/all/callers.rs
+++ b/crates/edge/tests/all/callers.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use hornbeamhitch_edge::callers::Leaving;
+use hornbeamhitch_edge::callers::DrainPhase;
 use hornbeamhitch_edge::http1;
 
 use crate::support::caller::Caller;
@@ -17,8 +17,13 @@
     let fleet = fleet(&["s"]).await;
     let vm = &fleet.vms[0];
     let mut caller = Caller::connect(vm.callers).await;
-    assert_eq!(caller.ask("GET", "/read/ok", "id-1").await.status(), 200);
-    vm.leaving.send(Leaving::Announced).expect("a server");
+    assert_eq!(
+        caller.request("GET", "/read/ok", "id-1").await.status(),
+        200
+    );
+    vm.drain_phase
+        .send(DrainPhase::Announced)
+        .expect("a server");
     caller.send("GET", "/read/slow", "id-2", "").await;
     caller.send("GET", "/read/ok", "id-3", "").await;
     let answer = caller.answer().await.expect("an answer");
@@ -35,8 +40,11 @@
     let fleet = fleet(&["s"]).await;
     let vm = &fleet.vms[0];
     let mut caller = Caller::connect(vm.callers).await;
-    assert_eq!(caller.ask("GET", "/read/ok", "id-1").await.status(), 200);
-    vm.leaving.send(Leaving::Closing).expect("a server");
+    assert_eq!(
+        caller.request("GET", "/read/ok", "id-1").await.status(),
+        200
+    );
+    vm.drain_phase.send(DrainPhase::Closing).expect("a server");
     assert!(caller.answer().await.is_err());
 }
 
--- a/crates/edge/tests/all/crash_request.rs
+++ b/crates/edge/tests/all/crash_request.rs
@@ -1,6 +1,6 @@
 //! Requests that crash the targets that run them.
 
-use crate::support::caller::ask;
+use crate::support::caller::request;
 use crate::support::fleet;
 use crate::support::target::until;
 
@@ -14,12 +14,12 @@
     for vm in &fleet.vms {
         // Links between all, as usual traffic opens them.
         for number in 0..12 {
-            ask(vm.callers, "GET", "/read/ok", &format!("warm-{number}")).await;
+            request(vm.callers, "GET", "/read/ok", &format!("warm-{number}")).await;
         }
     }
     for number in 0..6 {
         let caller = fleet.vms[number % 3].callers;
-        let answer = ask(caller, "GET", "/read/crash", &format!("id-{number}")).await;
+        let answer = request(caller, "GET", "/read/crash", &format!("id-{number}")).await;
         assert!(answer.status() >= 500);
     }
     let crashed = || {
@@ -33,12 +33,12 @@
     );
     let before = crashed();
     for vm in &fleet.vms {
-        let answer = ask(vm.callers, "GET", "/read/crash", "id-last").await;
+        let answer = request(vm.callers, "GET", "/read/crash", "id-last").await;
         assert_eq!(answer.status(), 503);
         assert!(answer.body.contains("crash-suspect"), "{}", answer.body);
     }
     assert_eq!(crashed(), before);
-    let answer = ask(fleet.vms[6].callers, "GET", "/read/ok", "id-other").await;
+    let answer = request(fleet.vms[6].callers, "GET", "/read/ok", "id-other").await;
     assert_eq!(answer.status(), 200);
 }
 
@@ -53,7 +53,7 @@
         for number in 0..4 {
             let path = format!("/read/slow?{number}");
             answers.push(
-                ask(callers, "GET", &path, &format!("id-{number}"))
+                request(callers, "GET", &path, &format!("id-{number}"))
                     .await
                     .status(),
             );
@@ -64,14 +64,14 @@
         fleet.vms.iter().any(|vm| !vm.target.ran().is_empty())
     })
     .await;
-    ask(fleet.vms[0].callers, "GET", "/read/crash", "id-crash").await;
+    request(fleet.vms[0].callers, "GET", "/read/crash", "id-crash").await;
     let answers = waiting.await.expect("no panic");
     for (number, status) in answers.iter().enumerate() {
         if *status == 200 {
             continue;
         }
         let path = format!("/read/slow?{number}");
-        let again = ask(callers, "GET", &path, "id-again").await;
+        let again = request(callers, "GET", &path, "id-again").await;
         assert!(!again.body.contains("crash-suspect"), "{}", again.body);
     }
 }
--- a/crates/edge/tests/all/giving_up.rs
+++ b/crates/edge/tests/all/giving_up.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use crate::support::caller::{Caller, ask, look_up};
+use crate::support::caller::{Caller, request, send_lookups};
 use crate::support::fleet;
 use crate::support::target::until;
 
@@ -12,7 +12,7 @@
 async fn a_call_ends_at_the_timeout_of_its_route() {
     let fleet = fleet(&["s"]).await;
     let began = Instant::now();
-    let answer = ask(fleet.vms[0].callers, "GET", "/short/hang", "id-1").await;
+    let answer = request(fleet.vms[0].callers, "GET", "/short/hang", "id-1").await;
     assert_eq!(answer.status(), 504);
     // The route's timeout is 300 ms and the caller's own 2 s.
     assert!(began.elapsed() < Duration::from_millis(1_500));
@@ -41,7 +41,7 @@
 async fn a_call_that_no_fast_target_takes_is_refused_truthfully() {
     let fleet = fleet(&["s"]).await;
     fleet.vms[0].target.set_slowness(5_000);
-    let answer = ask(fleet.vms[0].callers, "POST", "/pay/x", "id-1").await;
+    let answer = request(fleet.vms[0].callers, "POST", "/pay/x", "id-1").await;
     assert_eq!(answer.status(), 503);
     assert!(answer.field("Retry-After").is_some());
     assert!(fleet.vms[0].target.ran().is_empty());
@@ -52,7 +52,7 @@
 async fn a_lookup_goes_round_a_slow_target() {
     let fleet = fleet(&["s", "s"]).await;
     fleet.vms[0].target.set_slowness(500);
-    look_up(fleet.vms[0].callers, 10).await;
+    send_lookups(fleet.vms[0].callers, 10).await;
     assert_eq!(fleet.vms[1].target.ran().len(), 10);
 }
 
@@ -62,7 +62,7 @@
     fleet.vms[0].target.set_usual("hang");
     // The first target holds the lookup; after two and a half usual runs it
     // counts as stuck, and the second one is asked beside it.
-    let answer = ask(fleet.vms[0].callers, "GET", "/read/", "id-1").await;
+    let answer = request(fleet.vms[0].callers, "GET", "/read/", "id-1").await;
     assert_eq!(answer.status(), 200);
     assert_eq!(fleet.vms[1].target.runs_of("id-1"), 1);
 }
@@ -75,13 +75,13 @@
     let fleet = fleet(&["s"]).await;
     let target = &fleet.vms[0].target;
     target.set_starting(true);
-    let first = ask(fleet.vms[0].callers, "POST", "/pay/x", "id-0").await;
+    let first = request(fleet.vms[0].callers, "POST", "/pay/x", "id-0").await;
     assert_eq!(first.status(), 200);
     target.set_starting(false);
     target.set_slowness(5_000);
     for number in 1..100 {
         let id = format!("id-{number}");
-        let answer = ask(fleet.vms[0].callers, "POST", "/pay/x", &id).await;
+        let answer = request(fleet.vms[0].callers, "POST", "/pay/x", &id).await;
         if answer.status() == 503 {
             assert_eq!(target.runs_of(&id), 0);
             return;
--- a/crates/edge/tests/all/links.rs
+++ b/crates/edge/tests/all/links.rs
@@ -8,8 +8,8 @@
 use hornbeamhitch_wire::link::{ToEntry, ToGate};
 use tokio::net::TcpListener;
 
-use crate::support::caller::{Caller, ask};
-use crate::support::gate_end::{GateEnd, answer};
+use crate::support::caller::{Caller, request};
+use crate::support::gate_end::{FakeGate, answer};
 use crate::support::target::{FakeTarget, until};
 use crate::support::{fleet, member, set_directory, start_vm};
 
@@ -38,7 +38,7 @@
     let mut caller = Caller::connect(fleet.vms[0].callers).await;
     let body = "b".repeat(60_000);
     caller.send("POST", "/pay/x", "id-1", &body).await;
-    let mut gate = GateEnd::accept(&listener, 1).await;
+    let mut gate = FakeGate::accept(&listener, 1).await;
     let ToGate::Call { id, body, .. } = gate.next().await else {
         panic!("a call was expected");
     };
@@ -90,12 +90,12 @@
         let (fleet, listener) = with_own_gate().await;
         let mut caller = Caller::connect(fleet.vms[0].callers).await;
         caller.send("POST", "/pay/x", "id-1", "").await;
-        let mut gate = GateEnd::accept(&listener, 1).await;
+        let mut gate = FakeGate::accept(&listener, 1).await;
         let ToGate::Call { terms, .. } = gate.next().await else {
             panic!("a call was expected");
         };
         drop(gate);
-        let mut gate = GateEnd::accept(&listener, 1).await;
+        let mut gate = FakeGate::accept(&listener, 1).await;
         let ToGate::Fence { id, key } = gate.next().await else {
             panic!("a question about the key was expected");
         };
@@ -124,10 +124,10 @@
     let (fleet, listener) = with_own_gate().await;
     let mut caller = Caller::connect(fleet.vms[0].callers).await;
     caller.send("POST", "/pay/x", "id-1", "").await;
-    let mut gate = GateEnd::accept(&listener, 1).await;
+    let mut gate = FakeGate::accept(&listener, 1).await;
     assert!(matches!(gate.next().await, ToGate::Call { .. }));
     drop(gate);
-    let mut gate = GateEnd::accept(&listener, 2).await;
+    let mut gate = FakeGate::accept(&listener, 2).await;
     let ToGate::Fence { id, .. } = gate.next().await else {
         panic!("a question about the key was expected");
     };
@@ -146,7 +146,7 @@
     let (fleet, listener) = with_own_gate().await;
     let mut caller = Caller::connect(fleet.vms[0].callers).await;
     caller.send("POST", "/pay/x", "id-1", "").await;
-    let mut gate = GateEnd::accept(&listener, 1).await;
+    let mut gate = FakeGate::accept(&listener, 1).await;
     assert!(matches!(gate.next().await, ToGate::Call { .. }));
     drop(listener);
     let answer = caller.answer().await.expect("an answer");
@@ -169,7 +169,7 @@
             .expect("the gate's port");
         let calls = Arc::clone(&calls);
         tokio::spawn(async move {
-            let mut gate = GateEnd::accept(&listener, 1).await;
+            let mut gate = FakeGate::accept(&listener, 1).await;
             assert!(matches!(gate.next().await, ToGate::Call { .. }));
             calls.fetch_add(1, Ordering::Relaxed);
         });
@@ -178,7 +178,7 @@
     }
     set_directory(&fleet.directory, "s", members);
     let mut caller = Caller::connect(fleet.vms[0].callers).await;
-    let answer = caller.ask("GET", "/read/x", "id-1").await;
+    let answer = caller.request("GET", "/read/x", "id-1").await;
     assert_eq!(answer.status(), 502);
     assert_eq!(calls.load(Ordering::Relaxed), 2);
 }
@@ -206,7 +206,7 @@
     )
     .await;
     assert_eq!(
-        ask(vm.callers, "GET", "/read/x", "id-1").await.status(),
+        request(vm.callers, "GET", "/read/x", "id-1").await.status(),
         503
     );
 
@@ -217,7 +217,7 @@
     }
     set_directory(&fleet.directory, "s", members);
     for number in 0..40 {
-        ask(
+        request(
             fleet.vms[0].callers,
             "GET",
             "/read/x",
@@ -231,7 +231,7 @@
     .await;
     assert_eq!(unknowing.load().members.len(), 3);
     assert_eq!(
-        ask(vm.callers, "GET", "/read/x", "id-2").await.status(),
+        request(vm.callers, "GET", "/read/x", "id-2").await.status(),
         200
     );
 }
@@ -243,18 +243,21 @@
 async fn no_call_is_sent_to_a_gate_that_does_not_answer() {
     let (fleet, listener) = with_own_gate().await;
     let callers = fleet.vms[0].callers;
-    let lookup = tokio::spawn(ask(callers, "GET", "/read/x", "id-1"));
-    let mut gate = GateEnd::accept(&listener, 7).await;
-    assert!(matches!(gate.next_of_all().await, ToGate::Call { .. }));
-    assert!(matches!(gate.next_of_all().await, ToGate::Ping));
+    let lookup = tokio::spawn(request(callers, "GET", "/read/x", "id-1"));
+    let mut gate = FakeGate::accept(&listener, 7).await;
+    assert!(matches!(
+        gate.next_including_pings().await,
+        ToGate::Call { .. }
+    ));
+    assert!(matches!(gate.next_including_pings().await, ToGate::Ping));
     // Twice the time in which it should have answered.
     tokio::time::sleep(std::time::Duration::from_millis(300)).await;
-    let payment = ask(callers, "POST", "/pay/x", "id-2").await;
+    let payment = request(callers, "POST", "/pay/x", "id-2").await;
     assert_eq!(payment.status(), 503);
     assert!(payment.field("Retry-After").is_some());
     lookup.await.expect("an answer");
     let mut calls = 0;
-    while let Some(frame) = gate.rest().await {
+    while let Some(frame) = gate.next_unless_closed().await {
         calls += u32::from(matches!(frame, ToGate::Call { .. }));
     }
     assert_eq!(calls, 0, "sent into the silence");
@@ -266,17 +269,17 @@
 async fn a_gate_that_is_heard_again_gets_calls_again() {
     let (fleet, listener) = with_own_gate().await;
     let callers = fleet.vms[0].callers;
-    let lookup = tokio::spawn(ask(callers, "GET", "/read/x", "id-1"));
-    let mut gate = GateEnd::accept(&listener, 7).await;
-    let ToGate::Call { id, .. } = gate.next_of_all().await else {
+    let lookup = tokio::spawn(request(callers, "GET", "/read/x", "id-1"));
+    let mut gate = FakeGate::accept(&listener, 7).await;
+    let ToGate::Call { id, .. } = gate.next_including_pings().await else {
         panic!("the lookup's frame");
     };
-    assert!(matches!(gate.next_of_all().await, ToGate::Ping));
+    assert!(matches!(gate.next_including_pings().await, ToGate::Ping));
     tokio::time::sleep(std::time::Duration::from_millis(300)).await;
     gate.send(&ToEntry::Pong).await;
     gate.send(&answer(id, "id-1")).await;
     assert_eq!(lookup.await.expect("an answer").status(), 200);
-    let payment = tokio::spawn(ask(callers, "POST", "/pay/x", "id-2"));
+    let payment = tokio::spawn(request(callers, "POST", "/pay/x", "id-2"));
     let ToGate::Call { id, .. } = gate.next().await else {
         panic!("the payment's frame");
     };
--- a/crates/edge/tests/all/lives.rs
+++ b/crates/edge/tests/all/lives.rs
@@ -2,7 +2,7 @@
 
 use hornbeamhitch_dispatch::prelude::*;
 
-use crate::support::caller::ask;
+use crate::support::caller::request;
 use crate::support::{Fleet, fleet, member, set_directory};
 
 /// Lists the fleet's only target as the life that began at this time.
@@ -24,12 +24,12 @@
     fleet.vms[0].target.set_life("somebody-else");
     for number in 0..2 {
         let id = format!("id-{number}");
-        let answer = ask(fleet.vms[0].callers, "POST", "/pay/", &id).await;
+        let answer = request(fleet.vms[0].callers, "POST", "/pay/", &id).await;
         assert_eq!(answer.status(), 503);
     }
     fleet.vms[0].target.set_life("life-0");
     list_life(&fleet, 2);
-    let answer = ask(fleet.vms[0].callers, "POST", "/pay/", "id-9").await;
+    let answer = request(fleet.vms[0].callers, "POST", "/pay/", "id-9").await;
     assert_eq!(answer.status(), 200);
     assert_eq!(fleet.vms[0].target.ran().len(), 1);
 }
@@ -41,7 +41,7 @@
     let fleet = fleet(&["s"]).await;
     list_life(&fleet, 1);
     for number in 0..3 {
-        let answer = ask(
+        let answer = request(
             fleet.vms[0].callers,
             "GET",
             "/read/",
@@ -52,7 +52,7 @@
     }
     let before = fleet.vms[0].target.connections();
     list_life(&fleet, 2);
-    let answer = ask(fleet.vms[0].callers, "GET", "/read/", "id-9").await;
+    let answer = request(fleet.vms[0].callers, "GET", "/read/", "id-9").await;
     assert_eq!(answer.status(), 200);
     assert!(fleet.vms[0].target.connections() > before);
 }
--- a/crates/edge/tests/all/routing.rs
+++ b/crates/edge/tests/all/routing.rs
@@ -5,7 +5,7 @@
 use hornbeamhitch_edge::directory::Directory;
 use hornbeamhitch_edge::http1;
 
-use crate::support::caller::{Caller, ask, look_up};
+use crate::support::caller::{Caller, request, send_lookups};
 use crate::support::{
     CALLER_SERVICE, DEADLINE_MS, DIGEST, EXPECTED_TARGET, LOAD, REQUEST_ID, fleet, member,
     set_directory,
@@ -48,7 +48,7 @@
 #[tokio::test]
 async fn the_gate_of_another_vm_runs_what_has_no_target_here() {
     let fleet = fleet(&["s", "other"]).await;
-    let answer = ask(fleet.vms[1].callers, "GET", "/read/x", "id-1").await;
+    let answer = request(fleet.vms[1].callers, "GET", "/read/x", "id-1").await;
     assert_eq!(answer.status(), 200);
     let ran = fleet.vms[0].target.ran();
     assert_eq!(
@@ -61,14 +61,17 @@
 async fn what_cannot_be_routed_is_told_so() {
     let fleet = fleet(&["s"]).await;
     let callers = fleet.vms[0].callers;
-    assert_eq!(ask(callers, "GET", "/none/x", "id-1").await.status(), 404);
+    assert_eq!(
+        request(callers, "GET", "/none/x", "id-1").await.status(),
+        404
+    );
     let mut caller = Caller::connect(callers).await;
     caller
         .send_raw("GET /read/x HTTP/1.1\r\nHost: h\r\n\r\n")
         .await;
     assert_eq!(caller.answer().await.expect("an answer").status(), 400);
     fleet.directory.store(Arc::new(Directory::default()));
-    let answer = ask(callers, "GET", "/read/x", "id-2").await;
+    let answer = request(callers, "GET", "/read/x", "id-2").await;
     assert_eq!(answer.status(), 503);
     assert!(answer.field("Retry-After").is_some());
     assert!(fleet.vms[0].target.ran().is_empty());
@@ -99,7 +102,7 @@
     draining.draining = true;
     let open = member(1, "s", fleet.vms[1].target.address);
     set_directory(&fleet.directory, "s", vec![draining, open]);
-    look_up(fleet.vms[0].callers, 20).await;
+    send_lookups(fleet.vms[0].callers, 20).await;
     assert!(fleet.vms[0].target.ran().is_empty());
     assert_eq!(fleet.vms[1].target.ran().len(), 20);
 }
@@ -111,7 +114,7 @@
     let fleet = fleet(&["s"]).await;
     let wrong = member(7, "s", fleet.vms[0].target.address);
     set_directory(&fleet.directory, "s", vec![wrong]);
-    let answer = ask(fleet.vms[0].callers, "POST", "/pay/x", "id-1").await;
+    let answer = request(fleet.vms[0].callers, "POST", "/pay/x", "id-1").await;
     assert_eq!(answer.status(), 503);
     assert!(fleet.vms[0].target.ran().is_empty());
 }
--- a/crates/edge/tests/all/support.rs
+++ b/crates/edge/tests/all/support.rs
@@ -15,7 +15,7 @@
 use hornbeamhitch_dispatch::retry_budget::RetryLimit;
 use hornbeamhitch_dispatch::routes::Destination;
 use hornbeamhitch_dispatch::waits::Waits;
-use hornbeamhitch_edge::callers::{CallerServer, Leaving};
+use hornbeamhitch_edge::callers::{CallerServer, DrainPhase};
 use hornbeamhitch_edge::dialect::TargetLoad;
 use hornbeamhitch_edge::directory::{Directory, DirectoryWriter};
 use hornbeamhitch_edge::entry::{Entry, EntryParts};
@@ -81,7 +81,7 @@
 pub struct Vm {
     pub target: FakeTarget,
     pub callers: SocketAddr,
-    pub leaving: watch::Sender<Leaving>,
+    pub drain_phase: watch::Sender<DrainPhase>,
 }
 
 /// VMs that know of each other.
@@ -267,16 +267,16 @@
         .await
         .expect("a free port");
     let callers = listener.local_addr().expect("an address");
-    let (leaving, left) = watch::channel(Leaving::Not);
+    let (drain_phase, left) = watch::channel(DrainPhase::Serving);
     let server = CallerServer {
         entry: Arc::clone(&entry),
-        leaving: left,
+        drain_phase: left,
     };
     tokio::spawn(server.serve(listener));
     Vm {
         target,
         callers,
-        leaving,
+        drain_phase,
     }
 }
 
--- a/crates/edge/tests/all/support/caller.rs
+++ b/crates/edge/tests/all/support/caller.rs
@@ -24,19 +24,24 @@
 
     /// Sends a request for host `h`, which waits for two seconds.
     pub async fn send(&mut self, method: &str, path: &str, id: &str, body: &str) {
-        self.send_raw(&request(method, path, id, body)).await;
+        self.send_raw(&request_text(method, path, id, body)).await;
     }
 
     /// The same as far as the node reads it.
     pub async fn try_send(&mut self, method: &str, path: &str, id: &str, body: &str) {
-        if let Err(error) = self.0.send(&request(method, path, id, body)).await {
+        if let Err(error) = self.0.send(&request_text(method, path, id, body)).await {
             println!("the node stopped reading: {error}");
         }
     }
 
     /// Sends a lookup whose caller waits for this long.
-    pub async fn look_up_until(&mut self, path: &str, id: &str, deadline: Duration) -> RawAnswer {
-        self.send_raw(&request_until("GET", path, id, "", deadline))
+    pub async fn look_up_with_deadline(
+        &mut self,
+        path: &str,
+        id: &str,
+        deadline: Duration,
+    ) -> RawAnswer {
+        self.send_raw(&request_text_with_deadline("GET", path, id, "", deadline))
             .await;
         self.answer().await.expect("an answer")
     }
@@ -46,17 +51,23 @@
     }
 
     /// Sends a request and returns its answer.
-    pub async fn ask(&mut self, method: &str, path: &str, id: &str) -> RawAnswer {
+    pub async fn request(&mut self, method: &str, path: &str, id: &str) -> RawAnswer {
         self.send(method, path, id, "").await;
         self.answer().await.expect("an answer")
     }
 }
 
-fn request(method: &str, path: &str, id: &str, body: &str) -> String {
-    request_until(method, path, id, body, DEADLINE)
+fn request_text(method: &str, path: &str, id: &str, body: &str) -> String {
+    request_text_with_deadline(method, path, id, body, DEADLINE)
 }
 
-fn request_until(method: &str, path: &str, id: &str, body: &str, deadline: Duration) -> String {
+fn request_text_with_deadline(
+    method: &str,
+    path: &str,
+    id: &str,
+    body: &str,
+    deadline: Duration,
+) -> String {
     let length = body.len();
     let deadline_ms = deadline.as_millis();
     format!(
@@ -66,14 +77,17 @@
 }
 
 /// One request on a connection of its own.
-pub async fn ask(address: SocketAddr, method: &str, path: &str, id: &str) -> RawAnswer {
-    Caller::connect(address).await.ask(method, path, id).await
+pub async fn request(address: SocketAddr, method: &str, path: &str, id: &str) -> RawAnswer {
+    Caller::connect(address)
+        .await
+        .request(method, path, id)
+        .await
 }
 
 /// Sends so many lookups, one after the other; each must be served.
-pub async fn look_up(address: SocketAddr, count: usize) {
+pub async fn send_lookups(address: SocketAddr, count: usize) {
     for number in 0..count {
-        let answer = ask(address, "GET", "/read/x", &format!("id-{number}")).await;
+        let answer = request(address, "GET", "/read/x", &format!("id-{number}")).await;
         assert_eq!(answer.status(), 200);
     }
 }
--- a/crates/edge/tests/all/support/gate_end.rs
+++ b/crates/edge/tests/all/support/gate_end.rs
@@ -9,14 +9,14 @@
 use super::DIGEST;
 
 /// The gate's end of one link.
-pub struct GateEnd {
+pub struct FakeGate {
     stream: TcpStream,
     buffer: BytesMut,
     /// Bytes that came from the entry.
     pub read_bytes: usize,
 }
 
-impl GateEnd {
+impl FakeGate {
     /// Takes the next link, as this life of the gate.
     pub async fn accept(listener: &TcpListener, incarnation: u64) -> Self {
         let (stream, _) = listener.accept().await.expect("a link");
@@ -41,7 +41,7 @@
     /// answered.
     pub async fn next(&mut self) -> ToGate {
         loop {
-            match self.next_of_all().await {
+            match self.next_including_pings().await {
                 ToGate::Ping => self.send(&ToEntry::Pong).await,
                 frame => return frame,
             }
@@ -49,13 +49,13 @@
     }
 
     /// The next frame.
-    pub async fn next_of_all(&mut self) -> ToGate {
-        let frame = self.rest().await;
+    pub async fn next_including_pings(&mut self) -> ToGate {
+        let frame = self.next_unless_closed().await;
         frame.expect("the entry has closed the link")
     }
 
     /// The next frame; `None` once the entry has closed the link.
-    pub async fn rest(&mut self) -> Option<ToGate> {
+    pub async fn next_unless_closed(&mut self) -> Option<ToGate> {
         loop {
             if let Some(frame) = link::decode(&mut self.buffer).expect("a frame") {
                 return Some(frame);
