--- a/crates/edge/src/callers/connection.rs
+++ b/crates/edge/src/callers/connection.rs
@@ -33,7 +33,7 @@
     Answer {
         answer: oneshot::Receiver<CallerAnswer>,
         is_head: bool,
-        keeps: bool,
+        keep_alive: bool,
     },
 }
 
@@ -57,7 +57,7 @@
         let (reader, writer) = stream.into_split();
         let (outgoing, to_write) = mpsc::channel(MAX_PIPELINED);
         let unanswered = Arc::new(AtomicUsize::new(0));
-        let mut reading = Reading {
+        let mut request_reader = RequestReader {
             entry: self.entry,
             drain_phase: self.drain_phase.clone(),
             reader: HttpReader::new(reader),
@@ -68,19 +68,19 @@
         let writing = write_answers(writer, to_write, unanswered);
         let mut writing = std::pin::pin!(writing);
         let stop = tokio::select! {
-            stop = reading.run() => stop,
+            stop = request_reader.run() => stop,
             () = &mut writing => return,
         };
         if matches!(stop, Stop::CallerLeft) {
             // Dropping the calls cancels them: work for nobody is stopped.
             return;
         }
-        let Reading {
+        let RequestReader {
             outgoing,
             mut reader,
             calls,
             ..
-        } = reading;
+        } = request_reader;
         drop(outgoing);
         let mut until_closed = std::pin::pin!(reader.discard_rest());
         tokio::select! {
@@ -95,7 +95,7 @@
 }
 
 /// The reading side of a connection.
-struct Reading {
+struct RequestReader {
     entry: Arc<Entry>,
     drain_phase: watch::Receiver<DrainPhase>,
     reader: HttpReader<OwnedReadHalf>,
@@ -106,7 +106,7 @@
     calls: JoinSet<()>,
 }
 
-impl Reading {
+impl RequestReader {
     async fn run(&mut self) -> Stop {
         loop {
             match self.wait_for_request().await {
@@ -126,7 +126,7 @@
                 Ok(Err(fault)) => return self.refuse(&fault).await,
                 Err(_) => return self.answer_and_stop(CallerAnswer::plain(408, "head")).await,
             };
-            match self.take_request(head, arrived, &limits).await {
+            match self.accept_request(head, arrived, &limits).await {
                 Ok(true) => {}
                 Ok(false) => return Stop::AnswersDue,
                 Err(stop) => return stop,
@@ -159,7 +159,7 @@
     }
 
     /// Reads the body and starts the call; false when it was the last one.
-    async fn take_request(
+    async fn accept_request(
         &mut self,
         head: RequestHead,
         arrived: Millis,
@@ -190,12 +190,13 @@
         // While the node leaves, the first request that is read is the last one
         // of its connection; what was sent behind it stays unread and is sent
         // again elsewhere.
-        let keeps = head.keeps_connection() && *self.drain_phase.borrow() == DrainPhase::Serving;
+        let keep_alive =
+            head.keeps_connection() && *self.drain_phase.borrow() == DrainPhase::Serving;
         let (sender, answer) = oneshot::channel();
         let outgoing = Outgoing::Answer {
             answer,
             is_head: head.method == "HEAD",
-            keeps,
+            keep_alive,
         };
         self.unanswered.fetch_add(1, Ordering::AcqRel);
         if self.outgoing.send(outgoing).await.is_err() {
@@ -210,7 +211,7 @@
             },
             sender,
         );
-        Ok(keeps)
+        Ok(keep_alive)
     }
 
     fn start(&mut self, request: CallerRequest, sender: oneshot::Sender<CallerAnswer>) {
@@ -228,7 +229,7 @@
             ReadFault::Head(HeadFault::TooLarge) => CallerAnswer::plain(431, "head too large"),
             ReadFault::Head(fault) => CallerAnswer::plain(400, &fault.to_string()),
             ReadFault::BodyTooLarge => CallerAnswer::plain(413, "body too large"),
-            ReadFault::NoRoom => self.entry.no_room(),
+            ReadFault::NoRoom => self.entry.body_memory_exhausted(),
         };
         log::info!("a request was refused: {fault}");
         self.answer_and_stop(answer).await
@@ -241,7 +242,7 @@
         let outgoing = Outgoing::Answer {
             answer: receiver,
             is_head: false,
-            keeps: false,
+            keep_alive: false,
         };
         self.unanswered.fetch_add(1, Ordering::AcqRel);
         match self.outgoing.send(outgoing).await {
@@ -266,14 +267,14 @@
             Outgoing::Answer {
                 answer,
                 is_head,
-                keeps,
+                keep_alive,
             } => {
                 // A call that ended without an answer ends the connection.
                 let Ok(answer) = answer.await else {
                     return;
                 };
                 unanswered.fetch_sub(1, Ordering::AcqRel);
-                let closes = !keeps;
+                let closes = !keep_alive;
                 let body = (!is_head).then_some(answer.body.as_ref());
                 http1::response_bytes(answer.status, &answer.fields, body, closes).freeze()
             }
--- a/crates/edge/src/daemon.rs
+++ b/crates/edge/src/daemon.rs
@@ -34,7 +34,7 @@
 
 /// A body that falls silent for this long is given up; its caller's deadline
 /// ends it sooner in nearly all cases.
-const BODY_SILENCE: Duration = Duration::from_secs(15);
+const BODY_IDLE_TIMEOUT: Duration = Duration::from_secs(15);
 /// Settings may change without a signal; they are looked at this often.
 const RELOAD_INTERVAL: Duration = Duration::from_secs(2);
 /// What belongs to targets and routes that are gone is dropped this often.
@@ -42,14 +42,14 @@
 /// Gauges are read anew this often; whoever collects them asks less often.
 const GAUGE_INTERVAL: Duration = Duration::from_secs(1);
 /// A node that is cut off looks this often whether it still is.
-const REACH_INTERVAL: Duration = Duration::from_millis(500);
+const REACHABILITY_INTERVAL: Duration = Duration::from_millis(500);
 /// Time to write out the last lines of the log at exit.
 const LOG_FLUSH_MS: Millis = Millis(300);
 /// Part of the grace for which a leaving node goes on serving new requests: the
 /// platform asks for readiness once a second, and two misses turn callers away.
 const ANNOUNCE_PERCENT: u64 = 40;
 /// Part of the grace after which a leaving node ends whatever is in hand.
-const END_PERCENT: u64 = 85;
+const DRAIN_DEADLINE_PERCENT: u64 = 85;
 
 /// What a node takes from its deployment.
 pub struct Deployment {
@@ -164,12 +164,12 @@
         metrics: Arc::clone(&metrics),
         suspicion: Arc::clone(&suspicion),
         retry_limit: config.tunables.retry_limit,
-        uploads: UploadLimits::new(BODY_SILENCE, config.buffered_bytes),
+        uploads: UploadLimits::new(BODY_IDLE_TIMEOUT, config.buffered_bytes),
         seed: rand::random(),
     }));
     let gauges_directory = Arc::clone(&directory);
     let gauges_metrics = Arc::clone(&metrics);
-    let (announce, drain_phase) = watch::channel(DrainPhase::Serving);
+    let (drain_phase_sender, drain_phase) = watch::channel(DrainPhase::Serving);
     let links = LinkServer {
         gate: Arc::clone(&gate),
         incarnation,
@@ -194,7 +194,7 @@
         tokio::spawn(status.accept(listen(metrics)?));
     }
     let serving = tokio::spawn(callers.serve(listen(sockets.callers)?));
-    tokio::spawn(look_for_others(Arc::clone(&entry)));
+    tokio::spawn(probe_other_vms(Arc::clone(&entry)));
     tokio::spawn(refresh_gauges(Gauges {
         gate: Arc::clone(&gate),
         directory: gauges_directory,
@@ -202,18 +202,18 @@
         clock,
     }));
     log_start(&config, incarnation);
-    until_told_to_end(&mut signals, &entry, &reload, &config).await;
+    run_until_terminated(&mut signals, &entry, &reload, &config).await;
     log::info!("leaving: callers are turned away, work in hand is finished");
-    leave(&config, &announce, &gate, serving).await;
+    shut_down(&config, &drain_phase_sender, &gate, serving).await;
     Ok(())
 }
 
 /// Looks for other VMs while this one seems cut off.
-async fn look_for_others(entry: Arc<Entry>) {
-    let mut interval = tokio::time::interval(REACH_INTERVAL);
+async fn probe_other_vms(entry: Arc<Entry>) {
+    let mut interval = tokio::time::interval(REACHABILITY_INTERVAL);
     loop {
         interval.tick().await;
-        entry.look_for_others().await;
+        entry.probe_other_vms().await;
     }
 }
 
@@ -238,8 +238,8 @@
         let members = &directory.members;
         let leaving = members.iter().filter(|member| member.draining).count();
         gauges.metrics.members(&MemberLevels {
-            live: narrow(members.len() - leaving),
-            leaving: narrow(leaving),
+            live: saturating_u32(members.len() - leaving),
+            leaving: saturating_u32(leaving),
             doubtful: 0,
         });
         let Some(routes) = directory.routes.as_ref() else {
@@ -258,27 +258,27 @@
     }
 }
 
-fn narrow(count: usize) -> u32 {
+fn saturating_u32(count: usize) -> u32 {
     u32::try_from(count).unwrap_or(u32::MAX)
 }
 
 /// Follows reloads until the process is told to end.
-async fn until_told_to_end(
+async fn run_until_terminated(
     signals: &mut Signals,
     entry: &Entry,
     reload: &Reload,
     config: &EdgeConfig,
 ) {
     let mut tunables = config.tunables.clone();
-    let mut look = tokio::time::interval(RELOAD_INTERVAL);
-    let mut forget = tokio::time::interval(FORGET_INTERVAL);
+    let mut reload_interval = tokio::time::interval(RELOAD_INTERVAL);
+    let mut forget_interval = tokio::time::interval(FORGET_INTERVAL);
     loop {
         tokio::select! {
             _ = signals.terminate.recv() => return,
             _ = signals.interrupt.recv() => return,
             _ = signals.hangup.recv() => log::info!("settings are read anew at a signal"),
-            _ = look.tick() => {}
-            _ = forget.tick() => {
+            _ = reload_interval.tick() => {}
+            _ = forget_interval.tick() => {
                 entry.forget_departed();
                 continue;
             }
@@ -299,25 +299,26 @@
 /// target may stay, and would stand idle for as long as this takes; then the
 /// gate refuses new work, connections at rest are closed and the others after
 /// their last answer; what runs in the target comes last.
-async fn leave(
+async fn shut_down(
     config: &EdgeConfig,
-    announce: &watch::Sender<DrainPhase>,
+    drain_phase_sender: &watch::Sender<DrainPhase>,
     gate: &Arc<Gate>,
     serving: tokio::task::JoinHandle<()>,
 ) {
     let started = tokio::time::Instant::now();
-    let share = |percent: u64| Duration::from_millis(config.grace_ms.0 * percent / 100);
-    let _ = announce.send(DrainPhase::Announced);
-    tokio::time::sleep(share(ANNOUNCE_PERCENT)).await;
-    let _ = announce.send(DrainPhase::Closing);
-    gate.leave();
+    let share_of_grace = |percent: u64| Duration::from_millis(config.grace_ms.0 * percent / 100);
+    let _ = drain_phase_sender.send(DrainPhase::Announced);
+    tokio::time::sleep(share_of_grace(ANNOUNCE_PERCENT)).await;
+    let _ = drain_phase_sender.send(DrainPhase::Closing);
+    gate.stop_admitting();
     let finishing = async {
         if let Err(error) = serving.await {
             log::error!("serving callers ended badly: {error}");
         }
         gate.drained().await;
     };
-    match tokio::time::timeout_at(started + share(END_PERCENT), finishing).await {
+    match tokio::time::timeout_at(started + share_of_grace(DRAIN_DEADLINE_PERCENT), finishing).await
+    {
         Ok(()) => log::info!("everything in hand was finished"),
         Err(_) => log::warn!("the grace is over with work in hand"),
     }
--- a/crates/edge/src/entry.rs
+++ b/crates/edge/src/entry.rs
@@ -24,17 +24,17 @@
 use crate::link::LinkPool;
 use crate::prelude::*;
 use crate::suspicion::{self, Suspicion};
+use answer::CallOutcome;
 pub use answer::CallerAnswer;
-use answer::Given;
-use call::CallRun;
-use ended::{CallerLeaves, Ended};
+use call::CallDriver;
+use ended::{AbandonedCallLog, CallRecord};
 use state::EntryState;
 
 /// A node without a configuration asks to come back after this span: a store
 /// that is reached answers within milliseconds.
 const NO_CONFIGURATION_RETRY_MS: Millis = Millis(300);
 /// Bodies that fill a node's memory belong to calls that end within a second.
-const NO_ROOM_RETRY_MS: Millis = Millis(500);
+const BODY_MEMORY_RETRY_MS: Millis = Millis(500);
 /// Longest time that a caller may ask for.
 const MAX_DEADLINE_MS: Millis = Millis::from_secs(600);
 
@@ -152,15 +152,15 @@
 
     /// The answer where no memory is left for a body: it has not run.
     #[must_use]
-    pub fn no_room(&self) -> CallerAnswer {
-        Given::refused(ResultCode::Overloaded, NO_ROOM_RETRY_MS).answer
+    pub fn body_memory_exhausted(&self) -> CallerAnswer {
+        CallOutcome::refused(ResultCode::Overloaded, BODY_MEMORY_RETRY_MS).answer
     }
 
     /// How long a body may take: as long as its caller waits at all.
     #[must_use]
     pub fn body_timeout_ms(&self, head: &RequestHead) -> Millis {
-        let asked = self.asked_deadline_ms(head);
-        asked.unwrap_or(self.caller_limits().idle_timeout_ms)
+        let requested = self.requested_deadline_ms(head);
+        requested.unwrap_or(self.caller_limits().idle_timeout_ms)
     }
 
     /// Takes over a changed limit on extra arrivals.
@@ -189,7 +189,7 @@
 
     /// Asks another VM whether it is there, while this node seems cut off: its
     /// callers are sent elsewhere, so no call would show that it is back.
-    pub async fn look_for_others(&self) {
+    pub async fn probe_other_vms(&self) {
         if !self.is_cut_off() {
             return;
         }
@@ -214,84 +214,85 @@
     /// Answers one request.
     pub async fn serve(self: &Arc<Self>, request: CallerRequest) -> CallerAnswer {
         let directory = self.directory.load_full();
-        let known = match self.identify(&directory, &request) {
-            Ok(known) => known,
-            Err(given) => {
-                let ended = Ended::unrouted(&request, &directory, self.dialect.names());
-                return self.record(&ended, given);
+        let routed = match self.resolve(&directory, &request) {
+            Ok(routed) => routed,
+            Err(outcome) => {
+                let record = CallRecord::unrouted(&request, &directory, self.dialect.names());
+                return self.log_call(&record, outcome);
             }
         };
         let arrived = request.arrived;
-        let timeout_ms = known.route.timeout_ms;
-        let asked_ms = self.asked_deadline_ms(&request.head);
-        let asked_until = arrived + asked_ms.unwrap_or(timeout_ms);
-        let deadline_ms = asked_ms.unwrap_or(timeout_ms).min(timeout_ms);
-        let service = self.state.lock().splitter.choose(known.route);
-        let first_arrived = self.first_arrived(known.fingerprint, asked_until, arrived);
-        let run = CallRun::new(
+        let timeout_ms = routed.route.timeout_ms;
+        let requested_ms = self.requested_deadline_ms(&request.head);
+        let requested_until = arrived + requested_ms.unwrap_or(timeout_ms);
+        let deadline_ms = requested_ms.unwrap_or(timeout_ms).min(timeout_ms);
+        let service = self.state.lock().splitter.choose(routed.route);
+        let first_arrived = self.first_arrived(routed.fingerprint, requested_until, arrived);
+        let driver = CallDriver::new(
             self,
             call::CallParts {
-                route: Arc::clone(known.route),
+                route: Arc::clone(routed.route),
                 service: service.clone(),
-                request_id: known.request_id.clone(),
-                fingerprint: known.fingerprint,
+                request_id: routed.request_id.clone(),
+                fingerprint: routed.fingerprint,
                 deadline_at: arrived + deadline_ms,
                 first_arrived,
                 request,
             },
         );
-        let leaving = CallerLeaves::watch(&known.request_id, service.as_str(), arrived, self.clock);
-        let (given, trail) = run.serve().await;
-        leaving.end_answered();
-        if given.may_come_back() {
+        let abandoned_log =
+            AbandonedCallLog::arm(&routed.request_id, service.as_str(), arrived, self.clock);
+        let (outcome, trail) = driver.serve().await;
+        abandoned_log.disarm();
+        if outcome.may_be_retried() {
             let mut state = self.state.lock();
             state
                 .returning
-                .note_refused(known.fingerprint, asked_until, first_arrived);
+                .note_refused(routed.fingerprint, requested_until, first_arrived);
         }
-        let ended = Ended {
-            request_id: known.request_id,
+        let record = CallRecord {
+            request_id: routed.request_id,
             service: service.as_str(),
-            route: &known.route.name,
-            class: ended::class_of(known.route),
-            config_version: known.config_version,
+            route: &routed.route.name,
+            class: ended::class_of(routed.route),
+            config_version: routed.config_version,
             known_ms: directory.as_of.age_ms(arrived),
             arrived,
             trail,
         };
-        self.record(&ended, given)
+        self.log_call(&record, outcome)
     }
 
     /// Finds the route of a request and what it is known by, or the answer to
     /// one that is sent nowhere.
-    fn identify<'a>(
+    fn resolve<'a>(
         &self,
         directory: &'a Directory,
         request: &CallerRequest,
-    ) -> Result<Known<'a>, Given> {
+    ) -> Result<RoutedRequest<'a>, CallOutcome> {
         let CallerRequest { head, body, .. } = request;
         let Some(routes) = directory.routes.as_ref() else {
-            return Err(Given::refused(
+            return Err(CallOutcome::refused(
                 ResultCode::NoConfiguration,
                 NO_CONFIGURATION_RETRY_MS,
             ));
         };
         let host = http1::field(&head.fields, "host").unwrap_or_default();
         let Some(route) = routes.find(host, head.path_only()) else {
-            return Err(Given::fixed(ResultCode::UnknownService));
+            return Err(CallOutcome::fixed(ResultCode::UnknownService));
         };
         let names = self.dialect.names();
         let Some(request_id) = http1::field(&head.fields, names.request_id) else {
-            return Err(Given::fixed(ResultCode::BadRequest));
+            return Err(CallOutcome::fixed(ResultCode::BadRequest));
         };
         let fingerprint = suspicion::fingerprint(&head.method, &head.path, body, &self.service);
         if self.suspicion.is_convicted(fingerprint) {
-            return Err(Given::refused(
+            return Err(CallOutcome::refused(
                 ResultCode::CrashSuspect,
                 CONVICTED_RETRY_AFTER_MS,
             ));
         }
-        Ok(Known {
+        Ok(RoutedRequest {
             route,
             config_version: routes.version(),
             request_id: request_id.to_owned(),
@@ -300,18 +301,18 @@
     }
 
     /// When the caller of a request first asked.
-    fn first_arrived(&self, fingerprint: u64, asked_until: Millis, arrived: Millis) -> Millis {
+    fn first_arrived(&self, fingerprint: u64, requested_until: Millis, arrived: Millis) -> Millis {
         let state = self.state.lock();
         state
             .returning
-            .first_arrived(fingerprint, asked_until, arrived)
+            .first_arrived(fingerprint, requested_until, arrived)
     }
 
     /// What the caller says that it will wait.
-    fn asked_deadline_ms(&self, head: &RequestHead) -> Option<Millis> {
-        let asked = http1::field(&head.fields, self.dialect.names().deadline_ms)?;
-        let asked_ms = asked.parse().ok().map(Millis)?;
-        Some(asked_ms.min(MAX_DEADLINE_MS))
+    fn requested_deadline_ms(&self, head: &RequestHead) -> Option<Millis> {
+        let requested = http1::field(&head.fields, self.dialect.names().deadline_ms)?;
+        let requested_ms = requested.parse().ok().map(Millis)?;
+        Some(requested_ms.min(MAX_DEADLINE_MS))
     }
 
     /// The key of one send; no two sends of any process share one.
@@ -322,7 +323,7 @@
 }
 
 /// What an entry knows of a request that it can send on.
-struct Known<'a> {
+struct RoutedRequest<'a> {
     route: &'a Arc<Route>,
     config_version: u64,
     request_id: String,
--- a/crates/edge/src/entry/answer.rs
+++ b/crates/edge/src/entry/answer.rs
@@ -35,14 +35,14 @@
 
 /// An answer with what led to it.
 #[derive(Clone, Debug)]
-pub(super) struct Given {
+pub(super) struct CallOutcome {
     pub(super) code: ResultCode,
     /// What decided, for the log.
     pub(super) reason: &'static str,
     pub(super) answer: CallerAnswer,
 }
 
-impl Given {
+impl CallOutcome {
     /// The target's own answer.
     pub(super) fn answered(head: AnswerHead, body: Bytes) -> Self {
         Self {
@@ -68,25 +68,25 @@
     /// A refusal of a request that has not run, with when to come back: in
     /// seconds with a fraction, because here a second is an age.
     pub(super) fn refused(code: ResultCode, retry_after_ms: Millis) -> Self {
-        let mut given = Self::fixed(code);
+        let mut outcome = Self::fixed(code);
         // Whatever the code means elsewhere: to these callers 503 says that the
         // request has not run, and that it may come back.
-        given.answer.status = NOT_RUN_STATUS;
+        outcome.answer.status = NOT_RUN_STATUS;
         let seconds = format!("{:.3}", retry_after_ms.0 as f64 / 1_000.0);
-        given.answer.fields.push(HeaderField {
+        outcome.answer.fields.push(HeaderField {
             name: "Retry-After".to_owned(),
             value: Bytes::from(seconds),
         });
-        given
+        outcome
     }
 
     /// Whether its caller may ask again: it was refused, or something failed.
-    pub(super) const fn may_come_back(&self) -> bool {
+    pub(super) const fn may_be_retried(&self) -> bool {
         self.answer.status >= 500
     }
 
     /// The same with what decided.
-    pub(super) const fn because(mut self, reason: &'static str) -> Self {
+    pub(super) const fn with_reason(mut self, reason: &'static str) -> Self {
         self.reason = reason;
         self
     }
--- a/crates/edge/src/entry/call.rs
+++ b/crates/edge/src/entry/call.rs
@@ -13,7 +13,7 @@
 use hornbeamhitch_node::uploads::Reservation;
 use tokio::sync::mpsc;
 
-use super::answer::Given;
+use super::answer::CallOutcome;
 use super::progress::{Attempt, Progress};
 use super::trail::Trail;
 use super::{CallerRequest, Entry};
@@ -27,7 +27,7 @@
 /// and an idempotent call is sent to a second target beside it.
 const STUCK_AFTER_RUNS: f64 = 2.5;
 /// Short runs are given at least this long: a lost packet takes as much.
-const STUCK_AFTER_LEAST_MS: Millis = Millis(60);
+const MIN_STUCK_AFTER_MS: Millis = Millis(60);
 
 /// What a call is made of.
 #[derive(Debug)]
@@ -64,9 +64,9 @@
     /// Begun so far.
     count: u32,
     /// When the present one began.
-    began: Millis,
+    started_at: Millis,
     /// Its candidates that were not asked yet.
-    left: VecDeque<Candidate>,
+    remaining: VecDeque<Candidate>,
 }
 
 /// What came of the attempts so far.
@@ -77,7 +77,7 @@
     /// Times that a target was reached.
     arrivals: u32,
     /// Tokens of the retry budget that led to no arrival yet.
-    tokens: u32,
+    unused_tokens: u32,
     /// The request may have run somewhere.
     may_have_run: bool,
     /// How the last attempt ended, for the log and the choice of an answer.
@@ -87,7 +87,7 @@
 }
 
 /// One call until its answer is known.
-pub(super) struct CallRun<'a> {
+pub(super) struct CallDriver<'a> {
     entry: &'a Arc<Entry>,
     request: Request,
     work: WorkEstimate,
@@ -102,7 +102,7 @@
     trail: Trail,
 }
 
-impl<'a> CallRun<'a> {
+impl<'a> CallDriver<'a> {
     pub(super) fn new(entry: &'a Arc<Entry>, parts: CallParts) -> Self {
         let CallerRequest {
             head,
@@ -127,8 +127,8 @@
         };
         let rounds = Rounds {
             count: 0,
-            began: arrived,
-            left: VecDeque::new(),
+            started_at: arrived,
+            remaining: VecDeque::new(),
         };
         Self {
             entry,
@@ -147,21 +147,21 @@
 
     /// Serves the call until its answer is known or its deadline has passed.
     /// With it comes what was asked on the way.
-    pub(super) async fn serve(mut self) -> (Given, Trail) {
+    pub(super) async fn serve(mut self) -> (CallOutcome, Trail) {
         let deadline = self.entry.clock.to_instant(self.request.deadline_at);
-        let given = match tokio::time::timeout_at(deadline, self.drive()).await {
-            Ok(given) => given,
+        let outcome = match tokio::time::timeout_at(deadline, self.drive()).await {
+            Ok(outcome) => outcome,
             Err(_) => self.at_deadline(),
         };
-        (given, std::mem::take(&mut self.trail))
+        (outcome, std::mem::take(&mut self.trail))
     }
 
-    async fn drive(&mut self) -> Given {
+    async fn drive(&mut self) -> CallOutcome {
         loop {
             if !self.has_open() {
                 match self.next_step() {
                     Step::Send(candidate, hold_ms) => self.send(&candidate, hold_ms),
-                    Step::End(given) => return given,
+                    Step::End(outcome) => return outcome,
                     Step::Pause(until) => {
                         tokio::time::sleep_until(self.entry.clock.to_instant(until)).await;
                         continue;
@@ -179,28 +179,28 @@
                 self.hedge();
                 continue;
             };
-            if let Some(given) = self.take(progress) {
-                return given;
+            if let Some(outcome) = self.handle_progress(progress) {
+                return outcome;
             }
         }
     }
 
     fn has_open(&self) -> bool {
-        self.attempts.iter().any(|attempt| attempt.hold.is_some())
+        self.attempts.iter().any(|attempt| attempt.guard.is_some())
     }
 
     /// Takes in what was heard of an attempt; with an answer the call ends.
-    fn take(&mut self, progress: Progress) -> Option<Given> {
+    fn handle_progress(&mut self, progress: Progress) -> Option<CallOutcome> {
         let number = progress.attempt;
-        self.attempts[number].hold.as_ref()?;
-        self.note_reach(number, &progress.event);
+        self.attempts[number].guard.as_ref()?;
+        self.record_reachability(number, &progress.event);
         match progress.event {
-            LinkEvent::Unreachable if self.attempts[number].lost_to.is_some() => {
-                self.outcome_unknown(number, CallEnd::Broken)
+            LinkEvent::Unreachable if self.attempts[number].lost_incarnation.is_some() => {
+                self.handle_unknown_outcome(number, CallEnd::Broken)
             }
             LinkEvent::Unreachable => {
                 let now = self.entry.now();
-                let target = self.close(number);
+                let target = self.close_attempt(number);
                 self.trail.push(&target.id, "unreachable");
                 self.entry
                     .state
@@ -210,20 +210,20 @@
                 self.history.last_end = Some(CallEnd::Down);
                 None
             }
-            LinkEvent::Lost(incarnation) => self.link_lost(number, incarnation),
+            LinkEvent::Lost(incarnation) => self.handle_link_loss(number, incarnation),
             LinkEvent::Gate(event, incarnation) => {
-                let lost_to = self.attempts[number].lost_to;
-                if lost_to.is_some_and(|known| known != incarnation) {
+                let lost_incarnation = self.attempts[number].lost_incarnation;
+                if lost_incarnation.is_some_and(|known| known != incarnation) {
                     // Another life of the gate knows nothing of that send.
-                    return self.outcome_unknown(number, CallEnd::Broken);
+                    return self.handle_unknown_outcome(number, CallEnd::Broken);
                 }
-                self.gate_said(number, event)
+                self.handle_gate_event(number, event)
             }
         }
     }
 
     /// Learns from each word, or want of one, whether other VMs are reached.
-    fn note_reach(&self, number: usize, event: &LinkEvent) {
+    fn record_reachability(&self, number: usize, event: &LinkEvent) {
         let member = &self.attempts[number].member;
         if member.address == self.entry.listed_address {
             return;
@@ -237,7 +237,7 @@
         }
     }
 
-    fn gate_said(&mut self, number: usize, event: GateEvent) -> Option<Given> {
+    fn handle_gate_event(&mut self, number: usize, event: GateEvent) -> Option<CallOutcome> {
         match event {
             // The link has sent it.
             GateEvent::WantsBody => None,
@@ -245,9 +245,9 @@
                 self.note_start(number, slowness_percent);
                 None
             }
-            GateEvent::Answered { head, body } => self.take_answer(number, head, body),
-            GateEvent::Ended(end) if end.is_not_run() => self.take_refusal(number, end),
-            GateEvent::Ended(end) => self.outcome_unknown(number, end),
+            GateEvent::Answered { head, body } => self.handle_answer(number, head, body),
+            GateEvent::Ended(end) if end.is_not_run() => self.handle_refusal(number, end),
+            GateEvent::Ended(end) => self.handle_unknown_outcome(number, end),
         }
     }
 
@@ -259,7 +259,7 @@
         self.entry.state.lock().refusals.note_taken(&target);
         self.count_arrival(target.id.clone());
         let expected_ms = self.work.run_at(slowness_percent).0 as f64 * STUCK_AFTER_RUNS;
-        let stuck_after = Millis(expected_ms as u64).max(STUCK_AFTER_LEAST_MS);
+        let stuck_after = Millis(expected_ms as u64).max(MIN_STUCK_AFTER_MS);
         if self.request.route.kind.is_idempotent() {
             self.hedge_at = Some(now + stuck_after);
         }
@@ -280,7 +280,7 @@
             );
             return;
         }
-        self.history.tokens = self.history.tokens.saturating_sub(1);
+        self.history.unused_tokens = self.history.unused_tokens.saturating_sub(1);
     }
 
     /// How many entries share the retry budget: one on each listed VM.
@@ -288,9 +288,9 @@
         self.entry.directory.load().members.len()
     }
 
-    fn close(&mut self, number: usize) -> Arc<Member> {
+    fn close_attempt(&mut self, number: usize) -> Arc<Member> {
         let attempt = &mut self.attempts[number];
-        attempt.hold = None;
+        attempt.guard = None;
         Arc::clone(&attempt.member)
     }
 }
@@ -298,10 +298,10 @@
 /// Tokens that led to no arrival go back, also when the caller has left and the
 /// call is dropped midway: an entry whose callers give up often would run out of
 /// retries that it never used.
-impl Drop for CallRun<'_> {
+impl Drop for CallDriver<'_> {
     fn drop(&mut self) {
         let mut state = self.entry.state.lock();
-        for _ in 0..self.history.tokens {
+        for _ in 0..self.history.unused_tokens {
             state.return_retry(&self.request.service);
         }
     }
--- a/crates/edge/src/entry/call/asking.rs
+++ b/crates/edge/src/entry/call/asking.rs
@@ -5,8 +5,8 @@
 use hornbeamhitch_dispatch::order::{self, Candidate, View};
 use hornbeamhitch_node::metrics::AttemptKind;
 
-use super::CallRun;
-use crate::entry::answer::Given;
+use super::CallDriver;
+use crate::entry::answer::CallOutcome;
 use crate::entry::progress::{self, Attempt};
 use crate::entry::state::EntryState;
 use crate::link::OutgoingCall;
@@ -21,42 +21,42 @@
 /// Longest time between two rounds: a slow spell lasts a few of these.
 const LONGEST_ROUND_PAUSE_MS: Millis = Millis(48);
 /// When no gate takes a hedge, it is offered again after this span.
-const HEDGE_AGAIN_MS: Millis = Millis(25);
+const HEDGE_RETRY_MS: Millis = Millis(25);
 
 /// What to do while no attempt is open.
 pub(super) enum Step {
     Send(Candidate, Millis),
     Pause(Millis),
-    End(Given),
+    End(CallOutcome),
 }
 
-impl CallRun<'_> {
+impl CallDriver<'_> {
     /// Decides whom to ask next while no attempt is open.
     pub(super) fn next_step(&mut self) -> Step {
         let now = self.entry.now();
         if now >= self.patience.last_start && self.rounds.count > 0 {
             return Step::End(self.refuse());
         }
-        if let Some(candidate) = self.rounds.left.pop_front() {
-            let hold_ms = self.hold_for(&candidate, now);
+        if let Some(candidate) = self.rounds.remaining.pop_front() {
+            let hold_ms = self.hold_time(&candidate, now);
             return Step::Send(candidate, hold_ms);
         }
         if self.rounds.count > 0 {
-            if self.is_hopeless(now) {
+            if self.should_refuse_early(now) {
                 return Step::End(self.refuse());
             }
             let pause_ms = ROUND_PAUSE_MS.0 * u64::from(self.rounds.count);
-            let next_at = self.rounds.began + Millis(pause_ms).min(LONGEST_ROUND_PAUSE_MS);
+            let next_at = self.rounds.started_at + Millis(pause_ms).min(LONGEST_ROUND_PAUSE_MS);
             if now < next_at {
                 return Step::Pause(next_at);
             }
         }
-        self.rounds.left = self.candidates(now).into();
+        self.rounds.remaining = self.candidates(now).into();
         self.rounds.count += 1;
-        self.rounds.began = now;
-        match self.rounds.left.pop_front() {
+        self.rounds.started_at = now;
+        match self.rounds.remaining.pop_front() {
             Some(candidate) => {
-                let hold_ms = self.hold_for(&candidate, now);
+                let hold_ms = self.hold_time(&candidate, now);
                 Step::Send(candidate, hold_ms)
             }
             None => Step::End(self.refuse()),
@@ -66,7 +66,7 @@
     /// A call is refused early when the trouble is want of room and not a slow
     /// spell: a line does not get shorter by waiting beside it, and the caller
     /// can come back in time.
-    pub(super) fn is_hopeless(&self, now: Millis) -> bool {
+    pub(super) fn should_refuse_early(&self, now: Millis) -> bool {
         self.history.last_end != Some(CallEnd::Slow) && now >= self.patience.busy_until
     }
 
@@ -86,10 +86,10 @@
 
     /// How long a gate may hold the call. In the first round, the last near
     /// gate holds it while that is worth more than asking a far one.
-    pub(super) fn hold_for(&self, candidate: &Candidate, now: Millis) -> Millis {
+    pub(super) fn hold_time(&self, candidate: &Candidate, now: Millis) -> Millis {
         let left_ms = self.patience.last_start.since(now);
         if self.rounds.count > 1 {
-            let is_first = self.rounds.began == now;
+            let is_first = self.rounds.started_at == now;
             let hold_ms = if is_first {
                 ROUND_HOLD_MS
             } else {
@@ -97,8 +97,8 @@
             };
             return hold_ms.min(left_ms);
         }
-        let more_near = self.rounds.left.iter().any(|other| other.is_near);
-        if candidate.is_near && !candidate.is_avoided && !more_near {
+        let more_near_remain = self.rounds.remaining.iter().any(|other| other.is_near);
+        if candidate.is_near && !candidate.is_avoided && !more_near_remain {
             return self.patience.near_until.since(now).min(left_ms);
         }
         Millis::ZERO
@@ -125,7 +125,7 @@
                 whole_objective_ms: self.patience.whole_objective_ms,
                 slow_after_ms,
                 deadline_ms: self.request.deadline_at.since(now),
-                repeated_percent: match self.is_repeat() {
+                repeated_percent: match self.is_extra_attempt() {
                     true => 100,
                     false => self.request.repeated_percent,
                 },
@@ -146,25 +146,25 @@
             .metrics
             .attempt_sent(self.request.service.as_str(), kind);
         let number = self.attempts.len();
-        let hold = progress::open(self.entry, candidate, call, number, &self.sender);
+        let guard = progress::open(self.entry, candidate, call, number, &self.sender);
         self.attempts.push(Attempt {
             member: Arc::clone(&candidate.member),
             key,
             started: None,
-            lost_to: None,
-            hold: Some(hold),
+            lost_incarnation: None,
+            guard: Some(guard),
         });
     }
 
     /// Whether what is sent now would be a retry or a hedge.
-    fn is_repeat(&self) -> bool {
+    fn is_extra_attempt(&self) -> bool {
         self.history.arrivals > 0
     }
 
     /// A hedge that no gate took is offered again while the first attempt runs.
-    pub(super) fn offer_hedge_again(&mut self, now: Millis) {
+    pub(super) fn schedule_hedge_retry(&mut self, now: Millis) {
         if self.has_open() && self.request.route.kind.is_idempotent() {
-            self.hedge_at = Some(now + HEDGE_AGAIN_MS);
+            self.hedge_at = Some(now + HEDGE_RETRY_MS);
         }
     }
 
@@ -175,7 +175,7 @@
         let open = self
             .attempts
             .iter()
-            .filter(|attempt| attempt.hold.is_some());
+            .filter(|attempt| attempt.guard.is_some());
         if open.count() != 1 || self.history.arrivals >= self.request.route.max_attempts {
             return;
         }
@@ -185,7 +185,7 @@
         let Some(candidate) = self.candidates(now).into_iter().next() else {
             return;
         };
-        if candidate.is_avoided || !self.take_token(now) {
+        if candidate.is_avoided || !self.take_retry_token(now) {
             return;
         }
         self.send(&candidate, Millis::ZERO);
--- a/crates/edge/src/entry/call/ending.rs
+++ b/crates/edge/src/entry/call/ending.rs
@@ -3,8 +3,8 @@
 use bytes::Bytes;
 use rand::RngExt;
 
-use super::{CallRun, STUCK_AFTER_RUNS};
-use crate::entry::answer::Given;
+use super::{CallDriver, STUCK_AFTER_RUNS};
+use crate::entry::answer::CallOutcome;
 use crate::entry::progress;
 use crate::prelude::*;
 use crate::target::{is_server_fault, is_success};
@@ -13,16 +13,16 @@
 /// about this long; the spread keeps callers from coming back in step.
 const RETRY_AFTER_MS: std::ops::Range<u64> = 60..260;
 
-impl CallRun<'_> {
-    pub(super) fn take_answer(
+impl CallDriver<'_> {
+    pub(super) fn handle_answer(
         &mut self,
         number: usize,
         head: AnswerHead,
         body: Bytes,
-    ) -> Option<Given> {
+    ) -> Option<CallOutcome> {
         let now = self.entry.now();
         let started = self.attempts[number].started;
-        let target = self.close(number);
+        let target = self.close_attempt(number);
         self.trail.push(&target.id, &head.status.to_string());
         let mut state = self.entry.state.lock();
         if !is_server_fault(head.status) {
@@ -35,8 +35,8 @@
                     .learn(&self.request.route, head.run_ms, slowness, bytes);
             }
             drop(state);
-            self.note_losers(now);
-            return Some(self.pass_on(head, body));
+            self.record_slow_losers(now);
+            return Some(self.relay_answer(head, body));
         }
         state.failures.note_failure(&target, now);
         drop(state);
@@ -47,18 +47,19 @@
 
     /// The target's own answer for the caller. A status that promises "not run"
     /// is only true with the target's statement, which this one lacks.
-    pub(super) fn pass_on(&self, head: AnswerHead, body: Bytes) -> Given {
+    pub(super) fn relay_answer(&self, head: AnswerHead, body: Bytes) -> CallOutcome {
         let promises_not_run = matches!(head.status, 408 | 421 | 429 | 503);
         if promises_not_run && !self.request.route.kind.is_idempotent() {
-            return Given::fixed(ResultCode::RunBroken).because("the target's status is no proof");
+            return CallOutcome::fixed(ResultCode::RunBroken)
+                .with_reason("the target's status is no proof");
         }
-        Given::answered(head, body)
+        CallOutcome::answered(head, body)
     }
 
-    pub(super) fn take_refusal(&mut self, number: usize, end: CallEnd) -> Option<Given> {
+    pub(super) fn handle_refusal(&mut self, number: usize, end: CallEnd) -> Option<CallOutcome> {
         let now = self.entry.now();
         let had_started = self.attempts[number].started.is_some();
-        let target = self.close(number);
+        let target = self.close_attempt(number);
         self.trail.push(&target.id, end.into());
         self.history.last_end = Some(end);
         if matches!(end, CallEnd::Slow | CallEnd::Busy) {
@@ -80,7 +81,7 @@
                 // could be had.
                 self.history.arrivals = self.history.arrivals.saturating_sub(1);
             }
-            self.offer_hedge_again(now);
+            self.schedule_hedge_retry(now);
             return None;
         }
         if end == CallEnd::Shed {
@@ -90,10 +91,14 @@
     }
 
     /// The request may have run, and nobody can tell.
-    pub(super) fn outcome_unknown(&mut self, number: usize, end: CallEnd) -> Option<Given> {
+    pub(super) fn handle_unknown_outcome(
+        &mut self,
+        number: usize,
+        end: CallEnd,
+    ) -> Option<CallOutcome> {
         let now = self.entry.now();
         let was_counted = self.attempts[number].started.is_some();
-        let target = self.close(number);
+        let target = self.close_attempt(number);
         self.trail.push(&target.id, end.into());
         self.entry.state.lock().failures.note_failure(&target, now);
         // Failure answered: behind a cut in one direction, calls reach gates and
@@ -111,28 +116,32 @@
             CallEnd::TimedOut => ResultCode::DeadlinePassed,
             _ => ResultCode::RunBroken,
         };
-        Some(Given::fixed(code).because("the run broke"))
+        Some(CallOutcome::fixed(code).with_reason("the run broke"))
     }
 
     /// The link broke under an attempt. What may run only once is asked about:
     /// sent again it might run twice, and given up its caller learns nothing.
-    pub(super) fn link_lost(&mut self, number: usize, incarnation: Incarnation) -> Option<Given> {
-        let is_first_loss = self.attempts[number].lost_to.is_none();
+    pub(super) fn handle_link_loss(
+        &mut self,
+        number: usize,
+        incarnation: Incarnation,
+    ) -> Option<CallOutcome> {
+        let is_first_loss = self.attempts[number].lost_incarnation.is_none();
         if self.request.route.kind.is_idempotent() || !is_first_loss {
-            return self.outcome_unknown(number, CallEnd::Broken);
+            return self.handle_unknown_outcome(number, CallEnd::Broken);
         }
         let attempt = &self.attempts[number];
         self.trail.push(&attempt.member.id, "link-lost");
-        let asking = progress::ask(self.entry, attempt, number, &self.sender);
+        let query = progress::query_outcome(self.entry, attempt, number, &self.sender);
         let attempt = &mut self.attempts[number];
-        attempt.lost_to = Some(incarnation);
-        attempt.hold = Some(asking);
+        attempt.lost_incarnation = Some(incarnation);
+        attempt.guard = Some(query);
         None
     }
 
     /// After an attempt that reached a target: goes on elsewhere when the
     /// route, the deadline and the budget allow, else ends the call.
-    pub(super) fn fail_over(&mut self, reason: &'static str) -> Option<Given> {
+    pub(super) fn fail_over(&mut self, reason: &'static str) -> Option<CallOutcome> {
         let now = self.entry.now();
         if self.has_open() {
             return None;
@@ -144,32 +153,32 @@
         let may_go_on = may_repeat
             && self.history.arrivals < self.request.route.max_attempts
             && now < self.patience.last_start;
-        if may_go_on && self.take_token(now) {
+        if may_go_on && self.take_retry_token(now) {
             // The rest of the round was ordered before this failure.
-            self.rounds.left.clear();
+            self.rounds.remaining.clear();
             self.rounds.count = 0;
             log::debug!(request = self.request.request_id.as_str(), reason; "tried again elsewhere");
             return None;
         }
-        Some(self.refuse().because(reason))
+        Some(self.refuse().with_reason(reason))
     }
 
-    pub(super) fn take_token(&mut self, now: Millis) -> bool {
-        if self.history.tokens > 0 {
+    pub(super) fn take_retry_token(&mut self, now: Millis) -> bool {
+        if self.history.unused_tokens > 0 {
             return true;
         }
         let entries = self.entries();
         let mut state = self.entry.state.lock();
         let is_allowed = state.try_retry(&self.request.service, entries, now);
-        self.history.tokens += u32::from(is_allowed);
+        self.history.unused_tokens += u32::from(is_allowed);
         is_allowed
     }
 
     /// Holds it against the targets of attempts that another one overtook.
-    pub(super) fn note_losers(&self, now: Millis) {
+    pub(super) fn record_slow_losers(&self, now: Millis) {
         let mut state = self.entry.state.lock();
         for attempt in &self.attempts {
-            if attempt.hold.is_none() {
+            if attempt.guard.is_none() {
                 continue;
             }
             let Some((started, slowness)) = attempt.started else {
@@ -183,16 +192,16 @@
     }
 
     /// The final answer when no target served the call.
-    pub(super) fn refuse(&mut self) -> Given {
+    pub(super) fn refuse(&mut self) -> CallOutcome {
         let reason = self
             .history
             .last_end
             .map_or("no target", <&'static str>::from);
         if let Some((head, body)) = self.history.failed_answer.take() {
-            return self.pass_on(head, body);
+            return self.relay_answer(head, body);
         }
         if self.history.may_have_run {
-            return Given::fixed(ResultCode::AttemptsFailed).because(reason);
+            return CallOutcome::fixed(ResultCode::AttemptsFailed).with_reason(reason);
         }
         let code = match self.history.last_end {
             None | Some(CallEnd::Down) => ResultCode::NoTarget,
@@ -200,18 +209,18 @@
             Some(CallEnd::Convicted) => ResultCode::CrashSuspect,
             Some(_) => ResultCode::Overloaded,
         };
-        let drawn_ms = self.entry.state.lock().rng.random_range(RETRY_AFTER_MS);
+        let random_ms = self.entry.state.lock().rng.random_range(RETRY_AFTER_MS);
         let left_ms = self.request.deadline_at.since(self.entry.now());
-        let wait = Millis(drawn_ms.min(left_ms.0 / 3));
-        Given::refused(code, wait).because(reason)
+        let wait = Millis(random_ms.min(left_ms.0 / 3));
+        CallOutcome::refused(code, wait).with_reason(reason)
     }
 
     /// What the caller is told when its time is up.
-    pub(super) fn at_deadline(&mut self) -> Given {
+    pub(super) fn at_deadline(&mut self) -> CallOutcome {
         let now = self.entry.now();
-        self.note_losers(now);
+        self.record_slow_losers(now);
         for attempt in &self.attempts {
-            let state = match (&attempt.hold, attempt.started) {
+            let state = match (&attempt.guard, attempt.started) {
                 (None, _) => continue,
                 (Some(_), Some(_)) => "still-running",
                 (Some(_), None) => "still-waiting",
@@ -219,14 +228,14 @@
             self.trail.push(&attempt.member.id, state);
         }
         if let Some((head, body)) = self.history.failed_answer.take() {
-            return self.pass_on(head, body);
+            return self.relay_answer(head, body);
         }
         if self.has_open() || self.history.may_have_run {
             let reason = self
                 .history
                 .last_end
                 .map_or("no answer in time", <&'static str>::from);
-            return Given::fixed(ResultCode::DeadlinePassed).because(reason);
+            return CallOutcome::fixed(ResultCode::DeadlinePassed).with_reason(reason);
         }
         self.refuse()
     }
--- a/crates/edge/src/entry/ended.rs
+++ b/crates/edge/src/entry/ended.rs
@@ -3,7 +3,7 @@
 use hornbeamhitch_node::metrics::CallSample;
 use hornbeamhitch_types::prelude::CallClass;
 
-use super::answer::Given;
+use super::answer::CallOutcome;
 use super::trail::Trail;
 use super::{CallerAnswer, CallerRequest, Entry};
 use crate::directory::Directory;
@@ -16,40 +16,40 @@
     ///
     /// Answers and failures have a line each in the code, so that the bound on
     /// the lines of one place never lets successes crowd out failures.
-    pub(super) fn record(&self, ended: &Ended<'_>, given: Given) -> CallerAnswer {
-        let took_ms = self.clock.now().since(ended.arrived).0;
+    pub(super) fn log_call(&self, record: &CallRecord<'_>, outcome: CallOutcome) -> CallerAnswer {
+        let took_ms = self.clock.now().since(record.arrived).0;
         self.metrics.call_ended(&CallSample {
-            service: ended.service,
-            class: ended.class,
+            service: record.service,
+            class: record.class,
             tenant: "",
-            code: given.code,
+            code: outcome.code,
             latency_us: took_ms * 1_000,
         });
-        let request = ended.request_id.as_str();
-        let route = ended.route;
-        let service = ended.service;
-        let config = ended.config_version;
+        let request = record.request_id.as_str();
+        let route = record.route;
+        let service = record.service;
+        let config = record.config_version;
         // Old knowledge, and not a fault of the target, explains a route of old.
-        let known_ms = ended.known_ms.0;
-        let tried = ended.trail.as_str();
-        let code = given.code.number();
-        let status = given.answer.status;
-        if given.code == ResultCode::Answered && !is_server_fault(status) {
+        let known_ms = record.known_ms.0;
+        let tried = record.trail.as_str();
+        let code = outcome.code.number();
+        let status = outcome.answer.status;
+        if outcome.code == ResultCode::Answered && !is_server_fault(status) {
             log::info!(request, route, service, config, known_ms, code, status, took_ms, tried; "answered");
-            return given.answer;
+            return outcome.answer;
         }
-        let reason = given.reason;
+        let reason = outcome.reason;
         log::warn!(
             request, route, service, config, known_ms, code, status, took_ms, tried, reason;
-            "not served: {}", given.code
+            "not served: {}", outcome.code
         );
-        given.answer
+        outcome.answer
     }
 }
 
 /// Writes down that a caller left before its answer: its call is dropped then,
 /// and would leave no line of this node.
-pub(super) struct CallerLeaves<'a> {
+pub(super) struct AbandonedCallLog<'a> {
     request_id: &'a str,
     service: &'a str,
     arrived: Millis,
@@ -57,9 +57,9 @@
     is_answered: bool,
 }
 
-impl<'a> CallerLeaves<'a> {
+impl<'a> AbandonedCallLog<'a> {
     /// From now on the end of this value is the caller's leaving.
-    pub(super) const fn watch(
+    pub(super) const fn arm(
         request_id: &'a str,
         service: &'a str,
         arrived: Millis,
@@ -75,12 +75,12 @@
     }
 
     /// The call has its answer; nothing is written down.
-    pub(super) fn end_answered(mut self) {
+    pub(super) fn disarm(mut self) {
         self.is_answered = true;
     }
 }
 
-impl Drop for CallerLeaves<'_> {
+impl Drop for AbandonedCallLog<'_> {
     fn drop(&mut self) {
         if self.is_answered {
             return;
@@ -93,7 +93,7 @@
 }
 
 /// A call that has ended, as it is written down.
-pub(super) struct Ended<'a> {
+pub(super) struct CallRecord<'a> {
     pub(super) request_id: String,
     pub(super) service: &'a str,
     pub(super) route: &'a str,
@@ -105,7 +105,7 @@
     pub(super) trail: Trail,
 }
 
-impl Ended<'_> {
+impl CallRecord<'_> {
     /// A call that was sent nowhere.
     pub(super) fn unrouted(
         request: &CallerRequest,
--- a/crates/edge/src/entry/progress.rs
+++ b/crates/edge/src/entry/progress.rs
@@ -20,7 +20,7 @@
 
 /// Keeps an attempt going; dropped, it is withdrawn.
 #[derive(Debug)]
-pub(super) enum Hold {
+pub(super) enum AttemptGuard {
     Local(#[expect(dead_code, reason = "its drop is the signal")] CallGuard),
     Link(#[expect(dead_code, reason = "its drop is the signal")] Asked),
 }
@@ -33,9 +33,9 @@
     /// When the target began, and how slow it was just before.
     pub(super) started: Option<(Millis, u32)>,
     /// The life of the gate to which it was sent and from which no word came.
-    pub(super) lost_to: Option<Incarnation>,
+    pub(super) lost_incarnation: Option<Incarnation>,
     /// `None` once it has ended.
-    pub(super) hold: Option<Hold>,
+    pub(super) guard: Option<AttemptGuard>,
 }
 
 /// Sends a request to the gate of a candidate: in this process when the target
@@ -46,7 +46,7 @@
     call: OutgoingCall,
     attempt: usize,
     events: &mpsc::UnboundedSender<Progress>,
-) -> Hold {
+) -> AttemptGuard {
     let events = events.clone();
     if candidate.member.address == entry.listed_address {
         let incarnation = entry.incarnation;
@@ -61,29 +61,29 @@
                 body: call.body,
             }),
         };
-        return Hold::Local(entry.gate.submit(request, sink));
+        return AttemptGuard::Local(entry.gate.submit(request, sink));
     }
     let gate = gate_address(entry, &candidate.member);
     let sink = Box::new(move |event| {
         let _ = events.send(Progress { attempt, event });
     });
-    Hold::Link(entry.links.call(gate, call, sink))
+    AttemptGuard::Link(entry.links.call(gate, call, sink))
 }
 
 /// Asks the gate of an attempt what became of it.
-pub(super) fn ask(
+pub(super) fn query_outcome(
     entry: &Entry,
     attempt: &Attempt,
     number: usize,
     events: &mpsc::UnboundedSender<Progress>,
-) -> Hold {
+) -> AttemptGuard {
     let gate = gate_address(entry, &attempt.member);
     let events = events.clone();
     let sink = Box::new(move |event| {
         let attempt = number;
         let _ = events.send(Progress { attempt, event });
     });
-    Hold::Link(entry.links.fence(gate, attempt.key, sink))
+    AttemptGuard::Link(entry.links.fence(gate, attempt.key, sink))
 }
 
 fn gate_address(entry: &Entry, member: &Member) -> SocketAddr {
--- a/crates/edge/src/gate.rs
+++ b/crates/edge/src/gate.rs
@@ -1,8 +1,8 @@
 //! The gate: starts calls in this VM's target, one copy of each at most.
 
+mod guards;
 mod health;
 mod lives;
-mod places;
 mod records;
 mod request;
 mod run;
@@ -23,8 +23,8 @@
 use crate::source::SharedSource;
 use crate::suspicion::Suspicion;
 use crate::target::TargetClient;
-use places::{InLine, Slot};
-use records::{Fencing, Records};
+use guards::{QueueGuard, SlotGuard};
+use records::{FenceResult, Records};
 pub use request::{CallContent, CallGuard, EventSink, GateEvent, GateRequest, WholeCall};
 use run::Run;
 use speed::SpeedProbe;
@@ -118,26 +118,26 @@
 
     /// Takes in a call; what becomes of it goes to `sink`.
     pub fn submit(self: &Arc<Self>, request: GateRequest, sink: EventSink) -> CallGuard {
-        let (wanted, left) = watch::channel(());
+        let (guard, caller_left) = watch::channel(());
         let gate = Arc::clone(self);
-        tokio::spawn(async move { gate.serve(request, &sink, left).await });
-        CallGuard(wanted)
+        tokio::spawn(async move { gate.serve(request, &sink, caller_left).await });
+        CallGuard(guard)
     }
 
     /// What became of a key? One that has not started never will.
     pub fn fence(&self, key: CallKey, sink: EventSink) {
         let now = self.clock.now();
         let sink = Arc::new(sink);
-        let fencing = self.state.lock().records.fence(key, &sink, now);
-        match fencing {
-            Fencing::NeverStarts => sink(GateEvent::Ended(CallEnd::Fenced)),
-            Fencing::Ended(event) => sink(event),
-            Fencing::Running => {}
+        let result = self.state.lock().records.fence(key, &sink, now);
+        match result {
+            FenceResult::NeverStarts => sink(GateEvent::Ended(CallEnd::Fenced)),
+            FenceResult::Ended(event) => sink(event),
+            FenceResult::Running => {}
         }
     }
 
     /// From now on refuses new work; what runs is finished.
-    pub fn leave(&self) {
+    pub fn stop_admitting(&self) {
         self.state.lock().admission.set_leaving(true);
         self.changed.notify_waiters();
     }
@@ -179,7 +179,7 @@
         self: &Arc<Self>,
         request: GateRequest,
         sink: &EventSink,
-        mut left: watch::Receiver<()>,
+        mut caller_left: watch::Receiver<()>,
     ) {
         let GateRequest { terms, content } = request;
         let arrived = self.clock.now();
@@ -192,21 +192,23 @@
             slow_from: arrived + terms.slow_after_ms,
             deadline_at: arrived + terms.deadline_ms,
         };
-        let mut in_line = InLine {
+        let mut queued = QueueGuard {
             gate: self,
-            place: Some(self.enlist(&call)),
+            place: Some(self.enqueue(&call)),
         };
         let admitting = async {
-            let slowness_percent = self.admit(&call, &mut in_line, &terms).await?;
-            let slot = Slot(self);
-            let whole = self.whole_call(content, sink, call.deadline_at).await?;
+            let slowness_percent = self.admit(&call, &mut queued, &terms).await?;
+            let slot = SlotGuard(self);
+            let whole = self
+                .receive_whole_call(content, sink, call.deadline_at)
+                .await?;
             Ok((slowness_percent, slot, whole))
         };
         // The caller's leaving goes first: a process that was paused wakes with a
         // call and its withdrawal both in hand, and must not start it.
         let admitted = tokio::select! {
             biased;
-            _ = left.changed() => return,
+            _ = caller_left.changed() => return,
             admitted = admitting => admitted,
         };
         let (slowness_percent, slot, whole) = match admitted {
@@ -229,9 +231,9 @@
             started,
         };
         if terms.idempotent {
-            self.run_while_wanted(&run, sink, left).await;
+            self.run_until_cancelled(&run, sink, caller_left).await;
         } else {
-            self.run_to_its_end(&run, sink).await;
+            self.run_to_completion(&run, sink).await;
         }
         drop(slot);
     }
@@ -242,15 +244,15 @@
     }
 
     /// Runs a call that may be repeated; its caller's leaving stops the work.
-    async fn run_while_wanted(
+    async fn run_until_cancelled(
         &self,
         run: &Run<'_>,
         sink: &EventSink,
-        mut left: watch::Receiver<()>,
+        mut caller_left: watch::Receiver<()>,
     ) {
         let event = tokio::select! {
             event = self.run(run) => Some(event),
-            _ = left.changed() => None,
+            _ = caller_left.changed() => None,
         };
         self.note_run(run, event.as_ref());
         if let Some(event) = event {
@@ -260,7 +262,7 @@
 
     /// Runs a call that may run only once, whoever has left meanwhile, and keeps
     /// its end for those who ask.
-    async fn run_to_its_end(&self, run: &Run<'_>, sink: &EventSink) {
+    async fn run_to_completion(&self, run: &Run<'_>, sink: &EventSink) {
         let event = self.run(run).await;
         self.note_run(run, Some(&event));
         let key = run.terms.key;
@@ -271,7 +273,7 @@
         sink(event);
     }
 
-    fn enlist(&self, call: &GateCall) -> Place {
+    fn enqueue(&self, call: &GateCall) -> Place {
         let directory = self.directory.load();
         let listed = directory.members.at(self.listed_address);
         let mut state = self.state.lock();
@@ -287,12 +289,12 @@
     async fn admit(
         self: &Arc<Self>,
         call: &GateCall,
-        in_line: &mut InLine<'_>,
+        queued: &mut QueueGuard<'_>,
         terms: &CallTerms,
     ) -> Result<u32, CallEnd> {
-        let place = in_line.place.expect("the call was just enlisted");
+        let place = queued.place.expect("the call was just enlisted");
         loop {
-            if self.takes_no_more(terms) {
+            if self.rejects_new_work(terms) {
                 return Err(CallEnd::Leaving);
             }
             if self.suspicion.is_convicted(terms.fingerprint) {
@@ -308,7 +310,7 @@
                 Verdict::Start if self.departure.lock().health_is_due(now) => {
                     self.read_speed().await;
                 }
-                Verdict::Start => return Ok(self.take_slot(in_line, now)),
+                Verdict::Start => return Ok(self.take_slot(queued, now)),
                 Verdict::Refuse(refused) => return Err(end_of(refused)),
                 Verdict::ReadSpeed => self.read_speed().await,
                 Verdict::Wait(until) => {
@@ -322,27 +324,27 @@
         }
     }
 
-    fn take_slot(&self, in_line: &mut InLine<'_>, now: Millis) -> u32 {
-        in_line.start();
+    fn take_slot(&self, queued: &mut QueueGuard<'_>, now: Millis) -> u32 {
+        queued.start();
         let state = self.state.lock();
         let speed = state.admission.fresh_speed(now);
         speed.map_or(100, |speed| speed.slowness_percent)
     }
 
     /// Fetches what was kept back of a call.
-    async fn whole_call(
+    async fn receive_whole_call(
         &self,
         content: CallContent,
         sink: &EventSink,
         deadline_at: Millis,
     ) -> Result<WholeCall, CallEnd> {
-        let coming = match content {
+        let deferred = match content {
             CallContent::Whole(whole) => return Ok(whole),
-            CallContent::Later(coming) => coming,
+            CallContent::Deferred(deferred) => deferred,
         };
         sink(GateEvent::WantsBody);
         let deadline = self.clock.to_instant(deadline_at);
-        match tokio::time::timeout_at(deadline, coming).await {
+        match tokio::time::timeout_at(deadline, deferred).await {
             Ok(Ok(whole)) => Ok(whole),
             // The link has ended, or nothing is left of the deadline.
             Ok(Err(_)) | Err(_) => Err(CallEnd::Late),
@@ -360,9 +362,9 @@
     /// Waits until nothing waits or runs.
     pub async fn drained(&self) {
         /// Runs end without a signal to wait for, so look again soon.
-        const LOOK_AGAIN: Duration = Duration::from_millis(20);
+        const POLL_INTERVAL: Duration = Duration::from_millis(20);
         while !self.is_idle() {
-            tokio::time::sleep(LOOK_AGAIN).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 }
--- a/crates/edge/src/gate/places.rs
+++ b/crates/edge/src/gate/guards.rs
@@ -5,9 +5,9 @@
 use super::Gate;
 
 /// Frees a slot when a run has ended, in whatever way.
-pub(super) struct Slot<'a>(pub(super) &'a Gate);
+pub(super) struct SlotGuard<'a>(pub(super) &'a Gate);
 
-impl Drop for Slot<'_> {
+impl Drop for SlotGuard<'_> {
     fn drop(&mut self) {
         self.0.state.lock().admission.finish();
         self.0.changed.notify_waiters();
@@ -15,12 +15,12 @@
 }
 
 /// Takes a call out of the line when its caller leaves.
-pub(super) struct InLine<'a> {
+pub(super) struct QueueGuard<'a> {
     pub(super) gate: &'a Gate,
     pub(super) place: Option<Place>,
 }
 
-impl InLine<'_> {
+impl QueueGuard<'_> {
     pub(super) fn start(&mut self) {
         if let Some(place) = self.place.take() {
             self.gate.state.lock().admission.start(place);
@@ -28,7 +28,7 @@
     }
 }
 
-impl Drop for InLine<'_> {
+impl Drop for QueueGuard<'_> {
     fn drop(&mut self) {
         let Some(place) = self.place.take() else {
             return;
--- a/crates/edge/src/gate/health.rs
+++ b/crates/edge/src/gate/health.rs
@@ -17,7 +17,7 @@
             .speed
             .read(&self.target, &*self.dialect, path, self.clock);
         let reading = reading.await;
-        for _ in 0..self.speed.take_sent() {
+        for _ in 0..self.speed.take_probes_sent() {
             self.metrics.probe_sent(self.service.as_str());
         }
         self.note_health();
@@ -32,15 +32,15 @@
 
     /// Takes in what the target last said of its health.
     fn note_health(self: &Arc<Self>) {
-        let is_unwell = self.speed.is_unwell();
+        let is_unhealthy = self.speed.is_unhealthy();
         self.departure
             .lock()
-            .note_health(is_unwell, self.clock.now());
-        self.look_up_when_due();
+            .note_health(is_unhealthy, self.clock.now());
+        self.read_listing_if_due();
     }
 
     /// Looks the target's entry up, beside the calls, when that is due.
-    pub(super) fn look_up_when_due(self: &Arc<Self>) {
+    pub(super) fn read_listing_if_due(self: &Arc<Self>) {
         let directory = self.directory.load();
         let Some(member) = directory.members.at(self.listed_address) else {
             return;
@@ -50,10 +50,10 @@
         }
         let gate = Arc::clone(self);
         let id = member.id.clone();
-        tokio::spawn(async move { gate.look_up(&id).await });
+        tokio::spawn(async move { gate.read_listing(&id).await });
     }
 
-    async fn look_up(&self, id: &TargetId) {
+    async fn read_listing(&self, id: &TargetId) {
         let read = self.source.read_target(id, self.waits.silence_ms()).await;
         let standing = match read {
             Ok(Some(member)) if member.draining => Standing::Draining,
--- a/crates/edge/src/gate/lives.rs
+++ b/crates/edge/src/gate/lives.rs
@@ -29,11 +29,11 @@
     /// Failure answered: a target that has left the list, or drains, gets work
     /// from entries that have not heard of it. The gate reads the list too, and
     /// nothing reaches the target but through it.
-    pub(super) fn takes_no_more(self: &Arc<Self>, terms: &CallTerms) -> bool {
+    pub(super) fn rejects_new_work(self: &Arc<Self>, terms: &CallTerms) -> bool {
         let directory = self.directory.load();
         let id = TargetId::new(&terms.target_id);
         if self.departure.lock().has_left(&id) {
-            self.look_up_when_due();
+            self.read_listing_if_due();
             return true;
         }
         let Some(member) = directory.members.get(&id) else {
--- a/crates/edge/src/gate/records.rs
+++ b/crates/edge/src/gate/records.rs
@@ -12,20 +12,20 @@
 
 /// A record is kept this long after its call's deadline. Its entry asks at the
 /// latest when its link is found dead, about a second after it broke.
-const KEPT_AFTER_DEADLINE_MS: Millis = Millis(5_000);
+const RECORD_RETENTION_MS: Millis = Millis(5_000);
 /// A key that was fenced is refused for this long: a late copy of its call can
 /// only be one that lay in a socket buffer of a paused process or a bad link.
-const FENCED_FOR_MS: Millis = Millis::from_secs(60);
+const FENCE_RETENTION_MS: Millis = Millis::from_secs(60);
 
 /// Records that a call lets go of at most. More than the one that it adds, so
 /// that they do not pile up; few, because its caller waits meanwhile. Looking
 /// through all of them once a second made one payment in a thousand wait 3 to 5 ms
 /// at 1,000 a second (`hornbeamhitch-overhead --routed`).
-const MOST_LET_GO: usize = 16;
+const MAX_EXPIRED_PER_CALL: usize = 16;
 
 /// What is known of a key that was asked about.
 #[derive(Debug)]
-pub(super) enum Fencing {
+pub(super) enum FenceResult {
     /// It had not started and never will.
     NeverStarts,
     /// It runs; its end goes to the sink as well.
@@ -72,11 +72,11 @@
     /// Notes that a call starts; false when its key was fenced or has started
     /// before.
     pub(super) fn start(&mut self, key: CallKey, deadline_at: Millis, now: Millis) -> bool {
-        self.let_go(now);
+        self.remove_expired(now);
         if self.by_key.contains_key(&key) {
             return false;
         }
-        let forget_at = deadline_at + KEPT_AFTER_DEADLINE_MS;
+        let forget_at = deadline_at + RECORD_RETENTION_MS;
         self.insert(key, Phase::Running(Vec::new()), forget_at);
         true
     }
@@ -93,17 +93,22 @@
     }
 
     /// Asks about a key.
-    pub(super) fn fence(&mut self, key: CallKey, sink: &Arc<EventSink>, now: Millis) -> Fencing {
+    pub(super) fn fence(
+        &mut self,
+        key: CallKey,
+        sink: &Arc<EventSink>,
+        now: Millis,
+    ) -> FenceResult {
         let Some(phase) = self.by_key.get_mut(&key) else {
-            self.insert(key, Phase::Fenced, now + FENCED_FOR_MS);
-            return Fencing::NeverStarts;
+            self.insert(key, Phase::Fenced, now + FENCE_RETENTION_MS);
+            return FenceResult::NeverStarts;
         };
         match phase {
-            Phase::Fenced => Fencing::NeverStarts,
-            Phase::Ended(event) => Fencing::Ended(event.clone()),
+            Phase::Fenced => FenceResult::NeverStarts,
+            Phase::Ended(event) => FenceResult::Ended(event.clone()),
             Phase::Running(watchers) => {
                 watchers.push(Arc::clone(sink));
-                Fencing::Running
+                FenceResult::Running
             }
         }
     }
@@ -114,8 +119,8 @@
     }
 
     /// Forgets some of those whose time has come.
-    fn let_go(&mut self, now: Millis) {
-        for _ in 0..MOST_LET_GO {
+    fn remove_expired(&mut self, now: Millis) {
+        for _ in 0..MAX_EXPIRED_PER_CALL {
             let Some((forget_at, key)) = self.by_expiry.first().copied() else {
                 return;
             };
--- a/crates/edge/src/gate/records/tests.rs
+++ b/crates/edge/src/gate/records/tests.rs
@@ -35,8 +35,8 @@
     for key in 5_000..6_000 {
         let before = records.len();
         run(&mut records, key, ALL_EXPIRED);
-        let let_go = before + 1 - records.len();
-        assert!(let_go <= MOST_LET_GO, "{let_go} at once");
+        let removed = before + 1 - records.len();
+        assert!(removed <= MAX_EXPIRED_PER_CALL, "{removed} at once");
     }
     assert_eq!(records.len(), 1_000, "the burst is forgotten");
 }
@@ -62,11 +62,11 @@
 fn a_record_is_kept_until_its_entry_can_no_longer_ask() {
     let mut records = Records::default();
     run(&mut records, 1, Millis::ZERO);
-    let last = DEADLINE + KEPT_AFTER_DEADLINE_MS;
+    let last = DEADLINE + RECORD_RETENTION_MS;
     run(&mut records, 2, Millis(last.0 - 1));
     let sink: Arc<EventSink> = Arc::new(Box::new(|_| {}));
-    let fencing = records.fence(CallKey(1), &sink, Millis(last.0 - 1));
-    assert!(matches!(fencing, Fencing::Ended(_)), "{fencing:?}");
+    let result = records.fence(CallKey(1), &sink, Millis(last.0 - 1));
+    assert!(matches!(result, FenceResult::Ended(_)), "{result:?}");
     run(&mut records, 3, last);
     assert_eq!(records.len(), 2);
 }
--- a/crates/edge/src/gate/request.rs
+++ b/crates/edge/src/gate/request.rs
@@ -20,7 +20,7 @@
     /// In hand.
     Whole(WholeCall),
     /// Comes once [`GateEvent::WantsBody`] was told.
-    Later(oneshot::Receiver<WholeCall>),
+    Deferred(oneshot::Receiver<WholeCall>),
 }
 
 /// A request with its whole body.
--- a/crates/edge/src/gate/run.rs
+++ b/crates/edge/src/gate/run.rs
@@ -27,13 +27,13 @@
 }
 
 /// Counts a call as running until it is dropped.
-struct Running<'a> {
+struct RunningGuard<'a> {
     gate: &'a Gate,
     fingerprint: u64,
 }
 
-impl<'a> Running<'a> {
-    fn enter(gate: &'a Gate, terms: &CallTerms) -> Self {
+impl<'a> RunningGuard<'a> {
+    fn register(gate: &'a Gate, terms: &CallTerms) -> Self {
         let fingerprint = terms.fingerprint;
         gate.state.lock().running.push(RunningCall {
             fingerprint,
@@ -43,15 +43,15 @@
     }
 }
 
-impl Drop for Running<'_> {
+impl Drop for RunningGuard<'_> {
     fn drop(&mut self) {
         let mut state = self.gate.state.lock();
-        let place = state
+        let index = state
             .running
             .iter()
             .position(|call| call.fingerprint == self.fingerprint);
-        if let Some(place) = place {
-            state.running.swap_remove(place);
+        if let Some(index) = index {
+            state.running.swap_remove(index);
         }
     }
 }
@@ -74,7 +74,7 @@
         if let Some(GateEvent::Answered { head, .. }) = event
             && is_success(head.status)
         {
-            self.learn_from(run);
+            self.learn_limit(run);
         }
         match event {
             Some(GateEvent::Answered { head, .. }) if !is_server_fault(head.status) => log::info!(
@@ -100,7 +100,7 @@
         }
     }
 
-    fn learn_from(&self, run: &Run<'_>) {
+    fn learn_limit(&self, run: &Run<'_>) {
         let now = self.clock.now();
         let ran_ms = now.since(run.started);
         let work_ms = run.terms.work_ms;
@@ -121,13 +121,13 @@
     /// Runs a call, and learns whether it crashes its target.
     pub(super) async fn run(&self, run: &Run<'_>) -> GateEvent {
         let fingerprint = run.terms.fingerprint;
-        let _running = Running::enter(self, run.terms);
+        let _running = RunningGuard::register(self, run.terms);
         let event = self.run_in_target(run).await;
         match &event {
             GateEvent::Answered { head, .. } if is_success(head.status) => {
                 self.suspicion.ran_well(fingerprint);
             }
-            GateEvent::Ended(CallEnd::Broken) => self.look_for_crash().await,
+            GateEvent::Ended(CallEnd::Broken) => self.detect_crash().await,
             _ => {}
         }
         event
@@ -136,7 +136,7 @@
     /// A run broke. When the target also refuses a connection it has crashed,
     /// and whatever ran is suspected. Called while the broken run still counts
     /// as running, so that all runs of one crash are suspected together.
-    async fn look_for_crash(&self) {
+    async fn detect_crash(&self) {
         if self.target.accepts_connections().await {
             return;
         }
@@ -155,7 +155,7 @@
         let exchanging = self.target.exchange(&exchange);
         match tokio::time::timeout_at(deadline, exchanging).await {
             Err(_) => GateEvent::Ended(CallEnd::TimedOut),
-            Ok(Ok(answer)) => self.judge(run.terms, answer, started),
+            Ok(Ok(answer)) => self.classify_answer(run.terms, answer, started),
             Ok(Err(ExchangeFault::Unreachable)) => {
                 self.state.lock().admission.note_down(self.clock.now());
                 GateEvent::Ended(CallEnd::Down)
@@ -193,7 +193,12 @@
 
     /// Tells an answer from a statement that nothing ran, and from a success
     /// that is none.
-    fn judge(&self, terms: &CallTerms, answer: TargetAnswer, started: Millis) -> GateEvent {
+    fn classify_answer(
+        &self,
+        terms: &CallTerms,
+        answer: TargetAnswer,
+        started: Millis,
+    ) -> GateEvent {
         let names = self.dialect.names();
         let now = self.clock.now();
         let TargetAnswer { head, body } = answer;
--- a/crates/edge/src/gate/speed.rs
+++ b/crates/edge/src/gate/speed.rs
@@ -19,7 +19,7 @@
 /// whose health check fails for another reason, tells none for a while; a gate that
 /// never asked again would start calls in each slow spell of the target's later
 /// life. A question a second is little beside the calls that are asked for.
-const ASK_AGAIN_MS: Millis = Millis(1_000);
+const REPROBE_AFTER_MS: Millis = Millis(1_000);
 
 /// The target refused the connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -28,26 +28,26 @@
 /// Reads the speed, one question at a time for all calls that wait for it.
 #[derive(Debug, Default)]
 pub(super) struct SpeedProbe {
-    one_at_a_time: tokio::sync::Mutex<LastReading>,
+    last_reading: tokio::sync::Mutex<LastReading>,
     sent: AtomicU64,
     /// The target's last answer about its health was not that it is well.
-    is_unwell: AtomicBool,
+    is_unhealthy: AtomicBool,
 }
 
 #[derive(Debug, Default)]
 struct LastReading {
     reading: Option<SpeedReading>,
     /// The target told no load, so it is not asked until then.
-    ask_from: Millis,
+    next_probe_at: Millis,
 }
 
 /// What a question brought.
-enum Told {
+enum ProbeResult {
     Slowness(u32),
     /// The target answered without its load.
     NoLoad,
     /// The target gave no answer in time.
-    Nothing,
+    NoAnswer,
 }
 
 impl SpeedProbe {
@@ -60,21 +60,21 @@
         path: Option<&str>,
         clock: ProcessClock,
     ) -> Result<SpeedReading, TargetDown> {
-        let asked_at = clock.now();
-        let mut last = self.one_at_a_time.lock().await;
+        let requested_at = clock.now();
+        let mut last = self.last_reading.lock().await;
         if let Some(reading) = last.reading
-            && reading.read_at >= asked_at
+            && reading.read_at >= requested_at
         {
             return Ok(reading);
         }
         let mut percent = USUAL_PERCENT;
         if let Some(path) = path
-            && asked_at >= last.ask_from
+            && requested_at >= last.next_probe_at
         {
-            match self.ask(target, dialect, path).await? {
-                Told::Slowness(told) => percent = told,
-                Told::NoLoad => last.ask_from = clock.now() + ASK_AGAIN_MS,
-                Told::Nothing => {}
+            match self.probe(target, dialect, path).await? {
+                ProbeResult::Slowness(reported) => percent = reported,
+                ProbeResult::NoLoad => last.next_probe_at = clock.now() + REPROBE_AFTER_MS,
+                ProbeResult::NoAnswer => {}
             }
         }
         let reading = SpeedReading {
@@ -86,34 +86,34 @@
     }
 
     /// Questions sent since the last call, for the metrics.
-    pub(super) fn take_sent(&self) -> u64 {
+    pub(super) fn take_probes_sent(&self) -> u64 {
         self.sent.swap(0, Ordering::Relaxed)
     }
 
     /// Whether the target last said that it is not well.
-    pub(super) fn is_unwell(&self) -> bool {
-        self.is_unwell.load(Ordering::Relaxed)
+    pub(super) fn is_unhealthy(&self) -> bool {
+        self.is_unhealthy.load(Ordering::Relaxed)
     }
 
     /// Writes down when the target begins or ends to say that it is not well. Callers
     /// then see it ill, or about to leave; its entry in the list tells which.
     fn note_health(&self, status: u16) {
-        let is_unwell = !is_success(status);
-        if self.is_unwell.swap(is_unwell, Ordering::Relaxed) == is_unwell {
+        let is_unhealthy = !is_success(status);
+        if self.is_unhealthy.swap(is_unhealthy, Ordering::Relaxed) == is_unhealthy {
             return;
         }
-        match is_unwell {
+        match is_unhealthy {
             true => log::warn!(status; "the target says that it is not well"),
             false => log::info!(status; "the target says that it is well again"),
         }
     }
 
-    async fn ask(
+    async fn probe(
         &self,
         target: &TargetClient,
         dialect: &dyn Dialect,
         path: &str,
-    ) -> Result<Told, TargetDown> {
+    ) -> Result<ProbeResult, TargetDown> {
         self.sent.fetch_add(1, Ordering::Relaxed);
         let host = HeaderField {
             name: "Host".to_owned(),
@@ -130,14 +130,14 @@
             Ok(Err(ExchangeFault::Unreachable)) => return Err(TargetDown),
             // An endpoint that breaks or hangs says nothing of the speed; the
             // calls themselves will show whether the target works.
-            Ok(Err(ExchangeFault::Broken(_))) | Err(_) => return Ok(Told::Nothing),
+            Ok(Err(ExchangeFault::Broken(_))) | Err(_) => return Ok(ProbeResult::NoAnswer),
         };
         self.note_health(answer.head.status);
         let load = http1::field(&answer.head.fields, dialect.names().load);
         let load = load.and_then(|value| dialect.load(value));
         let Some(slowness_percent) = load.and_then(|load| load.slowness_percent) else {
-            return Ok(Told::NoLoad);
+            return Ok(ProbeResult::NoLoad);
         };
-        Ok(Told::Slowness(slowness_percent))
+        Ok(ProbeResult::Slowness(slowness_percent))
     }
 }
--- a/crates/edge/src/link/server.rs
+++ b/crates/edge/src/link/server.rs
@@ -201,7 +201,7 @@
             whole,
         };
         self.arriving.insert(id, arriving);
-        CallContent::Later(coming)
+        CallContent::Deferred(coming)
     }
 
     fn hand_over_whole(&mut self, id: CallId) {
