--- a/crates/edge/src/entry/call.rs
+++ b/crates/edge/src/entry/call.rs
@@ -1,7 +1,7 @@
 //! One call on its way through the gates.
 
-mod asking;
 mod ending;
+mod selection;
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -21,7 +21,7 @@
 use crate::http1;
 use crate::link::LinkEvent;
 use crate::prelude::*;
-use asking::Step;
+use selection::Step;
 
 /// A run that has taken this many times what was expected is taken for stuck,
 /// and an idempotent call is sent to a second target beside it.
@@ -160,7 +160,7 @@
         loop {
             if !self.has_open() {
                 match self.next_step() {
-                    Step::Send(candidate, hold_ms) => self.send(&candidate, hold_ms),
+                    Step::Send(candidate, max_queue_ms) => self.send(&candidate, max_queue_ms),
                     Step::End(outcome) => return outcome,
                     Step::Pause(until) => {
                         tokio::time::sleep_until(self.entry.clock.to_instant(until)).await;
--- a/crates/edge/src/entry/call/asking.rs
+++ b/crates/edge/src/entry/call/selection.rs
@@ -14,7 +14,7 @@
 
 /// In later rounds one gate holds the call in its line for this long, so that a
 /// slot or a fast moment there is not missed; then the others are asked again.
-const ROUND_HOLD_MS: Millis = Millis(30);
+const LATER_ROUND_MAX_QUEUE_MS: Millis = Millis(30);
 /// Least time between the first two rounds of asking; each further one waits
 /// longer, or refusals would come in a storm when all targets are full.
 const ROUND_PAUSE_MS: Millis = Millis(12);
@@ -38,8 +38,8 @@
             return Step::End(self.refuse());
         }
         if let Some(candidate) = self.rounds.remaining.pop_front() {
-            let hold_ms = self.hold_time(&candidate, now);
-            return Step::Send(candidate, hold_ms);
+            let max_queue_ms = self.max_queue_time(&candidate, now);
+            return Step::Send(candidate, max_queue_ms);
         }
         if self.rounds.count > 0 {
             if self.should_refuse_early(now) {
@@ -56,8 +56,8 @@
         self.rounds.started_at = now;
         match self.rounds.remaining.pop_front() {
             Some(candidate) => {
-                let hold_ms = self.hold_time(&candidate, now);
-                Step::Send(candidate, hold_ms)
+                let max_queue_ms = self.max_queue_time(&candidate, now);
+                Step::Send(candidate, max_queue_ms)
             }
             None => Step::End(self.refuse()),
         }
@@ -86,16 +86,16 @@
 
     /// How long a gate may hold the call. In the first round, the last near
     /// gate holds it while that is worth more than asking a far one.
-    pub(super) fn hold_time(&self, candidate: &Candidate, now: Millis) -> Millis {
+    pub(super) fn max_queue_time(&self, candidate: &Candidate, now: Millis) -> Millis {
         let left_ms = self.patience.last_start.since(now);
         if self.rounds.count > 1 {
             let is_first = self.rounds.started_at == now;
-            let hold_ms = if is_first {
-                ROUND_HOLD_MS
+            let max_queue_ms = if is_first {
+                LATER_ROUND_MAX_QUEUE_MS
             } else {
                 Millis::ZERO
             };
-            return hold_ms.min(left_ms);
+            return max_queue_ms.min(left_ms);
         }
         let more_near_remain = self.rounds.remaining.iter().any(|other| other.is_near);
         if candidate.is_near && !candidate.is_avoided && !more_near_remain {
@@ -104,7 +104,7 @@
         Millis::ZERO
     }
 
-    pub(super) fn send(&mut self, candidate: &Candidate, hold_ms: Millis) {
+    pub(super) fn send(&mut self, candidate: &Candidate, max_queue_ms: Millis) {
         let now = self.entry.now();
         let key = self.entry.next_key();
         let slow_after_ms = match self.patience.slow_from {
@@ -120,7 +120,7 @@
                 idempotent: self.request.route.kind.is_idempotent(),
                 priority: self.request.route.priority,
                 work_ms: self.work.run_at(100),
-                hold_ms,
+                hold_ms: max_queue_ms,
                 objective_ms: self.patience.objective_at.since(now),
                 whole_objective_ms: self.patience.whole_objective_ms,
                 slow_after_ms,
--- a/crates/edge/src/gate.rs
+++ b/crates/edge/src/gate.rs
@@ -81,9 +81,9 @@
     admission: Admission,
     records: Records,
     /// Lives of the target that it no longer is.
-    ended_lives: VecDeque<Life>,
+    ended_incarnations: VecDeque<Life>,
     /// The life of the target that was last seen in the list.
-    life: Option<Life>,
+    incarnation: Option<Life>,
 }
 
 /// What a gate needs to know of a call while it runs.
@@ -279,7 +279,7 @@
         let mut state = self.state.lock();
         if let Some(member) = listed {
             state.admission.set_slots(member.slots);
-            self.note_life(&mut state, member);
+            self.note_incarnation(&mut state, member);
         }
         state.admission.enlist(call, self.clock.now())
     }
--- a/crates/edge/src/gate/lives.rs
+++ b/crates/edge/src/gate/lives.rs
@@ -12,12 +12,12 @@
     /// before. A connection to the earlier life would break the first payment sent
     /// on it, and what was learnt of its speed does not hold. The records of calls
     /// that may run only once stay: those that ran have run.
-    pub(super) fn note_life(&self, state: &mut GateState, member: &Member) {
-        let life = member.life();
-        if state.life.as_ref() == Some(&life) {
+    pub(super) fn note_incarnation(&self, state: &mut GateState, member: &Member) {
+        let incarnation = member.life();
+        if state.incarnation.as_ref() == Some(&incarnation) {
             return;
         }
-        if state.life.replace(life).is_some() {
+        if state.incarnation.replace(incarnation).is_some() {
             state.admission.forget_target();
             self.target.close_resting();
             log::info!(target_id = member.id.as_str(); "another life of the target is listed");
@@ -44,26 +44,26 @@
     }
 
     /// Whether the target said that it is no longer this life of it.
-    fn has_ended(&self, life: &Life) -> bool {
-        self.state.lock().ended_lives.contains(life)
+    fn has_ended(&self, incarnation: &Life) -> bool {
+        self.state.lock().ended_incarnations.contains(incarnation)
     }
 
     /// The target's address belongs to another life of it. Further calls for the
     /// ended one are refused here: each that reached the target would count
     /// against the retry budget.
-    pub(super) fn note_ended_life(&self, id: &str) {
+    pub(super) fn note_ended_incarnation(&self, id: &str) {
         /// Lives that end within the time until all entries have heard of it.
-        const MAX_ENDED_LIVES: usize = 16;
+        const MAX_ENDED_INCARNATIONS: usize = 16;
         let id = TargetId::new(id);
         let listed = self.directory.load().members.get(&id).cloned();
-        let life = Life {
+        let incarnation = Life {
             id,
             born_ms: listed.and_then(|member| member.born_ms),
         };
-        let lives = &mut self.state.lock().ended_lives;
-        if lives.len() >= MAX_ENDED_LIVES {
-            lives.pop_front();
+        let ended = &mut self.state.lock().ended_incarnations;
+        if ended.len() >= MAX_ENDED_INCARNATIONS {
+            ended.pop_front();
         }
-        lives.push_back(life);
+        ended.push_back(incarnation);
     }
 }
--- a/crates/edge/src/gate/records/tests.rs
+++ b/crates/edge/src/gate/records/tests.rs
@@ -26,7 +26,7 @@
 /// is quiet. The next payment's caller waits for what the gate does in between:
 /// letting go of the whole burst at once, it would wait milliseconds.
 #[test]
-fn a_burst_that_expired_is_let_go_a_few_at_a_time() {
+fn an_expired_burst_is_removed_a_few_records_at_a_time() {
     let mut records = Records::default();
     for key in 0..5_000 {
         run(&mut records, key, Millis(key as u64 / 5));
@@ -44,7 +44,7 @@
 /// Each call lets go of more than it adds, so what has expired goes away while
 /// calls come, however their deadlines lie.
 #[test]
-fn what_has_expired_does_not_pile_up() {
+fn expired_records_do_not_accumulate() {
     let mut records = Records::default();
     let mut most = 0;
     for key in 0..50_000_u128 {
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn a_record_is_kept_until_its_entry_can_no_longer_ask() {
+fn a_record_is_kept_until_its_entry_can_no_longer_query_it() {
     let mut records = Records::default();
     run(&mut records, 1, Millis::ZERO);
     let last = DEADLINE + RECORD_RETENTION_MS;
--- a/crates/edge/src/gate/run.rs
+++ b/crates/edge/src/gate/run.rs
@@ -206,7 +206,7 @@
             self.note_load(load, now);
         }
         if head.status == MISDIRECTED {
-            self.note_ended_life(&terms.target_id);
+            self.note_ended_incarnation(&terms.target_id);
             return GateEvent::Ended(CallEnd::Misdirected);
         }
         if http1::field(&head.fields, names.not_run).is_some() {
--- a/crates/edge/tests/all/answers.rs
+++ b/crates/edge/tests/all/answers.rs
@@ -6,7 +6,7 @@
 /// A target breaks off, answers nonsense or leaves out its digest. A lookup is
 /// sent to another target, and its caller gets that one's whole answer.
 #[tokio::test]
-async fn a_spoilt_answer_of_a_lookup_is_replaced_by_a_whole_one() {
+async fn a_lookup_with_a_broken_answer_is_retried_on_another_target() {
     for behaviour in ["break", "cut", "garbage", "unsigned", "fail"] {
         let fleet = fleet(&["s", "s"]).await;
         fleet.vms[0].target.set_usual(behaviour);
@@ -25,7 +25,7 @@
 }
 
 #[tokio::test]
-async fn an_answer_that_ends_with_its_connection_is_whole() {
+async fn an_answer_delimited_by_connection_close_is_complete() {
     let fleet = fleet(&["s"]).await;
     let answer = request(fleet.vms[0].callers, "GET", "/read/until-close", "id-1").await;
     assert_eq!((answer.status(), answer.body.as_str()), (200, "open"));
@@ -34,7 +34,7 @@
 /// A target answers a request twice. The second answer lies on the kept
 /// connection when the next request is sent there.
 #[tokio::test]
-async fn a_second_answer_reaches_nobody() {
+async fn an_unsolicited_second_answer_reaches_no_caller() {
     let fleet = fleet(&["s"]).await;
     let mut caller = Caller::connect(fleet.vms[0].callers).await;
     for number in 0..6 {
@@ -61,7 +61,7 @@
 /// A target answers before it has read a long body and reads on later. The next
 /// request on that connection would be taken for the rest of the body.
 #[tokio::test]
-async fn a_connection_with_an_early_answer_is_not_used_again() {
+async fn a_connection_with_an_early_answer_is_not_reused() {
     let fleet = fleet(&["s"]).await;
     let mut caller = Caller::connect(fleet.vms[0].callers).await;
     let body = "b".repeat(8 * 1024 * 1024);
@@ -75,7 +75,7 @@
 /// A caller sends lookups one behind the other without waiting. All run side by
 /// side; the answers come in the order of the requests.
 #[tokio::test]
-async fn pipelined_lookups_run_side_by_side_and_are_answered_in_order() {
+async fn pipelined_lookups_run_concurrently_and_are_answered_in_order() {
     let fleet = fleet(&["s", "s"]).await;
     let mut caller = Caller::connect(fleet.vms[0].callers).await;
     let began = std::time::Instant::now();
@@ -107,7 +107,7 @@
 
 /// Each new connection costs the target about a millisecond of a slot.
 #[tokio::test]
-async fn requests_one_after_the_other_share_a_connection_to_the_target() {
+async fn sequential_requests_share_a_connection_to_the_target() {
     let fleet = fleet(&["s"]).await;
     let mut caller = Caller::connect(fleet.vms[0].callers).await;
     for number in 0..20 {
--- a/crates/edge/tests/all/at_most_once.rs
+++ b/crates/edge/tests/all/at_most_once.rs
@@ -9,7 +9,7 @@
 /// The target runs a payment and answers 500, as it does when a call of its own
 /// fails. Sent to a second target, the payment would be taken twice.
 #[tokio::test]
-async fn a_payment_that_failed_in_its_target_is_not_run_again() {
+async fn a_payment_that_failed_in_its_target_is_not_retried() {
     let fleet = fleet(&["s", "s"]).await;
     for number in 0..8 {
         let id = format!("id-{number}");
@@ -23,7 +23,7 @@
 /// The target's connection breaks within the run. Nobody can tell whether the
 /// payment was taken, and the caller is not told that it was not.
 #[tokio::test]
-async fn a_payment_that_broke_has_an_unknown_outcome() {
+async fn a_payment_whose_connection_broke_has_an_unknown_outcome() {
     for behaviour in ["break", "cut", "garbage", "unsigned"] {
         let fleet = fleet(&["s", "s"]).await;
         let path = format!("/pay/{behaviour}");
@@ -36,7 +36,7 @@
 
 /// A target sheds a payment and states that it did not run. It goes to another.
 #[tokio::test]
-async fn a_payment_that_was_shed_runs_elsewhere_once() {
+async fn a_shed_payment_runs_once_on_another_target() {
     let fleet = fleet(&["s", "s"]).await;
     fleet.vms[0].target.set_usual("shed");
     for number in 0..4 {
@@ -55,7 +55,7 @@
 /// A target answers 503 without stating that it did not run the request. To
 /// the caller of a payment, 503 would mean that it may be sent again.
 #[tokio::test]
-async fn a_status_that_promises_not_run_is_not_taken_over_without_proof() {
+async fn a_503_without_a_not_run_statement_is_not_relayed_for_a_payment() {
     let fleet = fleet(&["s"]).await;
     let answer = request(fleet.vms[0].callers, "POST", "/pay/full", "id-1").await;
     assert_eq!(answer.status(), 502);
@@ -65,7 +65,7 @@
 /// next on it. The payment did not run, but nobody could tell; so it is sent on
 /// a connection of its own.
 #[tokio::test]
-async fn a_payment_is_not_sent_on_a_connection_that_rested() {
+async fn a_payment_is_not_sent_on_an_idle_connection() {
     let fleet = fleet(&["s"]).await;
     let target = &fleet.vms[0].target;
     // Longer than the gate lets a payment's connection rest.
--- a/crates/edge/tests/all/callers.rs
+++ b/crates/edge/tests/all/callers.rs
@@ -13,7 +13,7 @@
 /// served, and its answer says that the connection ends; what the caller sent
 /// behind it stays unread, which to the caller means that it may send it again.
 #[tokio::test]
-async fn a_leaving_node_answers_what_it_has_read_and_then_closes() {
+async fn a_draining_node_answers_the_request_it_has_read_and_closes() {
     let fleet = fleet(&["s"]).await;
     let vm = &fleet.vms[0];
     let mut caller = Caller::connect(vm.callers).await;
@@ -36,7 +36,7 @@
 }
 
 #[tokio::test]
-async fn a_closing_node_ends_connections_at_rest() {
+async fn a_closing_node_closes_idle_connections() {
     let fleet = fleet(&["s"]).await;
     let vm = &fleet.vms[0];
     let mut caller = Caller::connect(vm.callers).await;
@@ -49,7 +49,7 @@
 }
 
 #[tokio::test]
-async fn a_connection_that_the_caller_wants_closed_is_closed_after_its_answer() {
+async fn connection_close_of_the_caller_is_honoured_after_the_answer() {
     let fleet = fleet(&["s"]).await;
     let mut caller = Caller::connect(fleet.vms[0].callers).await;
     let text = format!(
@@ -68,7 +68,7 @@
 /// for 1.5 s in all. The target must not be given more than what is left: it would
 /// go on working for a caller who has given up.
 #[tokio::test]
-async fn a_head_that_comes_slowly_uses_up_the_deadline() {
+async fn a_slow_request_head_counts_against_the_deadline() {
     let fleet = fleet(&["s"]).await;
     let mut caller = Caller::connect(fleet.vms[0].callers).await;
     caller
@@ -102,7 +102,7 @@
 }
 
 #[tokio::test]
-async fn a_caller_that_waits_for_leave_gets_it() {
+async fn expect_100_continue_is_answered() {
     let fleet = fleet(&["s"]).await;
     let mut caller = Caller::connect(fleet.vms[0].callers).await;
     let text = format!(
@@ -123,7 +123,7 @@
 /// at once that it has not run and when to come back; the node lives, and serves
 /// again as soon as the others are done.
 #[tokio::test]
-async fn bodies_beyond_the_nodes_memory_are_refused_and_not_run() {
+async fn bodies_that_exceed_the_nodes_memory_are_refused_and_not_run() {
     let fleet = fleet(&["s"]).await;
     let vm = &fleet.vms[0];
     let half = "b".repeat(usize::try_from(BUFFERED_BYTES).expect("a small budget") / 2 + 1);
--- a/crates/edge/tests/all/crash_request.rs
+++ b/crates/edge/tests/all/crash_request.rs
@@ -45,7 +45,7 @@
 /// A target crashes for reasons of its own while lookups run. They are suspected
 /// and run well elsewhere, which clears them: nobody is refused for it.
 #[tokio::test]
-async fn lookups_that_were_only_there_are_not_held_responsible() {
+async fn lookups_in_flight_during_an_unrelated_crash_are_cleared() {
     let fleet = fleet(&["s", "s"]).await;
     let callers = fleet.vms[1].callers;
     let waiting = tokio::spawn(async move {
--- a/crates/edge/tests/all/giving_up.rs
+++ b/crates/edge/tests/all/giving_up.rs
@@ -11,17 +11,17 @@
 #[tokio::test]
 async fn a_call_ends_at_the_timeout_of_its_route() {
     let fleet = fleet(&["s"]).await;
-    let began = Instant::now();
+    let started = Instant::now();
     let answer = request(fleet.vms[0].callers, "GET", "/short/hang", "id-1").await;
     assert_eq!(answer.status(), 504);
     // The route's timeout is 300 ms and the caller's own 2 s.
-    assert!(began.elapsed() < Duration::from_millis(1_500));
+    assert!(started.elapsed() < Duration::from_millis(1_500));
     let target = &fleet.vms[0].target;
     until("the run is cancelled", || target.cancelled() == 1).await;
 }
 
 #[tokio::test]
-async fn a_caller_that_leaves_stops_the_work_on_its_lookup() {
+async fn a_callers_disconnect_cancels_its_lookup() {
     let fleet = fleet(&["s", "other"]).await;
     for vm in &fleet.vms {
         let mut caller = Caller::connect(vm.callers).await;
@@ -38,7 +38,7 @@
 /// The only target is in a slow spell that does not end. The lookup is refused
 /// with when to come back, and has not run.
 #[tokio::test]
-async fn a_call_that_no_fast_target_takes_is_refused_truthfully() {
+async fn a_call_that_finds_only_a_slow_target_is_refused_and_not_run() {
     let fleet = fleet(&["s"]).await;
     fleet.vms[0].target.set_slowness(5_000);
     let answer = request(fleet.vms[0].callers, "POST", "/pay/x", "id-1").await;
@@ -49,7 +49,7 @@
 
 /// One of two targets is in a slow spell. The lookup runs in the other.
 #[tokio::test]
-async fn a_lookup_goes_round_a_slow_target() {
+async fn a_lookup_avoids_a_slow_target() {
     let fleet = fleet(&["s", "s"]).await;
     fleet.vms[0].target.set_slowness(500);
     send_lookups(fleet.vms[0].callers, 10).await;
@@ -57,7 +57,7 @@
 }
 
 #[tokio::test]
-async fn a_target_that_cannot_be_reached_is_gone_round() {
+async fn a_lookup_stuck_in_one_target_is_hedged_to_another() {
     let fleet = fleet(&["s", "s"]).await;
     fleet.vms[0].target.set_usual("hang");
     // The first target holds the lookup; after two and a half usual runs it
@@ -71,7 +71,7 @@
 /// up, and falls into a slow spell later. Payments that meet the spell are
 /// refused: a gate that had given up asking would start them all in it.
 #[tokio::test]
-async fn a_target_that_told_no_load_at_first_is_asked_again() {
+async fn a_target_that_reported_no_load_at_first_is_probed_again() {
     let fleet = fleet(&["s"]).await;
     let target = &fleet.vms[0].target;
     target.set_starting(true);
--- a/crates/edge/tests/all/routing.rs
+++ b/crates/edge/tests/all/routing.rs
@@ -12,7 +12,7 @@
 };
 
 #[tokio::test]
-async fn a_request_and_its_answer_pass_unchanged() {
+async fn a_request_and_its_answer_are_relayed_unchanged() {
     let fleet = fleet(&["s"]).await;
     let mut caller = Caller::connect(fleet.vms[0].callers).await;
     let text = format!(
@@ -46,7 +46,7 @@
 }
 
 #[tokio::test]
-async fn the_gate_of_another_vm_runs_what_has_no_target_here() {
+async fn a_call_without_a_local_target_runs_through_another_vms_gate() {
     let fleet = fleet(&["s", "other"]).await;
     let answer = request(fleet.vms[1].callers, "GET", "/read/x", "id-1").await;
     assert_eq!(answer.status(), 200);
@@ -58,7 +58,7 @@
 }
 
 #[tokio::test]
-async fn what_cannot_be_routed_is_told_so() {
+async fn unroutable_requests_are_refused_with_their_reason() {
     let fleet = fleet(&["s"]).await;
     let callers = fleet.vms[0].callers;
     assert_eq!(
@@ -96,7 +96,7 @@
 /// A target has left the list, or drains, and an entry that slept still sends
 /// to it. Its gate has read the list and refuses; the call goes elsewhere.
 #[tokio::test]
-async fn a_draining_target_gets_no_new_work() {
+async fn a_draining_target_receives_no_new_calls() {
     let fleet = fleet(&["s", "s"]).await;
     let mut draining = member(0, "s", fleet.vms[0].target.address);
     draining.draining = true;
@@ -110,7 +110,7 @@
 /// The address of a target that ended belongs to another one now, which the
 /// list does not show yet.
 #[tokio::test]
-async fn a_target_of_another_life_runs_nothing() {
+async fn a_target_of_another_incarnation_runs_nothing() {
     let fleet = fleet(&["s"]).await;
     let wrong = member(7, "s", fleet.vms[0].target.address);
     set_directory(&fleet.directory, "s", vec![wrong]);
