--- a/crates/edge/src/entry.rs
+++ b/crates/edge/src/entry.rs
@@ -283,11 +283,11 @@
         };
         let host = http1::field(&head.fields, "host").unwrap_or_default();
         let Some(route) = routes.find(host, head.path_only()) else {
-            return Err(CallOutcome::fixed(ResultCode::UnknownService));
+            return Err(CallOutcome::without_retry(ResultCode::UnknownService));
         };
         let names = self.dialect.names();
         let Some(request_id) = http1::field(&head.fields, names.request_id) else {
-            return Err(CallOutcome::fixed(ResultCode::BadRequest));
+            return Err(CallOutcome::without_retry(ResultCode::BadRequest));
         };
         let fingerprint = suspicion::fingerprint(&head.method, &head.path, body, &self.service);
         if self.suspicion.is_convicted(fingerprint) {
--- a/crates/edge/src/entry/answer.rs
+++ b/crates/edge/src/entry/answer.rs
@@ -58,7 +58,7 @@
     }
 
     /// Creates a refusal or failure without `Retry-After`.
-    pub(super) fn fixed(code: ResultCode) -> Self {
+    pub(super) fn without_retry(code: ResultCode) -> Self {
         Self {
             code,
             reason: "",
@@ -69,7 +69,7 @@
     /// Creates the refusal of a request that has not run. `Retry-After` is given in
     /// fractional seconds, because whole seconds are too coarse for these calls.
     pub(super) fn refused(code: ResultCode, retry_after_ms: Millis) -> Self {
-        let mut outcome = Self::fixed(code);
+        let mut outcome = Self::without_retry(code);
         // Replaces the code's usual status. These callers rely on 503 to mean that
         // the request has not run and may be retried.
         outcome.answer.status = NOT_RUN_STATUS;
--- a/crates/edge/src/entry/call.rs
+++ b/crates/edge/src/entry/call.rs
@@ -153,14 +153,14 @@
         let deadline = self.entry.clock.to_instant(self.request.deadline_at);
         let outcome = match tokio::time::timeout_at(deadline, self.drive()).await {
             Ok(outcome) => outcome,
-            Err(_) => self.at_deadline(),
+            Err(_) => self.deadline_outcome(),
         };
         (outcome, std::mem::take(&mut self.trail))
     }
 
     async fn drive(&mut self) -> CallOutcome {
         loop {
-            if !self.has_open() {
+            if !self.has_open_attempt() {
                 match self.next_step() {
                     Step::Send(candidate, max_queue_ms) => self.send(&candidate, max_queue_ms),
                     Step::End(outcome) => return outcome,
@@ -187,7 +187,7 @@
         }
     }
 
-    fn has_open(&self) -> bool {
+    fn has_open_attempt(&self) -> bool {
         self.attempts.iter().any(|attempt| attempt.guard.is_some())
     }
 
@@ -245,7 +245,7 @@
             // The link client sends the body itself.
             GateEvent::WantsBody => None,
             GateEvent::Started { slowness_percent } => {
-                self.note_start(number, slowness_percent);
+                self.handle_start(number, slowness_percent);
                 None
             }
             GateEvent::Answered { head, body } => self.handle_answer(number, head, body),
@@ -254,7 +254,7 @@
         }
     }
 
-    fn note_start(&mut self, number: usize, slowness_percent: u32) {
+    fn handle_start(&mut self, number: usize, slowness_percent: u32) {
         let now = self.entry.now();
         let attempt = &mut self.attempts[number];
         attempt.started = Some((now, slowness_percent));
--- a/crates/edge/src/entry/call/ending.rs
+++ b/crates/edge/src/entry/call/ending.rs
@@ -51,7 +51,7 @@
     pub(super) fn relay_answer(&self, head: AnswerHead, body: Bytes) -> CallOutcome {
         let promises_not_run = matches!(head.status, 408 | 421 | 429 | 503);
         if promises_not_run && !self.request.route.kind.is_idempotent() {
-            return CallOutcome::fixed(ResultCode::RunBroken)
+            return CallOutcome::without_retry(ResultCode::RunBroken)
                 .with_reason("the target's status does not show whether the request ran");
         }
         CallOutcome::answered(head, body)
@@ -71,8 +71,9 @@
         // targets that no longer exist. Their gates would refuse each call in each of its
         // rounds, which costs time and bytes. Treating them like unreachable VMs saves
         // 4 to 9% of the bytes between data centres on such days.
-        let takes_nothing = matches!(end, CallEnd::Down | CallEnd::Misdirected | CallEnd::Leaving);
-        if takes_nothing {
+        let refuses_all_work =
+            matches!(end, CallEnd::Down | CallEnd::Misdirected | CallEnd::Leaving);
+        if refuses_all_work {
             let mut state = self.entry.state.lock();
             state.failures.note_unreachable(&target, now);
         }
@@ -117,7 +118,7 @@
             CallEnd::TimedOut => ResultCode::DeadlinePassed,
             _ => ResultCode::RunBroken,
         };
-        Some(CallOutcome::fixed(code).with_reason("the run broke"))
+        Some(CallOutcome::without_retry(code).with_reason("the run broke"))
     }
 
     /// Handles the loss of an attempt's link. For a non-idempotent call the gate is
@@ -145,7 +146,7 @@
     /// target if its route, deadline and retry budget allow, otherwise it ends.
     pub(super) fn fail_over(&mut self, reason: &'static str) -> Option<CallOutcome> {
         let now = self.entry.now();
-        if self.has_open() {
+        if self.has_open_attempt() {
             return None;
         }
         self.hedge_at = None;
@@ -165,7 +166,7 @@
             );
             return None;
         }
-        Some(self.refuse().with_reason(reason))
+        Some(self.final_outcome().with_reason(reason))
     }
 
     pub(super) fn take_retry_token(&mut self, now: Millis) -> bool {
@@ -198,7 +199,7 @@
     }
 
     /// Returns the outcome of a call that no target served.
-    pub(super) fn refuse(&mut self) -> CallOutcome {
+    pub(super) fn final_outcome(&mut self) -> CallOutcome {
         let reason = self
             .history
             .last_end
@@ -207,7 +208,7 @@
             return self.relay_answer(head, body);
         }
         if self.history.may_have_run {
-            return CallOutcome::fixed(ResultCode::AttemptsFailed).with_reason(reason);
+            return CallOutcome::without_retry(ResultCode::AttemptsFailed).with_reason(reason);
         }
         let code = match self.history.last_end {
             None | Some(CallEnd::Down) => ResultCode::NoTarget,
@@ -222,7 +223,7 @@
     }
 
     /// Returns the outcome of a call whose deadline has passed.
-    pub(super) fn at_deadline(&mut self) -> CallOutcome {
+    pub(super) fn deadline_outcome(&mut self) -> CallOutcome {
         let now = self.entry.now();
         self.record_slow_losers(now);
         for attempt in &self.attempts {
@@ -236,13 +237,13 @@
         if let Some((head, body)) = self.history.failed_answer.take() {
             return self.relay_answer(head, body);
         }
-        if self.has_open() || self.history.may_have_run {
+        if self.has_open_attempt() || self.history.may_have_run {
             let reason = self
                 .history
                 .last_end
                 .map_or("no answer in time", <&'static str>::from);
-            return CallOutcome::fixed(ResultCode::DeadlinePassed).with_reason(reason);
+            return CallOutcome::without_retry(ResultCode::DeadlinePassed).with_reason(reason);
         }
-        self.refuse()
+        self.final_outcome()
     }
 }
--- a/crates/edge/src/entry/call/selection.rs
+++ b/crates/edge/src/entry/call/selection.rs
@@ -17,10 +17,10 @@
 const LATER_ROUND_MAX_QUEUE_MS: Millis = Millis(30);
 /// Minimum time between the start of the first round and the second. It grows with
 /// each round; otherwise full targets would cause a storm of refusals.
-const ROUND_PAUSE_MS: Millis = Millis(12);
+const MIN_ROUND_PAUSE_MS: Millis = Millis(12);
 /// Maximum time between the starts of two rounds. A slow period of a target lasts
 /// a few of these.
-const LONGEST_ROUND_PAUSE_MS: Millis = Millis(48);
+const MAX_ROUND_PAUSE_MS: Millis = Millis(48);
 /// Delay before a hedge that its gate refused is sent again.
 const HEDGE_RETRY_MS: Millis = Millis(25);
 
@@ -39,7 +39,7 @@
     pub(super) fn next_step(&mut self) -> Step {
         let now = self.entry.now();
         if now >= self.patience.last_start && self.rounds.count > 0 {
-            return Step::End(self.refuse());
+            return Step::End(self.final_outcome());
         }
         if let Some(candidate) = self.rounds.remaining.pop_front() {
             let max_queue_ms = self.max_queue_time(&candidate, now);
@@ -47,10 +47,10 @@
         }
         if self.rounds.count > 0 {
             if self.should_refuse_early(now) {
-                return Step::End(self.refuse());
+                return Step::End(self.final_outcome());
             }
-            let pause_ms = ROUND_PAUSE_MS.0 * u64::from(self.rounds.count);
-            let next_at = self.rounds.started_at + Millis(pause_ms).min(LONGEST_ROUND_PAUSE_MS);
+            let pause_ms = MIN_ROUND_PAUSE_MS.0 * u64::from(self.rounds.count);
+            let next_at = self.rounds.started_at + Millis(pause_ms).min(MAX_ROUND_PAUSE_MS);
             if now < next_at {
                 return Step::Pause(next_at);
             }
@@ -63,7 +63,7 @@
                 let max_queue_ms = self.max_queue_time(&candidate, now);
                 Step::Send(candidate, max_queue_ms)
             }
-            None => Step::End(self.refuse()),
+            None => Step::End(self.final_outcome()),
         }
     }
 
@@ -141,7 +141,7 @@
                 state.refusals.is_likely(&candidate.member, now)
             },
         };
-        let kind = match (self.has_open(), self.history.arrivals) {
+        let kind = match (self.has_open_attempt(), self.history.arrivals) {
             (true, _) => AttemptKind::Hedge,
             (false, 0) => AttemptKind::First,
             (false, _) => AttemptKind::Retry,
@@ -150,7 +150,7 @@
             .metrics
             .attempt_sent(self.request.service.as_str(), kind);
         let number = self.attempts.len();
-        let guard = progress::open(self.entry, candidate, call, number, &self.sender);
+        let guard = progress::start_attempt(self.entry, candidate, call, number, &self.sender);
         self.attempts.push(Attempt {
             member: Arc::clone(&candidate.member),
             key,
@@ -167,7 +167,7 @@
 
     /// Schedules another hedge after a gate refused one while the first attempt runs.
     pub(super) fn schedule_hedge_retry(&mut self, now: Millis) {
-        if self.has_open() && self.request.route.kind.is_idempotent() {
+        if self.has_open_attempt() && self.request.route.kind.is_idempotent() {
             self.hedge_at = Some(now + HEDGE_RETRY_MS);
         }
     }
--- a/crates/edge/src/entry/progress.rs
+++ b/crates/edge/src/entry/progress.rs
@@ -43,7 +43,7 @@
 
 /// Starts an attempt at the gate of a candidate: within the process if the target
 /// is this VM's own, otherwise over a link.
-pub(super) fn open(
+pub(super) fn start_attempt(
     entry: &Entry,
     candidate: &Candidate,
     call: OutgoingCall,
--- a/crates/edge/src/gate/records/tests.rs
+++ b/crates/edge/src/gate/records/tests.rs
@@ -49,17 +49,17 @@
 #[test]
 fn expired_records_do_not_accumulate() {
     let mut records = Records::default();
-    let mut most = 0;
+    let mut max_records = 0;
     for key in 0..50_000_u128 {
         let at = Millis(key as u64);
         let deadline = Millis(if key.is_multiple_of(2) { 250 } else { 6_000 });
         assert!(records.start(CallKey(key), at + deadline, at));
         records.end(CallKey(key), answered());
-        most = most.max(records.len());
+        max_records = max_records.max(records.len());
     }
     // At one call per millisecond, half of the records are kept for 5.25 s and half
     // for 11 s.
-    assert!(most <= 8_130, "{most}");
+    assert!(max_records <= 8_130, "{max_records}");
 }
 
 #[test]
--- a/crates/edge/src/gate/speed.rs
+++ b/crates/edge/src/gate/speed.rs
@@ -10,10 +10,10 @@
 use crate::target::{Exchange, ExchangeFault, TargetClient, is_success};
 
 /// Slowness that is assumed for a target that reports no speed.
-const USUAL_PERCENT: u32 = 100;
+const USUAL_SLOWNESS_PERCENT: u32 = 100;
 /// Time limit of a probe, after which calls no longer wait for it. The health
 /// endpoint usually answers over loopback in about a millisecond.
-const READ_TIMEOUT: Duration = Duration::from_millis(40);
+const PROBE_TIMEOUT: Duration = Duration::from_millis(40);
 
 /// Delay before a target that reported no load is probed again. A target that is
 /// starting, or whose health check fails for another reason, reports none for a
@@ -68,7 +68,7 @@
         {
             return Ok(reading);
         }
-        let mut percent = USUAL_PERCENT;
+        let mut percent = USUAL_SLOWNESS_PERCENT;
         if let Some(path) = path
             && requested_at >= last.next_probe_at
         {
@@ -126,7 +126,7 @@
             may_repeat: true,
             bytes: http1::request_bytes("GET", path, &[host], &[]).freeze(),
         };
-        let answer = match tokio::time::timeout(READ_TIMEOUT, target.exchange(&exchange)).await {
+        let answer = match tokio::time::timeout(PROBE_TIMEOUT, target.exchange(&exchange)).await {
             Ok(Ok(answer)) => answer,
             Ok(Err(ExchangeFault::Unreachable)) => return Err(TargetDown),
             // An endpoint that breaks or hangs says nothing about the speed. The calls
--- a/crates/edge/src/status.rs
+++ b/crates/edge/src/status.rs
@@ -46,8 +46,8 @@
     /// off from all other VMs.
     #[must_use]
     pub fn is_ready(&self) -> bool {
-        let is_leaving = *self.drain_phase.borrow() != DrainPhase::Serving;
-        self.directory.load().routes.is_some() && !is_leaving && !self.entry.is_cut_off()
+        let is_draining = *self.drain_phase.borrow() != DrainPhase::Serving;
+        self.directory.load().routes.is_some() && !is_draining && !self.entry.is_cut_off()
     }
 
     async fn serve(self, stream: TcpStream) {
--- a/crates/edge/tests/all/answers.rs
+++ b/crates/edge/tests/all/answers.rs
@@ -81,7 +81,7 @@
 async fn pipelined_lookups_run_concurrently_and_are_answered_in_order() {
     let fleet = fleet(&["s", "s"]).await;
     let mut caller = Caller::connect(fleet.vms[0].callers).await;
-    let began = std::time::Instant::now();
+    let started = std::time::Instant::now();
     for number in 0..4 {
         let path = if number == 0 {
             "/read/slow"
@@ -95,7 +95,7 @@
         vms.iter().any(|vm| vm.target.runs_of("id-3") == 1)
     })
     .await;
-    let before_first = began.elapsed();
+    let before_first = started.elapsed();
     for number in 0..4 {
         let answer = caller.answer().await.expect("an answer");
         assert_eq!(
@@ -105,7 +105,7 @@
     }
     // The slow lookup takes 120 ms. If the others had waited for it, the last one
     // would have started only after that.
-    assert!(before_first < began.elapsed());
+    assert!(before_first < started.elapsed());
 }
 
 /// Guards against a new connection per request, each of which occupies a slot of the
--- a/crates/edge/tests/all/asking.rs
+++ b/crates/edge/tests/all/asking.rs
@@ -66,13 +66,13 @@
     let (healthy, served) = scripted_target(&fleet, 1, GateReply::Answer).await;
     let (departed, received) = scripted_target(&fleet, 2, GateReply::End(CallEnd::Leaving)).await;
     set_directory(&fleet.directory, "s", vec![healthy, departed]);
-    let began = Instant::now();
+    let started = Instant::now();
     for number in 0..40 {
         let id = format!("id-{number}");
         let answer = request(fleet.vms[0].callers, "GET", "/read/x", &id).await;
         assert_eq!(answer.status(), 200);
     }
-    let max_received = 1 + began.elapsed().as_millis() / MIN_AVOIDANCE.as_millis();
+    let max_received = 1 + started.elapsed().as_millis() / MIN_AVOIDANCE.as_millis();
     let received = received.lock().len();
     assert!(
         received as u128 <= max_received,
@@ -91,20 +91,22 @@
     let (busy, received) = scripted_target(&fleet, 3, GateReply::End(CallEnd::Busy)).await;
     set_directory(&fleet.directory, "s", vec![busy]);
     let mut caller = Caller::connect(fleet.vms[0].callers).await;
-    let began = Instant::now();
+    let started = Instant::now();
     let first = caller
         .look_up_with_deadline("/read/x", "id-1", DEADLINE)
         .await;
     assert_eq!(first.status(), 503);
-    let waited = began.elapsed();
-    let left = DEADLINE - waited;
-    let second = caller.look_up_with_deadline("/read/x", "id-2", left).await;
+    let elapsed = started.elapsed();
+    let remaining = DEADLINE - elapsed;
+    let second = caller
+        .look_up_with_deadline("/read/x", "id-2", remaining)
+        .await;
     assert_eq!(second.status(), 503);
     let received = received.lock();
-    let again = received.iter().find(|terms| terms.request_id == "id-2");
-    let again = again.expect("the gate was asked again");
-    let elapsed_ms = again.whole_objective_ms.since(again.objective_ms);
-    let expected_ms = again.whole_objective_ms.0.min(waited.as_millis() as u64);
+    let retry = received.iter().find(|terms| terms.request_id == "id-2");
+    let retry = retry.expect("the gate received the retry");
+    let elapsed_ms = retry.whole_objective_ms.since(retry.objective_ms);
+    let expected_ms = retry.whole_objective_ms.0.min(elapsed.as_millis() as u64);
     assert!(
         elapsed_ms.0 + 20 >= expected_ms,
         "{elapsed_ms:?} have passed instead of at least {expected_ms} ms"
--- a/crates/edge/tests/all/crash_request.rs
+++ b/crates/edge/tests/all/crash_request.rs
@@ -48,7 +48,7 @@
 async fn lookups_in_flight_during_an_unrelated_crash_are_cleared() {
     let fleet = fleet(&["s", "s"]).await;
     let callers = fleet.vms[1].callers;
-    let waiting = tokio::spawn(async move {
+    let lookups = tokio::spawn(async move {
         let mut answers = Vec::new();
         for number in 0..4 {
             let path = format!("/read/slow?{number}");
@@ -65,7 +65,7 @@
     })
     .await;
     request(fleet.vms[0].callers, "GET", "/read/crash", "id-crash").await;
-    let answers = waiting.await.expect("no panic");
+    let answers = lookups.await.expect("no panic");
     for (number, status) in answers.iter().enumerate() {
         if *status == 200 {
             continue;
