--- a/crates/edge/src/entry.rs
+++ b/crates/edge/src/entry.rs
@@ -186,7 +186,7 @@
 
     /// Whether this node can no longer reach any other VM.
     #[must_use]
-    pub fn is_cut_off(&self) -> bool {
+    pub fn is_partitioned(&self) -> bool {
         let others = self.other_vms().len();
         self.state.lock().reach.is_cut_off(others, self.clock.now())
     }
@@ -194,7 +194,7 @@
     /// Probes a random other VM while this node seems cut off. Its callers are then
     /// sent to other nodes, so no call would show that the network is back.
     pub async fn probe_other_vms(&self) {
-        if !self.is_cut_off() {
+        if !self.is_partitioned() {
             return;
         }
         let others = self.other_vms();
--- a/crates/edge/src/status.rs
+++ b/crates/edge/src/status.rs
@@ -47,7 +47,7 @@
     #[must_use]
     pub fn is_ready(&self) -> bool {
         let is_draining = *self.drain_phase.borrow() != DrainPhase::Serving;
-        self.directory.load().routes.is_some() && !is_draining && !self.entry.is_cut_off()
+        self.directory.load().routes.is_some() && !is_draining && !self.entry.is_partitioned()
     }
 
     async fn serve(self, stream: TcpStream) {
