--- a/crates/edge/src/callers/connection.rs
+++ b/crates/edge/src/callers/connection.rs
@@ -229,7 +229,9 @@
     /// Answers a request that could not be read and ends the connection.
     async fn refuse(&mut self, fault: &ReadFault) -> StopReason {
         let answer = match fault {
-            ReadFault::Closed | ReadFault::Cut | ReadFault::Io(_) => return StopReason::CallerLeft,
+            ReadFault::Closed | ReadFault::Truncated | ReadFault::Io(_) => {
+                return StopReason::CallerLeft;
+            }
             ReadFault::Head(HeadFault::TooLarge) => CallerAnswer::plain(431, "head too large"),
             ReadFault::Head(fault) => CallerAnswer::plain(400, &fault.to_string()),
             ReadFault::BodyTooLarge => CallerAnswer::plain(413, "body too large"),
--- a/crates/edge/src/entry/call.rs
+++ b/crates/edge/src/entry/call.rs
@@ -243,7 +243,7 @@
     fn handle_gate_event(&mut self, number: usize, event: GateEvent) -> Option<CallOutcome> {
         match event {
             // The link client sends the body itself.
-            GateEvent::WantsBody => None,
+            GateEvent::WantsContent => None,
             GateEvent::Started { slowness_percent } => {
                 self.handle_start(number, slowness_percent);
                 None
--- a/crates/edge/src/entry/call/ending.rs
+++ b/crates/edge/src/entry/call/ending.rs
@@ -7,7 +7,7 @@
 use crate::entry::answer::CallOutcome;
 use crate::entry::progress;
 use crate::prelude::*;
-use crate::target::{is_server_fault, is_success};
+use crate::target::{is_server_error, is_success};
 
 /// Range of `Retry-After` of a refusal. Slow periods and queues last about this
 /// long; the random spread keeps callers from retrying in lockstep.
@@ -25,7 +25,7 @@
         let target = self.close_attempt(number);
         self.trail.push(&target.id, &head.status.to_string());
         let mut state = self.entry.state.lock();
-        if !is_server_fault(head.status) {
+        if !is_server_error(head.status) {
             state.failures.note_success(&target, now);
             let slowness = started.map_or(100, |(_, slowness)| slowness);
             if is_success(head.status) {
--- a/crates/edge/src/entry/ended.rs
+++ b/crates/edge/src/entry/ended.rs
@@ -9,7 +9,7 @@
 use crate::directory::Directory;
 use crate::http1;
 use crate::prelude::*;
-use crate::target::is_server_fault;
+use crate::target::is_server_error;
 
 impl Entry {
     /// Logs how a call ended and counts it in the metrics.
@@ -34,7 +34,7 @@
         let tried = record.trail.as_str();
         let code = outcome.code.number();
         let status = outcome.answer.status;
-        if outcome.code == ResultCode::Answered && !is_server_fault(status) {
+        if outcome.code == ResultCode::Answered && !is_server_error(status) {
             log::info!(request, route, service, config, known_ms, code, status, took_ms, tried; "answered");
             return outcome.answer;
         }
--- a/crates/edge/src/entry/progress.rs
+++ b/crates/edge/src/entry/progress.rs
@@ -8,7 +8,7 @@
 
 use super::Entry;
 use crate::gate::{CallContent, CallGuard, EventSink, GateRequest, WholeCall};
-use crate::link::{Asked, LinkEvent, OutgoingCall};
+use crate::link::{LinkEvent, OutgoingCall, PendingRequest};
 use crate::prelude::*;
 
 /// An event of an attempt.
@@ -23,7 +23,7 @@
 #[derive(Debug)]
 pub(super) enum AttemptGuard {
     Local(#[expect(dead_code, reason = "its drop is the signal")] CallGuard),
-    Link(#[expect(dead_code, reason = "its drop is the signal")] Asked),
+    Link(#[expect(dead_code, reason = "its drop is the signal")] PendingRequest),
 }
 
 /// One attempt of a call at the gate of one target.
--- a/crates/edge/src/gate.rs
+++ b/crates/edge/src/gate.rs
@@ -190,7 +190,7 @@
         let call = GateCall {
             priority: terms.priority,
             work_ms: terms.work_ms,
-            hold_until: arrived + terms.hold_ms,
+            hold_until: arrived + terms.max_queue_ms,
             objective_at: arrived + terms.objective_ms,
             whole_objective_ms: terms.whole_objective_ms,
             slow_from: arrived + terms.slow_after_ms,
@@ -347,7 +347,7 @@
             CallContent::Whole(whole) => return Ok(whole),
             CallContent::Deferred(deferred) => deferred,
         };
-        sink(GateEvent::WantsBody);
+        sink(GateEvent::WantsContent);
         let deadline = self.clock.to_instant(deadline_at);
         match tokio::time::timeout_at(deadline, deferred).await {
             Ok(Ok(whole)) => Ok(whole),
--- a/crates/edge/src/gate/lives.rs
+++ b/crates/edge/src/gate/lives.rs
@@ -19,7 +19,7 @@
         }
         if state.incarnation.replace(incarnation).is_some() {
             state.admission.forget_target();
-            self.target.close_resting();
+            self.target.close_idle();
             log::info!(
                 target_id = member.id.as_str();
                 "another incarnation of the target is listed"
--- a/crates/edge/src/gate/request.rs
+++ b/crates/edge/src/gate/request.rs
@@ -19,7 +19,7 @@
 pub enum CallContent {
     /// Head and body are available.
     Whole(WholeCall),
-    /// Head and body follow after [`GateEvent::WantsBody`].
+    /// Head and body follow after [`GateEvent::WantsContent`].
     Deferred(oneshot::Receiver<WholeCall>),
 }
 
@@ -36,7 +36,7 @@
 #[derive(Clone, Debug)]
 pub enum GateEvent {
     /// The call has a slot, and the gate needs its deferred content.
-    WantsBody,
+    WantsContent,
     /// The call was sent to the target.
     Started {
         /// Slowness of the target just before, in percent of its usual run time.
--- a/crates/edge/src/http1/tests/properties.rs
+++ b/crates/edge/src/http1/tests/properties.rs
@@ -1,10 +1,10 @@
-//! Any bytes, and requests in any pieces.
+//! Property tests with arbitrary bytes, and with requests that are split anywhere.
 
 use bytes::Bytes;
 use proptest::prelude::*;
 
 use super::super::*;
-use super::Drip;
+use super::OneByteReader;
 use crate::prelude::*;
 
 const MAX_HEAD_BYTES: usize = 4_096;
@@ -15,8 +15,8 @@
         .expect("a runtime")
 }
 
-/// Bytes of which most are ones that a head is made of.
-fn hostile() -> impl Strategy<Value = Vec<u8>> {
+/// Arbitrary bytes, most of which are valid or nearly valid parts of a head.
+fn malformed_input() -> impl Strategy<Value = Vec<u8>> {
     let pieces = prop_oneof![
         Just(b"GET /a HTTP/1.1\r\n".to_vec()),
         Just(b"HTTP/1.1 200 OK\r\n".to_vec()),
@@ -34,7 +34,7 @@
     proptest::collection::vec(pieces, 0..12).prop_map(|pieces| pieces.concat())
 }
 
-/// A body as it travels: in one piece with its length, or in chunks.
+/// Encodes a body with its length, or in chunks if `chunk_bytes` is not 0.
 fn encoded(body: &[u8], chunk_bytes: usize) -> String {
     let text = std::str::from_utf8(body).expect("letters");
     if chunk_bytes == 0 {
@@ -50,12 +50,12 @@
 }
 
 proptest! {
-    /// Whatever a caller or a target sends, reading ends: with a head, a body, a
-    /// fault or the end of the connection, and never with a panic.
+    /// For any input, reading ends with a head, a body, an error or the end of the
+    /// connection, and never with a panic.
     #[test]
-    fn any_bytes_are_read_to_an_end(bytes in hostile()) {
+    fn arbitrary_bytes_never_cause_a_panic(bytes in malformed_input()) {
         runtime().block_on(async {
-            let mut reader = HttpReader::new(Drip(bytes.clone(), 0));
+            let mut reader = HttpReader::new(OneByteReader(bytes.clone(), 0));
             while let Ok(head) = reader.request_head(MAX_HEAD_BYTES).await {
                 let Ok(framing) = head.framing() else {
                     break;
@@ -64,7 +64,7 @@
                     break;
                 }
             }
-            let mut reader = HttpReader::new(Drip(bytes, 0));
+            let mut reader = HttpReader::new(OneByteReader(bytes, 0));
             while let Ok(head) = reader.response_head(MAX_HEAD_BYTES).await {
                 let Ok(framing) = head.framing("GET") else {
                     break;
@@ -76,10 +76,10 @@
         });
     }
 
-    /// Requests that follow each other on a connection are read as they were
-    /// sent: none takes a byte of the next, however their bodies are framed.
+    /// Consecutive requests on a connection are read as they were sent. None consumes
+    /// bytes of the next one, whichever framing their bodies have.
     #[test]
-    fn requests_do_not_run_into_each_other(
+    fn consecutive_requests_are_separated(
         sent in proptest::collection::vec(("[a-z]{0,40}", 0_usize..7), 1..6),
     ) {
         let mut text = String::new();
@@ -88,7 +88,7 @@
             text.push_str(&encoded(body.as_bytes(), *chunk_bytes));
         }
         let read = runtime().block_on(async {
-            let mut reader = HttpReader::new(Drip(text.into_bytes(), 0));
+            let mut reader = HttpReader::new(OneByteReader(text.into_bytes(), 0));
             let mut read = Vec::new();
             while let Ok(head) = reader.request_head(MAX_HEAD_BYTES).await {
                 let framing = head.framing().expect("a clear framing");
@@ -104,9 +104,9 @@
         prop_assert_eq!(read, expected);
     }
 
-    /// What is written for a target is read by it as the caller sent it.
+    /// A target that parses an encoded request gets what the caller sent.
     #[test]
-    fn a_written_request_is_read_back(
+    fn an_encoded_request_is_parsed_back(
         path in "/[a-z0-9/?=&%]{0,40}",
         values in proptest::collection::vec("[!-~]([ -~]{0,20}[!-~])?", 0..5),
         body in proptest::collection::vec(any::<u8>(), 0..200),
@@ -123,7 +123,7 @@
         }
         let bytes = request_bytes("POST", &path, &fields, &body);
         let (head, read) = runtime().block_on(async {
-            let mut reader = HttpReader::new(Drip(bytes.to_vec(), 0));
+            let mut reader = HttpReader::new(OneByteReader(bytes.to_vec(), 0));
             let head = reader.request_head(MAX_HEAD_BYTES).await.expect("a head");
             let framing = head.framing().expect("a clear framing");
             (head, reader.body(framing, 1_000).await.expect("a body"))
--- a/crates/edge/src/link.rs
+++ b/crates/edge/src/link.rs
@@ -1,13 +1,13 @@
-//! Links between nodes: one TCP connection that carries many calls.
+//! Links between nodes. A link is one TCP connection that multiplexes many calls.
 
 mod client;
 mod framed;
-mod hearing;
+mod liveness;
 mod outgoing;
 mod server;
 
 pub(crate) use framed::{FrameReader, LinkFault};
 
-pub use client::{Asked, LinkEvent, LinkPool};
+pub use client::{LinkEvent, LinkPool, PendingRequest};
 pub use outgoing::OutgoingCall;
 pub use server::LinkServer;
--- a/crates/edge/tests/all/answers.rs
+++ b/crates/edge/tests/all/answers.rs
@@ -10,7 +10,7 @@
 async fn a_lookup_with_a_broken_answer_is_retried_on_another_target() {
     for behaviour in ["break", "cut", "garbage", "unsigned", "fail"] {
         let fleet = fleet(&["s", "s"]).await;
-        fleet.vms[0].target.set_usual(behaviour);
+        fleet.vms[0].target.set_default_behaviour(behaviour);
         for number in 0..4 {
             let answer = request(
                 fleet.vms[0].callers,
--- a/crates/edge/tests/all/asking.rs
+++ b/crates/edge/tests/all/asking.rs
@@ -38,7 +38,7 @@
         let mut gate = FakeGate::accept(&listener, u64::from(number)).await;
         while let Some(frame) = gate.next_unless_closed().await {
             let (id, terms) = match frame {
-                ToGate::Call { id, terms, .. } | ToGate::Ask { id, terms, .. } => (id, terms),
+                ToGate::Call { id, terms, .. } | ToGate::Offer { id, terms, .. } => (id, terms),
                 ToGate::Ping => {
                     gate.send(&ToEntry::Pong).await;
                     continue;
--- a/crates/edge/tests/all/at_most_once.rs
+++ b/crates/edge/tests/all/at_most_once.rs
@@ -39,7 +39,7 @@
 #[tokio::test]
 async fn a_shed_payment_runs_once_on_another_target() {
     let fleet = fleet(&["s", "s"]).await;
-    fleet.vms[0].target.set_usual("shed");
+    fleet.vms[0].target.set_default_behaviour("shed");
     for number in 0..4 {
         let answer = request(
             fleet.vms[0].callers,
@@ -72,7 +72,7 @@
     let fleet = fleet(&["s"]).await;
     let target = &fleet.vms[0].target;
     // Longer than the gate reuses an idle connection for a payment.
-    target.forget_idle_after(Duration::from_millis(260));
+    target.reset_idle_after(Duration::from_millis(260));
     // Leaves three idle connections; the gate's speed probe uses one of them.
     let callers = fleet.vms[0].callers;
     let (one, two, three) = tokio::join!(
--- a/crates/edge/tests/all/giving_up.rs
+++ b/crates/edge/tests/all/giving_up.rs
@@ -60,7 +60,7 @@
 #[tokio::test]
 async fn a_lookup_stuck_in_one_target_is_hedged_to_another() {
     let fleet = fleet(&["s", "s"]).await;
-    fleet.vms[0].target.set_usual("hang");
+    fleet.vms[0].target.set_default_behaviour("hang");
     // The lookup hangs in the first target. After 2.5 times the expected run time it
     // counts as stuck, and a hedge is sent to the second target.
     let answer = request(fleet.vms[0].callers, "GET", "/read/", "id-1").await;
