--- a/crates/edge/src/callers/connection.rs
+++ b/crates/edge/src/callers/connection.rs
@@ -46,7 +46,7 @@
 }
 
 /// Why no further request is read.
-enum StopReason {
+enum Stop {
     /// The last request was read, but not all answers have been written.
     AnswersDue,
     /// The caller has disconnected, so answers are of no use.
@@ -73,7 +73,7 @@
             stop = request_reader.run() => stop,
             () = &mut writing => return,
         };
-        if matches!(stop, StopReason::CallerLeft) {
+        if matches!(stop, Stop::CallerLeft) {
             // Dropping the calls cancels their work.
             return;
         }
@@ -109,12 +109,12 @@
 }
 
 impl RequestReader {
-    async fn run(&mut self) -> StopReason {
+    async fn run(&mut self) -> Stop {
         loop {
             match self.wait_for_request().await {
                 Ok(true) => {}
-                Ok(false) => return StopReason::AnswersDue,
-                Err(_) => return StopReason::CallerLeft,
+                Ok(false) => return Stop::AnswersDue,
+                Err(_) => return Stop::CallerLeft,
             }
             // A caller's deadline counts from the first byte of its request. Counted
             // from the complete head, a slow head would let the target work beyond
@@ -130,7 +130,7 @@
             };
             match self.accept_request(head, arrived, &limits).await {
                 Ok(true) => {}
-                Ok(false) => return StopReason::AnswersDue,
+                Ok(false) => return Stop::AnswersDue,
                 Err(stop) => return stop,
             }
             while self.calls.try_join_next().is_some() {}
@@ -167,13 +167,13 @@
         head: RequestHead,
         arrived: Millis,
         limits: &CallerLimits,
-    ) -> Result<bool, StopReason> {
+    ) -> Result<bool, Stop> {
         let framing = match head.framing() {
             Ok(framing) => framing,
             Err(fault) => return Err(self.refuse(&fault.into()).await),
         };
         if head.expects_continue() && self.outgoing.send(Outgoing::Continue).await.is_err() {
-            return Err(StopReason::CallerLeft);
+            return Err(Stop::CallerLeft);
         }
         let body_timeout = self.entry.body_timeout_ms(&head).to_duration();
         let mut reservation = self.entry.reserve_body();
@@ -203,7 +203,7 @@
         };
         self.unanswered.fetch_add(1, Ordering::AcqRel);
         if self.outgoing.send(outgoing).await.is_err() {
-            return Err(StopReason::CallerLeft);
+            return Err(Stop::CallerLeft);
         }
         self.start(
             CallerRequest {
@@ -227,11 +227,9 @@
     }
 
     /// Answers a request that could not be read and ends the connection.
-    async fn refuse(&mut self, fault: &ReadFault) -> StopReason {
+    async fn refuse(&mut self, fault: &ReadFault) -> Stop {
         let answer = match fault {
-            ReadFault::Closed | ReadFault::Truncated | ReadFault::Io(_) => {
-                return StopReason::CallerLeft;
-            }
+            ReadFault::Closed | ReadFault::Truncated | ReadFault::Io(_) => return Stop::CallerLeft,
             ReadFault::Head(HeadFault::TooLarge) => CallerAnswer::plain(431, "head too large"),
             ReadFault::Head(fault) => CallerAnswer::plain(400, &fault.to_string()),
             ReadFault::BodyTooLarge => CallerAnswer::plain(413, "body too large"),
@@ -242,7 +240,7 @@
     }
 
     /// Queues the answer to the last request of the connection behind the earlier ones.
-    async fn answer_and_stop(&mut self, answer: CallerAnswer) -> StopReason {
+    async fn answer_and_stop(&mut self, answer: CallerAnswer) -> Stop {
         let (sender, receiver) = oneshot::channel();
         let _ = sender.send(answer);
         let outgoing = Outgoing::Answer {
@@ -252,8 +250,8 @@
         };
         self.unanswered.fetch_add(1, Ordering::AcqRel);
         match self.outgoing.send(outgoing).await {
-            Ok(()) => StopReason::AnswersDue,
-            Err(_) => StopReason::CallerLeft,
+            Ok(()) => Stop::AnswersDue,
+            Err(_) => Stop::CallerLeft,
         }
     }
 }
