--- a/crates/dispatch/src/admission/tests/overload.rs
+++ b/crates/dispatch/src/admission/tests/overload.rs
@@ -1,26 +1,28 @@
-//! More calls than a target can run, each of which asks again until it gives up.
+//! An overload: more calls than a target can run, each of which is retried until its
+//! caller gives up.
 
 use super::*;
 
-/// One run.
+/// Duration of each run.
 const RUN_MS: u64 = 100;
 const SLOTS: u32 = 10;
-/// A call each 6 ms is five thirds of what ten slots run in 100 ms each.
-const ARRIVE_EVERY_MS: u64 = 6;
+/// Interval between new calls. A call every 6 ms is five thirds of what ten slots run in
+/// 100 ms each.
+const ARRIVAL_INTERVAL_MS: u64 = 6;
 const OBJECTIVE_MS: u64 = 300;
-/// Entries ask a gate again after about this long ...
-const ASK_EVERY_MS: u64 = 12;
-/// ... until the objective is out of reach; then the call is refused ...
-const ASK_FOR_MS: u64 = 160;
-/// ... and its caller comes back once.
+/// Interval at which entries retry a call at a gate.
+const RETRY_INTERVAL_MS: u64 = 12;
+/// Time after which a call is refused, because its objective is out of reach.
+const GIVE_UP_AFTER_MS: u64 = 160;
+/// Time after which a refused caller retries, once.
 const COME_BACK_AFTER_MS: u64 = 150;
 const LAST_ARRIVAL_MS: u64 = 10_000;
 
-/// One caller with the request that it has open.
-struct Asking {
+/// A caller with its open request.
+struct Caller {
     first_arrived: u64,
     arrived: u64,
-    next_ask: u64,
+    next_attempt_at: u64,
 }
 
 #[derive(Default)]
@@ -32,68 +34,70 @@
 
 struct Overload {
     admission: Admission,
-    asking: Vec<Asking>,
-    ends: Vec<u64>,
+    callers: Vec<Caller>,
+    run_ends: Vec<u64>,
     outcome: Outcome,
 }
 
 impl Overload {
     fn arrive(&mut self, now: u64) {
-        self.asking.push(Asking {
+        self.callers.push(Caller {
             first_arrived: now,
             arrived: now,
-            next_ask: now,
+            next_attempt_at: now,
         });
     }
 
     fn end_runs(&mut self, now: u64) {
-        while let Some(place) = self.ends.iter().position(|end| *end <= now) {
-            self.ends.swap_remove(place);
+        while let Some(position) = self.run_ends.iter().position(|end| *end <= now) {
+            self.run_ends.swap_remove(position);
             self.admission.finish();
         }
     }
 
-    /// Lets one caller ask; whether it still has to ask again.
-    fn ask(&mut self, asking: &mut Asking, now: u64) -> bool {
-        if now < asking.next_ask {
+    /// Tries to start a caller's request if it is due; returns whether it must be
+    /// retried.
+    fn attempt(&mut self, caller: &mut Caller, now: u64) -> bool {
+        if now < caller.next_attempt_at {
             return true;
         }
-        asking.next_ask = now + ASK_EVERY_MS;
-        let call = call_of(asking.first_arrived, now);
-        let place = self.admission.enlist(&call, Millis(now));
-        let verdict = self.admission.decide(place, &call, Millis(now));
+        caller.next_attempt_at = now + RETRY_INTERVAL_MS;
+        let call = call_of(caller.first_arrived, now);
+        let position = self.admission.enqueue(&call, Millis(now));
+        let verdict = self.admission.decide(position, &call, Millis(now));
         if verdict != Verdict::Start {
-            self.admission.withdraw(place);
+            self.admission.dequeue(position);
             return true;
         }
-        self.admission.start(place);
-        self.ends.push(now + RUN_MS);
-        match now + RUN_MS <= asking.first_arrived + OBJECTIVE_MS {
+        self.admission.start(position);
+        self.run_ends.push(now + RUN_MS);
+        match now + RUN_MS <= caller.first_arrived + OBJECTIVE_MS {
             true => self.outcome.in_time += 1,
             false => self.outcome.late += 1,
         }
         false
     }
 
-    /// Every caller that is due asks; those that have asked for too long are refused.
+    /// Retries every request that is due, and refuses those that have been tried for too
+    /// long.
     fn step(&mut self, now: u64) {
         self.end_runs(now);
         read(&mut self.admission, 100, now);
-        for mut asking in std::mem::take(&mut self.asking) {
-            if now >= asking.arrived + ASK_FOR_MS {
-                let is_first = asking.arrived == asking.first_arrived;
+        for mut caller in std::mem::take(&mut self.callers) {
+            if now >= caller.arrived + GIVE_UP_AFTER_MS {
+                let is_first = caller.arrived == caller.first_arrived;
                 if is_first {
-                    // It stays away, and is a new request from then on.
-                    asking.arrived = now + COME_BACK_AFTER_MS;
-                    asking.next_ask = asking.arrived;
-                    self.asking.push(asking);
+                    // The caller waits and then sends a new request.
+                    caller.arrived = now + COME_BACK_AFTER_MS;
+                    caller.next_attempt_at = caller.arrived;
+                    self.callers.push(caller);
                 } else {
                     self.outcome.refused_twice += 1;
                 }
                 continue;
             }
-            if self.ask(&mut asking, now) {
-                self.asking.push(asking);
+            if self.attempt(&mut caller, now) {
+                self.callers.push(caller);
             }
         }
     }
@@ -103,7 +107,7 @@
     GateCall {
         priority: 1,
         work_ms: Millis(RUN_MS),
-        hold_until: Millis(now),
+        queue_until: Millis(now),
         objective_at: Millis(first_arrived + OBJECTIVE_MS),
         whole_objective_ms: Millis(OBJECTIVE_MS),
         slow_from: Millis(now + 1_000),
@@ -111,15 +115,15 @@
     }
 }
 
-fn play() -> Outcome {
+fn simulate() -> Outcome {
     let mut overload = Overload {
         admission: gate(SLOTS),
-        asking: Vec::new(),
-        ends: Vec::new(),
+        callers: Vec::new(),
+        run_ends: Vec::new(),
         outcome: Outcome::default(),
     };
     for now in 0..LAST_ARRIVAL_MS {
-        if now % ARRIVE_EVERY_MS == 0 {
+        if now % ARRIVAL_INTERVAL_MS == 0 {
             overload.arrive(now);
         }
         overload.step(now);
@@ -127,14 +131,15 @@
     overload.outcome
 }
 
-/// A crowd comes and stays: five calls for three that the target can run. Each asks
-/// again every few milliseconds, is refused when its objective is out of reach, and
-/// comes back once. Given to whoever asks next, slots go to callers who are back and
-/// late already, and newcomers become late behind them. Ten slots run 1,000 calls in
-/// ten seconds; nearly all of them have to be in time.
+/// Guards against an overload in which most runs are late. There are five calls for every
+/// three that the target can run. Each is retried every few milliseconds, is refused when
+/// its objective is out of reach, and is sent once more. If slots went to any call that
+/// asks next, they would go to callers that have returned and are late already, and new
+/// callers would become late behind them. Ten slots run 1,000 calls in ten seconds;
+/// nearly all of them must be in time.
 #[test]
 fn in_an_overload_slots_go_to_calls_that_can_be_in_time() {
-    let outcome = play();
+    let outcome = simulate();
     let runs = outcome.in_time + outcome.late;
     assert!(runs >= 950, "{runs} runs of 1,000 possible");
     assert!(
--- a/crates/dispatch/src/admission/tests/properties.rs
+++ b/crates/dispatch/src/admission/tests/properties.rs
@@ -1,4 +1,4 @@
-//! Any calls in any order, in virtual time.
+//! Properties of admission control for any calls in any order, in virtual time.
 
 use proptest::prelude::*;
 
@@ -11,28 +11,29 @@
 }
 
 /// Longest time that a call may wait, in milliseconds.
-const LONGEST_HOLD_MS: u64 = 1_500;
+const MAX_QUEUE_MS: u64 = 1_500;
 
-/// Bursts and lulls. Entries send sensible spans; a gate must bear others too.
+/// Generates bursts and lulls of calls. Entries send plausible times, but a gate must
+/// cope with any.
 fn arrival() -> impl Strategy<Value = Arrival> {
     let after_ms = prop_oneof![3 => Just(0_u64), 1 => 0_u64..40];
-    let hold_ms = 0..=LONGEST_HOLD_MS;
+    let queue_ms = 0..=MAX_QUEUE_MS;
     (
         after_ms,
         0_u8..3,
         1_u64..300,
-        hold_ms,
+        queue_ms,
         50_u64..1_500,
         0_u64..100,
     )
         .prop_map(
-            |(after_ms, priority, work_ms, hold_ms, deadline_ms, slow_percent)| Arrival {
+            |(after_ms, priority, work_ms, queue_ms, deadline_ms, slow_percent)| Arrival {
                 after_ms,
-                // Spans, which become times as the call arrives.
+                // These are durations; `at` turns them into times when the call arrives.
                 call: GateCall {
                     priority,
                     work_ms: Millis(work_ms),
-                    hold_until: Millis(hold_ms),
+                    queue_until: Millis(queue_ms),
                     objective_at: Millis(deadline_ms / 2),
                     whole_objective_ms: Millis(deadline_ms / 2),
                     slow_from: Millis(deadline_ms * slow_percent / 100),
@@ -44,7 +45,7 @@
 
 fn at(call: &GateCall, now: Millis) -> GateCall {
     GateCall {
-        hold_until: now + call.hold_until,
+        queue_until: now + call.queue_until,
         objective_at: now + call.objective_at,
         slow_from: now + call.slow_from,
         deadline_at: now + call.deadline_at,
@@ -52,18 +53,18 @@
     }
 }
 
-/// How long a spell lasts.
+/// Duration of a spell in milliseconds.
 const SPELL_MS: u64 = 60;
 
-/// A gate and its target, whose speed changes as the hosts' neighbours do.
+/// A gate and its target, whose speed changes with the load of other VMs on the host.
 struct World {
     admission: Admission,
     now: Millis,
-    /// How slow the target is in each [`SPELL_MS`], over and over.
+    /// Slowness of the target in each [`SPELL_MS`], repeated endlessly.
     spells: Vec<u32>,
-    line: Vec<(Place, GateCall)>,
-    /// When each run ends.
-    runs: Vec<Millis>,
+    queue: Vec<(QueuePosition, GateCall)>,
+    /// End of each run.
+    run_ends: Vec<Millis>,
     started: usize,
     refused: usize,
 }
@@ -74,24 +75,24 @@
         self.spells[spell % self.spells.len()]
     }
 
-    /// Decides about every call in line until nothing changes.
+    /// Decides about every queued call until nothing changes.
     fn settle(&mut self, slots: u32) {
         let mut is_changed = true;
         while is_changed {
             is_changed = false;
-            for index in 0..self.line.len() {
-                let (place, call) = self.line[index];
-                match self.admission.decide(place, &call, self.now) {
+            for index in 0..self.queue.len() {
+                let (position, call) = self.queue[index];
+                match self.admission.decide(position, &call, self.now) {
                     Verdict::Start => {
-                        self.admission.start(place);
+                        self.admission.start(position);
                         assert!(self.admission.in_flight() <= slots, "more runs than slots");
                         assert!(self.now < call.deadline_at, "started after its deadline");
                         let run_ms = call.work_ms.0 * u64::from(self.slowness_percent()) / 100;
-                        self.runs.push(self.now + Millis(run_ms.max(1)));
+                        self.run_ends.push(self.now + Millis(run_ms.max(1)));
                         self.started += 1;
                     }
                     Verdict::Refuse(_) => {
-                        self.admission.withdraw(place);
+                        self.admission.dequeue(position);
                         self.refused += 1;
                     }
                     Verdict::ReadSpeed => {
@@ -104,7 +105,7 @@
                     }
                     Verdict::Wait(_) => continue,
                 }
-                self.line.remove(index);
+                self.queue.remove(index);
                 is_changed = true;
                 break;
             }
@@ -114,9 +115,9 @@
     fn tick(&mut self, slots: u32) {
         self.now = self.now + Millis(1);
         let now = self.now;
-        let before = self.runs.len();
-        self.runs.retain(|ends_at| *ends_at > now);
-        for _ in self.runs.len()..before {
+        let before = self.run_ends.len();
+        self.run_ends.retain(|ends_at| *ends_at > now);
+        for _ in self.run_ends.len()..before {
             self.admission.finish();
         }
         self.settle(slots);
@@ -126,9 +127,9 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(400))]
 
-    /// Under any load and any spells of the target: no more runs than slots, no
-    /// start after a deadline, and every call starts or is refused by the time
-    /// at which it may no longer wait. Nothing stays in line for ever.
+    /// Under any load and any spells of the target, there are no more runs than slots, no
+    /// call starts after its deadline, and every call starts or is refused by the time
+    /// until which it may wait. No call stays queued for ever.
     #[test]
     fn every_call_starts_or_is_refused(
         arrivals in prop_oneof![
@@ -142,8 +143,8 @@
             admission: Admission::default(),
             now: Millis(1_000),
             spells,
-            line: Vec::new(),
-            runs: Vec::new(),
+            queue: Vec::new(),
+            run_ends: Vec::new(),
             started: 0,
             refused: 0,
         };
@@ -153,15 +154,15 @@
                 world.tick(slots);
             }
             let call = at(&arrival.call, world.now);
-            let place = world.admission.enlist(&call, world.now);
-            world.line.push((place, call));
+            let position = world.admission.enqueue(&call, world.now);
+            world.queue.push((position, call));
             world.settle(slots);
         }
-        for _ in 0..=LONGEST_HOLD_MS {
+        for _ in 0..=MAX_QUEUE_MS {
             world.tick(slots);
         }
-        prop_assert_eq!(world.line.len(), 0, "still in line");
-        prop_assert_eq!(world.admission.waiting(), 0);
+        prop_assert_eq!(world.queue.len(), 0, "still queued");
+        prop_assert_eq!(world.admission.queued(), 0);
         prop_assert_eq!(world.started + world.refused, arrivals.len());
     }
 }
--- a/crates/dispatch/src/short_work.rs
+++ b/crates/dispatch/src/short_work.rs
@@ -1,93 +1,97 @@
-//! How many slots a gate leaves to short work.
+//! Slots that a gate reserves for short work.
 
 use crate::prelude::*;
 
-/// Work is long beside other work that takes at most this part of its time.
-const SHORT_PART: u64 = 3;
-/// Times the mean number of slots that short work takes is left to it, since it
-/// comes in bursts ...
-const SHORT_WORK_MARGIN: f64 = 2.0;
-/// ... and this part of all slots at most: beyond it long work would starve. A
-/// quarter was better than an eighth where half of a service's targets were lost
-/// (330 against 846 failed payments of 6,497, and 1,623 without).
-const MOST_FOR_SHORT_WORK: u32 = 4;
-/// Span over which short work is counted: a service that is asked a few times a
-/// second keeps its share, one that is not gives it back soon.
-pub(crate) const LATELY_MS: Millis = Millis(1_000);
+/// Work counts as long if it takes at least this many times as long as the shortest
+/// recent work.
+const MIN_LENGTH_RATIO: u64 = 3;
+/// Slots are reserved for this many times the mean number of slots that short work takes,
+/// since it comes in bursts.
+const RESERVE_FACTOR: f64 = 2.0;
+/// At most the number of slots divided by this is reserved, since long work would starve
+/// beyond it. A quarter was better than an eighth in a run where half of a service's
+/// targets were lost: 330 against 846 failed payments of 6,497, and 1,623 without any
+/// reservation.
+const MAX_RESERVED_DIVISOR: u32 = 4;
+/// Time over which short work is averaged. A service that is called a few times a second
+/// keeps its reservation; one that is no longer called gives it up soon.
+pub(crate) const RECENT_WINDOW_MS: Millis = Millis(1_000);
 
-/// The short work that came lately, if any.
+/// Tracks the short work that arrived recently, if any.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ShortWork {
-    lately: Option<Lately>,
+    recent: Option<RecentWork>,
 }
 
-/// The shortest work that came lately, with what is about as short.
+/// The shortest recent work, together with work of about the same length.
 #[derive(Clone, Copy, Debug)]
-struct Lately {
+struct RecentWork {
     shortest_ms: Millis,
-    /// When such work last came.
-    at: Millis,
-    /// Run times that were asked for until then, those of [`LATELY_MS`] before at
-    /// a third.
-    asked_ms: f64,
+    /// Time at which such work last arrived.
+    updated_at: Millis,
+    /// Sum of the run times requested until then, decayed to about a third (by a factor
+    /// of e) per [`RECENT_WINDOW_MS`].
+    demand_ms: f64,
 }
 
 impl ShortWork {
-    /// Work of this length is asked for.
-    pub fn note(&mut self, work_ms: Millis, now: Millis) {
-        let known = self.recent(now);
-        let mut known = match known {
-            Some(known) if !is_long_beside(known.shortest_ms, work_ms) => known,
-            _ => Lately {
+    /// Records that work of this length has arrived.
+    pub fn note_call(&mut self, work_ms: Millis, now: Millis) {
+        let recent = self.recent(now);
+        let mut recent = match recent {
+            Some(recent) if !is_much_longer(recent.shortest_ms, work_ms) => recent,
+            _ => RecentWork {
                 shortest_ms: work_ms,
-                at: now,
-                asked_ms: 0.0,
+                updated_at: now,
+                demand_ms: 0.0,
             },
         };
-        if !is_long_beside(work_ms, known.shortest_ms) {
-            known.asked_ms = known.asked_ms(now) + work_ms.0 as f64;
-            known.at = now;
-            known.shortest_ms = work_ms.min(known.shortest_ms);
+        if !is_much_longer(work_ms, recent.shortest_ms) {
+            recent.demand_ms = recent.demand_ms(now) + work_ms.0 as f64;
+            recent.updated_at = now;
+            recent.shortest_ms = work_ms.min(recent.shortest_ms);
         }
-        self.lately = Some(known);
+        self.recent = Some(recent);
     }
 
-    /// How many of a target's slots work of this length leaves free.
+    /// Returns how many of a target's slots work of this length must leave free.
     ///
-    /// Failure answered: a service has lost half of its targets, and long uploads
-    /// hold the slots of the rest. Targets of other services ask it short questions,
-    /// each for a payment of their own. Refused for want of a slot, a question costs
-    /// a whole payment, though five of them take no longer than one upload. To go
-    /// first in the line is not enough: most calls are refused before they stand in
-    /// one. With slots left free they mostly start at once, and uploads lose little.
+    /// Guards against payments that are lost because a short call is refused. When a
+    /// service has lost half of its targets, long uploads hold the slots of the rest.
+    /// Targets of other services make short calls to it, each on behalf of a payment. A
+    /// short call that is refused for lack of a slot costs a whole payment, although five
+    /// of them take no longer than one upload. Priority in the queue is not enough, since
+    /// most calls are refused before they are queued. With slots left free, most of them
+    /// start at once, and uploads lose little.
     #[must_use]
-    pub fn slots_left_by(&self, work_ms: Millis, slots: u32, now: Millis) -> u32 {
-        let Some(known) = self.recent(now) else {
+    pub fn reserved_slots(&self, work_ms: Millis, slots: u32, now: Millis) -> u32 {
+        let Some(recent) = self.recent(now) else {
             return 0;
         };
-        if !is_long_beside(work_ms, known.shortest_ms) {
+        if !is_much_longer(work_ms, recent.shortest_ms) {
             return 0;
         }
-        let mean_slots = known.asked_ms(now) / LATELY_MS.0 as f64;
-        let wanted = (mean_slots * SHORT_WORK_MARGIN).round() as u32;
-        wanted.min(slots / MOST_FOR_SHORT_WORK)
+        let mean_slots = recent.demand_ms(now) / RECENT_WINDOW_MS.0 as f64;
+        let reserved = (mean_slots * RESERVE_FACTOR).round() as u32;
+        reserved.min(slots / MAX_RESERVED_DIVISOR)
     }
 
-    fn recent(&self, now: Millis) -> Option<Lately> {
-        self.lately.filter(|known| now.since(known.at) <= LATELY_MS)
+    fn recent(&self, now: Millis) -> Option<RecentWork> {
+        self.recent
+            .filter(|recent| now.since(recent.updated_at) <= RECENT_WINDOW_MS)
     }
 }
 
-impl Lately {
-    /// Run times that were asked for lately; divided by [`LATELY_MS`], the mean
-    /// number of slots that they take.
-    fn asked_ms(&self, now: Millis) -> f64 {
-        let age = now.since(self.at).0 as f64 / LATELY_MS.0 as f64;
-        self.asked_ms * (-age).exp()
+impl RecentWork {
+    /// Returns the run times requested recently. Divided by [`RECENT_WINDOW_MS`], this is
+    /// the mean number of slots that they take.
+    fn demand_ms(&self, now: Millis) -> f64 {
+        let age = now.since(self.updated_at).0 as f64 / RECENT_WINDOW_MS.0 as f64;
+        self.demand_ms * (-age).exp()
     }
 }
 
-/// Whether work is so much longer than other work that it gives way to it.
-const fn is_long_beside(work_ms: Millis, other_ms: Millis) -> bool {
-    other_ms.0 * SHORT_PART <= work_ms.0
+/// Returns whether work is so much longer than other work that it yields to it.
+const fn is_much_longer(work_ms: Millis, other_ms: Millis) -> bool {
+    other_ms.0 * MIN_LENGTH_RATIO <= work_ms.0
 }
--- a/crates/edge/src/entry.rs
+++ b/crates/edge/src/entry.rs
@@ -188,7 +188,10 @@
     #[must_use]
     pub fn is_partitioned(&self) -> bool {
         let others = self.other_vms().len();
-        self.state.lock().reach.is_cut_off(others, self.clock.now())
+        self.state
+            .lock()
+            .reach
+            .is_partitioned(others, self.clock.now())
     }
 
     /// Probes a random other VM while this node seems cut off. Its callers are then
--- a/crates/edge/src/entry/call/selection.rs
+++ b/crates/edge/src/entry/call/selection.rs
@@ -79,7 +79,7 @@
         let mut state = self.entry.state.lock();
         let EntryState { failures, rng, .. } = &mut *state;
         let view = View {
-            open: directory.members.open(&self.request.service),
+            available: directory.members.available(&self.request.service),
             data_centre: &self.entry.data_centre,
             failures,
             tried: &self.history.tried,
@@ -138,7 +138,7 @@
             body: self.request.body.clone(),
             offers_terms_first: {
                 let state = self.entry.state.lock();
-                state.refusals.is_likely(&candidate.member, now)
+                state.refusals.is_refusal_likely(&candidate.member, now)
             },
         };
         let kind = match (self.has_open_attempt(), self.history.arrivals) {
--- a/crates/edge/src/gate/guards.rs
+++ b/crates/edge/src/gate/guards.rs
@@ -1,6 +1,6 @@
 //! Guards that release a call's slot in the target and its position in the queue.
 
-use hornbeamhitch_dispatch::admission::Place;
+use hornbeamhitch_dispatch::admission::QueuePosition;
 
 use super::Gate;
 
@@ -17,7 +17,7 @@
 /// Removes a call from the queue when dropped, unless the call has started.
 pub(super) struct QueueGuard<'a> {
     pub(super) gate: &'a Gate,
-    pub(super) place: Option<Place>,
+    pub(super) place: Option<QueuePosition>,
 }
 
 impl QueueGuard<'_> {
@@ -34,7 +34,7 @@
         let Some(place) = self.place.take() else {
             return;
         };
-        self.gate.state.lock().admission.withdraw(place);
+        self.gate.state.lock().admission.dequeue(place);
         self.gate.changed.notify_waiters();
     }
 }
--- a/crates/edge/src/gate/lives.rs
+++ b/crates/edge/src/gate/lives.rs
@@ -13,7 +13,7 @@
     /// longer applies. The records of non-idempotent calls stay: restarting does not
     /// undo their runs.
     pub(super) fn note_incarnation(&self, state: &mut GateState, member: &Member) {
-        let incarnation = member.life();
+        let incarnation = member.incarnation();
         if state.incarnation.as_ref() == Some(&incarnation) {
             return;
         }
@@ -40,14 +40,17 @@
             return true;
         }
         let Some(member) = directory.members.get(&id) else {
-            let unlisted = Life { id, born_ms: None };
+            let unlisted = TargetIncarnation {
+                id,
+                started_at_ms: None,
+            };
             return directory.members.has_left(&unlisted.id) || self.has_ended(&unlisted);
         };
-        member.draining || self.has_ended(&member.life())
+        member.draining || self.has_ended(&member.incarnation())
     }
 
     /// Whether the target has said that this incarnation of it has ended.
-    fn has_ended(&self, incarnation: &Life) -> bool {
+    fn has_ended(&self, incarnation: &TargetIncarnation) -> bool {
         self.state.lock().ended_incarnations.contains(incarnation)
     }
 
@@ -60,9 +63,9 @@
         const MAX_ENDED_INCARNATIONS: usize = 16;
         let id = TargetId::new(id);
         let listed = self.directory.load().members.get(&id).cloned();
-        let incarnation = Life {
+        let incarnation = TargetIncarnation {
             id,
-            born_ms: listed.and_then(|member| member.born_ms),
+            started_at_ms: listed.and_then(|member| member.started_at_ms),
         };
         let ended = &mut self.state.lock().ended_incarnations;
         if ended.len() >= MAX_ENDED_INCARNATIONS {
--- a/crates/edge/src/gate/run.rs
+++ b/crates/edge/src/gate/run.rs
@@ -143,7 +143,7 @@
             return;
         }
         let mut state = self.state.lock();
-        state.admission.note_down(self.clock.now());
+        state.admission.note_connection_refused(self.clock.now());
         let running = std::mem::take(&mut state.running);
         drop(state);
         let in_flight: Vec<u64> = running.iter().map(|call| call.fingerprint).collect();
@@ -159,7 +159,10 @@
             Err(_) => GateEvent::Ended(CallEnd::TimedOut),
             Ok(Ok(answer)) => self.classify_answer(run.terms, answer, started),
             Ok(Err(ExchangeFault::Unreachable)) => {
-                self.state.lock().admission.note_down(self.clock.now());
+                self.state
+                    .lock()
+                    .admission
+                    .note_connection_refused(self.clock.now());
                 GateEvent::Ended(CallEnd::Down)
             }
             Ok(Err(ExchangeFault::Broken(reason))) => {
--- a/crates/edge/tests/all/support.rs
+++ b/crates/edge/tests/all/support.rs
@@ -126,8 +126,8 @@
         data_centre: DataCentre::new("here"),
         slots: 4,
         draining: false,
-        listed_at: 1,
-        born_ms: None,
+        listing_order: 1,
+        started_at_ms: None,
     }
 }
 
--- a/crates/routed/src/source.rs
+++ b/crates/routed/src/source.rs
@@ -172,8 +172,8 @@
             data_centre: vm.data_centre.clone(),
             slots: service.map_or(UNKNOWN_SLOTS, |service| service.slots),
             draining: vm.leaving,
-            listed_at: 0,
-            born_ms: None,
+            listing_order: 0,
+            started_at_ms: None,
         }
     }
 }
