--- a/crates/edge/src/entry.rs
+++ b/crates/edge/src/entry.rs
@@ -190,7 +190,7 @@
         let others = self.other_vms().len();
         self.state
             .lock()
-            .reach
+            .reachability
             .is_partitioned(others, self.clock.now())
     }
 
@@ -208,7 +208,10 @@
         let gate = std::net::SocketAddr::new(others[vm], self.gate_port);
         if self.links.is_reachable(gate).await {
             log::info!("another VM is reachable again");
-            self.state.lock().reach.note_reached(self.clock.now());
+            self.state
+                .lock()
+                .reachability
+                .note_reached(self.clock.now());
         }
     }
 
@@ -253,9 +256,11 @@
         abandoned_log.disarm();
         if outcome.may_be_retried() {
             let mut state = self.state.lock();
-            state
-                .returning
-                .note_refused(routed.fingerprint, requested_until, first_arrived);
+            state.returning_callers.note_refused(
+                routed.fingerprint,
+                requested_until,
+                first_arrived,
+            );
         }
         let record = CallRecord {
             request_id: routed.request_id,
@@ -312,7 +317,7 @@
     fn first_arrived(&self, fingerprint: u64, requested_until: Millis, arrived: Millis) -> Millis {
         let state = self.state.lock();
         state
-            .returning
+            .returning_callers
             .first_arrived(fingerprint, requested_until, arrived)
     }
 
--- a/crates/edge/src/entry/call.rs
+++ b/crates/edge/src/entry/call.rs
@@ -93,7 +93,7 @@
     entry: &'a Arc<Entry>,
     request: Request,
     work: WorkEstimate,
-    patience: WaitPlan,
+    wait_plan: WaitPlan,
     events: mpsc::UnboundedReceiver<Progress>,
     sender: mpsc::UnboundedSender<Progress>,
     attempts: Vec<Attempt>,
@@ -112,9 +112,9 @@
             arrived,
             reservation,
         } = parts.request;
-        let work = entry.state.lock().work.estimate(&parts.route);
-        let patience = WaitPlan::plan(&parts.route, &work, body.len(), arrived, parts.deadline_at);
-        let patience = patience.after_waiting(arrived.since(parts.first_arrived));
+        let work = entry.state.lock().work_estimates.estimate(&parts.route);
+        let wait_plan = WaitPlan::plan(&parts.route, &work, body.len(), arrived, parts.deadline_at);
+        let wait_plan = wait_plan.after_waiting(arrived.since(parts.first_arrived));
         let (sender, events) = mpsc::unbounded_channel();
         let request = Request {
             head: outgoing_head(entry, head),
@@ -136,7 +136,7 @@
             entry,
             request,
             work,
-            patience,
+            wait_plan,
             events,
             sender,
             attempts: Vec::new(),
@@ -233,9 +233,9 @@
         }
         let mut state = self.entry.state.lock();
         match event {
-            LinkEvent::Gate(..) => state.reach.note_reached(self.entry.now()),
+            LinkEvent::Gate(..) => state.reachability.note_reached(self.entry.now()),
             LinkEvent::Unreachable | LinkEvent::Lost(_) => {
-                state.reach.note_unreachable(member.vm_ip());
+                state.reachability.note_unreachable(member.vm_ip());
             }
         }
     }
--- a/crates/edge/src/entry/call/ending.rs
+++ b/crates/edge/src/entry/call/ending.rs
@@ -31,7 +31,7 @@
             if is_success(head.status) {
                 let bytes = body.len();
                 state
-                    .work
+                    .work_estimates
                     .learn(&self.request.route, head.run_ms, slowness, bytes);
             }
             drop(state);
@@ -155,7 +155,7 @@
         let may_repeat = self.request.route.kind.is_idempotent() || !self.history.may_have_run;
         let may_go_on = may_repeat
             && self.history.arrivals < self.request.route.max_attempts
-            && now < self.patience.last_start;
+            && now < self.wait_plan.last_start;
         if may_go_on && self.take_retry_token(now) {
             // The remaining candidates were ordered without knowing of this failure.
             self.rounds.remaining.clear();
--- a/crates/edge/src/entry/call/selection.rs
+++ b/crates/edge/src/entry/call/selection.rs
@@ -38,7 +38,7 @@
     /// Decides the next step while no attempt is open.
     pub(super) fn next_step(&mut self) -> Step {
         let now = self.entry.now();
-        if now >= self.patience.last_start && self.rounds.count > 0 {
+        if now >= self.wait_plan.last_start && self.rounds.count > 0 {
             return Step::End(self.final_outcome());
         }
         if let Some(candidate) = self.rounds.remaining.pop_front() {
@@ -71,7 +71,7 @@
     /// free slots rather than being slow: waiting at the entry does not shorten their
     /// queues, and the caller still has time to retry.
     pub(super) fn should_refuse_early(&self, now: Millis) -> bool {
-        self.history.last_end != Some(CallEnd::Slow) && now >= self.patience.busy_until
+        self.history.last_end != Some(CallEnd::Slow) && now >= self.wait_plan.busy_until
     }
 
     pub(super) fn candidates(&self, now: Millis) -> Vec<Candidate> {
@@ -91,7 +91,7 @@
     /// Returns how long a gate may queue the call. In the first round, the last near
     /// gate queues it for as long as that is better than sending it to a far one.
     pub(super) fn max_queue_time(&self, candidate: &Candidate, now: Millis) -> Millis {
-        let left_ms = self.patience.last_start.since(now);
+        let left_ms = self.wait_plan.last_start.since(now);
         if self.rounds.count > 1 {
             let is_first = self.rounds.started_at == now;
             let max_queue_ms = if is_first {
@@ -103,7 +103,7 @@
         }
         let more_near_remain = self.rounds.remaining.iter().any(|other| other.is_near);
         if candidate.is_near && !candidate.is_avoided && !more_near_remain {
-            return self.patience.near_until.since(now).min(left_ms);
+            return self.wait_plan.near_until.since(now).min(left_ms);
         }
         Millis::ZERO
     }
@@ -111,7 +111,7 @@
     pub(super) fn send(&mut self, candidate: &Candidate, max_queue_ms: Millis) {
         let now = self.entry.now();
         let key = self.entry.next_key();
-        let slow_after_ms = match self.patience.slow_from {
+        let slow_after_ms = match self.wait_plan.slow_from {
             Millis::MAX => Millis::MAX,
             at => at.since(now),
         };
@@ -125,8 +125,8 @@
                 priority: self.request.route.priority,
                 work_ms: self.work.run_at(100),
                 max_queue_ms,
-                objective_ms: self.patience.objective_at.since(now),
-                whole_objective_ms: self.patience.whole_objective_ms,
+                objective_ms: self.wait_plan.objective_at.since(now),
+                whole_objective_ms: self.wait_plan.whole_objective_ms,
                 slow_after_ms,
                 deadline_ms: self.request.deadline_at.since(now),
                 repeated_percent: match self.is_extra_attempt() {
@@ -183,7 +183,7 @@
         if open.count() != 1 || self.history.arrivals >= self.request.route.max_attempts {
             return;
         }
-        if now >= self.patience.last_start {
+        if now >= self.wait_plan.last_start {
             return;
         }
         let Some(candidate) = self.candidates(now).into_iter().next() else {
--- a/crates/edge/src/entry/state.rs
+++ b/crates/edge/src/entry/state.rs
@@ -21,10 +21,10 @@
     pub(super) splitter: Splitter,
     pub(super) failures: Failures,
     pub(super) refusals: Refusals,
-    pub(super) returning: ReturningCallers,
-    pub(super) work: WorkEstimates,
+    pub(super) returning_callers: ReturningCallers,
+    pub(super) work_estimates: WorkEstimates,
     pub(super) rng: Xoshiro256PlusPlus,
-    pub(super) reach: Reachability,
+    pub(super) reachability: Reachability,
     retry_limit: RetryLimit,
     budgets: HashMap<ServiceName, RetryBudget>,
 }
@@ -35,10 +35,10 @@
             splitter: Splitter::new(seed),
             failures: Failures::default(),
             refusals: Refusals::default(),
-            returning: ReturningCallers::default(),
-            work: WorkEstimates::default(),
+            returning_callers: ReturningCallers::default(),
+            work_estimates: WorkEstimates::default(),
             rng: Xoshiro256PlusPlus::seed_from_u64(seed),
-            reach: Reachability::default(),
+            reachability: Reachability::default(),
             retry_limit,
             budgets: HashMap::new(),
         }
@@ -81,11 +81,11 @@
 
     /// Drops the state of targets and routes that no longer exist.
     pub(super) fn retain(&mut self, directory: &Directory, now: Millis) {
-        self.returning.forget_expired(now);
+        self.returning_callers.forget_expired(now);
         self.failures.retain(&directory.members);
         self.refusals.retain(&directory.members);
         if let Some(routes) = &directory.routes {
-            self.work.retain(routes);
+            self.work_estimates.retain(routes);
             self.splitter.retain(routes);
         }
     }
--- a/crates/edge/src/gate/health.rs
+++ b/crates/edge/src/gate/health.rs
@@ -59,7 +59,7 @@
             .source
             .read_target(id, self.waits.idle_timeout_ms())
             .await;
-        let standing = match read {
+        let listing = match read {
             Ok(Some(member)) if member.draining => ListingState::Draining,
             Ok(Some(_)) => ListingState::Open,
             Ok(None) => ListingState::Unlisted,
@@ -69,10 +69,10 @@
                 return;
             }
         };
-        if !self.departure.lock().note_entry(id, standing) {
+        if !self.departure.lock().note_entry(id, listing) {
             return;
         }
-        let name: &str = standing.into();
+        let name: &str = listing.into();
         log::info!(target_id = id.as_str(), entry = name; "whether the target gets work has changed");
         self.changed.notify_waiters();
     }
