--- a/crates/edge/src/callers/connection.rs
+++ b/crates/edge/src/callers/connection.rs
@@ -235,7 +235,7 @@
             ReadFault::BodyTooLarge => CallerAnswer::plain(413, "body too large"),
             ReadFault::NoRoom => self.entry.body_memory_exhausted(),
         };
-        log::info!("a request was refused: {fault}");
+        log::info!("rejected a request that could not be read: {fault}");
         self.answer_and_stop(answer).await
     }
 
--- a/crates/edge/src/daemon.rs
+++ b/crates/edge/src/daemon.rs
@@ -324,8 +324,8 @@
     };
     match tokio::time::timeout_at(started + share_of_grace(DRAIN_DEADLINE_PERCENT), finishing).await
     {
-        Ok(()) => log::info!("everything in hand was finished"),
-        Err(_) => log::warn!("the grace is over with work in progress"),
+        Ok(()) => log::info!("finished all work in progress"),
+        Err(_) => log::warn!("the grace period ended with work in progress"),
     }
 }
 
--- a/crates/edge/src/entry/call/ending.rs
+++ b/crates/edge/src/entry/call/ending.rs
@@ -89,7 +89,7 @@
         if end == CallEnd::Shed {
             self.entry.state.lock().failures.note_failure(&target, now);
         }
-        self.fail_over("the target did not run it")
+        self.fail_over("the target did not run the request")
     }
 
     /// Handles an attempt whose request may have run, with no way to find out.
--- a/crates/edge/src/gate/health.rs
+++ b/crates/edge/src/gate/health.rs
@@ -65,7 +65,7 @@
             Ok(None) => ListingState::Unlisted,
             // The previous state stays in force, and the read is retried later.
             Err(fault) => {
-                log::warn!("the entry of the target {id} cannot be read: {fault}");
+                log::warn!("reading the listing of the target {id} failed: {fault}");
                 return;
             }
         };
@@ -73,7 +73,7 @@
             return;
         }
         let name: &str = listing.into();
-        log::info!(target_id = id.as_str(), entry = name; "whether the target gets work has changed");
+        log::info!(target_id = id.as_str(), entry = name; "the listing state of the target has changed");
         self.changed.notify_waiters();
     }
 }
--- a/crates/edge/src/gate/run.rs
+++ b/crates/edge/src/gate/run.rs
@@ -86,7 +86,7 @@
             Some(GateEvent::Answered { head, .. }) => log::warn!(
                 request, target_id, slowness_percent, waited_ms, ran_ms, known_ms,
                 status = head.status;
-                "ran and failed"
+                "ran and answered with a server error"
             ),
             Some(GateEvent::Ended(end)) => log::warn!(
                 request, target_id, slowness_percent, waited_ms, ran_ms,
@@ -96,7 +96,7 @@
             Some(GateEvent::WantsContent | GateEvent::Started { .. }) => {}
             None => log::info!(
                 request, target_id, slowness_percent, waited_ms, ran_ms;
-                "cancelled: its caller has left or another attempt won"
+                "cancelled: the caller left or another attempt won"
             ),
         }
     }
@@ -167,7 +167,7 @@
             }
             Ok(Err(ExchangeFault::Broken(reason))) => {
                 let id = &run.terms.request_id;
-                log::warn!(request = id.as_str(), reason; "a run broke in the target");
+                log::warn!(request = id.as_str(), reason; "the exchange with the target failed during a run");
                 GateEvent::Ended(CallEnd::Broken)
             }
         }
--- a/crates/edge/src/gate/speed.rs
+++ b/crates/edge/src/gate/speed.rs
@@ -104,8 +104,8 @@
             return;
         }
         match is_unhealthy {
-            true => log::warn!(status; "the target says that it is not well"),
-            false => log::info!(status; "the target says that it is well again"),
+            true => log::warn!(status; "the target reports itself unhealthy"),
+            false => log::info!(status; "the target reports itself healthy again"),
         }
     }
 
