--- a/crates/edge/src/link/liveness.rs
+++ b/crates/edge/src/link/liveness.rs
@@ -23,7 +23,7 @@
 /// Liveness of the gate, as seen by the entry.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum Liveness {
-    /// The last frame arrived at this time, or nothing was due until then.
+    /// The last frame arrived at this time, or no response was due before it.
     Alive(Instant),
     /// A ping was sent at this time.
     Pinged(Instant),
--- a/crates/edge/src/link/server.rs
+++ b/crates/edge/src/link/server.rs
@@ -43,7 +43,7 @@
 ///
 /// A node that has just started reads the store within this time if the store is
 /// available.
-const REQUEST_FACTS_AFTER: Duration = Duration::from_millis(400);
+const REQUEST_FACTS_INTERVAL: Duration = Duration::from_millis(400);
 
 /// A call whose head or body the entry deferred and which has not arrived whole.
 struct PartialCall {
@@ -105,7 +105,7 @@
 /// Does not return before the link ends.
 async fn request_facts(directory: SharedDirectory, answers: Answers) {
     loop {
-        tokio::time::sleep(REQUEST_FACTS_AFTER).await;
+        tokio::time::sleep(REQUEST_FACTS_INTERVAL).await;
         if directory.load().routes.is_some() {
             std::future::pending::<()>().await;
         }
@@ -137,7 +137,7 @@
                     body_bytes,
                     body,
                 } => {
-                    let content = self.take_content(id, head, body_bytes, body);
+                    let content = self.receive_content(id, head, body_bytes, body);
                     self.submit(id, GateRequest { terms, content });
                 }
                 ToGate::Offer {
@@ -182,7 +182,7 @@
         }
     }
 
-    fn take_content(
+    fn receive_content(
         &mut self,
         id: CallId,
         head: CallHead,
--- a/crates/edge/src/target.rs
+++ b/crates/edge/src/target.rs
@@ -146,14 +146,14 @@
     fn take_idle(&self, is_idempotent: bool) -> Option<Connection> {
         let now = self.clock.now();
         let mut idle = self.idle.lock();
-        idle.retain(|kept| now < kept.until);
+        idle.retain(|pooled| now < pooled.until);
         let newest = idle.last()?;
         if !is_idempotent && now.since(newest.since) > MAX_IDLE_NON_IDEMPOTENT_MS {
             return None;
         }
-        while let Some(kept) = idle.pop() {
-            if kept.connection.is_idle() {
-                return Some(kept.connection);
+        while let Some(pooled) = idle.pop() {
+            if pooled.connection.is_idle() {
+                return Some(pooled.connection);
             }
         }
         None
--- a/crates/wire/src/link.rs
+++ b/crates/wire/src/link.rs
@@ -143,7 +143,7 @@
 }
 
 impl CallEnd {
-    /// Whether the request did certainly not run and never will.
+    /// Whether it is certain that the request did not run and never will.
     #[must_use]
     pub const fn is_not_run(self) -> bool {
         !matches!(self, Self::Broken | Self::TimedOut)
