--- a/crates/edge/src/entry/call.rs
+++ b/crates/edge/src/entry/call.rs
@@ -1,7 +1,7 @@
-//! One call on its way through the gates.
+//! Drives one call through its attempts until its answer is known.
 
-mod asking;
 mod ending;
+mod selection;
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -13,7 +13,7 @@
 use hornbeamhitch_node::uploads::Reservation;
 use tokio::sync::mpsc;
 
-use super::answer::Given;
+use super::answer::CallOutcome;
 use super::progress::{Attempt, Progress};
 use super::trail::Trail;
 use super::{CallerRequest, Entry};
@@ -21,15 +21,16 @@
 use crate::http1;
 use crate::link::LinkEvent;
 use crate::prelude::*;
-use asking::Step;
+use selection::Step;
 
-/// A run that has taken this many times what was expected is taken for stuck,
-/// and an idempotent call is sent to a second target beside it.
+/// A run that takes more than this multiple of its expected time counts as stuck;
+/// an idempotent call is then hedged to a second target.
 const STUCK_AFTER_RUNS: f64 = 2.5;
-/// Short runs are given at least this long: a lost packet takes as much.
-const STUCK_AFTER_LEAST_MS: Millis = Millis(60);
+/// Lower bound of that time for short runs: recovering from a lost packet takes
+/// as long.
+const MIN_STUCK_AFTER_MS: Millis = Millis(60);
 
-/// What a call is made of.
+/// Everything that [`CallDriver::new`] needs to know about a call.
 #[derive(Debug)]
 pub(super) struct CallParts {
     pub(super) route: Arc<Route>,
@@ -37,72 +38,73 @@
     pub(super) request_id: String,
     pub(super) fingerprint: u64,
     pub(super) deadline_at: Millis,
-    /// When the caller first asked.
+    /// When the caller first sent this request, before any refusals.
     pub(super) first_arrived: Millis,
     pub(super) request: CallerRequest,
 }
 
-/// What a caller asks for.
+/// The request in the form in which each attempt sends it.
 struct Request {
     route: Arc<Route>,
     service: ServiceName,
     request_id: String,
-    /// What it has in common with its next sending.
+    /// Hash of the parts of the request that its retries have in common.
     fingerprint: u64,
     head: CallHead,
     body: Bytes,
-    /// Memory for the body, held as long as the call.
+    /// Memory reserved for the body until the call ends.
     _reservation: Reservation,
     deadline_at: Millis,
-    /// How much of this request repeats an earlier one, as expected of one that came
-    /// while repeated runs were in this VM's target.
+    /// Probability in percent that this request repeats an earlier one: the share of
+    /// repeated runs in this VM's target when the request arrived.
     repeated_percent: u8,
 }
 
-/// The rounds in which gates are asked one after the other.
+/// The current round. In each round the call is offered to the candidates one
+/// after the other.
 struct Rounds {
-    /// Begun so far.
+    /// Number of rounds started so far.
     count: u32,
-    /// When the present one began.
-    began: Millis,
-    /// Its candidates that were not asked yet.
-    left: VecDeque<Candidate>,
+    /// When the current round started.
+    started_at: Millis,
+    /// Candidates of the current round that have not been tried yet.
+    remaining: VecDeque<Candidate>,
 }
 
-/// What came of the attempts so far.
+/// Results of the attempts so far.
 #[derive(Default)]
 struct History {
-    /// Targets that were reached; none is asked twice.
+    /// Targets that were reached; none is tried twice.
     tried: Vec<TargetId>,
-    /// Times that a target was reached.
+    /// Number of attempts that reached a target.
     arrivals: u32,
-    /// Tokens of the retry budget that led to no arrival yet.
-    tokens: u32,
-    /// The request may have run somewhere.
+    /// Tokens taken from the retry budget whose attempts have reached no target yet.
+    unused_tokens: u32,
+    /// Whether the request may have run in some target.
     may_have_run: bool,
-    /// How the last attempt ended, for the log and the choice of an answer.
+    /// How the last attempt ended, for the log and for choosing the result code.
     last_end: Option<CallEnd>,
-    /// A failed answer of a target, in case nothing better comes.
+    /// A target's error answer, relayed if no other attempt succeeds.
     failed_answer: Option<(AnswerHead, Bytes)>,
 }
 
-/// One call until its answer is known.
-pub(super) struct CallRun<'a> {
+/// Drives one call: sends attempts, handles their events and decides the outcome.
+pub(super) struct CallDriver<'a> {
     entry: &'a Arc<Entry>,
     request: Request,
     work: WorkEstimate,
-    patience: WaitPlan,
+    wait_plan: WaitPlan,
     events: mpsc::UnboundedReceiver<Progress>,
     sender: mpsc::UnboundedSender<Progress>,
     attempts: Vec<Attempt>,
     rounds: Rounds,
     history: History,
     hedge_at: Option<Millis>,
-    /// Targets that were asked and what came of it, for the log.
+    /// The attempts and how each ended, for the log.
     trail: Trail,
 }
 
-impl<'a> CallRun<'a> {
+impl<'a> CallDriver<'a> {
     pub(super) fn new(entry: &'a Arc<Entry>, parts: CallParts) -> Self {
         let CallerRequest {
             head,
@@ -110,9 +112,9 @@
             arrived,
             reservation,
         } = parts.request;
-        let work = entry.state.lock().work.estimate(&parts.route);
-        let patience = WaitPlan::plan(&parts.route, &work, body.len(), arrived, parts.deadline_at);
-        let patience = patience.after_waiting(arrived.since(parts.first_arrived));
+        let work = entry.state.lock().work_estimates.estimate(&parts.route);
+        let wait_plan = WaitPlan::plan(&parts.route, &work, body.len(), arrived, parts.deadline_at);
+        let wait_plan = wait_plan.after_waiting(arrived.since(parts.first_arrived));
         let (sender, events) = mpsc::unbounded_channel();
         let request = Request {
             head: outgoing_head(entry, head),
@@ -127,14 +129,14 @@
         };
         let rounds = Rounds {
             count: 0,
-            began: arrived,
-            left: VecDeque::new(),
+            started_at: arrived,
+            remaining: VecDeque::new(),
         };
         Self {
             entry,
             request,
             work,
-            patience,
+            wait_plan,
             events,
             sender,
             attempts: Vec::new(),
@@ -145,23 +147,23 @@
         }
     }
 
-    /// Serves the call until its answer is known or its deadline has passed.
-    /// With it comes what was asked on the way.
-    pub(super) async fn serve(mut self) -> (Given, Trail) {
+    /// Runs the call until its answer is known or its deadline has passed. Returns
+    /// the outcome and the trail of attempts.
+    pub(super) async fn serve(mut self) -> (CallOutcome, Trail) {
         let deadline = self.entry.clock.to_instant(self.request.deadline_at);
-        let given = match tokio::time::timeout_at(deadline, self.drive()).await {
-            Ok(given) => given,
-            Err(_) => self.at_deadline(),
+        let outcome = match tokio::time::timeout_at(deadline, self.drive()).await {
+            Ok(outcome) => outcome,
+            Err(_) => self.deadline_outcome(),
         };
-        (given, std::mem::take(&mut self.trail))
+        (outcome, std::mem::take(&mut self.trail))
     }
 
-    async fn drive(&mut self) -> Given {
+    async fn drive(&mut self) -> CallOutcome {
         loop {
-            if !self.has_open() {
+            if !self.has_open_attempt() {
                 match self.next_step() {
-                    Step::Send(candidate, hold_ms) => self.send(&candidate, hold_ms),
-                    Step::End(given) => return given,
+                    Step::Send(candidate, max_queue_ms) => self.send(&candidate, max_queue_ms),
+                    Step::End(outcome) => return outcome,
                     Step::Pause(until) => {
                         tokio::time::sleep_until(self.entry.clock.to_instant(until)).await;
                         continue;
@@ -179,28 +181,28 @@
                 self.hedge();
                 continue;
             };
-            if let Some(given) = self.take(progress) {
-                return given;
+            if let Some(outcome) = self.handle_progress(progress) {
+                return outcome;
             }
         }
     }
 
-    fn has_open(&self) -> bool {
-        self.attempts.iter().any(|attempt| attempt.hold.is_some())
+    fn has_open_attempt(&self) -> bool {
+        self.attempts.iter().any(|attempt| attempt.guard.is_some())
     }
 
-    /// Takes in what was heard of an attempt; with an answer the call ends.
-    fn take(&mut self, progress: Progress) -> Option<Given> {
+    /// Handles an event of an attempt. Returns the outcome if the event ends the call.
+    fn handle_progress(&mut self, progress: Progress) -> Option<CallOutcome> {
         let number = progress.attempt;
-        self.attempts[number].hold.as_ref()?;
-        self.note_reach(number, &progress.event);
+        self.attempts[number].guard.as_ref()?;
+        self.record_reachability(number, &progress.event);
         match progress.event {
-            LinkEvent::Unreachable if self.attempts[number].lost_to.is_some() => {
-                self.outcome_unknown(number, CallEnd::Broken)
+            LinkEvent::Unreachable if self.attempts[number].lost_incarnation.is_some() => {
+                self.handle_unknown_outcome(number, CallEnd::Broken)
             }
             LinkEvent::Unreachable => {
                 let now = self.entry.now();
-                let target = self.close(number);
+                let target = self.close_attempt(number);
                 self.trail.push(&target.id, "unreachable");
                 self.entry
                     .state
@@ -210,48 +212,49 @@
                 self.history.last_end = Some(CallEnd::Down);
                 None
             }
-            LinkEvent::Lost(incarnation) => self.link_lost(number, incarnation),
+            LinkEvent::Lost(incarnation) => self.handle_link_loss(number, incarnation),
             LinkEvent::Gate(event, incarnation) => {
-                let lost_to = self.attempts[number].lost_to;
-                if lost_to.is_some_and(|known| known != incarnation) {
-                    // Another life of the gate knows nothing of that send.
-                    return self.outcome_unknown(number, CallEnd::Broken);
+                let lost_incarnation = self.attempts[number].lost_incarnation;
+                if lost_incarnation.is_some_and(|known| known != incarnation) {
+                    // The gate's process has restarted and does not know the attempt.
+                    return self.handle_unknown_outcome(number, CallEnd::Broken);
                 }
-                self.gate_said(number, event)
+                self.handle_gate_event(number, event)
             }
         }
     }
 
-    /// Learns from each word, or want of one, whether other VMs are reached.
-    fn note_reach(&self, number: usize, event: &LinkEvent) {
+    /// Updates whether other VMs are reachable; attempts on this VM say nothing
+    /// about that.
+    fn record_reachability(&self, number: usize, event: &LinkEvent) {
         let member = &self.attempts[number].member;
         if member.address == self.entry.listed_address {
             return;
         }
         let mut state = self.entry.state.lock();
         match event {
-            LinkEvent::Gate(..) => state.reach.note_reached(self.entry.now()),
+            LinkEvent::Gate(..) => state.reachability.note_reached(self.entry.now()),
             LinkEvent::Unreachable | LinkEvent::Lost(_) => {
-                state.reach.note_unreachable(member.vm_ip());
+                state.reachability.note_unreachable(member.vm_ip());
             }
         }
     }
 
-    fn gate_said(&mut self, number: usize, event: GateEvent) -> Option<Given> {
+    fn handle_gate_event(&mut self, number: usize, event: GateEvent) -> Option<CallOutcome> {
         match event {
-            // The link has sent it.
+            // The link client sends the body itself.
             GateEvent::WantsContent => None,
             GateEvent::Started { slowness_percent } => {
-                self.note_start(number, slowness_percent);
+                self.handle_start(number, slowness_percent);
                 None
             }
-            GateEvent::Answered { head, body } => self.take_answer(number, head, body),
-            GateEvent::Ended(end) if end.is_not_run() => self.take_refusal(number, end),
-            GateEvent::Ended(end) => self.outcome_unknown(number, end),
+            GateEvent::Answered { head, body } => self.handle_answer(number, head, body),
+            GateEvent::Ended(end) if end.is_not_run() => self.handle_refusal(number, end),
+            GateEvent::Ended(end) => self.handle_unknown_outcome(number, end),
         }
     }
 
-    fn note_start(&mut self, number: usize, slowness_percent: u32) {
+    fn handle_start(&mut self, number: usize, slowness_percent: u32) {
         let now = self.entry.now();
         let attempt = &mut self.attempts[number];
         attempt.started = Some((now, slowness_percent));
@@ -259,7 +262,7 @@
         self.entry.state.lock().refusals.note_accepted(&target);
         self.count_arrival(target.id.clone());
         let expected_ms = self.work.run_at(slowness_percent).0 as f64 * STUCK_AFTER_RUNS;
-        let stuck_after = Millis(expected_ms as u64).max(STUCK_AFTER_LEAST_MS);
+        let stuck_after = Millis(expected_ms as u64).max(MIN_STUCK_AFTER_MS);
         if self.request.route.kind.is_idempotent() {
             self.hedge_at = Some(now + stuck_after);
         }
@@ -280,40 +283,41 @@
             );
             return;
         }
-        self.history.tokens = self.history.tokens.saturating_sub(1);
+        self.history.unused_tokens = self.history.unused_tokens.saturating_sub(1);
     }
 
-    /// How many entries share the retry budget: one on each listed VM.
+    /// Returns how many entries share the retry budget: one for each listed VM.
     fn entries(&self) -> usize {
         self.entry.directory.load().members.len()
     }
 
-    fn close(&mut self, number: usize) -> Arc<Member> {
+    fn close_attempt(&mut self, number: usize) -> Arc<Member> {
         let attempt = &mut self.attempts[number];
-        attempt.hold = None;
+        attempt.guard = None;
         Arc::clone(&attempt.member)
     }
 }
 
-/// Tokens that led to no arrival go back, also when the caller has left and the
-/// call is dropped midway: an entry whose callers give up often would run out of
-/// retries that it never used.
-impl Drop for CallRun<'_> {
+/// Returns unused tokens to the retry budget, also if the caller disconnects and
+/// the call is dropped midway. Otherwise an entry whose callers often give up would
+/// use up its budget without sending any retries.
+impl Drop for CallDriver<'_> {
     fn drop(&mut self) {
         let mut state = self.entry.state.lock();
-        for _ in 0..self.history.tokens {
+        for _ in 0..self.history.unused_tokens {
             state.return_retry(&self.request.service);
         }
     }
 }
 
-/// The request as targets are to see it, but for what the gate adds.
+/// Builds the head that is sent to targets. The gate adds the fields that differ
+/// between attempts.
 fn outgoing_head(entry: &Entry, head: http1::RequestHead) -> CallHead {
     let names = entry.dialect.names();
     let mut fields = head.fields;
     http1::strip_hop_by_hop(&mut fields);
     let replaced = [
-        // It goes with the terms.
+        // Sent in the call's terms instead.
         names.request_id,
         names.deadline_ms,
         names.expected_target,
--- a/crates/edge/src/entry/ended.rs
+++ b/crates/edge/src/entry/ended.rs
@@ -1,9 +1,9 @@
-//! What is written down of a call that has ended.
+//! Logs and metrics of calls that have ended.
 
 use hornbeamhitch_node::metrics::CallSample;
 use hornbeamhitch_types::prelude::CallClass;
 
-use super::answer::Given;
+use super::answer::CallOutcome;
 use super::trail::Trail;
 use super::{CallerAnswer, CallerRequest, Entry};
 use crate::directory::Directory;
@@ -12,44 +12,44 @@
 use crate::target::is_server_error;
 
 impl Entry {
-    /// Writes down how a call ended.
+    /// Logs how a call ended and counts it in the metrics.
     ///
-    /// Answers and failures have a line each in the code, so that the bound on
-    /// the lines of one place never lets successes crowd out failures.
-    pub(super) fn record(&self, ended: &Ended<'_>, given: Given) -> CallerAnswer {
-        let took_ms = self.clock.now().since(ended.arrived).0;
+    /// Answers and failures are logged by separate statements. The log limits the
+    /// lines of each statement, so a flood of successes cannot suppress failures.
+    pub(super) fn log_call(&self, record: &CallRecord<'_>, outcome: CallOutcome) -> CallerAnswer {
+        let took_ms = self.clock.now().since(record.arrived).0;
         self.metrics.call_ended(&CallSample {
-            service: ended.service,
-            class: ended.class,
+            service: record.service,
+            class: record.class,
             tenant: "",
-            code: given.code,
+            code: outcome.code,
             latency_us: took_ms * 1_000,
         });
-        let request = ended.request_id.as_str();
-        let route = ended.route;
-        let service = ended.service;
-        let config = ended.config_version;
-        // Old knowledge, and not a fault of the target, explains a route of old.
-        let known_ms = ended.known_ms.0;
-        let tried = ended.trail.as_str();
-        let code = given.code.number();
-        let status = given.answer.status;
-        if given.code == ResultCode::Answered && !is_server_error(status) {
+        let request = record.request_id.as_str();
+        let route = record.route;
+        let service = record.service;
+        let config = record.config_version;
+        // A high age shows that a wrong route or target is due to stale data.
+        let known_ms = record.known_ms.0;
+        let tried = record.trail.as_str();
+        let code = outcome.code.number();
+        let status = outcome.answer.status;
+        if outcome.code == ResultCode::Answered && !is_server_error(status) {
             log::info!(request, route, service, config, known_ms, code, status, took_ms, tried; "answered");
-            return given.answer;
+            return outcome.answer;
         }
-        let reason = given.reason;
+        let reason = outcome.reason;
         log::warn!(
             request, route, service, config, known_ms, code, status, took_ms, tried, reason;
-            "not served: {}", given.code
+            "not served: {}", outcome.code
         );
-        given.answer
+        outcome.answer
     }
 }
 
-/// Writes down that a caller left before its answer: its call is dropped then,
-/// and would leave no line of this node.
-pub(super) struct CallerLeaves<'a> {
+/// Logs that a caller disconnected before its answer. The call is dropped in that
+/// case, so this drop handler is the only place that can log it.
+pub(super) struct AbandonedCallLog<'a> {
     request_id: &'a str,
     service: &'a str,
     arrived: Millis,
@@ -57,9 +57,10 @@
     is_answered: bool,
 }
 
-impl<'a> CallerLeaves<'a> {
-    /// From now on the end of this value is the caller's leaving.
-    pub(super) const fn watch(
+impl<'a> AbandonedCallLog<'a> {
+    /// Creates a guard that logs the disconnect when it is dropped, unless
+    /// [`Self::disarm`] was called.
+    pub(super) const fn arm(
         request_id: &'a str,
         service: &'a str,
         arrived: Millis,
@@ -74,13 +75,13 @@
         }
     }
 
-    /// The call has its answer; nothing is written down.
-    pub(super) fn end_answered(mut self) {
+    /// Drops the guard without logging, because the call has its answer.
+    pub(super) fn disarm(mut self) {
         self.is_answered = true;
     }
 }
 
-impl Drop for CallerLeaves<'_> {
+impl Drop for AbandonedCallLog<'_> {
     fn drop(&mut self) {
         if self.is_answered {
             return;
@@ -92,21 +93,21 @@
     }
 }
 
-/// A call that has ended, as it is written down.
-pub(super) struct Ended<'a> {
+/// What the log and the metrics record of an ended call.
+pub(super) struct CallRecord<'a> {
     pub(super) request_id: String,
     pub(super) service: &'a str,
     pub(super) route: &'a str,
     pub(super) class: CallClass,
     pub(super) config_version: u64,
-    /// Age of what the entry knew of routes and targets as it decided.
+    /// Age of the entry's routes and targets when the call arrived.
     pub(super) known_ms: Millis,
     pub(super) arrived: Millis,
     pub(super) trail: Trail,
 }
 
-impl Ended<'_> {
-    /// A call that was sent nowhere.
+impl CallRecord<'_> {
+    /// Creates the record of a call that was sent to no target.
     pub(super) fn unrouted(
         request: &CallerRequest,
         directory: &Directory,
@@ -129,7 +130,7 @@
     }
 }
 
-/// Rank of a route's calls in histograms.
+/// Returns the class under which histograms count a route's calls.
 pub(super) fn class_of(route: &Route) -> CallClass {
     match route.kind {
         CallKind::Idempotent => CallClass::Interactive,
--- a/crates/edge/src/entry/progress.rs
+++ b/crates/edge/src/entry/progress.rs
@@ -1,4 +1,4 @@
-//! Attempts of one call and what is heard of them.
+//! The attempts of one call and the events that they report.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -7,46 +7,49 @@
 use tokio::sync::mpsc;
 
 use super::Entry;
-use crate::gate::{CallContent, EventSink, GateRequest, Wanted, WholeCall};
+use crate::gate::{CallContent, CallGuard, EventSink, GateRequest, WholeCall};
 use crate::link::{LinkEvent, OutgoingCall, PendingRequest};
 use crate::prelude::*;
 
-/// An event of an attempt, with the attempt's number within its call.
+/// An event of an attempt.
 #[derive(Debug)]
 pub(super) struct Progress {
+    /// Index of the attempt within its call.
     pub(super) attempt: usize,
     pub(super) event: LinkEvent,
 }
 
-/// Keeps an attempt going; dropped, it is withdrawn.
+/// Keeps an attempt alive; dropping it cancels the attempt.
 #[derive(Debug)]
-pub(super) enum Hold {
-    Local(#[expect(dead_code, reason = "its drop is the signal")] Wanted),
+pub(super) enum AttemptGuard {
+    Local(#[expect(dead_code, reason = "its drop is the signal")] CallGuard),
     Link(#[expect(dead_code, reason = "its drop is the signal")] PendingRequest),
 }
 
-/// One send of a call to a gate.
+/// One attempt of a call at the gate of one target.
 #[derive(Debug)]
 pub(super) struct Attempt {
     pub(super) member: Arc<Member>,
     pub(super) key: CallKey,
-    /// When the target began, and how slow it was just before.
+    /// When the target started the call, and its slowness just before, in percent of
+    /// its usual time; `None` until it has started.
     pub(super) started: Option<(Millis, u32)>,
-    /// The life of the gate to which it was sent and from which no word came.
-    pub(super) lost_to: Option<Incarnation>,
-    /// `None` once it has ended.
-    pub(super) hold: Option<Hold>,
+    /// Incarnation of the gate whose link broke during the attempt. The entry then
+    /// asks the gate for the outcome; only this incarnation knows it.
+    pub(super) lost_incarnation: Option<Incarnation>,
+    /// `None` once the attempt has ended.
+    pub(super) guard: Option<AttemptGuard>,
 }
 
-/// Sends a request to the gate of a candidate: in this process when the target
-/// is this VM's own, else over a link.
-pub(super) fn open(
+/// Starts an attempt at the gate of a candidate: within the process if the target
+/// is this VM's own, otherwise over a link.
+pub(super) fn start_attempt(
     entry: &Entry,
     candidate: &Candidate,
     call: OutgoingCall,
     attempt: usize,
     events: &mpsc::UnboundedSender<Progress>,
-) -> Hold {
+) -> AttemptGuard {
     let events = events.clone();
     if candidate.member.address == entry.listed_address {
         let incarnation = entry.incarnation;
@@ -61,29 +64,30 @@
                 body: call.body,
             }),
         };
-        return Hold::Local(entry.gate.submit(request, sink));
+        return AttemptGuard::Local(entry.gate.submit(request, sink));
     }
     let gate = gate_address(entry, &candidate.member);
     let sink = Box::new(move |event| {
         let _ = events.send(Progress { attempt, event });
     });
-    Hold::Link(entry.links.call(gate, call, sink))
+    AttemptGuard::Link(entry.links.call(gate, call, sink))
 }
 
-/// Asks the gate of an attempt what became of it.
-pub(super) fn ask(
+/// Asks the gate of an attempt for its outcome after the link broke. A call that
+/// has not started there is fenced and never will.
+pub(super) fn query_outcome(
     entry: &Entry,
     attempt: &Attempt,
     number: usize,
     events: &mpsc::UnboundedSender<Progress>,
-) -> Hold {
+) -> AttemptGuard {
     let gate = gate_address(entry, &attempt.member);
     let events = events.clone();
     let sink = Box::new(move |event| {
         let attempt = number;
         let _ = events.send(Progress { attempt, event });
     });
-    Hold::Link(entry.links.fence(gate, attempt.key, sink))
+    AttemptGuard::Link(entry.links.fence(gate, attempt.key, sink))
 }
 
 fn gate_address(entry: &Entry, member: &Member) -> SocketAddr {
--- a/crates/edge/src/gate/health.rs
+++ b/crates/edge/src/gate/health.rs
@@ -1,4 +1,4 @@
-//! Asking the target for its speed and its health, and the list whether it leaves.
+//! Probes the target's speed and health, and reads from the list whether it is draining.
 
 use std::sync::Arc;
 
@@ -8,7 +8,7 @@
 use crate::prelude::*;
 
 impl Gate {
-    /// Asks the target; those who wait for its speed are told.
+    /// Probes the target for its speed and wakes the calls that wait for the reading.
     pub(super) async fn read_speed(self: &Arc<Self>) {
         let directory = self.directory.load();
         let routes = directory.routes.as_ref();
@@ -17,7 +17,7 @@
             .speed
             .read(&self.target, &*self.dialect, path, self.clock);
         let reading = reading.await;
-        for _ in 0..self.speed.take_sent() {
+        for _ in 0..self.speed.take_probes_sent() {
             self.metrics.probe_sent(self.service.as_str());
         }
         self.note_health();
@@ -30,17 +30,18 @@
         self.changed.notify_waiters();
     }
 
-    /// Takes in what the target last said of its health.
+    /// Passes on the target's last reported health, which may make a read of its
+    /// listing due.
     fn note_health(self: &Arc<Self>) {
-        let is_unwell = self.speed.is_unwell();
+        let is_unhealthy = self.speed.is_unhealthy();
         self.departure
             .lock()
-            .note_health(is_unwell, self.clock.now());
-        self.look_up_when_due();
+            .note_health(is_unhealthy, self.clock.now());
+        self.read_listing_if_due();
     }
 
-    /// Looks the target's entry up, beside the calls, when that is due.
-    pub(super) fn look_up_when_due(self: &Arc<Self>) {
+    /// Starts a read of the target's listing in the background if one is due.
+    pub(super) fn read_listing_if_due(self: &Arc<Self>) {
         let directory = self.directory.load();
         let Some(member) = directory.members.at_address(self.listed_address) else {
             return;
@@ -50,29 +51,29 @@
         }
         let gate = Arc::clone(self);
         let id = member.id.clone();
-        tokio::spawn(async move { gate.look_up(&id).await });
+        tokio::spawn(async move { gate.read_listing(&id).await });
     }
 
-    async fn look_up(&self, id: &TargetId) {
+    async fn read_listing(&self, id: &TargetId) {
         let read = self
             .source
             .read_target(id, self.waits.idle_timeout_ms())
             .await;
-        let standing = match read {
+        let listing = match read {
             Ok(Some(member)) if member.draining => ListingState::Draining,
             Ok(Some(_)) => ListingState::Open,
             Ok(None) => ListingState::Unlisted,
-            // What the list said is still there, and it is asked again.
+            // The previous state stays in force, and the read is retried later.
             Err(fault) => {
-                log::warn!("the entry of the target {id} cannot be read: {fault}");
+                log::warn!("reading the listing of the target {id} failed: {fault}");
                 return;
             }
         };
-        if !self.departure.lock().note_entry(id, standing) {
+        if !self.departure.lock().note_entry(id, listing) {
             return;
         }
-        let name: &str = standing.into();
-        log::info!(target_id = id.as_str(), entry = name; "whether the target gets work has changed");
+        let name: &str = listing.into();
+        log::info!(target_id = id.as_str(), entry = name; "the listing state of the target has changed");
         self.changed.notify_waiters();
     }
 }
--- a/crates/edge/src/gate/run.rs
+++ b/crates/edge/src/gate/run.rs
@@ -1,4 +1,4 @@
-//! Running a call in the target, and judging what comes of it.
+//! Runs a call in the target and classifies its answer.
 
 use bytes::Bytes;
 
@@ -9,31 +9,32 @@
 use crate::prelude::*;
 use crate::target::{Exchange, ExchangeFault, TargetAnswer, is_server_error, is_success};
 
-/// Status of a target that is not the expected one.
+/// HTTP status of a target that is not the expected incarnation.
 const MISDIRECTED: u16 = 421;
 
-/// A call that runs.
+/// A call that has been admitted to the target.
 pub(super) struct Run<'a> {
     pub(super) terms: &'a CallTerms,
     pub(super) head: &'a CallHead,
     pub(super) body: &'a [u8],
     pub(super) deadline_at: Millis,
-    /// How slow the target was as it began, in percent of the usual time.
+    /// Slowness of the target at the start, in percent of its usual run time.
     pub(super) slowness_percent: u32,
-    /// Requests that ran in the target when it began, itself included.
+    /// Number of requests running in the target at the start, including this one.
     pub(super) running: u32,
+    /// Time that the call was queued.
     pub(super) waited_ms: Millis,
     pub(super) started: Millis,
 }
 
-/// Counts a call as running until it is dropped.
-struct Running<'a> {
+/// Lists a call among the running ones until it is dropped.
+struct RunningGuard<'a> {
     gate: &'a Gate,
     fingerprint: u64,
 }
 
-impl<'a> Running<'a> {
-    fn enter(gate: &'a Gate, terms: &CallTerms) -> Self {
+impl<'a> RunningGuard<'a> {
+    fn register(gate: &'a Gate, terms: &CallTerms) -> Self {
         let fingerprint = terms.fingerprint;
         gate.state.lock().running.push(RunningCall {
             fingerprint,
@@ -43,21 +44,21 @@
     }
 }
 
-impl Drop for Running<'_> {
+impl Drop for RunningGuard<'_> {
     fn drop(&mut self) {
         let mut state = self.gate.state.lock();
-        let place = state
+        let index = state
             .running
             .iter()
             .position(|call| call.fingerprint == self.fingerprint);
-        if let Some(place) = place {
-            state.running.swap_remove(place);
+        if let Some(index) = index {
+            state.running.swap_remove(index);
         }
     }
 }
 
 impl Gate {
-    /// Counts and writes down a run, or that it was cancelled.
+    /// Logs a run and counts it in the metrics; `event` is `None` if it was cancelled.
     pub(super) fn note_run(&self, run: &Run<'_>, event: Option<&GateEvent>) {
         let class = match run.terms.idempotent {
             true => CallClass::Interactive,
@@ -74,7 +75,7 @@
         if let Some(GateEvent::Answered { head, .. }) = event
             && is_success(head.status)
         {
-            self.learn_from(run);
+            self.learn_limit(run);
         }
         match event {
             Some(GateEvent::Answered { head, .. }) if !is_server_error(head.status) => log::info!(
@@ -85,7 +86,7 @@
             Some(GateEvent::Answered { head, .. }) => log::warn!(
                 request, target_id, slowness_percent, waited_ms, ran_ms, known_ms,
                 status = head.status;
-                "ran and failed"
+                "ran and answered with a server error"
             ),
             Some(GateEvent::Ended(end)) => log::warn!(
                 request, target_id, slowness_percent, waited_ms, ran_ms,
@@ -95,12 +96,12 @@
             Some(GateEvent::WantsContent | GateEvent::Started { .. }) => {}
             None => log::info!(
                 request, target_id, slowness_percent, waited_ms, ran_ms;
-                "cancelled: its caller has left or another attempt won"
+                "cancelled: the caller left or another attempt won"
             ),
         }
     }
 
-    fn learn_from(&self, run: &Run<'_>) {
+    fn learn_limit(&self, run: &Run<'_>) {
         let now = self.clock.now();
         let ran_ms = now.since(run.started);
         let work_ms = run.terms.work_ms;
@@ -113,30 +114,31 @@
         drop(state);
         if limit != before {
             let slots = self.state.lock().admission.slots();
-            log::info!(before, limit, slots; "requests that are run at once");
+            log::info!(before, limit, slots; "the limit on concurrent requests has changed");
             self.changed.notify_waiters();
         }
     }
 
-    /// Runs a call, and learns whether it crashes its target.
+    /// Runs a call and checks whether it has crashed the target.
     pub(super) async fn run(&self, run: &Run<'_>) -> GateEvent {
         let fingerprint = run.terms.fingerprint;
-        let _running = Running::enter(self, run.terms);
+        let _running = RunningGuard::register(self, run.terms);
         let event = self.run_in_target(run).await;
         match &event {
             GateEvent::Answered { head, .. } if is_success(head.status) => {
                 self.suspicion.ran_well(fingerprint);
             }
-            GateEvent::Ended(CallEnd::Broken) => self.look_for_crash().await,
+            GateEvent::Ended(CallEnd::Broken) => self.detect_crash().await,
             _ => {}
         }
         event
     }
 
-    /// A run broke. When the target also refuses a connection it has crashed,
-    /// and whatever ran is suspected. Called while the broken run still counts
-    /// as running, so that all runs of one crash are suspected together.
-    async fn look_for_crash(&self) {
+    /// Checks after a broken run whether the target has crashed, which is assumed if it
+    /// also refuses a connection. All running requests are then suspected. The broken
+    /// run must still be listed as running, so that all runs of one crash are suspected
+    /// together.
+    async fn detect_crash(&self) {
         if self.target.accepts_connections().await {
             return;
         }
@@ -155,7 +157,7 @@
         let exchanging = self.target.exchange(&exchange);
         match tokio::time::timeout_at(deadline, exchanging).await {
             Err(_) => GateEvent::Ended(CallEnd::TimedOut),
-            Ok(Ok(answer)) => self.judge(run.terms, answer, started),
+            Ok(Ok(answer)) => self.classify_answer(run.terms, answer, started),
             Ok(Err(ExchangeFault::Unreachable)) => {
                 self.state
                     .lock()
@@ -165,13 +167,13 @@
             }
             Ok(Err(ExchangeFault::Broken(reason))) => {
                 let id = &run.terms.request_id;
-                log::warn!(request = id.as_str(), reason; "a run broke in the target");
+                log::warn!(request = id.as_str(), reason; "the exchange with the target failed during a run");
                 GateEvent::Ended(CallEnd::Broken)
             }
         }
     }
 
-    /// The request as the target is to see it.
+    /// Builds the request that is sent to the target.
     fn exchange_for(&self, run: &Run<'_>, left_ms: Millis) -> Exchange {
         let names = self.dialect.names();
         let mut fields = run.head.fields.clone();
@@ -194,9 +196,14 @@
         }
     }
 
-    /// Tells an answer from a statement that nothing ran, and from a success
-    /// that is none.
-    fn judge(&self, terms: &CallTerms, answer: TargetAnswer, started: Millis) -> GateEvent {
+    /// Distinguishes a valid answer from a statement that the request did not run, and
+    /// from a successful status without a valid body.
+    fn classify_answer(
+        &self,
+        terms: &CallTerms,
+        answer: TargetAnswer,
+        started: Millis,
+    ) -> GateEvent {
         let names = self.dialect.names();
         let now = self.clock.now();
         let TargetAnswer { head, body } = answer;
@@ -204,7 +211,7 @@
             self.note_load(load, now);
         }
         if head.status == MISDIRECTED {
-            self.note_ended_life(&terms.target_id);
+            self.note_ended_incarnation(&terms.target_id);
             return GateEvent::Ended(CallEnd::Misdirected);
         }
         if http1::field(&head.fields, names.not_run).is_some() {
@@ -217,7 +224,10 @@
         let is_encoded = http1::field(&head.fields, "content-encoding").is_some();
         if is_success(head.status) && (!has_digest || is_encoded) {
             let id = &terms.request_id;
-            log::warn!(request = id.as_str(), has_digest, is_encoded; "a success that is none");
+            log::warn!(
+                request = id.as_str(), has_digest, is_encoded;
+                "a successful answer has no digest or is encoded"
+            );
             return GateEvent::Ended(CallEnd::Broken);
         }
         let mut fields = head.fields;
@@ -235,7 +245,7 @@
 
     fn note_load(&self, value: &str, now: Millis) {
         let Some(load) = self.dialect.load(value) else {
-            log::debug!("a load report is malformed: {value}");
+            log::debug!("malformed load report: {value}");
             return;
         };
         let Some(slowness_percent) = load.slowness_percent else {
--- a/crates/edge/tests/all/crash_request.rs
+++ b/crates/edge/tests/all/crash_request.rs
@@ -1,25 +1,24 @@
-//! Requests that crash the targets that run them.
+//! Requests that crash the targets in which they run.
 
-use crate::support::caller::ask;
+use crate::support::caller::request;
 use crate::support::fleet;
 use crate::support::target::until;
 
-/// A lookup crashes each target that runs it, and its caller sends it again and
-/// again, to whatever node. Four targets at most go down; then every node
-/// refuses it at once, also one that met no crash itself, and lookups of others
-/// are served by the targets that are left.
+/// Guards against a request that crashes one target after the other. Its caller
+/// retries it through several nodes. After at most four crashes every node refuses it,
+/// also nodes that saw no crash, and the remaining targets serve other lookups.
 #[tokio::test]
 async fn a_request_that_crashes_targets_is_stopped_everywhere() {
     let fleet = fleet(&["s"; 7]).await;
     for vm in &fleet.vms {
-        // Links between all, as usual traffic opens them.
+        // Opens links between all nodes, as ordinary traffic does.
         for number in 0..12 {
-            ask(vm.callers, "GET", "/read/ok", &format!("warm-{number}")).await;
+            request(vm.callers, "GET", "/read/ok", &format!("warm-{number}")).await;
         }
     }
     for number in 0..6 {
         let caller = fleet.vms[number % 3].callers;
-        let answer = ask(caller, "GET", "/read/crash", &format!("id-{number}")).await;
+        let answer = request(caller, "GET", "/read/crash", &format!("id-{number}")).await;
         assert!(answer.status() >= 500);
     }
     let crashed = || {
@@ -33,27 +32,28 @@
     );
     let before = crashed();
     for vm in &fleet.vms {
-        let answer = ask(vm.callers, "GET", "/read/crash", "id-last").await;
+        let answer = request(vm.callers, "GET", "/read/crash", "id-last").await;
         assert_eq!(answer.status(), 503);
         assert!(answer.body.contains("crash-suspect"), "{}", answer.body);
     }
     assert_eq!(crashed(), before);
-    let answer = ask(fleet.vms[6].callers, "GET", "/read/ok", "id-other").await;
+    let answer = request(fleet.vms[6].callers, "GET", "/read/ok", "id-other").await;
     assert_eq!(answer.status(), 200);
 }
 
-/// A target crashes for reasons of its own while lookups run. They are suspected
-/// and run well elsewhere, which clears them: nobody is refused for it.
+/// Guards against refusing innocent requests. A target crashes while unrelated lookups
+/// run in it. They are suspected until they succeed on another target, and none is
+/// refused as a crash suspect.
 #[tokio::test]
-async fn lookups_that_were_only_there_are_not_held_responsible() {
+async fn lookups_in_flight_during_an_unrelated_crash_are_cleared() {
     let fleet = fleet(&["s", "s"]).await;
     let callers = fleet.vms[1].callers;
-    let waiting = tokio::spawn(async move {
+    let lookups = tokio::spawn(async move {
         let mut answers = Vec::new();
         for number in 0..4 {
             let path = format!("/read/slow?{number}");
             answers.push(
-                ask(callers, "GET", &path, &format!("id-{number}"))
+                request(callers, "GET", &path, &format!("id-{number}"))
                     .await
                     .status(),
             );
@@ -64,14 +64,14 @@
         fleet.vms.iter().any(|vm| !vm.target.ran().is_empty())
     })
     .await;
-    ask(fleet.vms[0].callers, "GET", "/read/crash", "id-crash").await;
-    let answers = waiting.await.expect("no panic");
+    request(fleet.vms[0].callers, "GET", "/read/crash", "id-crash").await;
+    let answers = lookups.await.expect("no panic");
     for (number, status) in answers.iter().enumerate() {
         if *status == 200 {
             continue;
         }
         let path = format!("/read/slow?{number}");
-        let again = ask(callers, "GET", &path, "id-again").await;
+        let again = request(callers, "GET", &path, "id-again").await;
         assert!(!again.body.contains("crash-suspect"), "{}", again.body);
     }
 }
--- a/crates/edge/tests/all/routing.rs
+++ b/crates/edge/tests/all/routing.rs
@@ -1,18 +1,18 @@
-//! What reaches the target, and what does not.
+//! Which requests reach a target, and in which form.
 
 use std::sync::Arc;
 
 use hornbeamhitch_edge::directory::Directory;
 use hornbeamhitch_edge::http1;
 
-use crate::support::caller::{Caller, ask, look_up};
+use crate::support::caller::{Caller, request, send_lookups};
 use crate::support::{
     CALLER_SERVICE, DEADLINE_MS, DIGEST, EXPECTED_TARGET, LOAD, REQUEST_ID, fleet, member,
     set_directory,
 };
 
 #[tokio::test]
-async fn a_request_and_its_answer_pass_unchanged() {
+async fn a_request_and_its_answer_are_relayed_unchanged() {
     let fleet = fleet(&["s"]).await;
     let mut caller = Caller::connect(fleet.vms[0].callers).await;
     let text = format!(
@@ -46,9 +46,9 @@
 }
 
 #[tokio::test]
-async fn the_gate_of_another_vm_runs_what_has_no_target_here() {
+async fn a_call_without_a_local_target_runs_through_another_vms_gate() {
     let fleet = fleet(&["s", "other"]).await;
-    let answer = ask(fleet.vms[1].callers, "GET", "/read/x", "id-1").await;
+    let answer = request(fleet.vms[1].callers, "GET", "/read/x", "id-1").await;
     assert_eq!(answer.status(), 200);
     let ran = fleet.vms[0].target.ran();
     assert_eq!(
@@ -58,24 +58,27 @@
 }
 
 #[tokio::test]
-async fn what_cannot_be_routed_is_told_so() {
+async fn unroutable_requests_are_refused_with_their_reason() {
     let fleet = fleet(&["s"]).await;
     let callers = fleet.vms[0].callers;
-    assert_eq!(ask(callers, "GET", "/none/x", "id-1").await.status(), 404);
+    assert_eq!(
+        request(callers, "GET", "/none/x", "id-1").await.status(),
+        404
+    );
     let mut caller = Caller::connect(callers).await;
     caller
         .send_raw("GET /read/x HTTP/1.1\r\nHost: h\r\n\r\n")
         .await;
     assert_eq!(caller.answer().await.expect("an answer").status(), 400);
     fleet.directory.store(Arc::new(Directory::default()));
-    let answer = ask(callers, "GET", "/read/x", "id-2").await;
+    let answer = request(callers, "GET", "/read/x", "id-2").await;
     assert_eq!(answer.status(), 503);
     assert!(answer.field("Retry-After").is_some());
     assert!(fleet.vms[0].target.ran().is_empty());
 }
 
-/// A request says in two ways where it ends. One reader takes the rest for the
-/// body, the next for a request of its own, which nobody sent.
+/// Guards against request smuggling. A request states its length in two ways, so that
+/// one reader takes the rest for the body and the next one for a second request.
 #[tokio::test]
 async fn a_smuggled_request_reaches_no_target() {
     let fleet = fleet(&["s"]).await;
@@ -90,28 +93,28 @@
     assert!(fleet.vms[0].target.ran().is_empty());
 }
 
-/// A target has left the list, or drains, and an entry that slept still sends
-/// to it. Its gate has read the list and refuses; the call goes elsewhere.
+/// Guards against new work for a draining target. Neither an entry nor its gate may
+/// start calls in it; they run in the other target.
 #[tokio::test]
-async fn a_draining_target_gets_no_new_work() {
+async fn a_draining_target_receives_no_new_calls() {
     let fleet = fleet(&["s", "s"]).await;
     let mut draining = member(0, "s", fleet.vms[0].target.address);
     draining.draining = true;
     let open = member(1, "s", fleet.vms[1].target.address);
     set_directory(&fleet.directory, "s", vec![draining, open]);
-    look_up(fleet.vms[0].callers, 20).await;
+    send_lookups(fleet.vms[0].callers, 20).await;
     assert!(fleet.vms[0].target.ran().is_empty());
     assert_eq!(fleet.vms[1].target.ran().len(), 20);
 }
 
-/// The address of a target that ended belongs to another one now, which the
-/// list does not show yet.
+/// Guards against running a call in the wrong target. The address of a target that has
+/// ended belongs to another one, but the list is still stale.
 #[tokio::test]
-async fn a_target_of_another_life_runs_nothing() {
+async fn a_target_of_another_incarnation_runs_nothing() {
     let fleet = fleet(&["s"]).await;
     let wrong = member(7, "s", fleet.vms[0].target.address);
     set_directory(&fleet.directory, "s", vec![wrong]);
-    let answer = ask(fleet.vms[0].callers, "POST", "/pay/x", "id-1").await;
+    let answer = request(fleet.vms[0].callers, "POST", "/pay/x", "id-1").await;
     assert_eq!(answer.status(), 503);
     assert!(fleet.vms[0].target.ran().is_empty());
 }
