--- a/crates/core/src/control.rs
+++ b/crates/core/src/control.rs
@@ -46,7 +46,7 @@
 
 use crate::prelude::*;
 use acceptance::Acceptance;
-use board::{Board, Controller, Dirt, Input};
+use board::{Board, Controller, Input, PendingPublish};
 use dissemination::Dissemination;
 use heartbeat::Heartbeats;
 use joining::Joining;
@@ -80,7 +80,7 @@
         now: Millis,
     ) -> Self {
         let mut board = Board::new(settings, now);
-        board.soil(Dirt::Routes);
+        board.request_publish(PendingPublish::Routes);
         // The order matters: what is heard is taken in before start-up and
         // reads are decided upon, and publishing comes last.
         let controllers: Vec<Box<dyn Controller>> = vec![
@@ -176,7 +176,7 @@
         if self.is_current(&from.vm, from.incarnation) {
             return Some(Input::Datagram(datagram));
         }
-        Some(Input::FromEarlierLife {
+        Some(Input::FromEarlierIncarnation {
             vm: datagram.from.vm,
             control: datagram.from.control,
         })
@@ -247,7 +247,7 @@
         let board = &self.board;
         let mut services = Vec::new();
         let by_service = board.members.by_service();
-        for service in board.held_services() {
+        for service in board.tracked_services() {
             let members = by_service.get(service).map_or(&[][..], Vec::as_slice);
             services.push(status_of(board, service.clone(), members, now));
         }
--- a/crates/core/src/control/board.rs
+++ b/crates/core/src/control/board.rs
@@ -26,9 +26,9 @@
 use crate::view::HeardLoad;
 
 /// A service asked for on demand is let go after this long without a call.
-const INTEREST_IDLE_AFTER: Millis = Millis::from_secs(10 * 60);
+const ON_DEMAND_TIMEOUT: Millis = Millis::from_secs(10 * 60);
 /// Services held on demand; a call for one more displaces the longest idle.
-const MAX_INTERESTS: usize = 32;
+const MAX_ON_DEMAND: usize = 32;
 
 /// One matter of the control half, with private state of its own.
 pub(super) trait Controller: Send {
@@ -48,7 +48,7 @@
     /// A peer's datagram, not of an earlier life.
     Datagram(Datagram),
     /// A datagram of an earlier life than the one known.
-    FromEarlierLife {
+    FromEarlierIncarnation {
         vm: VmId,
         control: SocketAddr,
     },
@@ -92,10 +92,10 @@
 
 /// What must be published.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
-pub(super) enum Dirt {
+pub(super) enum PendingPublish {
     /// Nothing.
     #[default]
-    Clean,
+    Nothing,
     /// Load reports only; they may wait a little.
     Loads,
     /// Versions, members or suspects; at once.
@@ -114,9 +114,9 @@
     pub(super) refused: Option<RefusedText>,
     /// Services whose policy and members this node holds: its own, those that
     /// it calls, and those asked for lately. Sorted.
-    held: Vec<ServiceName>,
+    tracked: Vec<ServiceName>,
     /// Services asked for on demand, with the time of the last call.
-    interests: BTreeMap<ServiceName, Millis>,
+    on_demand: BTreeMap<ServiceName, Millis>,
     pub(super) members: Members,
     pub(super) holders: Holders,
     pub(super) pulls: Pulls,
@@ -134,7 +134,7 @@
     pub(super) superseded: bool,
     pub(super) own_load: Option<HeardLoad>,
     pub(super) suspects: Suspects,
-    pub(super) dirt: Dirt,
+    pub(super) pending_publish: PendingPublish,
     pub(super) outbox: Vec<ControlAction>,
     pub(super) counters: ControlCounters,
     /// Probes sent since start, by service.
@@ -154,8 +154,8 @@
             vms: Document::default(),
             config: Config::default(),
             refused: None,
-            held: vec![service.clone()],
-            interests: BTreeMap::new(),
+            tracked: vec![service.clone()],
+            on_demand: BTreeMap::new(),
             rota: Rota::new(&vm, data_centre.clone()),
             members: Members::new(vm, data_centre, service),
             holders: Holders::default(),
@@ -168,7 +168,7 @@
             superseded: false,
             own_load: None,
             suspects: Suspects::new(),
-            dirt: Dirt::Clean,
+            pending_publish: PendingPublish::Nothing,
             outbox: Vec::new(),
             counters: ControlCounters::default(),
             probes_sent: BTreeMap::new(),
@@ -192,8 +192,8 @@
     }
 
     /// Marks what must be published.
-    pub(super) fn soil(&mut self, dirt: Dirt) {
-        self.dirt = self.dirt.max(dirt);
+    pub(super) fn request_publish(&mut self, pending_publish: PendingPublish) {
+        self.pending_publish = self.pending_publish.max(pending_publish);
     }
 
     /// Sends a message from this node.
@@ -211,8 +211,8 @@
 
     /// Asks a peer by bulk for what this node lacks.
     pub(super) fn pull(&mut self, to: SocketAddr, everything: bool) {
-        let text = self.text.ask(&self.wanted_text(), everything);
-        let vms = self.vms.ask(&self.wanted_vms(), everything);
+        let text = self.text.request(&self.wanted_text(), everything);
+        let vms = self.vms.request(&self.wanted_vms(), everything);
         let message = BulkRequest {
             from: self.sender(),
             text: text.clone(),
@@ -315,7 +315,7 @@
     }
 
     /// Takes in a peer's word of a refused text.
-    pub(super) fn hear_refused(&mut self, note: Option<&RefusedNote>) {
+    pub(super) fn merge_refused(&mut self, note: Option<&RefusedNote>) {
         let Some(note) = note else {
             return;
         };
@@ -330,24 +330,24 @@
     }
 
     /// Services whose policy and members this node holds, sorted.
-    pub(super) fn held_services(&self) -> &[ServiceName] {
-        &self.held
+    pub(super) fn tracked_services(&self) -> &[ServiceName] {
+        &self.tracked
     }
 
-    fn find_held(&self) -> Vec<ServiceName> {
+    fn find_tracked_services(&self) -> Vec<ServiceName> {
         let own = &self.settings.service;
-        let mut held = BTreeSet::from([own.clone()]);
+        let mut tracked = BTreeSet::from([own.clone()]);
         if let Some(policy) = self.config.policy(own) {
-            held.extend(policy.depends_on.iter().cloned());
+            tracked.extend(policy.depends_on.iter().cloned());
         }
-        held.extend(self.interests.keys().cloned());
-        held.into_iter().collect()
+        tracked.extend(self.on_demand.keys().cloned());
+        tracked.into_iter().collect()
     }
 
     /// Slices of the configuration that this node needs.
     pub(super) fn wanted_text(&self) -> BTreeSet<SliceName> {
         let mut wanted = BTreeSet::from([SliceName::Deployment, SliceName::ServiceNames]);
-        for service in &self.held {
+        for service in &self.tracked {
             if !self.config.lacks(service) {
                 wanted.insert(SliceName::Service(service.clone()));
             }
@@ -358,7 +358,7 @@
     /// Slices of the VM list that this node needs.
     pub(super) fn wanted_vms(&self) -> BTreeSet<SliceName> {
         let mut wanted = BTreeSet::new();
-        for service in &self.held {
+        for service in &self.tracked {
             wanted.insert(SliceName::Members(service.clone()));
         }
         wanted
@@ -367,14 +367,14 @@
     /// Decodes what changed in the text and follows it up: the services held
     /// depend on the own policy.
     pub(super) fn refresh_config(&mut self) {
-        self.held = self.find_held();
-        self.config.refresh(&self.text, &self.held);
-        let held = self.find_held();
-        if held != self.held {
-            self.config.refresh(&self.text, &held);
-            self.held = held;
+        self.tracked = self.find_tracked_services();
+        self.config.refresh(&self.text, &self.tracked);
+        let tracked = self.find_tracked_services();
+        if tracked != self.tracked {
+            self.config.refresh(&self.text, &tracked);
+            self.tracked = tracked;
         }
-        self.members.hold(&self.held);
+        self.members.track(&self.tracked);
         let in_force = self.text_version();
         if self
             .refused
@@ -383,35 +383,35 @@
         {
             self.refused = None;
         }
-        self.soil(Dirt::Routes);
+        self.request_publish(PendingPublish::Routes);
     }
 
     /// Notes that calls of this node want a service.
-    pub(super) fn touch_interest(&mut self, service: &ServiceName) {
-        if let Some(used_at) = self.interests.get_mut(service) {
+    pub(super) fn note_demand(&mut self, service: &ServiceName) {
+        if let Some(used_at) = self.on_demand.get_mut(service) {
             *used_at = self.now;
             return;
         }
-        if self.held.contains(service) || self.config.lacks(service) {
+        if self.tracked.contains(service) || self.config.lacks(service) {
             return;
         }
-        if self.interests.len() >= MAX_INTERESTS {
-            let idle = self.interests.iter().min_by_key(|(_, used_at)| **used_at);
+        if self.on_demand.len() >= MAX_ON_DEMAND {
+            let idle = self.on_demand.iter().min_by_key(|(_, used_at)| **used_at);
             if let Some(victim) = idle.map(|(name, _)| name.clone()) {
-                self.interests.remove(&victim);
+                self.on_demand.remove(&victim);
             }
         }
-        self.interests.insert(service.clone(), self.now);
+        self.on_demand.insert(service.clone(), self.now);
         self.refresh_config();
     }
 
     /// Lets services go that were asked for on demand and are idle.
-    pub(super) fn drop_idle_interests(&mut self) {
+    pub(super) fn drop_idle_services(&mut self) {
         let now = self.now;
-        let before = self.interests.len();
-        self.interests
-            .retain(|_, used_at| now.since(*used_at) <= INTEREST_IDLE_AFTER);
-        if self.interests.len() != before {
+        let before = self.on_demand.len();
+        self.on_demand
+            .retain(|_, used_at| now.since(*used_at) <= ON_DEMAND_TIMEOUT);
+        if self.on_demand.len() != before {
             self.refresh_config();
         }
     }
--- a/crates/core/src/control/dissemination.rs
+++ b/crates/core/src/control/dissemination.rs
@@ -12,8 +12,8 @@
 use std::net::SocketAddr;
 
 use hornbeamhitch_wire::control::{
-    BulkAnswer, BulkRequest, ChangeNote, Datagram, DatagramBody, KnownVersions, Reply, SliceName,
-    encode_slice,
+    BulkAnswer, BulkRequest, ChangeNote, Datagram, DatagramBody, DocumentReply, KnownVersions,
+    SliceName, encode_slice,
 };
 use rand::RngExt;
 use rand::seq::IndexedRandom;
@@ -21,7 +21,7 @@
 use super::api::{ControlAction, RequestId};
 use super::board::{Board, Controller, Input};
 use super::config::is_valid_slice;
-use super::document::Applied;
+use super::document::ApplyOutcome;
 use super::members::Recipient;
 use super::pulls::Pull;
 use crate::budget::TokenBucket;
@@ -33,12 +33,12 @@
 /// Peers to whom a newer version is announced at once.
 const FAN_OUT: usize = 4;
 /// Change notes of each document in one datagram.
-pub(super) const NOTES_TOLD: usize = 4;
+pub(super) const NOTES_PER_DATAGRAM: usize = 4;
 /// A peer that could not help is passed over for this long.
-const PASSED_OVER_FOR: Millis = Millis::from_secs(2);
+const SKIP_PEER_FOR: Millis = Millis::from_secs(2);
 /// Pause after a pull that brought nothing; doubles up to the limit.
-const FIRST_PAUSE: Millis = Millis(50);
-const MAX_PAUSE: Millis = Millis::from_secs(5);
+const INITIAL_BACKOFF: Millis = Millis(50);
+const MAX_BACKOFF: Millis = Millis::from_secs(5);
 /// Bulk requests answered a second, and at once. It bounds what a reader
 /// spends on others when everybody needs the same slice; those turned away
 /// ask a peer that has been served.
@@ -96,7 +96,7 @@
             return true;
         }
     }
-    for service in board.held_services() {
+    for service in board.tracked_services() {
         let name = SliceName::Service(service.clone());
         if !board.config.lacks(service) && text.slice(&name).is_none() {
             return true;
@@ -109,7 +109,7 @@
     if board.vms.is_whole() {
         return false;
     }
-    for service in board.held_services() {
+    for service in board.tracked_services() {
         let name = SliceName::Members(service.clone());
         if board.vms.slice(&name).is_none() {
             return true;
@@ -120,7 +120,7 @@
 
 /// How well a peer suits, the best last.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Fit {
+enum PeerFit {
     /// Another service; it may hold the right slices by chance.
     Other,
     /// A reader whose versions are not known.
@@ -134,9 +134,9 @@
 pub(super) struct Dissemination {
     announced: KnownVersions,
     next_pull_at: Millis,
-    fruitless: u32,
-    passed_over: BTreeMap<SocketAddr, Millis>,
-    answers: TokenBucket,
+    failed_pulls: u32,
+    skipped_until: BTreeMap<SocketAddr, Millis>,
+    answer_budget: TokenBucket,
 }
 
 impl Dissemination {
@@ -145,18 +145,18 @@
         Self {
             announced: KnownVersions::default(),
             next_pull_at: Millis::ZERO,
-            fruitless: 0,
-            passed_over: BTreeMap::new(),
-            answers: TokenBucket::new(ANSWERS_PER_S, ANSWER_BURST, now),
+            failed_pulls: 0,
+            skipped_until: BTreeMap::new(),
+            answer_budget: TokenBucket::new(ANSWERS_PER_S, ANSWER_BURST, now),
         }
     }
 
-    fn hear(&mut self, board: &mut Board, datagram: &Datagram) {
-        board.holders.hear(datagram, board.now);
-        self.note_source(board, datagram);
+    fn handle_datagram(&mut self, board: &mut Board, datagram: &Datagram) {
+        board.holders.note_datagram(datagram, board.now);
+        self.end_backoff_if_source(board, datagram);
         let (text_notes, vms_notes): (&[ChangeNote], &[ChangeNote]) = match &datagram.body {
             DatagramBody::Heartbeat(heartbeat) => {
-                board.hear_refused(heartbeat.refused.as_ref());
+                board.merge_refused(heartbeat.refused.as_ref());
                 (&heartbeat.text_notes, &heartbeat.vms_notes)
             }
             DatagramBody::Announce {
@@ -176,20 +176,20 @@
     /// Without this, a node that asked others too early, before they had the
     /// version themselves, would sit out a pause of seconds beside a peer that
     /// has it.
-    fn note_source(&mut self, board: &Board, datagram: &Datagram) {
+    fn end_backoff_if_source(&mut self, board: &Board, datagram: &Datagram) {
         let known = datagram.known;
         let is_whole = known.text_whole && known.vms_whole;
-        let is_kin = datagram.from.service == board.settings.service;
-        let can_answer = is_whole || (is_kin && !holds_whole(board));
+        let is_same_service = datagram.from.service == board.settings.service;
+        let can_answer = is_whole || (is_same_service && !holds_whole(board));
         let is_ahead = known.text > board.text_version() || known.vms > board.list_version();
-        let is_passed_over = self.passed_over.contains_key(&datagram.from.control);
-        if is_ahead && can_answer && !is_passed_over {
+        let is_skipped = self.skipped_until.contains_key(&datagram.from.control);
+        if is_ahead && can_answer && !is_skipped {
             self.next_pull_at = board.now;
         }
     }
 
     fn answer(&mut self, board: &mut Board, request: RequestId, message: &BulkRequest) {
-        if !self.answers.try_take(board.now) {
+        if !self.answer_budget.try_take(board.now) {
             return;
         }
         let is_near = message.from.data_centre == board.settings.data_centre;
@@ -221,42 +221,42 @@
             .push(ControlAction::BulkAnswer { request, message });
     }
 
-    fn take_answer(&mut self, board: &mut Board, peer: SocketAddr, answer: &BulkAnswer) {
-        board.holders.hear_answer(answer, board.now);
-        board.hear_refused(answer.refused.as_ref());
+    fn apply_answer(&mut self, board: &mut Board, peer: SocketAddr, answer: &BulkAnswer) {
+        board.holders.note_answer(answer, board.now);
+        board.merge_refused(answer.refused.as_ref());
         let Some(pull) = board.pulls.take(peer) else {
             return;
         };
         let replies = [&answer.text, &answer.vms];
         if replies.iter().any(|reply| !is_valid_reply(reply)) {
             board.counters.bad_messages += 1;
-            self.fruitless_pull(board, peer);
+            self.note_failed_pull(board, peer);
             return;
         }
-        let text = Self::take_text(board, &pull, &answer.text);
-        let vms = Self::take_vms(board, &pull, &answer.vms);
-        if text == Applied::Advanced || vms == Applied::Advanced {
-            self.fruitless = 0;
+        let text = Self::apply_text(board, &pull, &answer.text);
+        let vms = Self::apply_vms(board, &pull, &answer.vms);
+        if text == ApplyOutcome::Advanced || vms == ApplyOutcome::Advanced {
+            self.failed_pulls = 0;
             self.next_pull_at = board.now;
         }
-        let was_useless = [text, vms].contains(&Applied::Unusable);
-        if was_useless || (text != Applied::Advanced && vms != Applied::Advanced) {
-            self.fruitless_pull(board, peer);
+        let was_useless = [text, vms].contains(&ApplyOutcome::Unusable);
+        if was_useless || (text != ApplyOutcome::Advanced && vms != ApplyOutcome::Advanced) {
+            self.note_failed_pull(board, peer);
         }
     }
 
-    fn take_text(board: &mut Board, pull: &Pull, reply: &Reply) -> Applied {
+    fn apply_text(board: &mut Board, pull: &Pull, reply: &DocumentReply) -> ApplyOutcome {
         let applied = board.text.apply(&pull.text, pull.text_edits, reply.clone());
-        if applied == Applied::Advanced {
+        if applied == ApplyOutcome::Advanced {
             board.refresh_config();
         }
         applied
     }
 
-    fn take_vms(board: &mut Board, pull: &Pull, reply: &Reply) -> Applied {
+    fn apply_vms(board: &mut Board, pull: &Pull, reply: &DocumentReply) -> ApplyOutcome {
         let applied = board.vms.apply(&pull.vms, pull.vms_edits, reply.clone());
         let is_current = reply.version == board.vms.version();
-        if !is_current || applied == Applied::Unusable {
+        if !is_current || applied == ApplyOutcome::Unusable {
             return applied;
         }
         for name in &reply.gone {
@@ -264,18 +264,18 @@
                 let empty = encode_slice(&Vec::<ServiceName>::new());
                 board
                     .vms
-                    .hold_empty(&SliceName::Members(service.clone()), empty);
+                    .insert_empty(&SliceName::Members(service.clone()), empty);
             }
         }
         applied
     }
 
-    fn fruitless_pull(&mut self, board: &mut Board, peer: SocketAddr) {
-        self.passed_over.insert(peer, board.now + PASSED_OVER_FOR);
-        let pause = (FIRST_PAUSE.0 << self.fruitless.min(10)).min(MAX_PAUSE.0);
+    fn note_failed_pull(&mut self, board: &mut Board, peer: SocketAddr) {
+        self.skipped_until.insert(peer, board.now + SKIP_PEER_FOR);
+        let pause = (INITIAL_BACKOFF.0 << self.failed_pulls.min(10)).min(MAX_BACKOFF.0);
         let jitter = board.rng.random_range(pause / 2..=pause);
         self.next_pull_at = board.now + Millis(jitter);
-        self.fruitless = self.fruitless.saturating_add(1);
+        self.failed_pulls = self.failed_pulls.saturating_add(1);
     }
 
     fn pull_if_needed(&mut self, board: &mut Board) {
@@ -284,11 +284,11 @@
         }
         let needs = Needs::of(board);
         if !needs.any() {
-            self.fruitless = 0;
+            self.failed_pulls = 0;
             return;
         }
         let now = board.now;
-        self.passed_over.retain(|_, until| *until > now);
+        self.skipped_until.retain(|_, until| *until > now);
         let Some(peer) = self.choose_peer(board, needs) else {
             return;
         };
@@ -297,7 +297,7 @@
 
     /// The peer that suits best, at random among equals.
     fn choose_peer(&self, board: &mut Board, needs: Needs) -> Option<SocketAddr> {
-        let mut ranked: BTreeMap<Fit, Vec<SocketAddr>> = BTreeMap::new();
+        let mut ranked: BTreeMap<PeerFit, Vec<SocketAddr>> = BTreeMap::new();
         for holder in board.holders.usable(board.now) {
             if holder.control == board.settings.control {
                 continue;
@@ -307,22 +307,22 @@
             let helps_vms = needs.vms_behind && known.vms > board.list_version();
             let is_level = known.text >= board.text_version() && known.vms >= board.list_version();
             let is_whole = known.text_whole && known.vms_whole;
-            let is_kin = holder.service.as_ref() == Some(&board.settings.service);
+            let is_same_service = holder.service.as_ref() == Some(&board.settings.service);
             let is_partial = !holds_whole(board);
-            let can_answer = is_whole || (is_kin && is_partial);
+            let can_answer = is_whole || (is_same_service && is_partial);
             let fit = match () {
-                () if needs.whole && is_whole && is_level => Fit::Good,
+                () if needs.whole && is_whole && is_level => PeerFit::Good,
                 () if needs.whole && !needs.text_behind && !needs.vms_behind => continue,
-                () if needs.slices && is_level && can_answer => Fit::Good,
-                () if (helps_text || helps_vms) && can_answer => Fit::Good,
-                () if (helps_text || helps_vms) && is_partial => Fit::Other,
+                () if needs.slices && is_level && can_answer => PeerFit::Good,
+                () if (helps_text || helps_vms) && can_answer => PeerFit::Good,
+                () if (helps_text || helps_vms) && is_partial => PeerFit::Other,
                 () => continue,
             };
             ranked.entry(fit).or_default().push(holder.control);
         }
-        ranked.insert(Fit::Reader, board.rota.whole_holders());
+        ranked.insert(PeerFit::Reader, board.rota.whole_candidates());
         for peers in ranked.values_mut().rev() {
-            peers.retain(|peer| !self.passed_over.contains_key(peer));
+            peers.retain(|peer| !self.skipped_until.contains_key(peer));
             if let Some(peer) = peers.choose(&mut board.rng) {
                 return Some(*peer);
             }
@@ -332,16 +332,16 @@
 
     fn announce(&mut self, board: &mut Board) {
         let known = board.known_versions();
-        let is_news = known.text > self.announced.text || known.vms > self.announced.vms;
+        let is_newer = known.text > self.announced.text || known.vms > self.announced.vms;
         let had_some = self.announced.text.0 > 0 || board.joined;
         self.announced = known;
-        if !is_news || !had_some {
+        if !is_newer || !had_some {
             return;
         }
-        for recipient in announce_to(board) {
+        for recipient in announcement_recipients(board) {
             let body = DatagramBody::Announce {
-                text_notes: board.text.latest_notes(NOTES_TOLD),
-                vms_notes: board.vms.latest_notes(NOTES_TOLD),
+                text_notes: board.text.latest_notes(NOTES_PER_DATAGRAM),
+                vms_notes: board.vms.latest_notes(NOTES_PER_DATAGRAM),
             };
             board.send(recipient.control, body);
         }
@@ -350,7 +350,7 @@
 
 /// Peers of the own service, one near and one far, so that news crosses
 /// services and data centres on its first hops.
-fn announce_to(board: &mut Board) -> Vec<Recipient> {
+fn announcement_recipients(board: &mut Board) -> Vec<Recipient> {
     let service = board.settings.service.clone();
     let data_centre = board.settings.data_centre.clone();
     let rng = &mut board.rng;
@@ -361,26 +361,27 @@
     chosen
         .extend(members.choose_uncalled_first(rng, 1, |member| member.data_centre != data_centre));
     let rest = FAN_OUT - chosen.len();
-    let taken: Vec<SocketAddr> = chosen.iter().map(|recipient| recipient.control).collect();
+    let chosen_addresses: Vec<SocketAddr> =
+        chosen.iter().map(|recipient| recipient.control).collect();
     chosen.extend(members.choose(rng, rest, |member| {
-        member.service == service && !taken.contains(&member.control)
+        member.service == service && !chosen_addresses.contains(&member.control)
     }));
     chosen
 }
 
-fn is_valid_reply(reply: &Reply) -> bool {
+fn is_valid_reply(reply: &DocumentReply) -> bool {
     reply.slices.iter().all(is_valid_slice)
 }
 
 impl Controller for Dissemination {
     fn on_input(&mut self, input: &Input, board: &mut Board) {
         match input {
-            Input::Datagram(datagram) => self.hear(board, datagram),
+            Input::Datagram(datagram) => self.handle_datagram(board, datagram),
             Input::Request { request, message } => self.answer(board, *request, message),
-            Input::Answer { peer, message } => self.take_answer(board, *peer, message),
+            Input::Answer { peer, message } => self.apply_answer(board, *peer, message),
             Input::AnswerFailed(peer) => {
                 board.pulls.take(*peer);
-                self.fruitless_pull(board, *peer);
+                self.note_failed_pull(board, *peer);
             }
             _ => {}
         }
@@ -388,9 +389,9 @@
 
     fn on_tick(&mut self, board: &mut Board) {
         for peer in board.pulls.expire(board.now) {
-            self.fruitless_pull(board, peer);
+            self.note_failed_pull(board, peer);
         }
-        board.drop_idle_interests();
+        board.drop_idle_services();
     }
 
     fn on_settled(&mut self, board: &mut Board) {
--- a/crates/core/src/control/dissemination/tests.rs
+++ b/crates/core/src/control/dissemination/tests.rs
@@ -65,11 +65,15 @@
 /// holds a few slices and would leave it behind for as long as it keeps the
 /// rest.
 #[test]
-fn a_holder_of_all_slices_asks_another_such_holder() {
+fn a_node_with_all_slices_pulls_from_another_such_node() {
     let mut board = board();
     assert!(board.text.replace(1, slices()));
-    board.holders.hear(&news_from(2, "ledger", false), NOW);
-    board.holders.hear(&news_from(3, "darkroom", true), NOW);
+    board
+        .holders
+        .note_datagram(&news_from(2, "ledger", false), NOW);
+    board
+        .holders
+        .note_datagram(&news_from(3, "darkroom", true), NOW);
     let dissemination = Dissemination::new(NOW);
     for _ in 0..32 {
         let needs = Needs::of(&board);
@@ -81,11 +85,15 @@
 /// With nobody else to ask it waits for the platform or for a reader, and does
 /// not send a question that names every slice in vain.
 #[test]
-fn a_holder_of_all_slices_asks_no_holder_of_a_few() {
+fn a_node_with_all_slices_does_not_pull_from_partial_nodes() {
     let mut board = board();
     assert!(board.text.replace(1, slices()));
-    board.holders.hear(&news_from(2, "ledger", false), NOW);
-    board.holders.hear(&news_from(4, "darkroom", false), NOW);
+    board
+        .holders
+        .note_datagram(&news_from(2, "ledger", false), NOW);
+    board
+        .holders
+        .note_datagram(&news_from(4, "darkroom", false), NOW);
     let needs = Needs::of(&board);
     let dissemination = Dissemination::new(NOW);
     assert_eq!(dissemination.choose_peer(&mut board, needs), None);
@@ -93,10 +101,14 @@
 
 /// An ordinary node asks members of its own service and readers alike.
 #[test]
-fn a_holder_of_a_few_slices_asks_its_own_service_too() {
+fn a_partial_node_pulls_from_its_own_service_too() {
     let mut board = board();
-    board.holders.hear(&news_from(2, "ledger", false), NOW);
-    board.holders.hear(&news_from(3, "darkroom", true), NOW);
+    board
+        .holders
+        .note_datagram(&news_from(2, "ledger", false), NOW);
+    board
+        .holders
+        .note_datagram(&news_from(3, "darkroom", true), NOW);
     let dissemination = Dissemination::new(NOW);
     let mut asked = std::collections::BTreeSet::new();
     for _ in 0..64 {
--- a/crates/core/src/control/document.rs
+++ b/crates/core/src/control/document.rs
@@ -8,14 +8,14 @@
 use std::sync::Arc;
 
 use hornbeamhitch_wire::control::{
-    Ask, ChangeNote, Reply, SliceBytes, SliceClaim, SliceName, digest_of,
+    ChangeNote, DocumentReply, DocumentRequest, SliceBytes, SliceClaim, SliceName, digest_of,
 };
 
 #[cfg(test)]
 mod tests;
 
 /// Change notes kept to be told on.
-const KEPT_NOTES: usize = 8;
+const MAX_NOTES: usize = 8;
 /// A change of more slices gets no note; others then ask for what changed.
 const MAX_CHANGED_IN_NOTE: usize = 12;
 
@@ -30,11 +30,11 @@
 
 /// What became of an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Applied {
+pub(super) enum ApplyOutcome {
     /// Versions or slices were taken over.
     Advanced,
     /// It brought nothing new.
-    Nothing,
+    Unchanged,
     /// It belongs to a version below the one held.
     Older,
     /// A slice that is held was missing from it, or what is held has changed
@@ -119,7 +119,7 @@
     /// Takes over a single slice from the platform, which only a node that
     /// holds nothing else may do: slices of two versions must not mix.
     pub(super) fn replace_only(&mut self, version: u64, part: SliceBytes) -> bool {
-        let holds_others = self.slices.keys().any(|held| *held != part.name);
+        let holds_others = self.slices.keys().any(|existing| *existing != part.name);
         if version <= self.version || holds_others || self.whole {
             return false;
         }
@@ -136,7 +136,7 @@
     pub(super) fn advance(&mut self, notes: &[ChangeNote]) -> bool {
         let before = self.version;
         for note in notes {
-            self.keep_note(note);
+            self.insert_note(note);
             if note.previous != self.version || note.version <= self.version || self.version == 0 {
                 continue;
             }
@@ -161,7 +161,11 @@
     }
 
     /// The question that brings this node up to date.
-    pub(super) fn ask(&self, wanted: &BTreeSet<SliceName>, everything: bool) -> Ask {
+    pub(super) fn request(
+        &self,
+        wanted: &BTreeSet<SliceName>,
+        everything: bool,
+    ) -> DocumentRequest {
         let mut claims = Vec::new();
         for (name, slice) in &self.slices {
             claims.push(SliceClaim {
@@ -178,7 +182,7 @@
                 digest: None,
             });
         }
-        Ask {
+        DocumentRequest {
             version: self.version,
             claims,
             everything,
@@ -186,16 +190,16 @@
     }
 
     /// Answers a peer's question.
-    pub(super) fn reply(&self, ask: &Ask) -> Reply {
-        let mut reply = Reply {
+    pub(super) fn reply(&self, request: &DocumentRequest) -> DocumentReply {
+        let mut reply = DocumentReply {
             version: self.version,
-            ..Reply::default()
+            ..DocumentReply::default()
         };
-        if self.version == 0 || self.version < ask.version {
+        if self.version == 0 || self.version < request.version {
             return reply;
         }
         let mut claimed = BTreeSet::new();
-        for claim in &ask.claims {
+        for claim in &request.claims {
             claimed.insert(&claim.name);
             let Some(slice) = self.slices.get(&claim.name) else {
                 let list = if self.whole {
@@ -211,8 +215,8 @@
             }
             reply.slices.push(slice_bytes(&claim.name, slice));
         }
-        reply.notes = self.latest_notes(KEPT_NOTES);
-        if !ask.everything || !self.whole {
+        reply.notes = self.latest_notes(MAX_NOTES);
+        if !request.everything || !self.whole {
             return reply;
         }
         for (name, slice) in &self.slices {
@@ -225,20 +229,25 @@
         reply
     }
 
-    /// Takes over a peer's answer to `ask`, which was put at `asked_at_edits`.
-    pub(super) fn apply(&mut self, ask: &Ask, asked_at_edits: u64, reply: Reply) -> Applied {
+    /// Takes over a peer's answer to `request`, which was put at `edits_at_request`.
+    pub(super) fn apply(
+        &mut self,
+        request: &DocumentRequest,
+        edits_at_request: u64,
+        reply: DocumentReply,
+    ) -> ApplyOutcome {
         if reply.version == 0 || reply.version < self.version {
-            return Applied::Older;
+            return ApplyOutcome::Older;
         }
-        if asked_at_edits != self.edits {
-            return Applied::Unusable;
+        if edits_at_request != self.edits {
+            return ApplyOutcome::Unusable;
         }
         if reply.version == self.version {
             return self.fill(reply);
         }
-        for claim in &ask.claims {
+        for claim in &request.claims {
             if claim.digest.is_some() && reply.missing.contains(&claim.name) {
-                return Applied::Unusable;
+                return ApplyOutcome::Unusable;
             }
         }
         let mut slices = self.slices.clone();
@@ -249,7 +258,7 @@
             slices.remove(name);
         }
         for note in &reply.notes {
-            self.keep_note(note);
+            self.insert_note(note);
         }
         if self.whole && reply.whole {
             let changed = changed_names(&self.slices, &slices);
@@ -259,11 +268,11 @@
         self.version = reply.version;
         self.whole = reply.whole;
         self.edits += 1;
-        Applied::Advanced
+        ApplyOutcome::Advanced
     }
 
     /// Adds slices of the version held.
-    fn fill(&mut self, reply: Reply) -> Applied {
+    fn fill(&mut self, reply: DocumentReply) -> ApplyOutcome {
         let mut changed = false;
         for part in reply.slices {
             if self.slices.contains_key(&part.name) {
@@ -277,15 +286,15 @@
             changed = true;
         }
         if !changed {
-            return Applied::Nothing;
+            return ApplyOutcome::Unchanged;
         }
         self.edits += 1;
-        Applied::Advanced
+        ApplyOutcome::Advanced
     }
 
     /// Holds a slice that is known not to exist as an empty one, so that a
     /// note which brings it into being is not missed.
-    pub(super) fn hold_empty(&mut self, name: &SliceName, empty: Vec<u8>) {
+    pub(super) fn insert_empty(&mut self, name: &SliceName, empty: Vec<u8>) {
         if self.whole || self.slices.contains_key(name) {
             return;
         }
@@ -313,28 +322,28 @@
             previous: self.version,
             changed,
         };
-        self.keep_note(&note);
+        self.insert_note(&note);
     }
 
     /// Keeps a note in the order of versions, the latest ones only.
-    fn keep_note(&mut self, note: &ChangeNote) {
+    fn insert_note(&mut self, note: &ChangeNote) {
         if note.previous >= note.version || note.changed.len() > MAX_CHANGED_IN_NOTE {
             return;
         }
         let key = (note.version, note.previous);
-        let mut place = self.notes.len();
-        for (index, kept) in self.notes.iter().enumerate() {
-            let kept_key = (kept.version, kept.previous);
-            if kept_key == key {
+        let mut position = self.notes.len();
+        for (index, existing) in self.notes.iter().enumerate() {
+            let existing_key = (existing.version, existing.previous);
+            if existing_key == key {
                 return;
             }
-            if kept_key > key {
-                place = index;
+            if existing_key > key {
+                position = index;
                 break;
             }
         }
-        self.notes.insert(place, note.clone());
-        if self.notes.len() > KEPT_NOTES {
+        self.notes.insert(position, note.clone());
+        if self.notes.len() > MAX_NOTES {
             self.notes.pop_front();
         }
     }
--- a/crates/core/src/control/document/tests.rs
+++ b/crates/core/src/control/document/tests.rs
@@ -27,11 +27,11 @@
 /// A node that holds one slice, pulled from a whole holder.
 fn partial(from: &Document, service: &str) -> Document {
     let mut document = Document::default();
-    let ask = document.ask(&BTreeSet::from([name(service)]), false);
-    let reply = from.reply(&ask);
+    let request = document.request(&BTreeSet::from([name(service)]), false);
+    let reply = from.reply(&request);
     assert_eq!(
-        document.apply(&ask, document.edits(), reply),
-        Applied::Advanced
+        document.apply(&request, document.edits(), reply),
+        ApplyOutcome::Advanced
     );
     document
 }
@@ -51,22 +51,22 @@
 }
 
 #[test]
-fn a_note_lifts_only_those_whose_slices_it_does_not_touch() {
+fn a_note_advances_only_documents_whose_slices_it_does_not_change() {
     let mut reader = whole(5, &[("a", 1), ("b", 1)]);
-    let mut of_a = partial(&reader, "a");
-    let mut of_b = partial(&reader, "b");
+    let mut node_a = partial(&reader, "a");
+    let mut node_b = partial(&reader, "b");
     reader.replace(6, parts(&[("a", 2), ("b", 1)]));
     let notes = reader.latest_notes(4);
-    assert!(!of_a.advance(&notes));
-    assert!(of_b.advance(&notes));
-    assert_eq!((of_a.version(), of_b.version()), (5, 6));
+    assert!(!node_a.advance(&notes));
+    assert!(node_b.advance(&notes));
+    assert_eq!((node_a.version(), node_b.version()), (5, 6));
 }
 
 /// Slice `a` is changed in version 6 and changed back in 7. One reader missed
 /// 6 and notes truthfully that 5 and 7 do not differ. A node at 6 that took the
 /// note for its own would keep the content of 6 at version 7.
 #[test]
-fn a_note_from_another_version_proves_nothing() {
+fn a_note_from_another_version_is_not_applied() {
     let mut seen_all = whole(5, &[("a", 1)]);
     let mut skipped = whole(5, &[("a", 1)]);
     seen_all.replace(6, parts(&[("a", 2)]));
@@ -76,74 +76,86 @@
     assert_eq!((node.version(), byte(&node, "a")), (6, Some(2)));
 
     // By bulk it learns of the difference, because contents are compared.
-    let ask = node.ask(&BTreeSet::new(), false);
-    let reply = skipped.reply(&ask);
-    assert_eq!(node.apply(&ask, node.edits(), reply), Applied::Advanced);
+    let request = node.request(&BTreeSet::new(), false);
+    let reply = skipped.reply(&request);
+    assert_eq!(
+        node.apply(&request, node.edits(), reply),
+        ApplyOutcome::Advanced
+    );
     assert_eq!((node.version(), byte(&node, "a")), (7, Some(1)));
 }
 
 /// A whole holder that went up by a note without the added slice would tell
 /// others that the new service does not exist.
 #[test]
-fn a_whole_holder_does_not_go_up_by_a_note_that_adds_a_slice() {
+fn a_whole_document_is_not_advanced_by_a_note_that_adds_a_slice() {
     let mut reader = whole(5, &[("a", 1)]);
     let mut other = whole(5, &[("a", 1)]);
     reader.replace(6, parts(&[("a", 1), ("b", 1)]));
     assert!(!other.advance(&reader.latest_notes(4)));
     reader.replace(7, parts(&[("a", 1), ("b", 1)]));
-    let mut level = whole(6, &[("a", 1), ("b", 1)]);
-    assert!(level.advance(&reader.latest_notes(1)));
+    let mut current = whole(6, &[("a", 1), ("b", 1)]);
+    assert!(current.advance(&reader.latest_notes(1)));
 }
 
 #[test]
-fn an_answer_that_lacks_a_held_slice_is_not_taken_over() {
+fn an_answer_that_lacks_a_local_slice_is_not_applied() {
     let reader = whole(5, &[("a", 1), ("b", 1)]);
-    let mut of_a = partial(&reader, "a");
+    let mut node_a = partial(&reader, "a");
     let newer = whole(6, &[("a", 2), ("b", 2)]);
-    let of_b = partial(&newer, "b");
-    let ask = of_a.ask(&BTreeSet::new(), false);
-    let reply = of_b.reply(&ask);
+    let node_b = partial(&newer, "b");
+    let request = node_a.request(&BTreeSet::new(), false);
+    let reply = node_b.reply(&request);
     assert_eq!(reply.missing, [name("a")]);
-    assert_eq!(of_a.apply(&ask, of_a.edits(), reply), Applied::Unusable);
-    assert_eq!(of_a.version(), 5);
+    assert_eq!(
+        node_a.apply(&request, node_a.edits(), reply),
+        ApplyOutcome::Unusable
+    );
+    assert_eq!(node_a.version(), 5);
 }
 
 /// Between question and answer the node took over something else. The answer
 /// calls slices unchanged that it compared with earlier content.
 #[test]
-fn an_answer_to_an_outdated_question_is_not_taken_over() {
+fn an_answer_to_an_outdated_request_is_not_applied() {
     let reader = whole(5, &[("a", 1)]);
     let mut node = partial(&reader, "a");
     let same_again = whole(8, &[("a", 1)]);
-    let ask = node.ask(&BTreeSet::new(), false);
-    let asked_at = node.edits();
-    let reply = same_again.reply(&ask);
+    let request = node.request(&BTreeSet::new(), false);
+    let edits_at_request = node.edits();
+    let reply = same_again.reply(&request);
     let changed = whole(7, &[("a", 2)]);
-    let between = node.ask(&BTreeSet::new(), false);
+    let between = node.request(&BTreeSet::new(), false);
     let edits = node.edits();
     node.apply(&between, edits, changed.reply(&between));
     assert_eq!(byte(&node, "a"), Some(2));
-    assert_eq!(node.apply(&ask, asked_at, reply), Applied::Unusable);
+    assert_eq!(
+        node.apply(&request, edits_at_request, reply),
+        ApplyOutcome::Unusable
+    );
     assert_eq!((node.version(), byte(&node, "a")), (7, Some(2)));
 }
 
 #[test]
-fn a_slice_that_is_gone_is_let_go() {
+fn a_deleted_slice_is_removed() {
     let reader = whole(5, &[("a", 1), ("b", 1)]);
     let mut node = partial(&reader, "a");
     let newer = whole(6, &[("b", 1)]);
-    let ask = node.ask(&BTreeSet::new(), false);
-    let reply = newer.reply(&ask);
-    assert_eq!(node.apply(&ask, node.edits(), reply), Applied::Advanced);
+    let request = node.request(&BTreeSet::new(), false);
+    let reply = newer.reply(&request);
+    assert_eq!(
+        node.apply(&request, node.edits(), reply),
+        ApplyOutcome::Advanced
+    );
     assert_eq!(byte(&node, "a"), None);
 }
 
 #[test]
-fn notes_kept_are_bounded() {
+fn stored_notes_are_bounded() {
     let mut reader = whole(1, &[("a", 0)]);
     for version in 2..100 {
         reader.replace(version, parts(&[("a", version as u8)]));
     }
-    assert_eq!(reader.latest_notes(100).len(), KEPT_NOTES);
+    assert_eq!(reader.latest_notes(100).len(), MAX_NOTES);
     assert_eq!(reader.latest_notes(1)[0].version, 99);
 }
--- a/crates/core/src/control/heartbeat.rs
+++ b/crates/core/src/control/heartbeat.rs
@@ -11,16 +11,16 @@
 use rand::RngExt;
 
 use super::board::{Board, Controller, Input};
-use super::dissemination::NOTES_TOLD;
+use super::dissemination::NOTES_PER_DATAGRAM;
 use super::members::Recipient;
 use crate::budget::TokenBucket;
 use crate::prelude::*;
-use asking::Asking;
+use asking::ReplyRequests;
 
 mod asking;
 
 /// Mean time between two rounds.
-const EVERY: Millis = Millis::from_secs(1);
+const INTERVAL: Millis = Millis::from_secs(1);
 /// Spread to either side, so that rounds of many nodes do not coincide.
 const JITTER: Millis = Millis(200);
 /// A new node speaks more often for some seconds, so that it and its peers
@@ -33,24 +33,24 @@
 const TO_FAR: usize = 1;
 const TO_DEPENDENCY: usize = 1;
 /// Statements about members in one heartbeat.
-const MEMBERS_TOLD: usize = 6;
+const MEMBERS_PER_HEARTBEAT: usize = 6;
 /// Suspects in one heartbeat.
-const SUSPECTS_TOLD: usize = 4;
+const SUSPECTS_PER_HEARTBEAT: usize = 4;
 /// Heartbeats answered a second, and at once: many services may depend on one.
 const REPLIES_PER_S: f64 = 3.0;
 const REPLY_BURST: u32 = 6;
 /// With fewer peers than this heard of, near ones are asked to answer as well.
 const FEW_PEERS: usize = 4;
 /// A peer heard of within this time counts as heard.
-const HEARD_WITHIN: Millis = Millis::from_secs(5);
+const RECENT_PEER_WITHIN: Millis = Millis::from_secs(5);
 
 /// The controller of heartbeats.
 #[derive(Debug)]
 pub(super) struct Heartbeats {
     started_at: Millis,
     next_at: Millis,
-    replies: TokenBucket,
-    asking: Asking,
+    reply_budget: TokenBucket,
+    reply_requests: ReplyRequests,
 }
 
 impl Heartbeats {
@@ -59,36 +59,38 @@
         Self {
             started_at: now,
             next_at: now,
-            replies: TokenBucket::new(REPLIES_PER_S, REPLY_BURST, now),
-            asking: Asking::default(),
+            reply_budget: TokenBucket::new(REPLIES_PER_S, REPLY_BURST, now),
+            reply_requests: ReplyRequests::default(),
         }
     }
 
-    fn round(&mut self, board: &mut Board) {
+    fn run_round(&mut self, board: &mut Board) {
         let service = board.settings.service.clone();
         let data_centre = board.settings.data_centre.clone();
         let rng = &mut board.rng;
         let members = &board.members;
-        let kin = members.choose(rng, TO_OWN_SERVICE, |member| member.service == service);
+        let service_peers = members.choose(rng, TO_OWN_SERVICE, |member| member.service == service);
         let near = members.choose_uncalled_first(rng, TO_NEAR, |member| {
             member.service != service && member.data_centre == data_centre
         });
         let far =
             members.choose_uncalled_first(rng, TO_FAR, |member| member.data_centre != data_centre);
-        let asking = &self.asking;
+        let reply_requests = &self.reply_requests;
         let now = board.now;
         let dependencies = members.choose(rng, TO_DEPENDENCY, |member| {
-            member.service != service && member.is_held && asking.is_due(&member.service, now)
+            member.service != service
+                && member.is_tracked
+                && reply_requests.is_due(&member.service, now)
         });
-        let is_lonely = Self::heard_peers(board) < FEW_PEERS;
+        let has_few_peers = Self::count_recent_peers(board) < FEW_PEERS;
         let mut sent_to = Vec::new();
-        for recipients in [kin, near, far] {
+        for recipients in [service_peers, near, far] {
             for recipient in recipients {
                 if sent_to.contains(&recipient.control) {
                     continue;
                 }
                 sent_to.push(recipient.control);
-                Self::send(board, &recipient, is_lonely);
+                Self::send(board, &recipient, has_few_peers);
             }
         }
         for recipient in dependencies {
@@ -96,28 +98,29 @@
                 continue;
             }
             sent_to.push(recipient.control);
-            self.ask(board, &recipient);
+            self.request_reply(board, &recipient);
         }
         if sent_to.is_empty() {
-            Self::call_seeds(board);
+            Self::send_to_seeds(board);
         }
     }
 
-    fn ask(&mut self, board: &mut Board, to: &Recipient) {
+    fn request_reply(&mut self, board: &mut Board, to: &Recipient) {
         let spread = board.rng.random_range(0.5..=1.5);
-        self.asking.note_question(&to.service, spread, board.now);
+        self.reply_requests
+            .note_request(&to.service, spread, board.now);
         Self::send(board, to, true);
     }
 
-    fn heard_peers(board: &Board) -> usize {
+    fn count_recent_peers(board: &Board) -> usize {
         let mut count = 0;
         for member in board.members.iter() {
-            count += usize::from(member.is_fresh(board.now, HEARD_WITHIN));
+            count += usize::from(member.is_fresh(board.now, RECENT_PEER_WITHIN));
         }
         count
     }
 
-    fn call_seeds(board: &mut Board) {
+    fn send_to_seeds(board: &mut Board) {
         for control in board.settings.seeds.clone() {
             if control == board.settings.control {
                 continue;
@@ -133,21 +136,23 @@
 
     fn send(board: &mut Board, to: &Recipient, wants_reply: bool) {
         let is_near = to.data_centre == board.settings.data_centre;
-        let is_kin = to.service == board.settings.service;
+        let is_same_service = to.service == board.settings.service;
         let now = board.now;
         let rng = &mut board.rng;
-        let members = board.members.notes_for(&to.service, MEMBERS_TOLD, rng, now);
+        let members = board
+            .members
+            .notes_for(&to.service, MEMBERS_PER_HEARTBEAT, rng, now);
         let heartbeat = Heartbeat {
             wants_reply,
-            text_notes: board.text.latest_notes(NOTES_TOLD),
-            vms_notes: board.vms.latest_notes(NOTES_TOLD),
+            text_notes: board.text.latest_notes(NOTES_PER_DATAGRAM),
+            vms_notes: board.vms.latest_notes(NOTES_PER_DATAGRAM),
             readers: if is_near {
                 board.reader_notes()
             } else {
                 Vec::new()
             },
-            suspects: if is_kin {
-                super::suspicion::youngest(&board.suspects, SUSPECTS_TOLD, now)
+            suspects: if is_same_service {
+                super::suspicion::most_recent(&board.suspects, SUSPECTS_PER_HEARTBEAT, now)
             } else {
                 Vec::new()
             },
@@ -164,11 +169,11 @@
     /// A process that was paused while its VM was replaced goes on as if
     /// nothing had happened, and since its messages are dropped nobody would
     /// ever tell it. On this word it takes no new work.
-    fn tell_earlier_life(&mut self, board: &mut Board, vm: &VmId, control: SocketAddr) {
+    fn notify_earlier_incarnation(&mut self, board: &mut Board, vm: &VmId, control: SocketAddr) {
         let Some(note) = board.members.note_of(vm, board.now) else {
             return;
         };
-        if !self.replies.try_take(board.now) {
+        if !self.reply_budget.try_take(board.now) {
             return;
         }
         let heartbeat = Heartbeat {
@@ -183,16 +188,17 @@
     fn on_input(&mut self, input: &Input, board: &mut Board) {
         let datagram = match input {
             Input::Datagram(datagram) => datagram,
-            Input::FromEarlierLife { vm, control } => {
-                return self.tell_earlier_life(board, vm, *control);
+            Input::FromEarlierIncarnation { vm, control } => {
+                return self.notify_earlier_incarnation(board, vm, *control);
             }
             _ => return,
         };
         let DatagramBody::Heartbeat(heartbeat) = &datagram.body else {
             return;
         };
-        self.asking.note_heard(&datagram.from.service, board.now);
-        if !heartbeat.wants_reply || !self.replies.try_take(board.now) {
+        self.reply_requests
+            .note_message(&datagram.from.service, board.now);
+        if !heartbeat.wants_reply || !self.reply_budget.try_take(board.now) {
             return;
         }
         // The asker depends on this node's service, or knows few peers: either
@@ -209,14 +215,14 @@
         if board.now < self.next_at {
             return;
         }
-        let shortest = EVERY.minus(JITTER).0;
-        let longest = (EVERY + JITTER).0;
+        let shortest = INTERVAL.minus(JITTER).0;
+        let longest = (INTERVAL + JITTER).0;
         let mut pause = board.rng.random_range(shortest..=longest);
         if board.now.since(self.started_at) < WARM_UP {
             pause /= WARM_UP_SHARE;
         }
         self.next_at = board.now + Millis(pause);
-        self.asking.retain(board.held_services());
-        self.round(board);
+        self.reply_requests.retain(board.tracked_services());
+        self.run_round(board);
     }
 }
--- a/crates/core/src/control/heartbeat/asking.rs
+++ b/crates/core/src/control/heartbeat/asking.rs
@@ -16,65 +16,66 @@
 mod tests;
 
 /// The pause after the first question that was not answered.
-const FIRST_PAUSE: Millis = Millis::from_secs(2);
+const INITIAL_BACKOFF: Millis = Millis::from_secs(2);
 /// The longest pause, before it is spread.
 ///
 /// A service that is in reach again is asked at most one and a half times this
 /// late, and sooner if any of its members speaks to this node or its calls go
 /// there.
-const MAX_PAUSE: Millis = Millis::from_secs(60);
+const MAX_BACKOFF: Millis = Millis::from_secs(60);
 
 /// One service that is asked.
 #[derive(Clone, Copy, Debug, Default)]
-struct Asked {
+struct RequestPacing {
     due_at: Millis,
-    pause: Millis,
+    backoff: Millis,
     /// Nothing was heard of the service since the last question.
-    is_open: bool,
+    is_unanswered: bool,
 }
 
 /// The services that were asked.
 #[derive(Debug, Default)]
-pub(super) struct Asking {
-    by_service: BTreeMap<ServiceName, Asked>,
+pub(super) struct ReplyRequests {
+    by_service: BTreeMap<ServiceName, RequestPacing>,
 }
 
-impl Asking {
+impl ReplyRequests {
     /// Whether a service may be asked now.
     pub(super) fn is_due(&self, service: &ServiceName, now: Millis) -> bool {
         match self.by_service.get(service) {
-            Some(asked) => now >= asked.due_at,
+            Some(pacing) => now >= pacing.due_at,
             None => true,
         }
     }
 
     /// Notes a question; `spread` is from 0.5 to 1.5 and keeps callers that
     /// were turned away together from coming back together.
-    pub(super) fn note_question(&mut self, service: &ServiceName, spread: f64, now: Millis) {
-        let asked = self.by_service.entry(service.clone()).or_default();
-        if asked.is_open {
-            let doubled = Millis(asked.pause.0 * 2);
-            asked.pause = doubled.max(FIRST_PAUSE).min(MAX_PAUSE);
+    pub(super) fn note_request(&mut self, service: &ServiceName, spread: f64, now: Millis) {
+        let pacing = self.by_service.entry(service.clone()).or_default();
+        if pacing.is_unanswered {
+            let doubled = Millis(pacing.backoff.0 * 2);
+            pacing.backoff = doubled.max(INITIAL_BACKOFF).min(MAX_BACKOFF);
         }
-        asked.is_open = true;
-        asked.due_at = now + Millis((asked.pause.0 as f64 * spread) as u64);
+        pacing.is_unanswered = true;
+        pacing.due_at = now + Millis((pacing.backoff.0 as f64 * spread) as u64);
     }
 
     /// Notes that a member of a service has spoken, asked or not.
-    pub(super) fn note_heard(&mut self, service: &ServiceName, now: Millis) {
-        let Some(asked) = self.by_service.get_mut(service) else {
+    pub(super) fn note_message(&mut self, service: &ServiceName, now: Millis) {
+        let Some(pacing) = self.by_service.get_mut(service) else {
             return;
         };
-        asked.is_open = false;
-        asked.pause = Millis(asked.pause.0 / 2);
-        if asked.pause < FIRST_PAUSE {
-            asked.pause = Millis::ZERO;
+        pacing.is_unanswered = false;
+        pacing.backoff = Millis(pacing.backoff.0 / 2);
+        if pacing.backoff < INITIAL_BACKOFF {
+            pacing.backoff = Millis::ZERO;
         }
-        asked.due_at = asked.due_at.min(now + asked.pause);
+        pacing.due_at = pacing.due_at.min(now + pacing.backoff);
     }
 
     /// Forgets services that are not held any more.
-    pub(super) fn retain(&mut self, held: &[ServiceName]) {
-        self.by_service.retain(|service, _| held.contains(service));
+    pub(super) fn retain(&mut self, tracked: &[ServiceName]) {
+        self.by_service
+            .retain(|service, _| tracked.contains(service));
     }
 }
--- a/crates/core/src/control/holders.rs
+++ b/crates/core/src/control/holders.rs
@@ -10,7 +10,7 @@
 /// Peers remembered; the longest silent gives way.
 const MAX_HOLDERS: usize = 64;
 /// Silence after which a peer is no longer asked.
-const HOLDER_SILENT_AFTER: Millis = Millis::from_secs(20);
+const HOLDER_TIMEOUT: Millis = Millis::from_secs(20);
 
 /// One peer with what it holds.
 #[derive(Clone, Debug)]
@@ -30,9 +30,9 @@
 
 impl Holders {
     /// Takes in what the sender of a datagram says it holds.
-    pub(super) fn hear(&mut self, datagram: &Datagram, now: Millis) {
+    pub(super) fn note_datagram(&mut self, datagram: &Datagram, now: Millis) {
         let from = &datagram.from;
-        self.put(Holder {
+        self.update(Holder {
             control: from.control,
             service: Some(from.service.clone()),
             known: datagram.known,
@@ -42,8 +42,8 @@
     }
 
     /// Takes in what the sender of an answer says it holds.
-    pub(super) fn hear_answer(&mut self, answer: &BulkAnswer, now: Millis) {
-        self.put(Holder {
+    pub(super) fn note_answer(&mut self, answer: &BulkAnswer, now: Millis) {
+        self.update(Holder {
             control: answer.from.control,
             service: None,
             known: answer.known,
@@ -54,20 +54,20 @@
 
     /// The versions of one life only go up, so that a datagram that comes late
     /// takes nothing back; another life at the address starts anew.
-    fn put(&mut self, heard: Holder) {
-        let Some(holder) = self.by_address.get_mut(&heard.control) else {
+    fn update(&mut self, reported: Holder) {
+        let Some(holder) = self.by_address.get_mut(&reported.control) else {
             self.make_room();
-            self.by_address.insert(heard.control, heard);
+            self.by_address.insert(reported.control, reported);
             return;
         };
-        let is_late = holder.incarnation == heard.incarnation
-            && (heard.known.text < holder.known.text || heard.known.vms < holder.known.vms);
-        let service = heard.service.or(holder.service.take());
+        let is_late = holder.incarnation == reported.incarnation
+            && (reported.known.text < holder.known.text || reported.known.vms < holder.known.vms);
+        let service = reported.service.or(holder.service.take());
         holder.service = service;
-        holder.heard_at = heard.heard_at;
-        holder.incarnation = heard.incarnation;
+        holder.heard_at = reported.heard_at;
+        holder.incarnation = reported.incarnation;
         if !is_late {
-            holder.known = heard.known;
+            holder.known = reported.known;
         }
     }
 
@@ -85,7 +85,7 @@
     pub(super) fn usable(&self, now: Millis) -> impl Iterator<Item = &Holder> {
         self.by_address
             .values()
-            .filter(move |holder| now.since(holder.heard_at) <= HOLDER_SILENT_AFTER)
+            .filter(move |holder| now.since(holder.heard_at) <= HOLDER_TIMEOUT)
     }
 
     /// The highest versions that peers hold by their own account.
--- a/crates/core/src/control/joining.rs
+++ b/crates/core/src/control/joining.rs
@@ -18,15 +18,15 @@
 use crate::prelude::*;
 
 /// Peers asked at the same time.
-const ASK_AT_ONCE: usize = 3;
+const PARALLEL_REQUESTS: usize = 3;
 /// Peers asked in all, in each of the two rounds.
-const MAX_ASKED: usize = 6;
+const MAX_PEERS_PER_ROUND: usize = 6;
 /// A peer that has not answered for this long gets company.
-const PATIENCE: Millis = Millis(400);
+const SLOW_PEER_AFTER: Millis = Millis(400);
 /// Longest time that a round may take once a peer is known.
-const ROUND: Millis = Millis(1_500);
+const ROUND_TIMEOUT: Millis = Millis(1_500);
 /// Pause after a failed read of the VM list; doubles up to the limit.
-const FIRST_BACKOFF: Millis = Millis(250);
+const INITIAL_BACKOFF: Millis = Millis(250);
 const MAX_BACKOFF: Millis = Millis::from_secs(5);
 
 /// Whom the node turns to.
@@ -36,7 +36,7 @@
     OwnService,
     /// Any node: nobody of the own service has answered, as when the service
     /// is new.
-    Anyone,
+    AnyService,
 }
 
 /// The controller of start-up.
@@ -45,14 +45,14 @@
     round: Round,
     /// When the first peer to ask in this round was known.
     round_started_at: Option<Millis>,
-    asked: BTreeSet<SocketAddr>,
-    last_asked_at: Millis,
+    requested: BTreeSet<SocketAddr>,
+    last_request_at: Millis,
     answered: usize,
     failed: usize,
     /// The VM list was read in this round.
     list_read: bool,
     list_in_flight: bool,
-    read_list_at: Millis,
+    next_list_read_at: Millis,
     list_failures: u32,
 }
 
@@ -62,77 +62,81 @@
         Self {
             round: Round::OwnService,
             round_started_at: None,
-            asked: BTreeSet::new(),
-            last_asked_at: Millis::ZERO,
+            requested: BTreeSet::new(),
+            last_request_at: Millis::ZERO,
             answered: 0,
             failed: 0,
             list_read: false,
             list_in_flight: false,
-            read_list_at: now,
+            next_list_read_at: now,
             list_failures: 0,
         }
     }
 
     fn read_list(&mut self, board: &mut Board) {
-        if self.list_read || self.list_in_flight || board.now < self.read_list_at {
+        if self.list_read || self.list_in_flight || board.now < self.next_list_read_at {
             return;
         }
         let service = match self.round {
             Round::OwnService => Some(board.settings.service.clone()),
-            Round::Anyone => None,
+            Round::AnyService => None,
         };
         self.list_in_flight = true;
         board.read_vms(service, ListVersion(0), Millis::ZERO);
     }
 
-    fn list_failed(&mut self, board: &mut Board) {
+    fn note_list_failure(&mut self, board: &mut Board) {
         self.list_in_flight = false;
-        let backoff = FIRST_BACKOFF.0 << self.list_failures.min(8);
+        let backoff = INITIAL_BACKOFF.0 << self.list_failures.min(8);
         let backoff = backoff.min(MAX_BACKOFF.0);
         let spread = board.rng.random_range(backoff / 2..=backoff);
-        self.read_list_at = board.now + Millis(spread);
+        self.next_list_read_at = board.now + Millis(spread);
         self.list_failures += 1;
     }
 
     /// Peers that were not asked yet, those to be preferred first.
-    fn unasked(&self, board: &mut Board) -> Vec<SocketAddr> {
+    fn remaining_peers(&self, board: &mut Board) -> Vec<SocketAddr> {
         let mut found = board.settings.seeds.clone();
         let own_service = board.settings.service.clone();
         let own_data_centre = board.settings.data_centre.clone();
         let rng = &mut board.rng;
         let members = &board.members;
-        let of_service = members.choose(rng, MAX_ASKED, |member| member.service == own_service);
-        let nearby = members.choose(rng, MAX_ASKED, |member| {
+        let of_service = members.choose(rng, MAX_PEERS_PER_ROUND, |member| {
+            member.service == own_service
+        });
+        let nearby = members.choose(rng, MAX_PEERS_PER_ROUND, |member| {
             member.service != own_service && member.data_centre == own_data_centre
         });
-        let others = members.choose(rng, MAX_ASKED, |member| {
+        let others = members.choose(rng, MAX_PEERS_PER_ROUND, |member| {
             member.service != own_service && member.data_centre != own_data_centre
         });
         for recipient in of_service.into_iter().chain(nearby).chain(others) {
             found.push(recipient.control);
         }
         let own = board.settings.control;
-        found.retain(|address| *address != own && !self.asked.contains(address));
+        found.retain(|address| *address != own && !self.requested.contains(address));
         found
     }
 
     /// Peers asked that have not answered yet.
-    fn open(&self) -> usize {
-        self.asked.len().saturating_sub(self.answered + self.failed)
+    fn outstanding(&self) -> usize {
+        self.requested
+            .len()
+            .saturating_sub(self.answered + self.failed)
     }
 
-    fn ask_peers(&mut self, board: &mut Board) {
-        let open = self.open();
-        let is_patient = open > 0 && board.now.since(self.last_asked_at) < PATIENCE;
-        if is_patient || self.asked.len() >= MAX_ASKED {
+    fn request_from_peers(&mut self, board: &mut Board) {
+        let outstanding = self.outstanding();
+        let is_waiting = outstanding > 0 && board.now.since(self.last_request_at) < SLOW_PEER_AFTER;
+        if is_waiting || self.requested.len() >= MAX_PEERS_PER_ROUND {
             return;
         }
-        let mut unasked = self.unasked(board);
-        unasked.truncate(ASK_AT_ONCE);
-        for address in unasked {
+        let mut remaining_peers = self.remaining_peers(board);
+        remaining_peers.truncate(PARALLEL_REQUESTS);
+        for address in remaining_peers {
             self.round_started_at.get_or_insert(board.now);
-            self.asked.insert(address);
-            self.last_asked_at = board.now;
+            self.requested.insert(address);
+            self.last_request_at = board.now;
             board.pull(address, false);
         }
     }
@@ -140,27 +144,27 @@
     /// Whether all has been asked that this round allows.
     fn is_round_over(&self, board: &mut Board) -> bool {
         if let Some(started_at) = self.round_started_at
-            && board.now.since(started_at) >= ROUND
+            && board.now.since(started_at) >= ROUND_TIMEOUT
         {
             return true;
         }
-        let open = self.open();
-        if open > 0 {
+        let outstanding = self.outstanding();
+        if outstanding > 0 {
             return false;
         }
-        if self.asked.len() >= MAX_ASKED {
+        if self.requested.len() >= MAX_PEERS_PER_ROUND {
             return true;
         }
-        self.list_read && self.unasked(board).is_empty()
+        self.list_read && self.remaining_peers(board).is_empty()
     }
 
     fn end_round(&mut self, board: &mut Board) {
-        if self.round == Round::Anyone || self.answered > 0 {
+        if self.round == Round::AnyService || self.answered > 0 {
             board.joined = true;
             return;
         }
         *self = Self::new(board.now);
-        self.round = Round::Anyone;
+        self.round = Round::AnyService;
     }
 
     fn step(&mut self, board: &mut Board) {
@@ -172,7 +176,7 @@
             return;
         }
         self.read_list(board);
-        self.ask_peers(board);
+        self.request_from_peers(board);
         if self.is_round_over(board) {
             self.end_round(board);
         }
@@ -189,9 +193,9 @@
                 self.list_in_flight = false;
                 self.list_read = true;
             }
-            Input::Failed(PlatformRead::Vms) => self.list_failed(board),
-            Input::Answer { peer, .. } if self.asked.contains(peer) => self.answered += 1,
-            Input::AnswerFailed(peer) if self.asked.contains(peer) => self.failed += 1,
+            Input::Failed(PlatformRead::Vms) => self.note_list_failure(board),
+            Input::Answer { peer, .. } if self.requested.contains(peer) => self.answered += 1,
+            Input::AnswerFailed(peer) if self.requested.contains(peer) => self.failed += 1,
             _ => {}
         }
     }
--- a/crates/core/src/control/leaving.rs
+++ b/crates/core/src/control/leaving.rs
@@ -11,7 +11,7 @@
 
 use hornbeamhitch_wire::control::DatagramBody;
 
-use super::board::{Board, Controller, Dirt, Input};
+use super::board::{Board, Controller, Input, PendingPublish};
 use crate::prelude::*;
 
 /// Senders of work remembered; the longest silent gives way.
@@ -19,9 +19,9 @@
 /// Senders that sent nothing for this long are forgotten.
 const SENDER_IDLE_AFTER: Millis = Millis::from_secs(60);
 /// Peers of the own service told at once; the rest hear by heartbeats.
-const KIN_TOLD: usize = 16;
+const SERVICE_PEERS_NOTIFIED: usize = 16;
 /// When the word is sent, counted from the start of leaving.
-const REPEATS: [Millis; 3] = [Millis(0), Millis(300), Millis(900)];
+const ANNOUNCE_DELAYS: [Millis; 3] = [Millis(0), Millis(300), Millis(900)];
 
 /// The controller of leaving.
 #[derive(Debug, Default)]
@@ -29,7 +29,7 @@
     senders: BTreeMap<SocketAddr, Millis>,
     /// When this node stopped to take work.
     since: Option<Millis>,
-    repeats_done: usize,
+    announcements_sent: usize,
 }
 
 impl Leaving {
@@ -49,25 +49,25 @@
         let Some(since) = self.since else {
             return;
         };
-        let Some(delay) = REPEATS.get(self.repeats_done) else {
+        let Some(delay) = ANNOUNCE_DELAYS.get(self.announcements_sent) else {
             return;
         };
         if board.now < since + *delay {
             return;
         }
-        self.repeats_done += 1;
+        self.announcements_sent += 1;
         let service = board.settings.service.clone();
         let rng = &mut board.rng;
-        let kin = board
-            .members
-            .choose(rng, KIN_TOLD, |member| member.service == service);
-        let mut told: Vec<SocketAddr> = self.senders.keys().copied().collect();
-        for recipient in kin {
-            if !told.contains(&recipient.control) {
-                told.push(recipient.control);
+        let service_peers = board.members.choose(rng, SERVICE_PEERS_NOTIFIED, |member| {
+            member.service == service
+        });
+        let mut recipients: Vec<SocketAddr> = self.senders.keys().copied().collect();
+        for recipient in service_peers {
+            if !recipients.contains(&recipient.control) {
+                recipients.push(recipient.control);
             }
         }
-        for address in told {
+        for address in recipients {
             board.send(address, DatagramBody::Leaving);
         }
     }
@@ -87,12 +87,12 @@
         match (board.takes_no_work(), self.since) {
             (true, None) => {
                 self.since = Some(board.now);
-                self.repeats_done = 0;
-                board.soil(Dirt::Routes);
+                self.announcements_sent = 0;
+                board.request_publish(PendingPublish::Routes);
             }
             (false, Some(_)) => {
                 self.since = None;
-                board.soil(Dirt::Routes);
+                board.request_publish(PendingPublish::Routes);
             }
             _ => {}
         }
--- a/crates/core/src/control/member.rs
+++ b/crates/core/src/control/member.rs
@@ -10,13 +10,13 @@
 
 /// How new a statement was to this node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum News {
+pub(super) enum MergeOutcome {
     /// It belongs to an earlier life than the one known.
     Stale,
     /// It is no newer than what is known.
-    Nothing,
+    NotNewer,
     /// Only load and freshness are new.
-    Load,
+    LoadOnly,
     /// A life, an address or leaving is new.
     Change,
 }
@@ -36,7 +36,7 @@
     /// When the newest statement was made, in this node's clock.
     pub(super) heard_at: Option<Millis>,
     /// It said so itself.
-    said_leaving: bool,
+    reported_leaving: bool,
     pub(super) load: Option<HeardLoad>,
     /// The VM list names it.
     pub(super) listed: bool,
@@ -47,7 +47,7 @@
     /// A later life of another VM speaks from its address.
     pub(super) superseded: bool,
     /// All members of its service are kept.
-    pub(super) is_held: bool,
+    pub(super) is_tracked: bool,
     /// When something other than its load changed last.
     pub(super) changed_at: Millis,
     /// When it was last probed.
@@ -58,8 +58,8 @@
 /// the one known when the word came, or else the first heard after it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ListLeaving {
-    FirstHeard,
-    Life(Incarnation),
+    NextIncarnation,
+    ThisIncarnation(Incarnation),
 }
 
 impl Member {
@@ -74,13 +74,13 @@
             incarnation: None,
             clock_ms: Millis::ZERO,
             heard_at: None,
-            said_leaving: false,
+            reported_leaving: false,
             load: None,
             listed: true,
-            list_leaving: entry.leaving.then_some(ListLeaving::FirstHeard),
+            list_leaving: entry.leaving.then_some(ListLeaving::NextIncarnation),
             known_at_list: version,
             superseded: false,
-            is_held: false,
+            is_tracked: false,
             changed_at: now,
             probed_at: None,
         }
@@ -97,92 +97,97 @@
             incarnation: None,
             clock_ms: Millis::ZERO,
             heard_at: None,
-            said_leaving: false,
+            reported_leaving: false,
             load: None,
             listed: false,
             list_leaving: None,
             known_at_list: version,
             superseded: false,
-            is_held: false,
+            is_tracked: false,
             changed_at: now,
             probed_at: None,
         }
     }
 
-    /// Takes in a statement made at `said_at` in this node's clock.
+    /// Takes in a statement made at `stated_at` in this node's clock.
     ///
     /// Statements are ordered by life, then by the speaker's own clock. A
     /// datagram that was duplicated, delayed, or sent by a paused process can
     /// thus neither bring back an earlier life nor take back a leaving.
-    pub(super) fn hear(&mut self, digest: &MemberDigest, said_at: Millis, now: Millis) -> News {
+    pub(super) fn merge(
+        &mut self,
+        digest: &MemberDigest,
+        stated_at: Millis,
+        now: Millis,
+    ) -> MergeOutcome {
         let known = self.incarnation;
-        if known.is_some_and(|life| digest.incarnation < life) {
-            return News::Stale;
+        if known.is_some_and(|current| digest.incarnation < current) {
+            return MergeOutcome::Stale;
         }
-        let new_life = known != Some(digest.incarnation);
-        if !new_life && digest.clock_ms <= self.clock_ms {
-            return News::Nothing;
+        let is_new_incarnation = known != Some(digest.incarnation);
+        if !is_new_incarnation && digest.clock_ms <= self.clock_ms {
+            return MergeOutcome::NotNewer;
         }
-        let changed = new_life
-            || self.said_leaving != digest.leaving
+        let changed = is_new_incarnation
+            || self.reported_leaving != digest.leaving
             || self.peer != digest.peer
             || self.control != digest.control;
-        if new_life {
-            self.start_life(digest.incarnation);
+        if is_new_incarnation {
+            self.start_incarnation(digest.incarnation);
         }
         self.clock_ms = digest.clock_ms;
-        self.said_leaving = digest.leaving;
+        self.reported_leaving = digest.leaving;
         self.peer = digest.peer;
         self.control = digest.control;
         self.data_centre = digest.data_centre.clone();
         self.service = digest.service.clone();
-        self.heard_at = Some(self.heard_at.unwrap_or_default().max(said_at));
+        self.heard_at = Some(self.heard_at.unwrap_or_default().max(stated_at));
         if let Some(report) = digest.load_report() {
             self.load = Some(HeardLoad {
                 report,
-                heard_at: said_at,
+                heard_at: stated_at,
             });
         }
         if !changed {
-            return News::Load;
+            return MergeOutcome::LoadOnly;
         }
         self.changed_at = now;
-        News::Change
+        MergeOutcome::Change
     }
 
     /// Takes in a load report that came with an answer.
-    pub(super) fn hear_load(&mut self, report: LoadReport, now: Millis) -> News {
+    pub(super) fn merge_load(&mut self, report: LoadReport, now: Millis) -> MergeOutcome {
         if self
             .incarnation
-            .is_some_and(|life| report.incarnation < life)
+            .is_some_and(|current| report.incarnation < current)
         {
-            return News::Stale;
+            return MergeOutcome::Stale;
         }
-        let new_life = self.incarnation != Some(report.incarnation);
-        if !new_life && report.gate_clock_ms < self.clock_ms {
-            return News::Nothing;
+        let is_new_incarnation = self.incarnation != Some(report.incarnation);
+        if !is_new_incarnation && report.gate_clock_ms < self.clock_ms {
+            return MergeOutcome::NotNewer;
         }
-        let changed = new_life || self.said_leaving != report.leaving;
-        if new_life {
-            self.start_life(report.incarnation);
+        let changed = is_new_incarnation || self.reported_leaving != report.leaving;
+        if is_new_incarnation {
+            self.start_incarnation(report.incarnation);
         }
         self.clock_ms = report.gate_clock_ms;
-        self.said_leaving = report.leaving;
+        self.reported_leaving = report.leaving;
         self.heard_at = Some(now);
         self.load = Some(HeardLoad {
             report,
             heard_at: now,
         });
         if !changed {
-            return News::Load;
+            return MergeOutcome::LoadOnly;
         }
         self.changed_at = now;
-        News::Change
+        MergeOutcome::Change
     }
 
-    fn start_life(&mut self, incarnation: Incarnation) {
-        if self.list_leaving == Some(ListLeaving::FirstHeard) {
-            self.list_leaving = Some(ListLeaving::Life(incarnation));
+    fn start_incarnation(&mut self, incarnation: Incarnation) {
+        if self.list_leaving == Some(ListLeaving::NextIncarnation) {
+            self.list_leaving = Some(ListLeaving::ThisIncarnation(incarnation));
         }
         self.incarnation = Some(incarnation);
         self.load = None;
@@ -191,15 +196,20 @@
     /// Takes in a line of the VM list; true when something changed.
     ///
     /// Addresses from the list only count until the member itself is heard.
-    pub(super) fn list(&mut self, entry: &ListedVm, version: ListVersion, now: Millis) -> bool {
+    pub(super) fn merge_list_entry(
+        &mut self,
+        entry: &ListedVm,
+        version: ListVersion,
+        now: Millis,
+    ) -> bool {
         let before = (self.leaving(), self.peer, self.control);
         self.listed = true;
         self.known_at_list = version;
         self.list_leaving = match (entry.leaving, self.list_leaving, self.incarnation) {
             (false, _, _) => None,
             (true, Some(known), _) => Some(known),
-            (true, None, Some(life)) => Some(ListLeaving::Life(life)),
-            (true, None, None) => Some(ListLeaving::FirstHeard),
+            (true, None, Some(current)) => Some(ListLeaving::ThisIncarnation(current)),
+            (true, None, None) => Some(ListLeaving::NextIncarnation),
         };
         if self.incarnation.is_none() {
             self.peer = entry.peer;
@@ -217,13 +227,14 @@
     /// Whether it takes no new work: it said so, or the VM list says so of
     /// this life.
     pub(super) fn leaving(&self) -> bool {
-        if self.said_leaving {
+        if self.reported_leaving {
             return true;
         }
         match (self.list_leaving, self.incarnation) {
             (None, _) => false,
-            (Some(ListLeaving::FirstHeard), _) | (Some(ListLeaving::Life(_)), None) => true,
-            (Some(ListLeaving::Life(listed)), Some(life)) => life <= listed,
+            (Some(ListLeaving::NextIncarnation), _)
+            | (Some(ListLeaving::ThisIncarnation(_)), None) => true,
+            (Some(ListLeaving::ThisIncarnation(listed)), Some(current)) => current <= listed,
         }
     }
 
@@ -258,7 +269,7 @@
             control: self.control,
             incarnation: self.incarnation?,
             clock_ms: self.clock_ms,
-            leaving: self.said_leaving,
+            leaving: self.reported_leaving,
             load: self.load.map(|load| LoadDigest::of(&load.report)),
         })
     }
--- a/crates/core/src/control/members.rs
+++ b/crates/core/src/control/members.rs
@@ -9,7 +9,7 @@
 use rand::rngs::Xoshiro256PlusPlus;
 use rand::seq::SliceRandom;
 
-use super::member::{Member, News};
+use super::member::{Member, MergeOutcome};
 use crate::prelude::*;
 
 #[cfg(test)]
@@ -26,11 +26,11 @@
 /// Silence that lets a member go which a newer VM list no longer names.
 const GONE_AFTER: Millis = Millis::from_secs(10);
 /// Silence that makes a sampled peer give way to a fresh one.
-const SAMPLE_SILENT_AFTER: Millis = Millis::from_secs(20);
+const SAMPLE_TIMEOUT: Millis = Millis::from_secs(20);
 /// Age above which a statement is not passed on.
-const PASS_ON_WITHIN: Millis = Millis::from_secs(20);
+const RELAY_MAX_AGE: Millis = Millis::from_secs(20);
 /// How long a change comes before other statements in heartbeats.
-const CHANGE_IS_NEWS: Millis = Millis::from_secs(5);
+const CHANGE_IS_RECENT: Millis = Millis::from_secs(5);
 
 /// All peers known.
 #[derive(Debug)]
@@ -39,9 +39,9 @@
     own_service: ServiceName,
     own_data_centre: DataCentre,
     by_vm: BTreeMap<VmId, Member>,
-    held: BTreeSet<ServiceName>,
+    tracked: BTreeSet<ServiceName>,
     /// Strangers that spoke while the sample was full.
-    turned_away: usize,
+    rejected_peers: usize,
 }
 
 impl Members {
@@ -51,9 +51,9 @@
             own,
             own_data_centre,
             by_vm: BTreeMap::new(),
-            held: BTreeSet::from([service.clone()]),
+            tracked: BTreeSet::from([service.clone()]),
             own_service: service,
-            turned_away: 0,
+            rejected_peers: 0,
         }
     }
 
@@ -75,21 +75,21 @@
     /// Whether a message comes from an earlier life than the one known.
     pub(super) fn is_stale(&self, vm: &VmId, incarnation: Incarnation) -> bool {
         let known = self.by_vm.get(vm).and_then(|member| member.incarnation);
-        known.is_some_and(|life| incarnation < life)
+        known.is_some_and(|current| incarnation < current)
     }
 
     /// Sets the services of which every member is kept.
-    pub(super) fn hold(&mut self, services: &[ServiceName]) {
-        self.held = services.iter().cloned().collect();
+    pub(super) fn track(&mut self, services: &[ServiceName]) {
+        self.tracked = services.iter().cloned().collect();
         for member in self.by_vm.values_mut() {
-            member.is_held = self.held.contains(&member.service);
+            member.is_tracked = self.tracked.contains(&member.service);
         }
         self.trim_sample();
     }
 
     /// Whether all members of a service are kept.
-    pub(super) fn holds(&self, service: &ServiceName) -> bool {
-        self.held.contains(service)
+    pub(super) fn tracks(&self, service: &ServiceName) -> bool {
+        self.tracked.contains(service)
     }
 
     /// All peers by their service, each in the order of VMs.
@@ -105,39 +105,39 @@
     }
 
     /// Takes in a statement that is `age_ms` old.
-    pub(super) fn hear(
+    pub(super) fn merge(
         &mut self,
         digest: &MemberDigest,
         age_ms: Millis,
         version: ListVersion,
         now: Millis,
-    ) -> News {
+    ) -> MergeOutcome {
         if digest.vm == self.own {
-            return News::Nothing;
+            return MergeOutcome::NotNewer;
         }
-        let said_at = now.minus(age_ms);
+        let stated_at = now.minus(age_ms);
         if let Some(member) = self.by_vm.get_mut(&digest.vm) {
-            let news = member.hear(digest, said_at, now);
-            member.is_held = self.held.contains(&member.service);
-            if news == News::Change {
-                self.settle_address(digest.control);
+            let outcome = member.merge(digest, stated_at, now);
+            member.is_tracked = self.tracked.contains(&member.service);
+            if outcome == MergeOutcome::Change {
+                self.supersede_at_address(digest.control);
             }
-            return news;
+            return outcome;
         }
-        let is_held = self.holds(&digest.service);
-        if !is_held && age_ms > SAMPLE_SILENT_AFTER {
-            return News::Nothing;
+        let is_tracked = self.tracks(&digest.service);
+        if !is_tracked && age_ms > SAMPLE_TIMEOUT {
+            return MergeOutcome::NotNewer;
         }
-        let has_room = is_held || self.make_room(&digest.data_centre, now);
-        if !has_room && !self.give_turn(digest, age_ms) {
-            return News::Nothing;
+        let has_room = is_tracked || self.make_room(&digest.data_centre, now);
+        if !has_room && !self.replace_sampled_peer(digest, age_ms) {
+            return MergeOutcome::NotNewer;
         }
         let mut member = Member::from_digest(digest, version, now);
-        member.hear(digest, said_at, now);
-        member.is_held = is_held;
+        member.merge(digest, stated_at, now);
+        member.is_tracked = is_tracked;
         self.by_vm.insert(digest.vm.clone(), member);
-        self.settle_address(digest.control);
-        News::Change
+        self.supersede_at_address(digest.control);
+        MergeOutcome::Change
     }
 
     /// Two processes cannot share an address, so only the latest life there
@@ -146,7 +146,7 @@
     /// Without this, a VM that was replaced at its address would stay a target
     /// until the lagging VM list drops it, and its calls would reach a gate
     /// that refuses them.
-    fn settle_address(&mut self, control: SocketAddr) {
+    fn supersede_at_address(&mut self, control: SocketAddr) {
         let mut latest = None;
         for member in self.by_vm.values() {
             if member.control == control {
@@ -161,7 +161,7 @@
     }
 
     /// Takes in the VM list of one service; true when something changed.
-    pub(super) fn list(
+    pub(super) fn merge_list(
         &mut self,
         service: &ServiceName,
         entries: &[ListedVm],
@@ -176,11 +176,11 @@
                 continue;
             }
             if let Some(member) = self.by_vm.get_mut(&entry.vm) {
-                changed |= member.list(entry, version, now);
+                changed |= member.merge_list_entry(entry, version, now);
                 continue;
             }
             let mut member = Member::from_list(entry, version, now);
-            member.is_held = self.held.contains(&entry.service);
+            member.is_tracked = self.tracked.contains(&entry.service);
             self.by_vm.insert(entry.vm.clone(), member);
             changed = true;
         }
@@ -193,7 +193,7 @@
     }
 
     /// Adds some of a whole VM list to the sample.
-    pub(super) fn list_sample(&mut self, entry: &ListedVm, version: ListVersion, now: Millis) {
+    pub(super) fn add_to_sample(&mut self, entry: &ListedVm, version: ListVersion, now: Millis) {
         if entry.vm == self.own || self.by_vm.contains_key(&entry.vm) {
             return;
         }
@@ -214,7 +214,7 @@
         let before = self.by_vm.len();
         self.by_vm.retain(|_, member| {
             let is_named = member.listed || member.known_at_list >= version;
-            !member.is_held || is_named || member.is_fresh(now, GONE_AFTER)
+            !member.is_tracked || is_named || member.is_fresh(now, GONE_AFTER)
         });
         self.by_vm.len() != before
     }
@@ -247,7 +247,7 @@
         count: usize,
         fits: impl Fn(&Member) -> bool,
     ) -> Vec<Recipient> {
-        let is_called = |member: &Member| member.is_held && member.service != self.own_service;
+        let is_called = |member: &Member| member.is_tracked && member.service != self.own_service;
         let mut chosen = self.choose(rng, count, |member| fits(member) && !is_called(member));
         let rest = count - chosen.len();
         if rest > 0 {
@@ -268,18 +268,18 @@
         rng: &mut Xoshiro256PlusPlus,
         now: Millis,
     ) -> Vec<MemberNote> {
-        let is_kin = *service == self.own_service;
-        let mut news = Vec::new();
+        let is_same_service = *service == self.own_service;
+        let mut changes = Vec::new();
         let mut rest = Vec::new();
         let mut others = Vec::new();
         for member in self.reachable() {
-            if !member.is_fresh(now, PASS_ON_WITHIN) {
+            if !member.is_fresh(now, RELAY_MAX_AGE) {
                 continue;
             }
             let is_theirs = member.service == *service;
-            let is_shared = is_theirs || (is_kin && member.is_held);
-            let list = if is_shared && now.since(member.changed_at) <= CHANGE_IS_NEWS {
-                &mut news
+            let is_shared = is_theirs || (is_same_service && member.is_tracked);
+            let list = if is_shared && now.since(member.changed_at) <= CHANGE_IS_RECENT {
+                &mut changes
             } else if is_theirs {
                 &mut rest
             } else {
@@ -288,7 +288,7 @@
             list.push(member);
         }
         let mut notes = Vec::new();
-        for list in [&mut news, &mut rest, &mut others] {
+        for list in [&mut changes, &mut rest, &mut others] {
             let wanted = count.saturating_sub(notes.len());
             let (chosen, _) = list.partial_shuffle(rng, wanted);
             for member in chosen {
@@ -322,7 +322,7 @@
     pub(super) fn sample_size(&self) -> usize {
         let mut size = 0;
         for member in self.by_vm.values() {
-            if !member.is_held {
+            if !member.is_tracked {
                 size += 1;
             }
         }
@@ -337,11 +337,11 @@
         let mut silent: Option<&Member> = None;
         for member in self.by_vm.values() {
             let is_local_too = member.data_centre == self.own_data_centre;
-            if member.is_held || is_local_too != is_local {
+            if member.is_tracked || is_local_too != is_local {
                 continue;
             }
             size += 1;
-            if member.is_fresh(now, SAMPLE_SILENT_AFTER) {
+            if member.is_fresh(now, SAMPLE_TIMEOUT) {
                 continue;
             }
             if silent.is_none_or(|other| member.heard_at < other.heard_at) {
@@ -362,25 +362,29 @@
     ///
     /// A node whose service has no other member is sent nothing by anyone who
     /// does not sample it; were samples to stay as they are, it would be deaf.
-    fn give_turn(&mut self, digest: &MemberDigest, age_ms: Millis) -> bool {
-        const TURNS: usize = 8;
+    fn replace_sampled_peer(&mut self, digest: &MemberDigest, age_ms: Millis) -> bool {
+        const REPLACE_EVERY: usize = 8;
         if age_ms > Millis::ZERO {
             return false;
         }
-        self.turned_away += 1;
-        if !self.turned_away.is_multiple_of(TURNS) {
+        self.rejected_peers += 1;
+        if !self.rejected_peers.is_multiple_of(REPLACE_EVERY) {
             return false;
         }
         let is_local = digest.data_centre == self.own_data_centre;
-        let mut places = Vec::new();
+        let mut candidates = Vec::new();
         for member in self.by_vm.values() {
             let is_local_too = member.data_centre == self.own_data_centre;
-            if !member.is_held && is_local_too == is_local {
-                places.push(&member.vm);
+            if !member.is_tracked && is_local_too == is_local {
+                candidates.push(&member.vm);
             }
         }
-        let turn = self.turned_away / TURNS;
-        let Some(victim) = places.get(turn % places.len().max(1)).copied().cloned() else {
+        let turn = self.rejected_peers / REPLACE_EVERY;
+        let Some(victim) = candidates
+            .get(turn % candidates.len().max(1))
+            .copied()
+            .cloned()
+        else {
             return false;
         };
         self.by_vm.remove(&victim);
@@ -392,12 +396,12 @@
         let mut room = [MAX_REMOTE_SAMPLE, MAX_LOCAL_SAMPLE];
         let own = &self.own_data_centre;
         self.by_vm.retain(|_, member| {
-            if member.is_held {
+            if member.is_tracked {
                 return true;
             }
-            let places = &mut room[usize::from(member.data_centre == *own)];
-            let stays = *places > 0;
-            *places = places.saturating_sub(1);
+            let candidates = &mut room[usize::from(member.data_centre == *own)];
+            let stays = *candidates > 0;
+            *candidates = candidates.saturating_sub(1);
             stays
         });
     }
--- a/crates/core/src/control/members/tests.rs
+++ b/crates/core/src/control/members/tests.rs
@@ -25,16 +25,16 @@
     )
 }
 
-fn hear(members: &mut Members, digest: &MemberDigest, now: Millis) -> News {
-    members.hear(digest, Millis::ZERO, ListVersion(1), now)
+fn merge(members: &mut Members, digest: &MemberDigest, now: Millis) -> MergeOutcome {
+    members.merge(digest, Millis::ZERO, ListVersion(1), now)
 }
 
 #[test]
-fn strangers_are_sampled_within_bounds_and_new_ones_get_a_turn() {
+fn the_peer_sample_is_bounded_and_admits_new_peers() {
     let mut members = members();
     for index in 0..2_000 {
         let data_centre = if index % 2 == 0 { "near" } else { "far" };
-        hear(
+        merge(
             &mut members,
             &digest(index, "other", data_centre, 1),
             Millis(1),
@@ -49,36 +49,45 @@
 }
 
 #[test]
-fn a_late_word_of_the_same_life_takes_no_leaving_back() {
+fn a_late_statement_of_the_same_incarnation_does_not_revert_leaving() {
     let mut members = members();
     let live = digest(1, "held", "near", 10);
     let leaving = MemberDigest {
         leaving: true,
         ..digest(1, "held", "near", 20)
     };
-    assert_eq!(hear(&mut members, &live, Millis(1)), News::Change);
-    assert_eq!(hear(&mut members, &leaving, Millis(2)), News::Change);
-    assert_eq!(hear(&mut members, &live, Millis(3)), News::Nothing);
+    assert_eq!(merge(&mut members, &live, Millis(1)), MergeOutcome::Change);
+    assert_eq!(
+        merge(&mut members, &leaving, Millis(2)),
+        MergeOutcome::Change
+    );
+    assert_eq!(
+        merge(&mut members, &live, Millis(3)),
+        MergeOutcome::NotNewer
+    );
     assert!(members.iter().all(Member::leaving));
 }
 
 #[test]
-fn an_earlier_life_is_stale() {
+fn an_earlier_incarnation_is_stale() {
     let mut members = members();
     let later = MemberDigest {
         incarnation: Incarnation(2),
         ..digest(1, "held", "near", 1)
     };
-    hear(&mut members, &later, Millis(1));
+    merge(&mut members, &later, Millis(1));
     let earlier = digest(1, "held", "near", 1_000);
-    assert_eq!(hear(&mut members, &earlier, Millis(2)), News::Stale);
+    assert_eq!(
+        merge(&mut members, &earlier, Millis(2)),
+        MergeOutcome::Stale
+    );
     assert!(members.is_stale(&later.vm, Incarnation(1)));
 }
 
 /// Whichever of two names at one address is heard first, only the later life
 /// is a target.
 #[test]
-fn only_the_latest_life_at_an_address_is_reachable() {
+fn only_the_latest_incarnation_at_an_address_is_reachable() {
     for order in [[0, 1], [1, 0]] {
         let mut members = members();
         let first = digest(1, "held", "near", 1);
@@ -89,7 +98,7 @@
         };
         let both = [first, second];
         for index in order {
-            hear(&mut members, &both[index], Millis(1));
+            merge(&mut members, &both[index], Millis(1));
         }
         let reachable: Vec<&VmId> = members.reachable().map(|member| &member.vm).collect();
         assert_eq!(reachable, [&VmId::new("vm-later")]);
@@ -101,7 +110,7 @@
 #[test]
 fn silence_without_a_newer_list_removes_nobody() {
     let mut members = members();
-    hear(&mut members, &digest(1, "held", "near", 1), Millis(1));
+    merge(&mut members, &digest(1, "held", "near", 1), Millis(1));
     let long_after = Millis::from_secs(86_400);
     assert!(!members.remove_gone(ListVersion(1), long_after));
     assert!(members.remove_gone(ListVersion(2), long_after));
--- a/crates/core/src/control/membership.rs
+++ b/crates/core/src/control/membership.rs
@@ -6,15 +6,15 @@
 use hornbeamhitch_wire::control::{DatagramBody, ListedVm, MemberDigest, SliceName, decode_slice};
 use rand::RngExt;
 
-use super::board::{Board, Controller, Dirt, Input};
-use super::member::News;
+use super::board::{Board, Controller, Input, PendingPublish};
+use super::member::MergeOutcome;
 use crate::prelude::*;
 use crate::view::HeardLoad;
 
 /// How often members that are gone are looked for.
-const SWEEP_EVERY: Millis = Millis::from_secs(1);
+const SWEEP_INTERVAL: Millis = Millis::from_secs(1);
 /// An unchanged report of the own gate is not taken over for this long.
-const OWN_LOAD_FRESH_FOR: Millis = Millis::from_secs(1);
+const OWN_LOAD_REFRESH: Millis = Millis::from_secs(1);
 /// A sample smaller than this is filled up from a whole VM list.
 const SMALL_SAMPLE: usize = 16;
 /// Services looked at to fill up the sample.
@@ -24,58 +24,58 @@
 #[derive(Debug, Default)]
 pub(super) struct Membership {
     /// Digests of the slices of the VM list taken in.
-    taken_in: BTreeMap<ServiceName, u64>,
-    taken_in_edits: u64,
-    held: Vec<ServiceName>,
+    merged_digests: BTreeMap<ServiceName, u64>,
+    merged_edits: u64,
+    tracked: Vec<ServiceName>,
     swept_at: Millis,
     /// The VM list has named this VM as live.
-    own_listed_live: bool,
+    was_listed_live: bool,
 }
 
 impl Membership {
-    fn hear(board: &mut Board, digest: &MemberDigest, age_ms: Millis) {
+    fn merge_digest(board: &mut Board, digest: &MemberDigest, age_ms: Millis) {
         if digest.vm == board.settings.vm {
             if digest.incarnation > board.settings.incarnation && !board.superseded {
                 board.superseded = true;
-                board.soil(Dirt::Routes);
+                board.request_publish(PendingPublish::Routes);
             }
             return;
         }
         let version = board.list_version();
-        let news = board.members.hear(digest, age_ms, version, board.now);
-        if !board.members.holds(&digest.service) {
+        let outcome = board.members.merge(digest, age_ms, version, board.now);
+        if !board.members.tracks(&digest.service) {
             return;
         }
-        match news {
-            News::Change => board.soil(Dirt::Routes),
-            News::Load => board.soil(Dirt::Loads),
-            News::Stale | News::Nothing => {}
+        match outcome {
+            MergeOutcome::Change => board.request_publish(PendingPublish::Routes),
+            MergeOutcome::LoadOnly => board.request_publish(PendingPublish::Loads),
+            MergeOutcome::Stale | MergeOutcome::NotNewer => {}
         }
     }
 
-    fn hear_load(board: &mut Board, vm: &VmId, load: LoadReport) {
+    fn merge_load(board: &mut Board, vm: &VmId, load: LoadReport) {
         let now = board.now;
         let Some(member) = board.members.get_mut(vm) else {
             return;
         };
-        match member.hear_load(load, now) {
-            News::Change => board.soil(Dirt::Routes),
-            News::Load => board.soil(Dirt::Loads),
-            News::Stale => board.counters.stale_messages += 1,
-            News::Nothing => {}
+        match member.merge_load(load, now) {
+            MergeOutcome::Change => board.request_publish(PendingPublish::Routes),
+            MergeOutcome::LoadOnly => board.request_publish(PendingPublish::Loads),
+            MergeOutcome::Stale => board.counters.stale_messages += 1,
+            MergeOutcome::NotNewer => {}
         }
     }
 
     /// The own gate reports on each tick; what has not changed is published
     /// anew only before it looks old.
-    fn take_own_load(board: &mut Board, report: LoadReport) {
+    fn update_own_load(board: &mut Board, report: LoadReport) {
         let now = board.now;
         if let Some(known) = board.own_load {
             let unchanged = LoadReport {
                 gate_clock_ms: report.gate_clock_ms,
                 ..known.report
             };
-            if unchanged == report && now.since(known.heard_at) < OWN_LOAD_FRESH_FOR {
+            if unchanged == report && now.since(known.heard_at) < OWN_LOAD_REFRESH {
                 return;
             }
         }
@@ -83,40 +83,44 @@
             report,
             heard_at: now,
         });
-        board.soil(Dirt::Loads);
+        board.request_publish(PendingPublish::Loads);
     }
 
     /// Takes in the slices of the VM list that changed.
-    fn take_in_list(&mut self, board: &mut Board) {
-        let held = board.held_services().to_vec();
-        let is_same = self.taken_in_edits == board.vms.edits() && self.held == held;
+    fn apply_list(&mut self, board: &mut Board) {
+        let tracked = board.tracked_services().to_vec();
+        let is_same = self.merged_edits == board.vms.edits() && self.tracked == tracked;
         if is_same {
             return;
         }
-        self.taken_in_edits = board.vms.edits();
-        self.taken_in.retain(|service, _| held.contains(service));
-        for service in &held {
-            self.take_in_slice(board, service);
+        self.merged_edits = board.vms.edits();
+        self.merged_digests
+            .retain(|service, _| tracked.contains(service));
+        for service in &tracked {
+            self.apply_slice(board, service);
         }
-        self.held = held;
+        self.tracked = tracked;
         self.fill_sample(board);
     }
 
-    fn take_in_slice(&mut self, board: &mut Board, service: &ServiceName) {
+    fn apply_slice(&mut self, board: &mut Board, service: &ServiceName) {
         let name = SliceName::Members(service.clone());
         let (digest, entries) = match board.vms.slice(&name) {
             Some(slice) => (slice.digest, decode_slice::<Vec<ListedVm>>(&slice.bytes)),
             None if board.vms.is_whole() => (0, Some(Vec::new())),
             None => return,
         };
-        if self.taken_in.get(service) == Some(&digest) {
+        if self.merged_digests.get(service) == Some(&digest) {
             return;
         }
-        self.taken_in.insert(service.clone(), digest);
+        self.merged_digests.insert(service.clone(), digest);
         let entries = entries.unwrap_or_default();
         let version = board.list_version();
-        if board.members.list(service, &entries, version, board.now) {
-            board.soil(Dirt::Routes);
+        if board
+            .members
+            .merge_list(service, &entries, version, board.now)
+        {
+            board.request_publish(PendingPublish::Routes);
         }
         if *service == board.settings.service {
             self.read_own_entry(board, &entries);
@@ -133,8 +137,8 @@
                 continue;
             }
             if !entry.leaving {
-                self.own_listed_live = true;
-            } else if self.own_listed_live {
+                self.was_listed_live = true;
+            } else if self.was_listed_live {
                 board.leaving = true;
             }
         }
@@ -160,7 +164,7 @@
                 continue;
             }
             let entry = &entries[board.rng.random_range(0..entries.len())];
-            board.members.list_sample(entry, version, board.now);
+            board.members.add_to_sample(entry, version, board.now);
         }
     }
 }
@@ -169,40 +173,38 @@
     fn on_input(&mut self, input: &Input, board: &mut Board) {
         match input {
             Input::Datagram(datagram) => {
-                Self::hear(board, &datagram.from, Millis::ZERO);
+                Self::merge_digest(board, &datagram.from, Millis::ZERO);
                 let DatagramBody::Heartbeat(heartbeat) = &datagram.body else {
                     return;
                 };
                 for note in &heartbeat.members {
-                    Self::hear(board, &note.digest, note.age_ms);
+                    Self::merge_digest(board, &note.digest, note.age_ms);
                 }
             }
             Input::Answer { message, .. } => {
                 for note in &message.members {
-                    Self::hear(board, &note.digest, note.age_ms);
+                    Self::merge_digest(board, &note.digest, note.age_ms);
                 }
             }
-            Input::LoadReported { vm, load } => Self::hear_load(board, vm, *load),
-            Input::GateLoad(load) => Self::take_own_load(board, *load),
-            Input::ServiceRequested(service) | Input::SentTo(service) => {
-                board.touch_interest(service)
-            }
+            Input::LoadReported { vm, load } => Self::merge_load(board, vm, *load),
+            Input::GateLoad(load) => Self::update_own_load(board, *load),
+            Input::ServiceRequested(service) | Input::SentTo(service) => board.note_demand(service),
             _ => {}
         }
     }
 
     fn on_tick(&mut self, board: &mut Board) {
-        if board.now.since(self.swept_at) < SWEEP_EVERY {
+        if board.now.since(self.swept_at) < SWEEP_INTERVAL {
             return;
         }
         self.swept_at = board.now;
         let version = board.list_version();
         board.members.remove_gone(version, board.now);
         // Members grow doubtful by time alone.
-        board.soil(Dirt::Loads);
+        board.request_publish(PendingPublish::Loads);
     }
 
     fn on_settled(&mut self, board: &mut Board) {
-        self.take_in_list(board);
+        self.apply_list(board);
     }
 }
--- a/crates/core/src/control/probing.rs
+++ b/crates/core/src/control/probing.rs
@@ -16,18 +16,18 @@
 /// A service is sent to as long as the last call is no older than this.
 const IN_USE_FOR: Millis = Millis::from_secs(10);
 /// What is older than this is not recent.
-const RECENT: Millis = Millis::from_secs(3);
+const RECENT_WITHIN: Millis = Millis::from_secs(3);
 /// The same gate is not probed again within this time.
-const PROBED_EVERY: Millis = Millis::from_secs(3);
+const MIN_PROBE_INTERVAL: Millis = Millis::from_secs(3);
 /// How often probes are considered.
-const LOOK_EVERY: Millis = Millis(200);
+const CHECK_INTERVAL: Millis = Millis(200);
 /// Probes answered a second, and at once.
 const REPLIES_PER_S: f64 = 50.0;
 const REPLY_BURST: u32 = 100;
 
 /// One service that is sent to.
 #[derive(Debug)]
-struct InUse {
+struct UsedService {
     used_at: Millis,
     budget: Option<TokenBucket>,
 }
@@ -35,41 +35,42 @@
 /// The controller of probes.
 #[derive(Debug)]
 pub(super) struct Probing {
-    in_use: BTreeMap<ServiceName, InUse>,
-    looked_at: Millis,
-    replies: TokenBucket,
+    used_services: BTreeMap<ServiceName, UsedService>,
+    checked_at: Millis,
+    reply_budget: TokenBucket,
 }
 
 impl Probing {
     /// No service is sent to yet.
     pub(super) fn new(now: Millis) -> Self {
         Self {
-            in_use: BTreeMap::new(),
-            looked_at: Millis::ZERO,
-            replies: TokenBucket::new(REPLIES_PER_S, REPLY_BURST, now),
+            used_services: BTreeMap::new(),
+            checked_at: Millis::ZERO,
+            reply_budget: TokenBucket::new(REPLIES_PER_S, REPLY_BURST, now),
         }
     }
 
     fn note_use(&mut self, service: &ServiceName, now: Millis) {
-        if let Some(known) = self.in_use.get_mut(service) {
+        if let Some(known) = self.used_services.get_mut(service) {
             known.used_at = now;
             return;
         }
-        let known = InUse {
+        let known = UsedService {
             used_at: now,
             budget: None,
         };
-        self.in_use.insert(service.clone(), known);
+        self.used_services.insert(service.clone(), known);
     }
 
     /// The budget outlives short idle times, so that coming and going of calls
     /// never refills it.
-    fn forget_unheld(&mut self, board: &Board) {
-        let held = board.held_services();
-        self.in_use.retain(|service, _| held.contains(service));
+    fn forget_untracked(&mut self, board: &Board) {
+        let tracked = board.tracked_services();
+        self.used_services
+            .retain(|service, _| tracked.contains(service));
     }
 
-    fn probe_service(known: &mut InUse, board: &mut Board, service: &ServiceName) {
+    fn probe_service(known: &mut UsedService, board: &mut Board, service: &ServiceName) {
         let Some(policy) = board.config.policy(service) else {
             return;
         };
@@ -83,7 +84,7 @@
         if now.since(known.used_at) > IN_USE_FOR {
             return;
         }
-        for vm in unknown_targets(board, service) {
+        for vm in targets_to_probe(board, service) {
             if !budget.try_take(now) {
                 board.counters.probes_withheld += 1;
                 return;
@@ -99,7 +100,7 @@
         let DatagramBody::Probe { nonce } = datagram.body else {
             return;
         };
-        if !self.replies.try_take(board.now) {
+        if !self.reply_budget.try_take(board.now) {
             return;
         }
         board.counters.probes_answered += 1;
@@ -109,16 +110,16 @@
 }
 
 /// Targets of which nothing recent is known, the longest silent first.
-fn unknown_targets(board: &Board, service: &ServiceName) -> Vec<VmId> {
+fn targets_to_probe(board: &Board, service: &ServiceName) -> Vec<VmId> {
     let now = board.now;
     let mut found = Vec::new();
     for member in board.members.reachable() {
-        if member.service != *service || member.leaving() || member.is_fresh(now, RECENT) {
+        if member.service != *service || member.leaving() || member.is_fresh(now, RECENT_WITHIN) {
             continue;
         }
         if member
             .probed_at
-            .is_some_and(|at| now.since(at) < PROBED_EVERY)
+            .is_some_and(|at| now.since(at) < MIN_PROBE_INTERVAL)
         {
             continue;
         }
@@ -150,12 +151,12 @@
     }
 
     fn on_tick(&mut self, board: &mut Board) {
-        if board.now.since(self.looked_at) < LOOK_EVERY {
+        if board.now.since(self.checked_at) < CHECK_INTERVAL {
             return;
         }
-        self.looked_at = board.now;
-        self.forget_unheld(board);
-        for (service, known) in &mut self.in_use {
+        self.checked_at = board.now;
+        self.forget_untracked(board);
+        for (service, known) in &mut self.used_services {
             Self::probe_service(known, board, service);
         }
     }
--- a/crates/core/src/control/publishing.rs
+++ b/crates/core/src/control/publishing.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use super::api::ControlAction;
-use super::board::{Board, Controller, Dirt};
+use super::board::{Board, Controller, PendingPublish};
 use super::member::Member;
 use super::members::doubtful_after;
 use super::status::MemberState;
@@ -13,7 +13,7 @@
 
 /// Load alone is published no more often than this: reports on answers reach
 /// entries directly, and are newer.
-const LOADS_EVERY: Millis = Millis(200);
+const MIN_LOAD_INTERVAL: Millis = Millis(200);
 
 /// The controller of publishing.
 #[derive(Debug, Default)]
@@ -22,14 +22,14 @@
     services: BTreeMap<ServiceName, Arc<ServiceView>>,
     suspects: Arc<SuspectSet>,
     /// A change that waits for its time.
-    waiting: Dirt,
+    deferred: PendingPublish,
 }
 
 impl Publishing {
-    fn publish(&mut self, board: &mut Board, dirt: Dirt) {
+    fn publish(&mut self, board: &mut Board, pending_publish: PendingPublish) {
         let mut services = BTreeMap::new();
         let by_service = board.members.by_service();
-        for service in board.held_services() {
+        for service in board.tracked_services() {
             let members = by_service.get(service).map_or(&[][..], Vec::as_slice);
             let Some(policy) = board.config.policy(service) else {
                 continue;
@@ -51,7 +51,7 @@
             self.suspects = Arc::new(suspects);
         }
         self.published_at = board.now;
-        if dirt == Dirt::Loads && is_same(&services, &self.services) {
+        if pending_publish == PendingPublish::Loads && is_same(&services, &self.services) {
             return;
         }
         let table = RouteTable {
@@ -70,17 +70,19 @@
 
 impl Controller for Publishing {
     fn on_settled(&mut self, board: &mut Board) {
-        self.waiting = self.waiting.max(std::mem::take(&mut board.dirt));
-        let is_due = match self.waiting {
-            Dirt::Clean => false,
-            Dirt::Loads => board.now.since(self.published_at) >= LOADS_EVERY,
-            Dirt::Routes => true,
+        self.deferred = self
+            .deferred
+            .max(std::mem::take(&mut board.pending_publish));
+        let is_due = match self.deferred {
+            PendingPublish::Nothing => false,
+            PendingPublish::Loads => board.now.since(self.published_at) >= MIN_LOAD_INTERVAL,
+            PendingPublish::Routes => true,
         };
         if !is_due {
             return;
         }
-        let dirt = std::mem::take(&mut self.waiting);
-        self.publish(board, dirt);
+        let pending_publish = std::mem::take(&mut self.deferred);
+        self.publish(board, pending_publish);
     }
 }
 
--- a/crates/core/src/control/pulls.rs
+++ b/crates/core/src/control/pulls.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-use hornbeamhitch_wire::control::Ask;
+use hornbeamhitch_wire::control::DocumentRequest;
 
 use crate::prelude::*;
 
@@ -14,9 +14,9 @@
 #[derive(Clone, Debug)]
 pub(super) struct Pull {
     pub(super) sent_at: Millis,
-    pub(super) text: Ask,
+    pub(super) text: DocumentRequest,
     pub(super) text_edits: u64,
-    pub(super) vms: Ask,
+    pub(super) vms: DocumentRequest,
     pub(super) vms_edits: u64,
 }
 
--- a/crates/core/src/control/reading.rs
+++ b/crates/core/src/control/reading.rs
@@ -9,29 +9,29 @@
 use crate::prelude::*;
 
 /// How long the platform may hold a read until something changes.
-const WATCH: Millis = Millis::from_secs(30);
+const WATCH_DURATION: Millis = Millis::from_secs(30);
 /// A read that has not ended by then counts as failed.
 const READ_TIMEOUT: Millis = Millis::from_secs(40);
 /// Pause after a failed read; doubles up to the limit, with jitter.
-const FIRST_BACKOFF: Millis = Millis(250);
+const INITIAL_BACKOFF: Millis = Millis(250);
 const MAX_BACKOFF: Millis = Millis::from_secs(5);
 /// Pause after a watch that ended at once, so that a platform which does not
 /// wait is not asked without pause.
 const PAUSE_AFTER_SHORT_WATCH: Millis = Millis::from_secs(1);
 /// Failures in a row after which others shall take over.
-const FAILURES_TO_TELL: u32 = 2;
+const FAILURES_UNTIL_FAILING: u32 = 2;
 /// A platform that lacks what has been held for this long counts as stale.
 const STALE_AFTER: Millis = Millis::from_secs(10);
 /// A node starts to read after it was elected for this long, and a random
 /// part of the same again: at a cold start every node elects itself until it
 /// has heard of the others.
-const ELECTED_FOR: Millis = Millis(1_500);
+const START_DELAY: Millis = Millis(1_500);
 /// A reader stops after others were elected for this long.
-const DESELECTED_FOR: Millis = Millis::from_secs(5);
+const STOP_DELAY: Millis = Millis::from_secs(5);
 /// What a reader held for others is let go this long after it stopped.
-const KEEP_WHOLE_FOR: Millis = Millis::from_secs(30);
+const KEEP_WHOLE_DOCUMENTS_FOR: Millis = Millis::from_secs(30);
 /// How often unused slices are looked for.
-const PRUNE_EVERY: Millis = Millis::from_secs(10);
+const PRUNE_INTERVAL: Millis = Millis::from_secs(10);
 
 /// Bytes a second that reads may bring on average.
 ///
@@ -50,12 +50,12 @@
 
 /// What is held of the document that a watch is about.
 #[derive(Clone, Copy, Debug)]
-struct Held {
+struct LocalDocument {
     version: u64,
     whole: bool,
 }
 
-impl Held {
+impl LocalDocument {
     fn of(board: &Board, read: PlatformRead) -> Self {
         let document = match read {
             PlatformRead::Text => &board.text,
@@ -72,15 +72,15 @@
 #[derive(Debug, Default)]
 struct Watch {
     /// The newest version that the platform itself has shown to this node.
-    shown: u64,
+    platform_version: u64,
     /// The version above which was last asked.
-    asked_after: u64,
+    requested_after: u64,
     sent_at: Option<Millis>,
     next_at: Millis,
     failures: u32,
     /// The version last seen to be held, and since when it is.
-    held: u64,
-    held_since: Millis,
+    local_version: u64,
+    local_since: Millis,
     /// The platform was seen to lack what has long been held.
     is_behind: bool,
 }
@@ -89,7 +89,7 @@
     /// Begins anew. No read is on its way: whoever stopped has given them up.
     fn restart(&mut self) {
         self.sent_at = None;
-        self.shown = 0;
+        self.platform_version = 0;
         self.failures = 0;
         self.next_at = Millis::ZERO;
         self.is_behind = false;
@@ -99,50 +99,51 @@
         self.sent_at.is_none() && now >= self.next_at
     }
 
-    fn note_held(&mut self, held: Held, now: Millis) {
-        if held.version != self.held {
-            self.held = held.version;
-            self.held_since = now;
+    fn note_held(&mut self, local: LocalDocument, now: Millis) {
+        if local.version != self.local_version {
+            self.local_version = local.version;
+            self.local_since = now;
         }
-        if self.shown >= held.version {
+        if self.platform_version >= local.version {
             self.is_behind = false;
         }
     }
 
     /// Peers should long have been confirmed by the platform.
     fn is_settled(&self, now: Millis) -> bool {
-        now.since(self.held_since) > STALE_AFTER
+        now.since(self.local_since) > STALE_AFTER
     }
 
     /// Starts a read; gives the version above which to ask.
     ///
     /// What came from peers need not be read once more, unless it has been
     /// held for so long that a platform which lacks it must be stale.
-    fn start(&mut self, held: Held, now: Millis) -> u64 {
-        let takes_on_trust = held.whole && !self.is_settled(now);
-        self.asked_after = if takes_on_trust {
-            self.shown.max(held.version)
+    fn start(&mut self, local: LocalDocument, now: Millis) -> u64 {
+        let trusts_peers = local.whole && !self.is_settled(now);
+        self.requested_after = if trusts_peers {
+            self.platform_version.max(local.version)
         } else {
-            self.shown
+            self.platform_version
         };
         self.sent_at = Some(now);
-        self.asked_after
+        self.requested_after
     }
 
     /// A read brought a value; the next one waits for `pause`.
-    fn brought(&mut self, version: u64, pause: Millis, held: Held, now: Millis) {
-        let is_new = version > self.shown;
-        self.shown = self.shown.max(version);
-        self.ended_well(is_new, held, now);
+    fn note_value(&mut self, version: u64, pause: Millis, local: LocalDocument, now: Millis) {
+        let is_new = version > self.platform_version;
+        self.platform_version = self.platform_version.max(version);
+        self.note_success(is_new, local, now);
         self.next_at = self.next_at.max(now + pause);
     }
 
-    fn ended_well(&mut self, is_new: bool, held: Held, now: Millis) {
+    fn note_success(&mut self, is_new: bool, local: LocalDocument, now: Millis) {
         let sent_at = self.sent_at.take();
         self.failures = 0;
-        self.note_held(held, now);
-        let lacks_held = self.asked_after < held.version && self.shown < held.version;
-        self.is_behind |= lacks_held && self.is_settled(now);
+        self.note_held(local, now);
+        let lacks_local =
+            self.requested_after < local.version && self.platform_version < local.version;
+        self.is_behind |= lacks_local && self.is_settled(now);
         let was_short = sent_at.is_some_and(|at| now.since(at) < PAUSE_AFTER_SHORT_WATCH);
         self.next_at = if was_short && !is_new {
             now + PAUSE_AFTER_SHORT_WATCH
@@ -151,9 +152,9 @@
         };
     }
 
-    fn failed(&mut self, jitter: f64, now: Millis) {
+    fn note_failure(&mut self, jitter: f64, now: Millis) {
         self.sent_at = None;
-        let backoff = FIRST_BACKOFF.0 << self.failures.min(8);
+        let backoff = INITIAL_BACKOFF.0 << self.failures.min(8);
         let backoff = backoff.min(MAX_BACKOFF.0) as f64;
         self.next_at = now + Millis((backoff * jitter) as u64);
         self.failures = self.failures.saturating_add(1);
@@ -170,9 +171,9 @@
     text: Watch,
     vms: Watch,
     /// Since when the rota says the opposite of what this node does.
-    turning_since: Option<Millis>,
+    switch_pending_since: Option<Millis>,
     /// When to act upon it.
-    turn_at: Millis,
+    switch_at: Millis,
     stopped_at: Millis,
     pruned_at: Millis,
 }
@@ -183,17 +184,17 @@
         let is_able = board.joined && !board.takes_no_work();
         let elected = is_able && board.rota.elects_self(board.fails_to_read(), board.now);
         if elected == board.reading {
-            self.turning_since = None;
+            self.switch_pending_since = None;
             return;
         }
-        if self.turning_since.is_none() {
-            self.turning_since = Some(board.now);
-            self.turn_at = board.now + Self::delay(elected, board);
+        if self.switch_pending_since.is_none() {
+            self.switch_pending_since = Some(board.now);
+            self.switch_at = board.now + Self::delay(elected, board);
         }
-        if board.now < self.turn_at {
+        if board.now < self.switch_at {
             return;
         }
-        self.turning_since = None;
+        self.switch_pending_since = None;
         board.reading = elected;
         if elected {
             self.text.restart();
@@ -210,39 +211,39 @@
     /// How long an election must stand; one who knows nobody need not wait.
     fn delay(elected: bool, board: &mut Board) -> Millis {
         if !elected {
-            return DESELECTED_FOR;
+            return STOP_DELAY;
         }
         if board.members.iter().next().is_none() {
             return Millis::ZERO;
         }
-        let jitter = board.rng.random_range(0..=ELECTED_FOR.0);
-        ELECTED_FOR + Millis(jitter)
+        let jitter = board.rng.random_range(0..=START_DELAY.0);
+        START_DELAY + Millis(jitter)
     }
 
     fn read(&mut self, board: &mut Board) {
         let now = board.now;
         for watch in [&mut self.text, &mut self.vms] {
             if watch.is_overdue(now) {
-                watch.failed(board.rng.random_range(0.5..=1.0), now);
+                watch.note_failure(board.rng.random_range(0.5..=1.0), now);
             }
         }
-        let text = Held::of(board, PlatformRead::Text);
+        let text = LocalDocument::of(board, PlatformRead::Text);
         self.text.note_held(text, now);
         if self.text.is_due(now) {
             let after = self.text.start(text, now);
-            board.read_text(ConfigVersion(after), WATCH);
+            board.read_text(ConfigVersion(after), WATCH_DURATION);
         }
-        let vms = Held::of(board, PlatformRead::Vms);
+        let vms = LocalDocument::of(board, PlatformRead::Vms);
         self.vms.note_held(vms, now);
         if self.vms.is_due(now) {
             let after = self.vms.start(vms, now);
-            board.read_vms(None, ListVersion(after), WATCH);
+            board.read_vms(None, ListVersion(after), WATCH_DURATION);
         }
     }
 
-    fn judge_platform(&mut self, board: &mut Board) {
+    fn update_platform_state(&mut self, board: &mut Board) {
         let failures = self.text.failures.max(self.vms.failures);
-        board.platform = if failures >= FAILURES_TO_TELL {
+        board.platform = if failures >= FAILURES_UNTIL_FAILING {
             PlatformState::Failing
         } else if self.text.is_behind || self.vms.is_behind {
             PlatformState::Stale
@@ -253,11 +254,14 @@
 
     /// A node off the rota holds only what it needs itself.
     fn prune(&mut self, board: &mut Board) {
-        if board.now.since(self.pruned_at) < PRUNE_EVERY {
+        if board.now.since(self.pruned_at) < PRUNE_INTERVAL {
             return;
         }
         self.pruned_at = board.now;
-        if board.reading || !board.joined || board.now.since(self.stopped_at) < KEEP_WHOLE_FOR {
+        if board.reading
+            || !board.joined
+            || board.now.since(self.stopped_at) < KEEP_WHOLE_DOCUMENTS_FOR
+        {
             return;
         }
         let wanted = board.wanted_text();
@@ -292,7 +296,7 @@
                     return;
                 };
                 for note in &heartbeat.readers {
-                    board.rota.hear(note, &board.settings.vm, now);
+                    board.rota.merge(note, &board.settings.vm, now);
                 }
             }
             Input::Answer { message, .. } => {
@@ -300,7 +304,7 @@
                     return;
                 }
                 for note in &message.readers {
-                    board.rota.hear(note, &board.settings.vm, now);
+                    board.rota.merge(note, &board.settings.vm, now);
                 }
             }
             Input::Text {
@@ -308,27 +312,27 @@
                 size_bytes,
                 ..
             } => {
-                let held = Held::of(board, PlatformRead::Text);
+                let local = LocalDocument::of(board, PlatformRead::Text);
                 let pause = size_pause(board, *size_bytes);
-                self.text.brought(version.0, pause, held, now);
+                self.text.note_value(version.0, pause, local, now);
             }
             Input::Vms {
                 version,
                 service: None,
                 vms,
             } => {
-                let held = Held::of(board, PlatformRead::Vms);
+                let local = LocalDocument::of(board, PlatformRead::Vms);
                 let pause = size_pause(board, vms.len() * LISTED_VM_BYTES);
-                self.vms.brought(version.0, pause, held, now);
+                self.vms.note_value(version.0, pause, local, now);
             }
             Input::Unchanged(read) => {
-                let held = Held::of(board, *read);
-                self.watch(*read).ended_well(false, held, now);
+                let local = LocalDocument::of(board, *read);
+                self.watch(*read).note_success(false, local, now);
             }
             Input::Failed(read) => {
                 board.counters.platform_failures += 1;
                 let jitter = board.rng.random_range(0.5..=1.0);
-                self.watch(*read).failed(jitter, now);
+                self.watch(*read).note_failure(jitter, now);
             }
             _ => {}
         }
@@ -337,7 +341,7 @@
     fn on_tick(&mut self, board: &mut Board) {
         self.follow_rota(board);
         if board.reading {
-            self.judge_platform(board);
+            self.update_platform_state(board);
         }
         self.prune(board);
     }
--- a/crates/core/src/control/rota.rs
+++ b/crates/core/src/control/rota.rs
@@ -33,14 +33,14 @@
 ///
 /// News of a candidate crosses a data centre of 900 nodes in about five
 /// heartbeats; three times that keeps a slow heartbeat from moving the rota.
-const CANDIDATE_SILENT_AFTER: Millis = Millis::from_secs(15);
+const CANDIDATE_TIMEOUT: Millis = Millis::from_secs(15);
 
 #[derive(Clone, Debug)]
 struct Candidate {
     score: u64,
     note: ReaderNote,
     /// When the note was made, in this node's clock.
-    said_at: Millis,
+    stated_at: Millis,
 }
 
 /// The candidates of this node's data centre, other than itself.
@@ -62,8 +62,8 @@
     }
 
     /// Takes in what a node of the same data centre says.
-    pub(super) fn hear(&mut self, note: &ReaderNote, own: &VmId, now: Millis) {
-        if note.vm == *own || note.age_ms > CANDIDATE_SILENT_AFTER {
+    pub(super) fn merge(&mut self, note: &ReaderNote, own: &VmId, now: Millis) {
+        if note.vm == *own || note.age_ms > CANDIDATE_TIMEOUT {
             return;
         }
         let order = (note.incarnation, note.clock_ms);
@@ -77,7 +77,7 @@
         let candidate = Candidate {
             score: score(&note.vm, &self.data_centre),
             note: note.clone(),
-            said_at: now.minus(note.age_ms),
+            stated_at: now.minus(note.age_ms),
         };
         self.candidates.insert(note.vm.clone(), candidate);
         self.trim(now);
@@ -86,7 +86,7 @@
     /// Forgets the silent ones and all but the best.
     pub(super) fn trim(&mut self, now: Millis) {
         self.candidates
-            .retain(|_, known| now.since(known.said_at) <= CANDIDATE_SILENT_AFTER);
+            .retain(|_, known| now.since(known.stated_at) <= CANDIDATE_TIMEOUT);
         while self.candidates.len() > MAX_CANDIDATES {
             let mut worst: Option<(u64, VmId)> = None;
             for known in self.candidates.values() {
@@ -104,16 +104,16 @@
     /// Whether this node, whose reads may be failing, is on the rota.
     pub(super) fn elects_self(&self, own_failing: bool, now: Millis) -> bool {
         let mut better = 0;
-        let mut better_and_able = 0;
+        let mut better_and_working = 0;
         for known in self.candidates.values() {
-            let is_silent = now.since(known.said_at) > CANDIDATE_SILENT_AFTER;
+            let is_silent = now.since(known.stated_at) > CANDIDATE_TIMEOUT;
             if is_silent || known.score <= self.own_score {
                 continue;
             }
             better += 1;
-            better_and_able += usize::from(!known.note.failing);
+            better_and_working += usize::from(!known.note.failing);
         }
-        better < MAX_READERS && (own_failing || better_and_able < READERS)
+        better < MAX_READERS && (own_failing || better_and_working < READERS)
     }
 
     /// Notes for peers of the data centre, the own one first when it is given.
@@ -124,7 +124,7 @@
         }
         for known in self.candidates.values() {
             let mut note = known.note.clone();
-            note.age_ms = now.since(known.said_at);
+            note.age_ms = now.since(known.stated_at);
             ranked.push((known.score, note));
         }
         ranked.sort_by_key(|(score, _)| std::cmp::Reverse(*score));
@@ -133,7 +133,7 @@
     }
 
     /// Addresses of candidates that hold everything.
-    pub(super) fn whole_holders(&self) -> Vec<SocketAddr> {
+    pub(super) fn whole_candidates(&self) -> Vec<SocketAddr> {
         let mut found = Vec::new();
         for known in self.candidates.values() {
             if known.note.whole {
--- a/crates/core/src/control/rota/tests.rs
+++ b/crates/core/src/control/rota/tests.rs
@@ -26,7 +26,7 @@
         let mut rota = Rota::new(&vm(own), DataCentre::new("dc"));
         for other in 0..nodes {
             let is_failing = failing.contains(&other);
-            rota.hear(&note(other, 1, is_failing), &vm(own), Millis::ZERO);
+            rota.merge(&note(other, 1, is_failing), &vm(own), Millis::ZERO);
         }
         if rota.elects_self(failing.contains(&own), Millis::ZERO) {
             elected.push(own);
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn a_failing_reader_keeps_trying_beside_its_relief() {
+fn a_failing_reader_keeps_reading_beside_its_replacement() {
     let first = elected(100, &[]);
     let relieved = elected(100, &first[..1]);
     assert_eq!(relieved.len(), READERS + 1);
@@ -65,13 +65,13 @@
 /// Notes of a dead candidate go round between nodes for ever, each time with
 /// the age that its teller believes. None of it counts as a sign of life.
 #[test]
-fn notes_going_round_do_not_keep_a_dead_candidate_on_the_rota() {
+fn relayed_notes_do_not_keep_a_dead_candidate_on_the_rota() {
     let own = vm(0);
     let mut rota = Rota::new(&own, DataCentre::new("dc"));
     let mut now = Millis::ZERO;
     for _ in 0..100 {
-        rota.hear(&note(1, 1, false), &own, now);
-        rota.hear(&note(2, 1, false), &own, now);
+        rota.merge(&note(1, 1, false), &own, now);
+        rota.merge(&note(2, 1, false), &own, now);
         now = now + Millis(500);
     }
     rota.trim(now);
@@ -80,11 +80,11 @@
 }
 
 #[test]
-fn candidates_kept_are_the_best_and_bounded() {
+fn the_best_candidates_are_kept_up_to_the_limit() {
     let own = vm(1_000);
     let mut rota = Rota::new(&own, DataCentre::new("dc"));
     for index in 0..500 {
-        rota.hear(&note(index, 1, false), &own, Millis::ZERO);
+        rota.merge(&note(index, 1, false), &own, Millis::ZERO);
     }
     let kept = rota.status();
     assert_eq!(kept.len(), MAX_CANDIDATES);
--- a/crates/core/src/control/suspicion.rs
+++ b/crates/core/src/control/suspicion.rs
@@ -7,7 +7,7 @@
 
 use hornbeamhitch_wire::control::{DatagramBody, SuspectNote};
 
-use super::board::{Board, Controller, Dirt, Input};
+use super::board::{Board, Controller, Input, PendingPublish};
 use crate::prelude::*;
 use crate::suspects::{Standing, SuspectEntry, Suspects};
 
@@ -21,14 +21,14 @@
 pub(super) struct Suspicion;
 
 impl Suspicion {
-    fn tell(board: &mut Board, notes: Vec<SuspectNote>, fan_out: usize) {
-        board.soil(Dirt::Routes);
+    fn spread(board: &mut Board, notes: Vec<SuspectNote>, fan_out: usize) {
+        board.request_publish(PendingPublish::Routes);
         let service = board.settings.service.clone();
         let rng = &mut board.rng;
-        let kin = board
+        let service_peers = board
             .members
             .choose(rng, fan_out, |member| member.service == service);
-        for recipient in kin {
+        for recipient in service_peers {
             let body = DatagramBody::Suspicion {
                 suspects: notes.clone(),
             };
@@ -36,24 +36,24 @@
         }
     }
 
-    fn found(board: &mut Board, entry: &SuspectEntry) {
+    fn note_found(board: &mut Board, entry: &SuspectEntry) {
         if board.suspects.merge(entry, board.now) {
-            Self::tell(board, vec![note_of(entry)], FIRST_FAN_OUT);
+            Self::spread(board, vec![note_of(entry)], FIRST_FAN_OUT);
         }
     }
 
-    fn hear(board: &mut Board, notes: &[SuspectNote]) {
-        let mut news = Vec::new();
+    fn merge_notes(board: &mut Board, notes: &[SuspectNote]) {
+        let mut new_notes = Vec::new();
         for note in notes {
             let Some(entry) = entry_of(note) else {
                 continue;
             };
             if board.suspects.merge(&entry, board.now) {
-                news.push(*note);
+                new_notes.push(*note);
             }
         }
-        if !news.is_empty() {
-            Self::tell(board, news, FAN_OUT);
+        if !new_notes.is_empty() {
+            Self::spread(board, new_notes, FAN_OUT);
         }
     }
 }
@@ -61,11 +61,13 @@
 impl Controller for Suspicion {
     fn on_input(&mut self, input: &Input, board: &mut Board) {
         match input {
-            Input::Suspicion(entry) => Self::found(board, entry),
+            Input::Suspicion(entry) => Self::note_found(board, entry),
             Input::Datagram(datagram) if datagram.from.service == board.settings.service => {
                 match &datagram.body {
-                    DatagramBody::Suspicion { suspects } => Self::hear(board, suspects),
-                    DatagramBody::Heartbeat(heartbeat) => Self::hear(board, &heartbeat.suspects),
+                    DatagramBody::Suspicion { suspects } => Self::merge_notes(board, suspects),
+                    DatagramBody::Heartbeat(heartbeat) => {
+                        Self::merge_notes(board, &heartbeat.suspects)
+                    }
                     _ => {}
                 }
             }
@@ -75,13 +77,13 @@
 
     fn on_tick(&mut self, board: &mut Board) {
         if board.suspects.tick(board.now) {
-            board.soil(Dirt::Routes);
+            board.request_publish(PendingPublish::Routes);
         }
     }
 }
 
 /// The entries found last, for heartbeats.
-pub(super) fn youngest(suspects: &Suspects, count: usize, now: Millis) -> Vec<SuspectNote> {
+pub(super) fn most_recent(suspects: &Suspects, count: usize, now: Millis) -> Vec<SuspectNote> {
     let mut entries: Vec<SuspectEntry> = suspects.entries(now).collect();
     entries.sort_by_key(|entry| entry.age_ms);
     entries.truncate(count);
--- a/crates/core/src/control/tests/configuration.rs
+++ b/crates/core/src/control/tests/configuration.rs
@@ -8,7 +8,7 @@
 /// centre go on trying, with pauses of up to five seconds, and once the
 /// platform is back the new text is in force everywhere within seconds.
 #[test]
-fn a_platform_that_is_down_costs_nothing_in_force() {
+fn a_platform_outage_keeps_the_configuration_in_force() {
     let mut fleet = bangkok(2);
     fleet.platform.down = true;
     fleet.run(Millis::from_secs(60));
@@ -76,7 +76,7 @@
 /// offers 3 for minutes. Nobody goes back; its readers call it stale. Once it
 /// offers 6, that is in force within seconds.
 #[test]
-fn a_platform_that_went_back_reverts_nobody() {
+fn a_platform_restored_from_an_old_copy_reverts_no_node() {
     let mut fleet = bangkok(5);
     fleet.publish_text(3, "layouts::2");
     // All readers die, so that new ones begin to read the old copy.
@@ -134,7 +134,7 @@
 /// A text of one megabyte whose bulk concerns every node goes by TCP; no
 /// datagram grows (the harness checks their length).
 #[test]
-fn a_text_of_a_megabyte_goes_by_bulk() {
+fn a_text_of_one_megabyte_is_sent_over_tcp() {
     let mut fleet = bangkok(7);
     fleet.publish_text(6, &large_text(1_000_000));
     let took = fleet.run_until(Millis::from_secs(5), "the large text", |fleet| {
@@ -179,7 +179,7 @@
 /// Two edits in quick succession, the second before the first has spread.
 /// Everyone ends at the second, with its content, whichever came first.
 #[test]
-fn two_quick_edits_end_in_the_second() {
+fn after_two_quick_edits_the_second_is_in_force() {
     let mut fleet = bangkok(8);
     fleet.publish_text(
         6,
@@ -236,7 +236,7 @@
 /// The readers of a data centre die. Others of it notice their silence, take
 /// over, and the next text is in force everywhere.
 #[test]
-fn the_rota_moves_on_when_readers_die() {
+fn readers_that_die_are_replaced() {
     let mut fleet = bangkok(10);
     let mut killed = 0;
     for index in 0..14 {
@@ -259,7 +259,7 @@
 /// others. Those that leave the rota again must not keep the platform's watches for
 /// the half minute that one lasts: the platform counts them as reads of its own.
 #[test]
-fn who_leaves_the_rota_gives_up_its_watches() {
+fn a_node_that_leaves_the_rota_cancels_its_watches() {
     for seed in 0..20 {
         let mut fleet = bangkok(seed);
         let took = fleet.run_until(Millis::from_secs(5), "a settled rota", |fleet| {
@@ -274,7 +274,7 @@
 /// All readers are cut from the platform, other nodes are not. The cut ones say
 /// so, others of each data centre take over, and edits are in force again.
 #[test]
-fn readers_that_fail_are_relieved() {
+fn failing_readers_are_replaced() {
     let mut fleet = bangkok(11);
     let cut: Vec<usize> = (0..14)
         .filter(|index| fleet.status(*index).reading)
@@ -301,7 +301,7 @@
 /// A call asks an entry for a service that its node does not hold. The slices
 /// are fetched on demand, and let go after ten idle minutes.
 #[test]
-fn a_service_asked_for_on_demand_is_fetched_and_let_go() {
+fn a_service_requested_on_demand_is_fetched_and_dropped_when_idle() {
     let mut fleet = bangkok(12);
     let darkroom = ServiceName::new("darkroom");
     let service = darkroom.clone();
--- a/crates/core/src/control/tests/figures.rs
+++ b/crates/core/src/control/tests/figures.rs
@@ -245,7 +245,7 @@
 /// not follow the callers: nobody is sent 27 questions a second of which it
 /// answers three.
 #[test]
-fn a_shared_service_is_not_drowned_by_its_callers() {
+fn a_shared_service_is_not_overloaded_by_its_callers() {
     let mut services = equal_services(8, 10);
     services.push(("shared", 3));
     let mut text = String::from("shared::2\n");
--- a/crates/core/src/control/tests/harness.rs
+++ b/crates/core/src/control/tests/harness.rs
@@ -109,7 +109,7 @@
     Tick,
     Event(ControlEvent),
     /// A bulk request with the asker.
-    Asked(usize, Vec<u8>),
+    BulkRequested(usize, Vec<u8>),
 }
 
 pub(super) struct Fleet {
@@ -120,7 +120,7 @@
     pub(super) rng: Xoshiro256PlusPlus,
     queue: BTreeMap<(Millis, u64), (usize, Incarnation, Occurrence)>,
     sequence: u64,
-    lives: u64,
+    incarnations_started: u64,
 }
 
 pub(super) fn address(index: usize, port: u16) -> SocketAddr {
@@ -167,7 +167,7 @@
             rng: Xoshiro256PlusPlus::seed_from_u64(seed),
             queue: BTreeMap::new(),
             sequence: 0,
-            lives: 0,
+            incarnations_started: 0,
         }
     }
 
@@ -180,14 +180,14 @@
 
     /// Starts a node on a VM; gives its index.
     pub(super) fn start(&mut self, entry: &ListedVm) -> usize {
-        self.lives += 1;
+        self.incarnations_started += 1;
         let settings = ControlSettings {
             vm: entry.vm.clone(),
             service: entry.service.clone(),
             data_centre: entry.data_centre.clone(),
             peer: entry.peer,
             control: entry.control,
-            incarnation: Incarnation::compose(1_760_000_000_000 + self.lives, 7),
+            incarnation: Incarnation::compose(1_760_000_000_000 + self.incarnations_started, 7),
             seed: self.rng.random(),
             seeds: Vec::new(),
         };
@@ -232,10 +232,10 @@
             if at > end {
                 break;
             }
-            let (index, life, occurrence) = entry.remove();
+            let (index, incarnation, occurrence) = entry.remove();
             self.now = self.now.max(at);
             self.end_watches();
-            self.step(index, life, occurrence);
+            self.step(index, incarnation, occurrence);
         }
         self.now = end;
     }
@@ -246,10 +246,10 @@
         &mut self,
         limit: Millis,
         what: &str,
-        holds: impl Fn(&Self) -> bool,
+        tracks: impl Fn(&Self) -> bool,
     ) -> Millis {
         let start = self.now;
-        while !holds(self) {
+        while !tracks(self) {
             assert!(self.now.since(start) < limit, "not within {limit}: {what}");
             self.run(TICK);
         }
@@ -277,14 +277,14 @@
 
     fn push(&mut self, at: Millis, index: usize, occurrence: Occurrence) {
         self.sequence += 1;
-        let life = self.nodes[index].settings.incarnation;
+        let incarnation = self.nodes[index].settings.incarnation;
         self.queue
-            .insert((at, self.sequence), (index, life, occurrence));
+            .insert((at, self.sequence), (index, incarnation, occurrence));
     }
 
-    fn step(&mut self, index: usize, life: Incarnation, occurrence: Occurrence) {
+    fn step(&mut self, index: usize, incarnation: Incarnation, occurrence: Occurrence) {
         let node = &self.nodes[index];
-        if !node.alive || node.settings.incarnation != life {
+        if !node.alive || node.settings.incarnation != incarnation {
             return;
         }
         if node.paused_until > self.now {
@@ -300,7 +300,7 @@
             Occurrence::Event(event) => {
                 self.handle(index, event);
             }
-            Occurrence::Asked(asker, message) => {
+            Occurrence::BulkRequested(requester, message) => {
                 let request = RequestId(self.sequence);
                 let peer = self.nodes[index].settings.control;
                 let answer = self.handle(index, ControlEvent::BulkRequested { request, message });
@@ -309,7 +309,7 @@
                     None => ControlEvent::BulkFailed { peer },
                 };
                 let at = self.now + Millis(2);
-                self.push(at, asker, Occurrence::Event(event));
+                self.push(at, requester, Occurrence::Event(event));
             }
         }
     }
@@ -332,7 +332,9 @@
                     wait_ms,
                 } => self.read(index, PlatformRead::Vms, service, after.0, wait_ms),
                 ControlAction::CancelReads => self.cancel_reads(index),
-                ControlAction::BulkRequest { to, message } => self.ask(index, to, message),
+                ControlAction::BulkRequest { to, message } => {
+                    self.send_bulk_request(index, to, message)
+                }
                 ControlAction::BulkAnswer { message, .. } => answer = Some(message),
                 ControlAction::Publish(table) => self.take_table(index, table),
             }
@@ -363,7 +365,7 @@
             .rposition(|node| node.alive && node.settings.control == control)
     }
 
-    fn are_parted(&self, one: usize, other: usize) -> bool {
+    fn are_partitioned(&self, one: usize, other: usize) -> bool {
         let groups = &self.network.groups;
         groups.get(&one).unwrap_or(&0) != groups.get(&other).unwrap_or(&0)
     }
@@ -373,7 +375,7 @@
         let Some(target) = self.at_address(to) else {
             return;
         };
-        if self.are_parted(from, target) || self.rng.random_bool(self.network.loss) {
+        if self.are_partitioned(from, target) || self.rng.random_bool(self.network.loss) {
             return;
         }
         let copies = 1 + u64::from(self.rng.random_bool(self.network.duplicates));
@@ -393,13 +395,13 @@
         }
     }
 
-    fn ask(&mut self, from: usize, to: SocketAddr, message: Vec<u8>) {
+    fn send_bulk_request(&mut self, from: usize, to: SocketAddr, message: Vec<u8>) {
         let failure = match self.at_address(to) {
             None => Some(REFUSED_CONNECTION_AFTER),
-            Some(target) if self.are_parted(from, target) => Some(CONNECT_TIMEOUT),
+            Some(target) if self.are_partitioned(from, target) => Some(CONNECT_TIMEOUT),
             Some(target) => {
                 let at = self.now + Millis(2);
-                self.push(at, target, Occurrence::Asked(from, message));
+                self.push(at, target, Occurrence::BulkRequested(from, message));
                 None
             }
         };
--- a/crates/core/src/control/tests/harness/platform.rs
+++ b/crates/core/src/control/tests/harness/platform.rs
@@ -21,7 +21,7 @@
 
 pub(super) struct PlatformWatch {
     node: usize,
-    life: Incarnation,
+    incarnation: Incarnation,
     read: PlatformRead,
     service: Option<ServiceName>,
     after: u64,
@@ -43,10 +43,10 @@
             self.push(self.now + PLATFORM_DELAY, node, Occurrence::Event(event));
             return;
         }
-        let life = self.nodes[node].settings.incarnation;
+        let incarnation = self.nodes[node].settings.incarnation;
         self.platform.watches.push(PlatformWatch {
             node,
-            life,
+            incarnation,
             read,
             service,
             after,
@@ -66,7 +66,7 @@
                 continue;
             };
             let at = self.now + PLATFORM_DELAY;
-            if self.nodes[watch.node].settings.incarnation == watch.life {
+            if self.nodes[watch.node].settings.incarnation == watch.incarnation {
                 self.push(at, watch.node, Occurrence::Event(event));
             }
         }
@@ -92,7 +92,7 @@
                 (false, PlatformRead::Vms) => ControlEvent::VmsUnchanged,
             };
             let at = now + PLATFORM_DELAY;
-            if self.nodes[watch.node].settings.incarnation == watch.life {
+            if self.nodes[watch.node].settings.incarnation == watch.incarnation {
                 self.push(at, watch.node, Occurrence::Event(event));
             }
         }
@@ -100,9 +100,9 @@
 
     /// A node gives up the reads that it has on their way.
     pub(super) fn cancel_reads(&mut self, node: usize) {
-        let life = self.nodes[node].settings.incarnation;
+        let incarnation = self.nodes[node].settings.incarnation;
         let watches = &mut self.platform.watches;
-        watches.retain(|watch| watch.node != node || watch.life != life);
+        watches.retain(|watch| watch.node != node || watch.incarnation != incarnation);
     }
 
     /// Watches of living nodes that the platform holds.
--- a/crates/core/src/control/tests/membership.rs
+++ b/crates/core/src/control/tests/membership.rs
@@ -63,7 +63,7 @@
 /// old datagrams and old beliefs: nobody takes anything back because of it,
 /// and it is up to date within seconds.
 #[test]
-fn a_paused_node_that_wakes_takes_nothing_back() {
+fn a_paused_node_that_resumes_reverts_nothing() {
     let mut fleet = bangkok(21);
     let paused = 7;
     fleet.nodes[paused].paused_until = fleet.now + Millis::from_secs(120);
@@ -75,7 +75,7 @@
     let new = fleet.start(&entry);
     fleet.publish_text(7, TEXT);
     fleet.run(Millis::from_secs(90));
-    let life = fleet.nodes[new].settings.incarnation;
+    let incarnation = fleet.nodes[new].settings.incarnation;
     let took = fleet.run_until(Millis::from_secs(20), "the paused node", |fleet| {
         fleet.all_at(7)
     });
@@ -85,7 +85,7 @@
     fleet.run(Millis::from_secs(3));
     for index in [5, paused] {
         let seen = target(&fleet, index, "cashier", &entry.vm).expect("a target");
-        assert_eq!(seen.incarnation, Some(life));
+        assert_eq!(seen.incarnation, Some(incarnation));
         assert!(!seen.leaving && !seen.doubtful);
     }
 }
@@ -94,14 +94,14 @@
 /// address, and wakes after half a minute. What it sends is dropped as stale;
 /// it is told of the later life and takes no new work from then on.
 #[test]
-fn an_earlier_life_that_wakes_is_ignored_and_told() {
+fn an_earlier_incarnation_that_resumes_is_ignored_and_notified() {
     let mut fleet = bangkok(22);
     let mut entry = fleet.platform.vms[6].clone();
     entry.peer = address(600, 7000);
     entry.control = address(600, 7001);
     fleet.nodes[6].paused_until = fleet.now + Millis::from_secs(30);
     let new = fleet.start(&entry);
-    let life = fleet.nodes[new].settings.incarnation;
+    let incarnation = fleet.nodes[new].settings.incarnation;
     fleet.run(Millis::from_secs(30));
     let took = fleet.run_until(Millis::from_secs(4), "the old life to know", |fleet| {
         fleet.status(6).superseded
@@ -111,7 +111,7 @@
     for _ in 0..100 {
         fleet.run(TICK);
         let seen = target(&fleet, 5, "cashier", &entry.vm).expect("a target");
-        assert_eq!(seen.incarnation, Some(life));
+        assert_eq!(seen.incarnation, Some(incarnation));
         assert_eq!(seen.peer, entry.peer);
         assert!(!seen.leaving);
     }
@@ -148,7 +148,7 @@
 /// it stays; a newer list without it lets it go. A list that drops a member
 /// which is alive changes nothing.
 #[test]
-fn only_a_newer_list_and_silence_together_let_a_member_go() {
+fn only_a_newer_list_and_silence_together_remove_a_member() {
     let mut fleet = bangkok(24);
     let dead = fleet.platform.vms[6].vm.clone();
     let alive = fleet.platform.vms[7].vm.clone();
@@ -172,7 +172,7 @@
 /// the list, the process takes it as an order, and a new life of the VM that
 /// is heard live is a target again although the list still says leaving.
 #[test]
-fn a_new_life_is_live_although_the_list_calls_the_vm_leaving() {
+fn a_new_incarnation_is_live_although_the_list_marks_the_vm_as_leaving() {
     let mut fleet = bangkok(25);
     let vm = fleet.platform.vms[6].vm.clone();
     fleet.publish_vms(|vms| vms[6].leaving = true);
@@ -191,7 +191,7 @@
 
 /// A gate leaves. Those that lately sent work to it know at once.
 #[test]
-fn leaving_is_known_at_once_to_senders_and_the_service() {
+fn leaving_is_announced_at_once_to_senders_and_the_service() {
     let mut fleet = bangkok(26);
     let vm = fleet.platform.vms[11].vm.clone();
     let sender = fleet.nodes[5].settings.control;
@@ -230,7 +230,7 @@
 /// A target drains and comes back: its word is taken back by itself, and an
 /// old datagram from before cannot bring it back once more.
 #[test]
-fn draining_is_taken_back_only_by_a_later_word() {
+fn draining_ends_only_by_a_later_statement() {
     let mut fleet = bangkok(27);
     fleet.network.late = 0.2;
     fleet.network.duplicates = 0.3;
@@ -296,7 +296,7 @@
 
 /// While gates are heard of, no probe is sent at all.
 #[test]
-fn gates_that_are_heard_of_are_not_probed() {
+fn gates_with_recent_reports_are_not_probed() {
     let mut fleet = bangkok(30);
     let ledger = ServiceName::new("ledger");
     let mut clock = 100_000;
--- a/crates/wire/src/control.rs
+++ b/crates/wire/src/control.rs
@@ -11,8 +11,8 @@
 mod member;
 
 pub use bulk::{
-    Ask, BulkAnswer, BulkRequest, Reply, Sender, SliceBytes, SliceClaim, SliceName, decode_slice,
-    digest_of, encode_slice,
+    BulkAnswer, BulkRequest, DocumentReply, DocumentRequest, Sender, SliceBytes, SliceClaim,
+    SliceName, decode_slice, digest_of, encode_slice,
 };
 pub use codec::{FORMAT_VERSION, MAX_BULK_BYTES, MAX_DATAGRAM_BYTES};
 pub use datagram::{
--- a/crates/wire/src/control/bulk.rs
+++ b/crates/wire/src/control/bulk.rs
@@ -49,7 +49,7 @@
 
 /// What a node asks about one document.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Ask {
+pub struct DocumentRequest {
     /// Version held; zero for none.
     pub version: u64,
     /// Slices held or wanted.
@@ -64,9 +64,9 @@
     /// Who asks.
     pub from: Sender,
     /// About the configuration.
-    pub text: Ask,
+    pub text: DocumentRequest,
     /// About the VM list.
-    pub vms: Ask,
+    pub vms: DocumentRequest,
 }
 
 /// The content of one slice, encoded by `postcard`.
@@ -82,7 +82,7 @@
 ///
 /// A claimed slice that is in none of the three lists is unchanged.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Reply {
+pub struct DocumentReply {
     /// Version at the answerer, to which all content belongs.
     pub version: u64,
     /// Slices that differ from what was claimed.
@@ -105,9 +105,9 @@
     /// What the answerer holds.
     pub known: KnownVersions,
     /// About the configuration.
-    pub text: Reply,
+    pub text: DocumentReply,
     /// About the VM list.
-    pub vms: Reply,
+    pub vms: DocumentReply,
     /// Best reader candidates of the answerer's data centre.
     pub readers: Vec<ReaderNote>,
     /// A text that was refused and is newer than the one in force.
--- a/crates/wire/src/control/tests.rs
+++ b/crates/wire/src/control/tests.rs
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn the_largest_heartbeat_is_cut_to_a_datagram() {
+fn the_largest_heartbeat_is_shortened_to_fit_a_datagram() {
     let bytes = datagram(DatagramBody::Heartbeat(large_heartbeat())).encode();
     assert!(bytes.len() <= MAX_DATAGRAM_BYTES, "{}", bytes.len());
     let read = Datagram::decode(&bytes).expect("still a heartbeat");
@@ -94,7 +94,7 @@
 }
 
 #[test]
-fn the_largest_lists_of_other_kinds_are_cut_as_well() {
+fn the_largest_lists_of_other_kinds_are_shortened_as_well() {
     let heartbeat = large_heartbeat();
     let bodies = [
         DatagramBody::Announce {
@@ -116,7 +116,7 @@
 }
 
 #[test]
-fn a_datagram_comes_back_as_it_was() {
+fn a_datagram_round_trips() {
     let sent = datagram(DatagramBody::Heartbeat(Heartbeat {
         members: vec![MemberNote {
             digest: large_digest(),
@@ -140,7 +140,7 @@
 }
 
 #[test]
-fn what_is_too_long_empty_or_cut_is_refused() {
+fn oversized_empty_and_truncated_messages_are_rejected() {
     let long = vec![FORMAT_VERSION; MAX_DATAGRAM_BYTES + 1];
     assert!(matches!(
         Datagram::decode(&long),
@@ -159,7 +159,7 @@
 }
 
 #[test]
-fn bulk_messages_come_back_as_they_were() {
+fn bulk_messages_round_trip() {
     let from = Sender {
         vm: VmId::new("vm"),
         incarnation: Incarnation(1),
@@ -168,7 +168,7 @@
     };
     let request = BulkRequest {
         from: from.clone(),
-        text: Ask {
+        text: DocumentRequest {
             version: 3,
             claims: vec![SliceClaim {
                 name: SliceName::Service(ServiceName::new("cashier")),
@@ -176,21 +176,21 @@
             }],
             everything: true,
         },
-        vms: Ask::default(),
+        vms: DocumentRequest::default(),
     };
     assert_eq!(BulkRequest::decode(&request.encode()), Ok(request));
     let answer = BulkAnswer {
         from,
         known: KnownVersions::default(),
-        text: Reply {
+        text: DocumentReply {
             version: 4,
             slices: vec![SliceBytes {
                 name: SliceName::Deployment,
                 bytes: vec![0; 1_000_000],
             }],
-            ..Reply::default()
+            ..DocumentReply::default()
         },
-        vms: Reply::default(),
+        vms: DocumentReply::default(),
         readers: Vec::new(),
         refused: None,
         members: Vec::new(),
@@ -199,7 +199,7 @@
 }
 
 #[test]
-fn a_load_report_survives_its_digest() {
+fn a_load_report_round_trips_through_its_digest() {
     let digest = large_digest();
     let report = digest.load_report().expect("a load");
     assert_eq!(report.incarnation, digest.incarnation);
