--- a/crates/core/src/control.rs
+++ b/crates/core/src/control.rs
@@ -1,14 +1,15 @@
-//! Control state: membership, configuration, dissemination, leaving.
+//! Control state machine of a node: membership, configuration, dissemination and
+//! shutdown.
 //!
-//! [`Control`] is one thread's worth of state: a blackboard whose sections
-//! controllers read and write, each with one matter of its own. The driver
-//! hands in events and a tick every 50 ms, and carries out the actions in
-//! their order. Nothing here waits, and no event does work that grows with the
-//! fleet: a node holds its own service, those it calls, and a constant number
-//! of peers.
+//! [`Control`] holds the state of one thread. It follows the blackboard pattern: several
+//! controllers, each responsible for one task, read and write the sections of a shared
+//! `Board`. The driver passes in events and a tick every 50 ms and executes the
+//! returned actions in order. Nothing in this module blocks, and the work per event does
+//! not grow with the size of the fleet: a node keeps data about its own service, the
+//! services that it calls, and a constant number of peers.
 //!
-//! `docs/design/configuration.md` and `docs/design/membership.md` give the
-//! ways that were weighed, and figures.
+//! `docs/design/configuration.md` and `docs/design/membership.md` describe the
+//! alternatives that were considered and the measurements.
 
 mod acceptance;
 mod api;
@@ -62,17 +63,18 @@
 #[cfg(test)]
 mod tests;
 
-/// The control half of one node.
+/// The control state machine of one node.
 pub struct Control {
     board: Board,
     controllers: Vec<Box<dyn Controller>>,
     checker: Box<dyn TextChecker + Send>,
-    /// The last text that this node itself refused; it is not checked again.
+    /// Version of the last text that this node rejected. The node does not check it
+    /// again.
     refused: Option<ConfigVersion>,
 }
 
 impl Control {
-    /// A node that knows nothing yet.
+    /// Creates a node without configuration, members or VM list.
     #[must_use]
     pub fn new(
         settings: ControlSettings,
@@ -81,8 +83,8 @@
     ) -> Self {
         let mut board = Board::new(settings, now);
         board.request_publish(PendingPublish::Routes);
-        // The order matters: what is heard is taken in before start-up and
-        // reads are decided upon, and publishing comes last.
+        // The order matters: received information is merged before start-up and platform
+        // reads are decided, and publishing comes last.
         let controllers: Vec<Box<dyn Controller>> = vec![
             Box::new(Membership::default()),
             Box::new(Acceptance),
@@ -103,7 +105,7 @@
         }
     }
 
-    /// Takes in an event and says what shall be done, in this order.
+    /// Handles an event and returns the actions to execute, in order.
     pub fn handle(&mut self, event: ControlEvent, now: Millis) -> Vec<ControlAction> {
         // A clock that steps back must not make ages negative.
         self.board.now = self.board.now.max(now);
@@ -129,7 +131,7 @@
         std::mem::take(&mut self.board.outbox)
     }
 
-    /// Decodes and checks; `None` for what is dropped.
+    /// Decodes and validates an event. Returns `None` if the event is dropped.
     fn read(&mut self, event: ControlEvent) -> Option<Input> {
         Some(match event {
             ControlEvent::Tick => return None,
@@ -194,7 +196,7 @@
             .then_some(message)
     }
 
-    /// An answer that cannot be used frees its request like a failure.
+    /// Decodes an answer. An unusable answer completes its request as a failure.
     fn read_answer(&mut self, peer: SocketAddr, bytes: &[u8]) -> Input {
         let counters = &mut self.board.counters;
         counters.bulk_bytes_in += bytes.len() as u64;
@@ -211,10 +213,10 @@
         }
     }
 
-    /// Whether a message is of its sender's latest known life.
+    /// Returns whether a message comes from the latest known incarnation of its sender.
     ///
-    /// A paused process wakes and sends what it believed long ago; by then a
-    /// later life of its VM speaks, and the old word must change nothing.
+    /// A process that was paused may resume and send outdated information after a later
+    /// incarnation of its VM has started. Such messages must not change any state.
     fn is_current(&mut self, vm: &VmId, incarnation: Incarnation) -> bool {
         let is_stale = self.board.members.is_stale(vm, incarnation)
             || (*vm == self.board.settings.vm && incarnation <= self.board.settings.incarnation);
@@ -222,7 +224,7 @@
         !is_stale
     }
 
-    /// Checks a text only if it could be taken over.
+    /// Checks a text only if it could come into force.
     fn check_text(&mut self, version: ConfigVersion, text: &str) -> Input {
         let in_force = self.board.text_version();
         let is_needed = version > in_force || (version == in_force && !self.board.text.is_whole());
@@ -241,7 +243,7 @@
         }
     }
 
-    /// What operators see.
+    /// Returns a snapshot for operators and metrics.
     #[must_use]
     pub fn status(&self, now: Millis) -> ControlStatus {
         let board = &self.board;
--- a/crates/core/src/control/acceptance.rs
+++ b/crates/core/src/control/acceptance.rs
@@ -1,9 +1,8 @@
-//! Which offers of the platform are taken over.
+//! Decides which texts and VM lists from the platform a node accepts.
 //!
-//! The rule itself, that a version never goes down, stands in
-//! [`super::document::Document`], through which every offer passes. This
-//! controller turns what the platform sends into documents, and remembers a
-//! text that failed its checks.
+//! [`super::document::Document`], through which every update passes, enforces that a
+//! version never decreases. This controller converts what the platform sends into
+//! document slices and records a text that failed its checks.
 
 use std::collections::BTreeMap;
 
@@ -15,7 +14,7 @@
 use super::status::RefusedText;
 use crate::prelude::*;
 
-/// The controller of acceptance.
+/// Controller that accepts or rejects values read from the platform.
 #[derive(Debug, Default)]
 pub(super) struct Acceptance;
 
@@ -38,8 +37,8 @@
         }
     }
 
-    /// A text with a fault is refused whole: half a text in force would be a
-    /// configuration that nobody has reviewed.
+    /// Rejects a faulty text as a whole. Applying the valid part would put a
+    /// configuration in force that nobody has reviewed.
     fn refuse(board: &mut Board, version: ConfigVersion, refusal: &TextRefusal) {
         board.counters.texts_refused += 1;
         let known = board.refused.as_ref().map(|refused| refused.version);
@@ -104,7 +103,7 @@
     slices
 }
 
-/// The order of VMs is fixed, so that equal lists have equal digests.
+/// Encodes the VMs of a service, sorted by VM so that equal lists have equal digests.
 fn members_slice(service: &ServiceName, vms: &[ListedVm]) -> SliceBytes {
     let mut entries = vms.to_vec();
     entries.sort_by(|left, right| left.vm.cmp(&right.vm));
--- a/crates/core/src/control/api.rs
+++ b/crates/core/src/control/api.rs
@@ -1,4 +1,5 @@
-//! What drivers of the control half see: settings, events, actions, checker.
+//! Interface between the control state machine and its driver: settings, events, actions
+//! and the text checker.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -9,47 +10,47 @@
 use crate::prelude::*;
 use crate::suspects::SuspectEntry;
 
-/// What a node knows about itself at start.
+/// Settings of a node that are fixed at start.
 #[derive(Clone, Debug)]
 pub struct ControlSettings {
     /// The VM of this node.
     pub vm: VmId,
     /// The service of the target on this VM.
     pub service: ServiceName,
-    /// Where this VM stands.
+    /// The data centre of this VM.
     pub data_centre: DataCentre,
-    /// Own TCP address for HTTP/2 between nodes, as others reach it.
+    /// TCP address of this node for HTTP/2 between nodes, as peers reach it.
     pub peer: SocketAddr,
-    /// Own UDP and bulk TCP address for control messages.
+    /// UDP and bulk TCP address of this node for control messages.
     pub control: SocketAddr,
-    /// This life of the process.
+    /// The incarnation of this process.
     pub incarnation: Incarnation,
-    /// Seed of the generator that spreads messages and reads.
+    /// Seed of the random number generator that spreads messages and reads.
     pub seed: u64,
-    /// Control addresses to ask at start beside the VM list; may be empty.
+    /// Control addresses to contact at start in addition to the VM list. May be empty.
     pub seeds: Vec<SocketAddr>,
 }
 
-/// Parses and checks a configuration text; the text crate does it in a daemon.
+/// Parses and checks a configuration text. In a daemon, the text crate implements it.
 pub trait TextChecker {
-    /// Checks a whole text.
+    /// Checks a complete text.
     ///
     /// # Errors
     ///
-    /// A text with any fault is refused whole.
+    /// Returns an error if the text has any fault.
     fn check(&self, text: &str) -> Result<CheckedText, TextRefusal>;
 }
 
-/// What a text resolves to.
+/// The policies that a text resolves to.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CheckedText {
     /// Deployment-wide policy.
     pub deployment: DeploymentPolicy,
-    /// One policy a service.
+    /// One policy per service.
     pub services: Vec<ServicePolicy>,
 }
 
-/// Why a text was refused.
+/// Reason why a text was rejected.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("{reason}")]
 pub struct TextRefusal {
@@ -57,11 +58,11 @@
     pub reason: String,
 }
 
-/// Names one bulk request of a peer until it is answered.
+/// Identifies one bulk request of a peer until it is answered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestId(pub u64);
 
-/// The two things that a node may read from the platform.
+/// The two values that a node reads from the platform.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum PlatformRead {
     /// The configuration text.
@@ -70,133 +71,139 @@
     Vms,
 }
 
-/// What has happened.
+/// An event that the driver reports.
 #[derive(Clone, Debug)]
 pub enum ControlEvent {
-    /// Time has passed; expected every 50 ms.
+    /// Time has passed. Expected every 50 ms.
     Tick,
-    /// A datagram came in on the control address.
+    /// A datagram arrived at the control address.
     Datagram {
-        /// Address it came from.
+        /// Address of the sender.
         from: SocketAddr,
-        /// Its content.
+        /// Payload of the datagram.
         bytes: Vec<u8>,
     },
-    /// [`ControlAction::ReadText`] brought a text.
+    /// [`ControlAction::ReadText`] returned a text.
     TextRead {
-        /// The platform's version.
+        /// Version of the text on the platform.
         version: ConfigVersion,
-        /// The whole text.
+        /// The complete text.
         text: Arc<str>,
     },
-    /// [`ControlAction::ReadText`] ended with `304`, or `404` before the first.
+    /// [`ControlAction::ReadText`] ended with `304`, or with `404` because no text has
+    /// been published yet.
     TextUnchanged,
-    /// [`ControlAction::ReadVms`] brought a list.
+    /// [`ControlAction::ReadVms`] returned a list.
     VmsRead {
-        /// The platform's version.
+        /// Version of the list on the platform.
         version: ListVersion,
-        /// The service asked for; `None` for the whole list.
+        /// The service whose VMs were requested, or `None` for the complete list.
         service: Option<ServiceName>,
         /// The VMs.
         vms: Vec<ListedVm>,
     },
     /// [`ControlAction::ReadVms`] ended with `304` or `404`.
     VmsUnchanged,
-    /// A read failed or was not understood.
+    /// A read failed or its response could not be decoded.
     PlatformFailed(PlatformRead),
-    /// A peer asks over TCP; answered by [`ControlAction::BulkAnswer`], or not
-    /// at all when it was not understood.
+    /// A peer sent a bulk request over TCP. The answer is a
+    /// [`ControlAction::BulkAnswer`]. There is none if the request cannot be decoded,
+    /// comes from an earlier incarnation, or exceeds the rate limit.
     BulkRequested {
-        /// Names the connection.
+        /// Identifies the request.
         request: RequestId,
         /// The encoded request.
         message: Vec<u8>,
     },
     /// [`ControlAction::BulkRequest`] was answered.
     BulkAnswered {
-        /// The address that was asked.
+        /// The address to which the request was sent.
         peer: SocketAddr,
         /// The encoded answer.
         message: Vec<u8>,
     },
     /// [`ControlAction::BulkRequest`] failed.
     BulkFailed {
-        /// The address that was asked.
+        /// The address to which the request was sent.
         peer: SocketAddr,
     },
-    /// The own gate's present load.
+    /// The current load of this node's gate.
     GateLoad(LoadReport),
-    /// The own target's state changed.
+    /// The state of this node's target changed.
     TargetState {
-        /// The target wants no new work.
+        /// The target accepts no new work.
         draining: bool,
-        /// Connections to the target can be had.
+        /// The target accepts connections.
         reachable: bool,
     },
-    /// A load report came with an answer to a call of this node.
+    /// A load report arrived with the answer to a call of this node.
     LoadReported {
-        /// The VM of the answering gate.
+        /// The VM of the gate that answered.
         vm: VmId,
-        /// Its report.
+        /// The report of this gate.
         load: LoadReport,
     },
-    /// Calls were sent to a service lately; repeated about once a second.
+    /// This node recently sent calls to a service. Repeated about once a second while
+    /// calls are sent.
     SentTo(ServiceName),
-    /// A peer sent work to the own gate lately; repeated about once a second.
+    /// A peer recently sent work to this node's gate. Repeated about once a second while
+    /// work arrives.
     ReceivedFrom {
         /// The peer's address for control messages.
         control: SocketAddr,
     },
-    /// A call asked for a service that the route table does not hold.
+    /// A call requested a service that is missing from the route table.
     ServiceRequested(ServiceName),
-    /// The process was told to shut down gracefully.
+    /// The process was asked to shut down gracefully.
     LeaveRequested,
-    /// The own gate holds something against a request.
+    /// This node's gate suspects a request of crashing targets.
     Suspicion(SuspectEntry),
 }
 
-/// What the driver shall do.
+/// An action that the driver must execute.
 #[derive(Clone, Debug)]
 pub enum ControlAction {
-    /// Send a datagram from the control address; loss is tolerated.
+    /// Send a datagram from the control address. Loss is tolerated.
     SendDatagram {
-        /// Where to.
+        /// Address of the recipient.
         to: SocketAddr,
         /// At most `MAX_DATAGRAM_BYTES`.
         bytes: Vec<u8>,
     },
-    /// Read the text; ends in `TextRead`, `TextUnchanged` or `PlatformFailed`.
+    /// Read the text. Ends with `TextRead`, `TextUnchanged` or `PlatformFailed`.
     ReadText {
-        /// Wanted is any version above this one.
+        /// Only a version above this one is of interest.
         after: ConfigVersion,
-        /// How long the platform may hold the read; zero for not at all.
+        /// How long the platform may delay the response until a newer version exists.
+        /// Zero disables waiting.
         wait_ms: Millis,
     },
-    /// Read the VM list; ends in `VmsRead`, `VmsUnchanged` or `PlatformFailed`.
+    /// Read the VM list. Ends with `VmsRead`, `VmsUnchanged` or `PlatformFailed`.
     ReadVms {
-        /// Only this service; `None` for the whole list.
+        /// The service whose VMs to read, or `None` for the complete list.
         service: Option<ServiceName>,
-        /// Wanted is any version above this one.
+        /// Only a version above this one is of interest.
         after: ListVersion,
-        /// How long the platform may hold the read; zero for not at all.
+        /// How long the platform may delay the response until a newer version exists.
+        /// Zero disables waiting.
         wait_ms: Millis,
     },
-    /// Give up all reads that are on their way; they end in no event.
+    /// Cancel all reads in flight. Cancelled reads produce no event.
     CancelReads,
-    /// Ask a peer over TCP; ends in `BulkAnswered` or `BulkFailed`.
+    /// Send a bulk request to a peer over TCP. Ends with `BulkAnswered` or `BulkFailed`.
     BulkRequest {
         /// The peer's control address.
         to: SocketAddr,
         /// The encoded request.
         message: Vec<u8>,
     },
-    /// Answer a peer's request.
+    /// Answer a peer's bulk request.
     BulkAnswer {
-        /// As given with the request.
+        /// The identifier from [`ControlEvent::BulkRequested`].
         request: RequestId,
         /// The encoded answer.
         message: Vec<u8>,
     },
-    /// Replace what traffic reads.
+    /// Replace the route table that the data path uses.
     Publish(Arc<RouteTable>),
 }
--- a/crates/core/src/control/board.rs
+++ b/crates/core/src/control/board.rs
@@ -1,5 +1,5 @@
-//! The blackboard: sections of state that controllers read and write, and the
-//! interface that controllers have in common.
+//! The blackboard: sections of state that the controllers read and write, and the common
+//! interface of the controllers.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -25,35 +25,36 @@
 use crate::suspects::{SuspectEntry, Suspects};
 use crate::view::HeardLoad;
 
-/// A service asked for on demand is let go after this long without a call.
+/// A service that was requested on demand is dropped after this time without a call.
 const ON_DEMAND_TIMEOUT: Millis = Millis::from_secs(10 * 60);
-/// Services held on demand; a call for one more displaces the longest idle.
+/// Limit of services tracked on demand. When it is reached, a new one replaces the one
+/// that has been idle longest.
 const MAX_ON_DEMAND: usize = 32;
 
-/// One matter of the control half, with private state of its own.
+/// One task of the control state machine, with private state of its own.
 pub(super) trait Controller: Send {
-    /// Something has happened.
+    /// Handles an input.
     fn on_input(&mut self, _input: &Input, _board: &mut Board) {}
 
-    /// Time has passed.
+    /// Handles a tick.
     fn on_tick(&mut self, _board: &mut Board) {}
 
-    /// All controllers have seen the input or tick.
+    /// Runs after all controllers have handled the input or tick.
     fn on_settled(&mut self, _board: &mut Board) {}
 }
 
-/// An event after decoding and checking.
+/// An event after decoding and validation.
 #[derive(Debug)]
 pub(super) enum Input {
-    /// A peer's datagram, not of an earlier life.
+    /// A peer's datagram that is not from an earlier incarnation.
     Datagram(Datagram),
-    /// A datagram of an earlier life than the one known.
+    /// A datagram from an earlier incarnation than the latest known one.
     FromEarlierIncarnation {
         vm: VmId,
         control: SocketAddr,
     },
-    /// A text with the outcome of its checks; `None` when it need not be
-    /// checked because it is not above what is held or refused.
+    /// A text with the outcome of its checks. `None` if the text was not checked because
+    /// its version is not above the one in force or was already rejected.
     Text {
         version: ConfigVersion,
         size_bytes: usize,
@@ -90,47 +91,47 @@
     Suspicion(SuspectEntry),
 }
 
-/// What must be published.
+/// What has to be published, in order of urgency.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum PendingPublish {
-    /// Nothing.
+    /// No change.
     #[default]
     Nothing,
-    /// Load reports only; they may wait a little.
+    /// Only load reports changed. Publishing may be delayed briefly.
     Loads,
-    /// Versions, members or suspects; at once.
+    /// Versions, members or suspects changed. Publish at once.
     Routes,
 }
 
-/// The state of the control half.
+/// The shared state of the controllers.
 pub(super) struct Board {
     pub(super) settings: ControlSettings,
-    /// The time of the event in hand.
+    /// The time of the current event.
     pub(super) now: Millis,
     pub(super) rng: Xoshiro256PlusPlus,
     pub(super) text: Document,
     pub(super) vms: Document,
     pub(super) config: Config,
     pub(super) refused: Option<RefusedText>,
-    /// Services whose policy and members this node holds: its own, those that
-    /// it calls, and those asked for lately. Sorted.
+    /// Services whose policy and members this node keeps: its own, those that it calls,
+    /// and those recently requested on demand. Sorted.
     tracked: Vec<ServiceName>,
-    /// Services asked for on demand, with the time of the last call.
+    /// Services requested on demand, with the time of the last call.
     on_demand: BTreeMap<ServiceName, Millis>,
     pub(super) members: Members,
     pub(super) holders: Holders,
     pub(super) pulls: Pulls,
     pub(super) rota: Rota,
-    /// Start-up is over; see the `joining` controller.
+    /// Start-up is complete; see the `joining` controller.
     pub(super) joined: bool,
     /// This node is on the rota and reads the platform.
     pub(super) reading: bool,
     pub(super) platform: PlatformState,
-    /// The process leaves; never taken back.
+    /// The process is shutting down. Never reset.
     pub(super) leaving: bool,
-    /// The target wants no new work; may be taken back.
+    /// The target accepts no new work. Can be reset.
     pub(super) draining: bool,
-    /// A later life of this VM was heard of.
+    /// A later incarnation of this VM has been seen.
     pub(super) superseded: bool,
     pub(super) own_load: Option<HeardLoad>,
     pub(super) suspects: Suspects,
@@ -142,7 +143,7 @@
 }
 
 impl Board {
-    /// A node that knows only its settings.
+    /// Creates the state of a node that knows only its settings.
     pub(super) fn new(settings: ControlSettings, now: Millis) -> Self {
         let vm = settings.vm.clone();
         let data_centre = settings.data_centre.clone();
@@ -176,27 +177,27 @@
         }
     }
 
-    /// The configuration in force.
+    /// Returns the version of the configuration in force.
     pub(super) fn text_version(&self) -> ConfigVersion {
         ConfigVersion(self.text.version())
     }
 
-    /// The VM list held.
+    /// Returns the version of the local VM list.
     pub(super) fn list_version(&self) -> ListVersion {
         ListVersion(self.vms.version())
     }
 
-    /// Whether this node takes no new work.
+    /// Returns whether this node accepts no new work.
     pub(super) fn takes_no_work(&self) -> bool {
         self.leaving || self.draining || self.superseded
     }
 
-    /// Marks what must be published.
+    /// Requests publishing, at least with the given urgency.
     pub(super) fn request_publish(&mut self, pending_publish: PendingPublish) {
         self.pending_publish = self.pending_publish.max(pending_publish);
     }
 
-    /// Sends a message from this node.
+    /// Sends a datagram from this node.
     pub(super) fn send(&mut self, to: SocketAddr, body: DatagramBody) {
         let datagram = Datagram {
             from: self.own_digest(),
@@ -209,7 +210,7 @@
         self.outbox.push(ControlAction::SendDatagram { to, bytes });
     }
 
-    /// Asks a peer by bulk for what this node lacks.
+    /// Sends a bulk request for the data that this node lacks.
     pub(super) fn pull(&mut self, to: SocketAddr, everything: bool) {
         let text = self.text.request(&self.wanted_text(), everything);
         let vms = self.vms.request(&self.wanted_vms(), everything);
@@ -253,7 +254,7 @@
         });
     }
 
-    /// What this node states about itself.
+    /// Returns this node's statement about itself.
     pub(super) fn own_digest(&self) -> MemberDigest {
         MemberDigest {
             vm: self.settings.vm.clone(),
@@ -268,7 +269,7 @@
         }
     }
 
-    /// What this node holds.
+    /// Returns the document versions that this node has.
     pub(super) fn known_versions(&self) -> KnownVersions {
         KnownVersions {
             text: self.text_version(),
@@ -278,7 +279,7 @@
         }
     }
 
-    /// This node as the sender of a bulk message.
+    /// Returns this node as the sender of a bulk message.
     pub(super) fn sender(&self) -> Sender {
         Sender {
             vm: self.settings.vm.clone(),
@@ -288,7 +289,7 @@
         }
     }
 
-    /// Reader candidates for peers of the own data centre.
+    /// Returns the reader candidates to send to peers of this data centre.
     pub(super) fn reader_notes(&self) -> Vec<ReaderNote> {
         let own = ReaderNote {
             vm: self.settings.vm.clone(),
@@ -303,18 +304,19 @@
         self.rota.notes(self.joined.then_some(own), self.now)
     }
 
-    /// Whether this node reads the platform in vain.
+    /// Returns whether this node's platform reads fail or return stale versions.
     pub(super) fn fails_to_read(&self) -> bool {
         matches!(self.platform, PlatformState::Failing | PlatformState::Stale)
     }
 
-    /// The refusal to tell on, while it is newer than what is in force.
+    /// Returns the rejected text to report to peers, while it is newer than the one in
+    /// force.
     pub(super) fn refused_note(&self) -> Option<RefusedNote> {
         let refused = self.refused.as_ref()?;
         Some(RefusedNote::new(refused.version, &refused.reason))
     }
 
-    /// Takes in a peer's word of a refused text.
+    /// Merges a peer's note about a rejected text.
     pub(super) fn merge_refused(&mut self, note: Option<&RefusedNote>) {
         let Some(note) = note else {
             return;
@@ -329,7 +331,7 @@
         });
     }
 
-    /// Services whose policy and members this node holds, sorted.
+    /// Returns the services whose policy and members this node keeps, sorted.
     pub(super) fn tracked_services(&self) -> &[ServiceName] {
         &self.tracked
     }
@@ -344,7 +346,7 @@
         tracked.into_iter().collect()
     }
 
-    /// Slices of the configuration that this node needs.
+    /// Returns the configuration slices that this node needs.
     pub(super) fn wanted_text(&self) -> BTreeSet<SliceName> {
         let mut wanted = BTreeSet::from([SliceName::Deployment, SliceName::ServiceNames]);
         for service in &self.tracked {
@@ -355,7 +357,7 @@
         wanted
     }
 
-    /// Slices of the VM list that this node needs.
+    /// Returns the VM list slices that this node needs.
     pub(super) fn wanted_vms(&self) -> BTreeSet<SliceName> {
         let mut wanted = BTreeSet::new();
         for service in &self.tracked {
@@ -364,8 +366,8 @@
         wanted
     }
 
-    /// Decodes what changed in the text and follows it up: the services held
-    /// depend on the own policy.
+    /// Decodes the changed slices of the text and updates the tracked services, which
+    /// depend on the policy of this node's service.
     pub(super) fn refresh_config(&mut self) {
         self.tracked = self.find_tracked_services();
         self.config.refresh(&self.text, &self.tracked);
@@ -386,7 +388,7 @@
         self.request_publish(PendingPublish::Routes);
     }
 
-    /// Notes that calls of this node want a service.
+    /// Records that calls of this node need a service.
     pub(super) fn note_demand(&mut self, service: &ServiceName) {
         if let Some(used_at) = self.on_demand.get_mut(service) {
             *used_at = self.now;
@@ -405,7 +407,7 @@
         self.refresh_config();
     }
 
-    /// Lets services go that were asked for on demand and are idle.
+    /// Drops idle services that were requested on demand.
     pub(super) fn drop_idle_services(&mut self) {
         let now = self.now;
         let before = self.on_demand.len();
--- a/crates/core/src/control/config.rs
+++ b/crates/core/src/control/config.rs
@@ -1,4 +1,4 @@
-//! The decoded form of the configuration slices that this node uses.
+//! Decoded form of the configuration slices that this node uses.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -9,14 +9,14 @@
 use super::document::{Document, Slice};
 use crate::prelude::*;
 
-/// A policy with the digest of the slice that it was decoded from.
+/// A decoded value with the digest of its slice.
 #[derive(Debug)]
 struct Decoded<T> {
     digest: u64,
     value: Arc<T>,
 }
 
-/// Policies in force, decoded.
+/// Decoded policies in force.
 #[derive(Debug, Default)]
 pub(super) struct Config {
     deployment: Option<Decoded<DeploymentPolicy>>,
@@ -25,7 +25,7 @@
 }
 
 impl Config {
-    /// Deployment-wide policy, or its default before the first.
+    /// Returns the deployment-wide policy, or its default before the first one is known.
     pub(super) fn deployment(&self) -> Arc<DeploymentPolicy> {
         match &self.deployment {
             Some(known) => Arc::clone(&known.value),
@@ -33,7 +33,7 @@
         }
     }
 
-    /// Names of all services, sorted; empty before they are known.
+    /// Returns the sorted names of all services. Empty before they are known.
     pub(super) fn names(&self) -> Arc<Vec<ServiceName>> {
         match &self.names {
             Some(known) => Arc::clone(&known.value),
@@ -41,7 +41,7 @@
         }
     }
 
-    /// Whether the configuration in force is known not to name a service.
+    /// Returns whether the configuration in force is known not to contain a service.
     pub(super) fn lacks(&self, service: &ServiceName) -> bool {
         match &self.names {
             Some(known) => known.value.binary_search(service).is_err(),
@@ -49,13 +49,13 @@
         }
     }
 
-    /// The policy of a service that is held.
+    /// Returns the policy of a tracked service.
     pub(super) fn policy(&self, service: &ServiceName) -> Option<&Arc<ServicePolicy>> {
         Some(&self.policies.get(service)?.value)
     }
 
-    /// Decodes what has changed in the slices of these services; a slice that
-    /// does not decode leaves what was known before.
+    /// Decodes the changed slices of these services. A slice that cannot be decoded
+    /// leaves the previous value in place.
     pub(super) fn refresh(&mut self, text: &Document, services: &[ServiceName]) {
         update(&mut self.deployment, text.slice(&SliceName::Deployment));
         update(&mut self.names, text.slice(&SliceName::ServiceNames));
@@ -90,7 +90,7 @@
     });
 }
 
-/// Splits a checked text into the slices that nodes hold.
+/// Splits a checked text into slices.
 pub(super) fn slices_of_text(checked: &CheckedText) -> Vec<SliceBytes> {
     let mut names = Vec::with_capacity(checked.services.len());
     for policy in &checked.services {
@@ -116,7 +116,7 @@
     slices
 }
 
-/// Whether a slice that a peer sent can be decoded by this build.
+/// Returns whether this build can decode a slice from a peer.
 pub(super) fn is_valid_slice(part: &SliceBytes) -> bool {
     match &part.name {
         SliceName::Deployment => decode_slice::<DeploymentPolicy>(&part.bytes).is_some(),
--- a/crates/core/src/control/dissemination.rs
+++ b/crates/core/src/control/dissemination.rs
@@ -1,12 +1,11 @@
-//! How versions spread from node to node.
+//! Dissemination of document versions between nodes.
 //!
-//! A node that goes up to a newer version announces it at once to a constant
-//! number of peers, and heartbeats repeat the news to whoever missed it. Who
-//! hears of a version that touches none of its slices goes up by the change
-//! note alone; the others pull the slices by bulk, from a peer of their own
-//! service if they can, since such peers hold the same slices, and from a
-//! reader if they must. So the work of a change follows the nodes that it
-//! concerns.
+//! A node that advances to a newer version announces it at once to a constant number of
+//! peers. Heartbeats repeat the change notes for nodes that missed the announcement. A
+//! node advances by the change note alone if the new version changes none of its slices.
+//! Other nodes pull the changed slices by bulk request, preferably from a peer of their
+//! own service, which has the same slices, and otherwise from a reader. The cost of a
+//! change therefore depends on the number of nodes that it affects.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -30,31 +29,31 @@
 #[cfg(test)]
 mod tests;
 
-/// Peers to whom a newer version is announced at once.
+/// Number of peers to which a newer version is announced at once.
 const FAN_OUT: usize = 4;
 /// Change notes of each document in one datagram.
 pub(super) const NOTES_PER_DATAGRAM: usize = 4;
-/// A peer that could not help is passed over for this long.
+/// A peer whose answer was of no use is skipped for this long.
 const SKIP_PEER_FOR: Millis = Millis::from_secs(2);
-/// Pause after a pull that brought nothing; doubles up to the limit.
+/// Backoff after a failed pull. It doubles up to the limit.
 const INITIAL_BACKOFF: Millis = Millis(50);
 const MAX_BACKOFF: Millis = Millis::from_secs(5);
-/// Bulk requests answered a second, and at once. It bounds what a reader
-/// spends on others when everybody needs the same slice; those turned away
-/// ask a peer that has been served.
+/// Rate and burst of answered bulk requests per second. They limit the load on a reader
+/// when many nodes need the same slice. Rejected nodes retry with a peer that has already
+/// been served.
 const ANSWERS_PER_S: f64 = 40.0;
 const ANSWER_BURST: u32 = 80;
-/// Peers named to a node that joins.
+/// Members listed in the answer to a joining node.
 const MEMBERS_FOR_JOINER: usize = 16;
 
-/// What this node lacks.
+/// The data that this node lacks.
 #[derive(Clone, Copy, Debug, Default)]
 struct Needs {
     text_behind: bool,
     vms_behind: bool,
-    /// A slice is wanted that is not held.
+    /// A wanted slice is missing.
     slices: bool,
-    /// This node reads the platform and holds only part.
+    /// This node reads the platform and has only part of a document.
     whole: bool,
 }
 
@@ -76,12 +75,12 @@
     }
 }
 
-/// Whether this node holds a whole document: it reads the platform, or did so
-/// until lately.
+/// Returns whether this node has a whole document, because it reads the platform or
+/// recently did.
 ///
-/// Its question names every slice, and a peer that holds a few leaves it
-/// unanswered. When members of the own service were asked all the same, a node
-/// that had just stopped to read stayed behind for 46 s while the text changed.
+/// The request of such a node names every slice, and a peer that has only a few slices
+/// cannot answer it. When such requests went to members of the same service, a node that
+/// had just stopped reading stayed behind for 46 s while the text kept changing.
 fn holds_whole(board: &Board) -> bool {
     board.text.is_whole() || board.vms.is_whole()
 }
@@ -118,18 +117,18 @@
     false
 }
 
-/// How well a peer suits, the best last.
+/// How suitable a peer is for a pull, in ascending order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum PeerFit {
-    /// Another service; it may hold the right slices by chance.
+    /// A peer of another service, which may have the right slices by chance.
     Other,
     /// A reader whose versions are not known.
     Reader,
-    /// It fits.
+    /// A peer that can answer the request.
     Good,
 }
 
-/// The controller of dissemination.
+/// Controller that announces versions and pulls slices.
 #[derive(Debug)]
 pub(super) struct Dissemination {
     announced: KnownVersions,
@@ -140,7 +139,7 @@
 }
 
 impl Dissemination {
-    /// Has announced nothing.
+    /// Creates the controller before any announcement.
     pub(super) fn new(now: Millis) -> Self {
         Self {
             announced: KnownVersions::default(),
@@ -171,11 +170,10 @@
         board.vms.advance(vms_notes);
     }
 
-    /// A peer that can surely help ends the pause after fruitless pulls.
+    /// Ends the backoff after failed pulls when a peer reports that it can answer.
     ///
-    /// Without this, a node that asked others too early, before they had the
-    /// version themselves, would sit out a pause of seconds beside a peer that
-    /// has it.
+    /// Otherwise, a node that pulled from peers before they had the version would wait
+    /// for seconds although another peer already has it.
     fn end_backoff_if_source(&mut self, board: &Board, datagram: &Datagram) {
         let known = datagram.known;
         let is_whole = known.text_whole && known.vms_whole;
@@ -295,7 +293,7 @@
         board.pull(peer, board.reading);
     }
 
-    /// The peer that suits best, at random among equals.
+    /// Chooses the most suitable peer, at random among equally suitable ones.
     fn choose_peer(&self, board: &mut Board, needs: Needs) -> Option<SocketAddr> {
         let mut ranked: BTreeMap<PeerFit, Vec<SocketAddr>> = BTreeMap::new();
         for holder in board.holders.usable(board.now) {
@@ -348,8 +346,9 @@
     }
 }
 
-/// Peers of the own service, one near and one far, so that news crosses
-/// services and data centres on its first hops.
+/// Chooses peers of the same service, one of another service in the same data centre, and
+/// one of another data centre, so that the first hops of an announcement already reach
+/// other services and data centres.
 fn announcement_recipients(board: &mut Board) -> Vec<Recipient> {
     let service = board.settings.service.clone();
     let data_centre = board.settings.data_centre.clone();
--- a/crates/core/src/control/dissemination/tests.rs
+++ b/crates/core/src/control/dissemination/tests.rs
@@ -25,7 +25,7 @@
     board
 }
 
-/// A datagram of a node that holds version 2, all of it or its own slices.
+/// A datagram of a node at version 2 with either all slices or only its own.
 fn news_from(host: u8, service: &str, is_whole: bool) -> Datagram {
     Datagram {
         from: MemberDigest {
@@ -60,10 +60,9 @@
     slices
 }
 
-/// A node has just stopped to read and still holds every slice; the text goes
-/// on changing. It asks a reader, and not a member of its own service, which
-/// holds a few slices and would leave it behind for as long as it keeps the
-/// rest.
+/// A node that has just stopped reading still has every slice while the text keeps
+/// changing. It must pull from a reader. A member of its own service has only a few
+/// slices and would leave it behind for as long as it keeps the others.
 #[test]
 fn a_node_with_all_slices_pulls_from_another_such_node() {
     let mut board = board();
@@ -82,8 +81,8 @@
     }
 }
 
-/// With nobody else to ask it waits for the platform or for a reader, and does
-/// not send a question that names every slice in vain.
+/// Without another candidate, the node waits for the platform or a reader. It sends no
+/// useless request that names every slice.
 #[test]
 fn a_node_with_all_slices_does_not_pull_from_partial_nodes() {
     let mut board = board();
@@ -99,7 +98,7 @@
     assert_eq!(dissemination.choose_peer(&mut board, needs), None);
 }
 
-/// An ordinary node asks members of its own service and readers alike.
+/// A node with a few slices pulls from members of its own service and from readers.
 #[test]
 fn a_partial_node_pulls_from_its_own_service_too() {
     let mut board = board();
--- a/crates/core/src/control/document.rs
+++ b/crates/core/src/control/document.rs
@@ -1,8 +1,7 @@
-//! A versioned document of which a node holds only the slices it needs.
+//! A versioned document of which a node stores only the slices that it needs.
 //!
-//! The configuration and the VM list are both such documents. The one rule
-//! that everything here serves: the version held never goes down, and all
-//! slices held belong to the version held.
+//! The configuration and the VM list are such documents. Two invariants hold: the local
+//! version never decreases, and all local slices belong to the local version.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
@@ -14,9 +13,10 @@
 #[cfg(test)]
 mod tests;
 
-/// Change notes kept to be told on.
+/// Limit of stored change notes, which are relayed to peers.
 const MAX_NOTES: usize = 8;
-/// A change of more slices gets no note; others then ask for what changed.
+/// A change that affects more slices than this gets no note. Peers then have to pull the
+/// difference.
 const MAX_CHANGED_IN_NOTE: usize = 12;
 
 /// The content of one slice.
@@ -24,33 +24,33 @@
 pub(super) struct Slice {
     /// Digest of `bytes`.
     pub(super) digest: u64,
-    /// Content as `postcard` encodes it.
+    /// The content in `postcard` encoding.
     pub(super) bytes: Arc<[u8]>,
 }
 
-/// What became of an answer.
+/// Outcome of applying a reply.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ApplyOutcome {
-    /// Versions or slices were taken over.
+    /// The version or slices were updated.
     Advanced,
-    /// It brought nothing new.
+    /// The reply contained nothing new.
     Unchanged,
-    /// It belongs to a version below the one held.
+    /// The version of the reply is below the local version.
     Older,
-    /// A slice that is held was missing from it, or what is held has changed
-    /// since the question; nothing was taken over.
+    /// The reply lacks a local slice, or the local content has changed since the request.
+    /// Nothing was updated.
     Unusable,
 }
 
-/// One document as this node holds it.
+/// The local copy of one document.
 #[derive(Debug, Default)]
 pub(super) struct Document {
     version: u64,
     slices: BTreeMap<SliceName, Slice>,
     whole: bool,
     notes: VecDeque<ChangeNote>,
-    /// Goes up with each change of slices, so that an answer to a question
-    /// about earlier content is recognised.
+    /// Incremented with each change of the slices, to detect a reply to a request about
+    /// earlier content.
     edits: u64,
 }
 
@@ -64,39 +64,40 @@
 }
 
 impl Document {
-    /// The version held; zero for none.
+    /// Returns the local version, or zero for none.
     pub(super) const fn version(&self) -> u64 {
         self.version
     }
 
-    /// Whether every slice that exists is held.
+    /// Returns whether all existing slices are stored locally.
     pub(super) const fn is_whole(&self) -> bool {
         self.whole
     }
 
-    /// Counts changes of content.
+    /// Returns the number of content changes so far.
     pub(super) const fn edits(&self) -> u64 {
         self.edits
     }
 
-    /// One slice, if it is held.
+    /// Returns a slice if it is stored locally.
     pub(super) fn slice(&self, name: &SliceName) -> Option<&Slice> {
         self.slices.get(name)
     }
 
-    /// All slices held, by name.
+    /// Returns all local slices, ordered by name.
     pub(super) fn slices(&self) -> impl Iterator<Item = (&SliceName, &Slice)> {
         self.slices.iter()
     }
 
-    /// The latest change notes, oldest first.
+    /// Returns up to `limit` of the latest change notes, oldest first.
     pub(super) fn latest_notes(&self, limit: usize) -> Vec<ChangeNote> {
         let skip = self.notes.len().saturating_sub(limit);
         self.notes.iter().skip(skip).cloned().collect()
     }
 
-    /// Takes over a whole document from the platform; false when it is older
-    /// than what is held, or holds nothing that is not held already.
+    /// Replaces the whole document with content from the platform. Returns false if the
+    /// version is older than the local one, or equal to it while the local document is
+    /// whole.
     pub(super) fn replace(&mut self, version: u64, content: Vec<SliceBytes>) -> bool {
         if version < self.version || (version == self.version && self.whole) {
             return false;
@@ -116,8 +117,8 @@
         true
     }
 
-    /// Takes over a single slice from the platform, which only a node that
-    /// holds nothing else may do: slices of two versions must not mix.
+    /// Stores a single slice from the platform. Only a node without other slices may do
+    /// so, because slices of two versions must not mix.
     pub(super) fn replace_only(&mut self, version: u64, part: SliceBytes) -> bool {
         let holds_others = self.slices.keys().any(|existing| *existing != part.name);
         if version <= self.version || holds_others || self.whole {
@@ -129,10 +130,11 @@
         true
     }
 
-    /// Goes up by notes that touch no slice held; true when the version rose.
+    /// Advances by notes that change no local slice. Returns whether the version
+    /// increased.
     ///
-    /// A node that holds the whole document must learn of added slices, which
-    /// a note does not carry, so for it only an empty note is enough.
+    /// A node with the whole document also needs added slices, which a note does not
+    /// contain. Such a node advances only by a note without changed slices.
     pub(super) fn advance(&mut self, notes: &[ChangeNote]) -> bool {
         let before = self.version;
         for note in notes {
@@ -160,7 +162,7 @@
         false
     }
 
-    /// The question that brings this node up to date.
+    /// Returns the request that brings this node up to date.
     pub(super) fn request(
         &self,
         wanted: &BTreeSet<SliceName>,
@@ -189,7 +191,7 @@
         }
     }
 
-    /// Answers a peer's question.
+    /// Answers a peer's request.
     pub(super) fn reply(&self, request: &DocumentRequest) -> DocumentReply {
         let mut reply = DocumentReply {
             version: self.version,
@@ -229,7 +231,8 @@
         reply
     }
 
-    /// Takes over a peer's answer to `request`, which was put at `edits_at_request`.
+    /// Applies a peer's reply to `request`, which was sent when [`Self::edits`] was
+    /// `edits_at_request`.
     pub(super) fn apply(
         &mut self,
         request: &DocumentRequest,
@@ -271,7 +274,7 @@
         ApplyOutcome::Advanced
     }
 
-    /// Adds slices of the version held.
+    /// Adds slices of the local version.
     fn fill(&mut self, reply: DocumentReply) -> ApplyOutcome {
         let mut changed = false;
         for part in reply.slices {
@@ -292,8 +295,8 @@
         ApplyOutcome::Advanced
     }
 
-    /// Holds a slice that is known not to exist as an empty one, so that a
-    /// note which brings it into being is not missed.
+    /// Stores an empty slice under a name that is known not to exist, so that a note
+    /// which creates the slice is not missed.
     pub(super) fn insert_empty(&mut self, name: &SliceName, empty: Vec<u8>) {
         if self.whole || self.slices.contains_key(name) {
             return;
@@ -302,7 +305,7 @@
         self.edits += 1;
     }
 
-    /// Forgets slices that are not wanted.
+    /// Drops slices that are not wanted.
     pub(super) fn retain(&mut self, wanted: &BTreeSet<SliceName>) {
         let before = self.slices.len();
         self.slices.retain(|name, _| wanted.contains(name));
@@ -325,7 +328,7 @@
         self.insert_note(&note);
     }
 
-    /// Keeps a note in the order of versions, the latest ones only.
+    /// Inserts a note in version order and drops the oldest ones above the limit.
     fn insert_note(&mut self, note: &ChangeNote) {
         if note.previous >= note.version || note.changed.len() > MAX_CHANGED_IN_NOTE {
             return;
@@ -356,7 +359,7 @@
     }
 }
 
-/// Hashes of the names whose content differs between two whole documents.
+/// Returns the hashes of the names whose content differs between two whole documents.
 fn changed_names(
     before: &BTreeMap<SliceName, Slice>,
     after: &BTreeMap<SliceName, Slice>,
--- a/crates/core/src/control/document/tests.rs
+++ b/crates/core/src/control/document/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the rules that versions and slices follow.
+//! Tests of the invariants of versions and slices.
 
 use super::*;
 use hornbeamhitch_types::prelude::*;
@@ -24,7 +24,7 @@
     document
 }
 
-/// A node that holds one slice, pulled from a whole holder.
+/// A document with one slice, pulled from a whole document.
 fn partial(from: &Document, service: &str) -> Document {
     let mut document = Document::default();
     let request = document.request(&BTreeSet::from([name(service)]), false);
@@ -62,9 +62,9 @@
     assert_eq!((node_a.version(), node_b.version()), (5, 6));
 }
 
-/// Slice `a` is changed in version 6 and changed back in 7. One reader missed
-/// 6 and notes truthfully that 5 and 7 do not differ. A node at 6 that took the
-/// note for its own would keep the content of 6 at version 7.
+/// Slice `a` changes in version 6 and changes back in version 7. A reader that missed
+/// version 6 issues a correct note that versions 5 and 7 do not differ. A node at version
+/// 6 that applied this note would keep the content of version 6 at version 7.
 #[test]
 fn a_note_from_another_version_is_not_applied() {
     let mut seen_all = whole(5, &[("a", 1)]);
@@ -75,7 +75,7 @@
     assert!(!node.advance(&skipped.latest_notes(4)));
     assert_eq!((node.version(), byte(&node, "a")), (6, Some(2)));
 
-    // By bulk it learns of the difference, because contents are compared.
+    // A bulk request reveals the difference, because it compares contents.
     let request = node.request(&BTreeSet::new(), false);
     let reply = skipped.reply(&request);
     assert_eq!(
@@ -85,8 +85,8 @@
     assert_eq!((node.version(), byte(&node, "a")), (7, Some(1)));
 }
 
-/// A whole holder that went up by a note without the added slice would tell
-/// others that the new service does not exist.
+/// A whole document that advanced by a note without the added slice would make the node
+/// report that the new service does not exist.
 #[test]
 fn a_whole_document_is_not_advanced_by_a_note_that_adds_a_slice() {
     let mut reader = whole(5, &[("a", 1)]);
@@ -114,8 +114,8 @@
     assert_eq!(node_a.version(), 5);
 }
 
-/// Between question and answer the node took over something else. The answer
-/// calls slices unchanged that it compared with earlier content.
+/// The content changes between request and answer. The answer treats slices as unchanged
+/// that it compared with the earlier content.
 #[test]
 fn an_answer_to_an_outdated_request_is_not_applied() {
     let reader = whole(5, &[("a", 1)]);
--- a/crates/core/src/control/heartbeat.rs
+++ b/crates/core/src/control/heartbeat.rs
@@ -1,9 +1,10 @@
-//! Regular messages to a constant number of peers.
+//! Periodic messages to a constant number of peers.
 //!
-//! Three go to the own service, two to other services near by, one to another
-//! data centre, and one to a service that this node calls, which is asked to
-//! answer: nobody there would send to this node of its own accord. How often
-//! it is asked depends on whether it answers; see [`asking`].
+//! Per round, three heartbeats go to the node's own service, two to other services in the
+//! same data centre, one to another data centre, and one to a service that this node
+//! calls. The last one requests a reply, because the members of that service would not
+//! send to this node on their own. How often it is sent depends on whether replies
+//! arrive; see [`asking`].
 
 use std::net::SocketAddr;
 
@@ -21,30 +22,31 @@
 
 /// Mean time between two rounds.
 const INTERVAL: Millis = Millis::from_secs(1);
-/// Spread to either side, so that rounds of many nodes do not coincide.
+/// Jitter in both directions, so that the rounds of many nodes do not coincide.
 const JITTER: Millis = Millis(200);
-/// A new node speaks more often for some seconds, so that it and its peers
-/// know of each other before any of them takes itself for a reader.
+/// A new node sends rounds more often during its first seconds, so that it and its peers
+/// know each other before any of them elects itself as a reader.
 const WARM_UP: Millis = Millis::from_secs(5);
 const WARM_UP_SHARE: u64 = 4;
-/// Receivers a round.
+/// Recipients per round.
 const TO_OWN_SERVICE: usize = 3;
 const TO_NEAR: usize = 2;
 const TO_FAR: usize = 1;
 const TO_DEPENDENCY: usize = 1;
-/// Statements about members in one heartbeat.
+/// Member statements in one heartbeat.
 const MEMBERS_PER_HEARTBEAT: usize = 6;
 /// Suspects in one heartbeat.
 const SUSPECTS_PER_HEARTBEAT: usize = 4;
-/// Heartbeats answered a second, and at once: many services may depend on one.
+/// Rate and burst of replies per second. They are limited because many services may
+/// depend on one.
 const REPLIES_PER_S: f64 = 3.0;
 const REPLY_BURST: u32 = 6;
-/// With fewer peers than this heard of, near ones are asked to answer as well.
+/// With fewer recently seen peers than this, all heartbeats request a reply.
 const FEW_PEERS: usize = 4;
-/// A peer heard of within this time counts as heard.
+/// A peer counts as recently seen within this time.
 const RECENT_PEER_WITHIN: Millis = Millis::from_secs(5);
 
-/// The controller of heartbeats.
+/// Controller that sends and answers heartbeats.
 #[derive(Debug)]
 pub(super) struct Heartbeats {
     started_at: Millis,
@@ -54,7 +56,7 @@
 }
 
 impl Heartbeats {
-    /// The first round is due at once.
+    /// Creates the controller. The first round is due at once.
     pub(super) fn new(now: Millis) -> Self {
         Self {
             started_at: now,
@@ -164,11 +166,11 @@
 }
 
 impl Heartbeats {
-    /// Tells a process that a later life of its VM is known.
+    /// Informs a process that a later incarnation of its VM is known.
     ///
-    /// A process that was paused while its VM was replaced goes on as if
-    /// nothing had happened, and since its messages are dropped nobody would
-    /// ever tell it. On this word it takes no new work.
+    /// A process that was paused while its VM was replaced resumes without noticing. Its
+    /// messages are dropped as stale, so it would never find out otherwise. Once
+    /// informed, it accepts no new work.
     fn notify_earlier_incarnation(&mut self, board: &mut Board, vm: &VmId, control: SocketAddr) {
         let Some(note) = board.members.note_of(vm, board.now) else {
             return;
@@ -201,8 +203,8 @@
         if !heartbeat.wants_reply || !self.reply_budget.try_take(board.now) {
             return;
         }
-        // The asker depends on this node's service, or knows few peers: either
-        // way it wants to hear of this node's own service.
+        // The sender depends on this node's service or knows few peers. In both cases it
+        // needs statements about members of this node's service.
         let to = Recipient {
             control: datagram.from.control,
             service: board.settings.service.clone(),
--- a/crates/core/src/control/heartbeat/asking.rs
+++ b/crates/core/src/control/heartbeat/asking.rs
@@ -1,12 +1,11 @@
-//! How often a node asks each service that it calls for a heartbeat.
+//! Pacing of the heartbeats that request a reply from called services.
 //!
-//! A service of a few targets may be called by thousands of nodes. When each
-//! of them asked once a second, the targets would drown in questions of which
-//! they answer a constant number anyway: 180 callers cost each of three
-//! targets 34 kB a second. So a caller that gets no answer asks half as often,
-//! and whoever hears of the service again asks twice as often. The questions
-//! that a target gets then follow the answers that it gives, up to one a
-//! minute from each caller.
+//! A service with a few targets may be called by thousands of nodes. If each of them
+//! requested a reply every second, the requests would overload the targets, which answer
+//! only a constant number anyway: 180 callers cost each of three targets 34 kB per
+//! second. A caller without a reply therefore doubles its backoff, and halves it when it
+//! receives a message from the service. The rate of requests at a target thus follows the
+//! rate of its replies, down to one request per minute from each caller.
 
 use std::collections::BTreeMap;
 
@@ -15,32 +14,31 @@
 #[cfg(test)]
 mod tests;
 
-/// The pause after the first question that was not answered.
+/// Backoff after the first unanswered request.
 const INITIAL_BACKOFF: Millis = Millis::from_secs(2);
-/// The longest pause, before it is spread.
+/// Longest backoff, before jitter.
 ///
-/// A service that is in reach again is asked at most one and a half times this
-/// late, and sooner if any of its members speaks to this node or its calls go
-/// there.
+/// A service that becomes reachable again gets a request after at most one and a half
+/// times this delay, or sooner if one of its members sends a heartbeat to this node.
 const MAX_BACKOFF: Millis = Millis::from_secs(60);
 
-/// One service that is asked.
+/// Pacing of the requests to one service.
 #[derive(Clone, Copy, Debug, Default)]
 struct RequestPacing {
     due_at: Millis,
     backoff: Millis,
-    /// Nothing was heard of the service since the last question.
+    /// No message has arrived from the service since the last request.
     is_unanswered: bool,
 }
 
-/// The services that were asked.
+/// The services to which requests were sent.
 #[derive(Debug, Default)]
 pub(super) struct ReplyRequests {
     by_service: BTreeMap<ServiceName, RequestPacing>,
 }
 
 impl ReplyRequests {
-    /// Whether a service may be asked now.
+    /// Returns whether a request to a service is due.
     pub(super) fn is_due(&self, service: &ServiceName, now: Millis) -> bool {
         match self.by_service.get(service) {
             Some(pacing) => now >= pacing.due_at,
@@ -48,8 +46,8 @@
         }
     }
 
-    /// Notes a question; `spread` is from 0.5 to 1.5 and keeps callers that
-    /// were turned away together from coming back together.
+    /// Records a request. `spread` is between 0.5 and 1.5 and keeps callers that were
+    /// rejected together from retrying together.
     pub(super) fn note_request(&mut self, service: &ServiceName, spread: f64, now: Millis) {
         let pacing = self.by_service.entry(service.clone()).or_default();
         if pacing.is_unanswered {
@@ -60,7 +58,7 @@
         pacing.due_at = now + Millis((pacing.backoff.0 as f64 * spread) as u64);
     }
 
-    /// Notes that a member of a service has spoken, asked or not.
+    /// Records a message from a member of a service, solicited or not.
     pub(super) fn note_message(&mut self, service: &ServiceName, now: Millis) {
         let Some(pacing) = self.by_service.get_mut(service) else {
             return;
@@ -73,7 +71,7 @@
         pacing.due_at = pacing.due_at.min(now + pacing.backoff);
     }
 
-    /// Forgets services that are not held any more.
+    /// Drops services that are no longer tracked.
     pub(super) fn retain(&mut self, tracked: &[ServiceName]) {
         self.by_service
             .retain(|service, _| tracked.contains(service));
--- a/crates/core/src/control/heartbeat/asking/tests.rs
+++ b/crates/core/src/control/heartbeat/asking/tests.rs
@@ -6,8 +6,8 @@
     ServiceName::new("ledger")
 }
 
-/// Questions of two minutes, one tried each second; `answers` says whether the
-/// question at that second is answered.
+/// Returns the times of the requests within two minutes, with one attempt per second.
+/// `answers` decides whether the request of a given second is answered.
 fn request_times(
     requests: &mut ReplyRequests,
     from_s: u64,
@@ -34,9 +34,9 @@
     assert_eq!(request_times(&mut requests, 0, |_| true).len(), 120);
 }
 
-/// A service is asked by more callers than it answers. The caller asks less
-/// and less often, at last once a minute; as soon as it is answered again it
-/// asks sooner, and after a few answers each second.
+/// A service with more callers than it can answer. Without answers, the caller sends
+/// requests less and less often, finally once a minute. With answers it sends them
+/// sooner, and after a few of them every second.
 #[test]
 fn unanswered_requests_back_off_and_answers_end_the_backoff() {
     let mut requests = ReplyRequests::default();
@@ -49,15 +49,15 @@
     assert_eq!(back.last(), Some(&119));
 }
 
-/// One datagram in three is lost: hardly a question is left out.
+/// One datagram in three is lost, and few requests are skipped.
 #[test]
 fn single_losses_hardly_delay_requests() {
     let mut requests = ReplyRequests::default();
     let sent_at = request_times(&mut requests, 0, |second| second % 3 != 0);
-    assert!(sent_at.len() >= 70, "{} questions", sent_at.len());
+    assert!(sent_at.len() >= 70, "{} requests", sent_at.len());
 }
 
-/// After a partition, members of the service speak of their own accord.
+/// After a partition, members of the service send heartbeats unsolicited.
 #[test]
 fn unsolicited_messages_end_a_long_backoff() {
     let mut requests = ReplyRequests::default();
--- a/crates/core/src/control/holders.rs
+++ b/crates/core/src/control/holders.rs
@@ -1,4 +1,5 @@
-//! Who was heard lately to hold which versions: the peers to pull from.
+//! Peers with the document versions that they recently reported: the candidates for
+//! pulls.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -7,12 +8,13 @@
 
 use crate::prelude::*;
 
-/// Peers remembered; the longest silent gives way.
+/// Limit of stored peers. When it is reached, the peer that has been silent longest is
+/// replaced.
 const MAX_HOLDERS: usize = 64;
-/// Silence after which a peer is no longer asked.
+/// Silence after which a peer is no longer used for pulls.
 const HOLDER_TIMEOUT: Millis = Millis::from_secs(20);
 
-/// One peer with what it holds.
+/// One peer with the versions that it reported.
 #[derive(Clone, Debug)]
 pub(super) struct Holder {
     pub(super) control: SocketAddr,
@@ -22,14 +24,14 @@
     heard_at: Millis,
 }
 
-/// The peers heard lately.
+/// The peers that recently reported their versions.
 #[derive(Debug, Default)]
 pub(super) struct Holders {
     by_address: BTreeMap<SocketAddr, Holder>,
 }
 
 impl Holders {
-    /// Takes in what the sender of a datagram says it holds.
+    /// Records the versions reported by the sender of a datagram.
     pub(super) fn note_datagram(&mut self, datagram: &Datagram, now: Millis) {
         let from = &datagram.from;
         self.update(Holder {
@@ -41,7 +43,7 @@
         });
     }
 
-    /// Takes in what the sender of an answer says it holds.
+    /// Records the versions reported by the sender of a bulk answer.
     pub(super) fn note_answer(&mut self, answer: &BulkAnswer, now: Millis) {
         self.update(Holder {
             control: answer.from.control,
@@ -52,8 +54,9 @@
         });
     }
 
-    /// The versions of one life only go up, so that a datagram that comes late
-    /// takes nothing back; another life at the address starts anew.
+    /// Updates the entry of a peer. Within one incarnation the versions only increase, so
+    /// a late datagram reverts nothing. A new incarnation at the same address replaces
+    /// the versions.
     fn update(&mut self, reported: Holder) {
         let Some(holder) = self.by_address.get_mut(&reported.control) else {
             self.make_room();
@@ -81,14 +84,14 @@
         }
     }
 
-    /// Peers that may be asked now.
+    /// Returns the peers that are usable for pulls.
     pub(super) fn usable(&self, now: Millis) -> impl Iterator<Item = &Holder> {
         self.by_address
             .values()
             .filter(move |holder| now.since(holder.heard_at) <= HOLDER_TIMEOUT)
     }
 
-    /// The highest versions that peers hold by their own account.
+    /// Returns the highest versions that usable peers have reported.
     pub(super) fn highest(&self, now: Millis) -> KnownVersions {
         let mut highest = KnownVersions::default();
         for holder in self.usable(now) {
--- a/crates/core/src/control/joining.rs
+++ b/crates/core/src/control/joining.rs
@@ -1,11 +1,11 @@
-//! Start-up: a new node asks its peers before it trusts the platform.
+//! Start-up: a new node queries its peers before it trusts the platform.
 //!
-//! The failure: the platform serves an old text for hours, a node starts, and
-//! would put that text in force while all others follow a newer one. So the
-//! platform is at first only asked for names of peers (its VM list); the text
-//! is read there only after peers have said that they have none, or nobody has
-//! answered for a bounded time. Should the text that is then read be old, the
-//! node still goes up to a newer version as soon as it hears of one.
+//! This guards against a platform that serves an outdated text for hours: a node that
+//! starts meanwhile would put this text in force while all others use a newer one. At
+//! first, the platform is therefore only read for the addresses of peers (its VM list).
+//! The text is read there only after peers have reported that they have none, or after no
+//! peer has answered within a bounded time. Even if that text is outdated, the node
+//! advances to a newer version as soon as it learns of one.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -17,33 +17,33 @@
 use super::board::{Board, Controller, Input};
 use crate::prelude::*;
 
-/// Peers asked at the same time.
+/// Requests sent to peers at the same time.
 const PARALLEL_REQUESTS: usize = 3;
-/// Peers asked in all, in each of the two rounds.
+/// Limit of peers contacted in each of the two rounds.
 const MAX_PEERS_PER_ROUND: usize = 6;
-/// A peer that has not answered for this long gets company.
+/// More peers are contacted when requests are still outstanding after this time.
 const SLOW_PEER_AFTER: Millis = Millis(400);
-/// Longest time that a round may take once a peer is known.
+/// Time limit of a round, counted from the first known peer.
 const ROUND_TIMEOUT: Millis = Millis(1_500);
-/// Pause after a failed read of the VM list; doubles up to the limit.
+/// Backoff after a failed read of the VM list. It doubles up to the limit.
 const INITIAL_BACKOFF: Millis = Millis(250);
 const MAX_BACKOFF: Millis = Millis::from_secs(5);
 
-/// Whom the node turns to.
+/// The peers that are contacted in a round.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Round {
-    /// Seeds and members of the own service.
+    /// Seeds and members of the node's own service.
     OwnService,
-    /// Any node: nobody of the own service has answered, as when the service
-    /// is new.
+    /// Any node. Used if no member of the node's own service has answered, for example because
+    /// the service is new.
     AnyService,
 }
 
-/// The controller of start-up.
+/// Controller of the start-up phase.
 #[derive(Debug)]
 pub(super) struct Joining {
     round: Round,
-    /// When the first peer to ask in this round was known.
+    /// Time at which the first peer of this round was known.
     round_started_at: Option<Millis>,
     requested: BTreeSet<SocketAddr>,
     last_request_at: Millis,
@@ -57,7 +57,7 @@
 }
 
 impl Joining {
-    /// Nothing asked yet.
+    /// Creates the controller before any request.
     pub(super) fn new(now: Millis) -> Self {
         Self {
             round: Round::OwnService,
@@ -94,7 +94,7 @@
         self.list_failures += 1;
     }
 
-    /// Peers that were not asked yet, those to be preferred first.
+    /// Returns the peers that have not been contacted yet, preferred ones first.
     fn remaining_peers(&self, board: &mut Board) -> Vec<SocketAddr> {
         let mut found = board.settings.seeds.clone();
         let own_service = board.settings.service.clone();
@@ -118,7 +118,7 @@
         found
     }
 
-    /// Peers asked that have not answered yet.
+    /// Returns the number of contacted peers that have not answered yet.
     fn outstanding(&self) -> usize {
         self.requested
             .len()
@@ -141,7 +141,7 @@
         }
     }
 
-    /// Whether all has been asked that this round allows.
+    /// Returns whether this round is complete or has timed out.
     fn is_round_over(&self, board: &mut Board) -> bool {
         if let Some(started_at) = self.round_started_at
             && board.now.since(started_at) >= ROUND_TIMEOUT
--- a/crates/core/src/control/leaving.rs
+++ b/crates/core/src/control/leaving.rs
@@ -1,10 +1,9 @@
-//! Announcing that this node takes no new work.
+//! Announces that this node accepts no new work.
 //!
-//! The promise that a leaving target gets no new work is kept by its gate,
-//! which refuses. Announcements keep callers from running into refusals; they
-//! go at once to those that lately sent work here and to peers of the service,
-//! three times, because a single datagram may be lost. Every heartbeat repeats
-//! the word from then on.
+//! The gate of a leaving target enforces that it gets no new work by rejecting calls.
+//! Announcements spare callers these rejections. They go at once to the nodes that
+//! recently sent work here and to peers of the same service, three times because a single
+//! datagram may be lost. Every later heartbeat repeats the state.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -14,20 +13,22 @@
 use super::board::{Board, Controller, Input, PendingPublish};
 use crate::prelude::*;
 
-/// Senders of work remembered; the longest silent gives way.
+/// Limit of stored senders of work. When it is reached, the one that has been idle
+/// longest is replaced.
 const MAX_SENDERS: usize = 128;
-/// Senders that sent nothing for this long are forgotten.
+/// Senders are dropped after this time without work from them.
 const SENDER_IDLE_AFTER: Millis = Millis::from_secs(60);
-/// Peers of the own service told at once; the rest hear by heartbeats.
+/// Peers of the node's own service that are notified directly. The others learn of it from
+/// heartbeats.
 const SERVICE_PEERS_NOTIFIED: usize = 16;
-/// When the word is sent, counted from the start of leaving.
+/// Times of the announcements, relative to the start of leaving.
 const ANNOUNCE_DELAYS: [Millis; 3] = [Millis(0), Millis(300), Millis(900)];
 
-/// The controller of leaving.
+/// Controller that announces leaving.
 #[derive(Debug, Default)]
 pub(super) struct Leaving {
     senders: BTreeMap<SocketAddr, Millis>,
-    /// When this node stopped to take work.
+    /// Time since which this node accepts no new work.
     since: Option<Millis>,
     announcements_sent: usize,
 }
--- a/crates/core/src/control/member.rs
+++ b/crates/core/src/control/member.rs
@@ -1,4 +1,4 @@
-//! One peer as this node knows it.
+//! State that this node keeps about one peer.
 
 use std::net::SocketAddr;
 
@@ -8,20 +8,20 @@
 use crate::prelude::*;
 use crate::view::HeardLoad;
 
-/// How new a statement was to this node.
+/// Outcome of merging a statement about a peer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum MergeOutcome {
-    /// It belongs to an earlier life than the one known.
+    /// The statement belongs to an earlier incarnation than the known one.
     Stale,
-    /// It is no newer than what is known.
+    /// The statement is not newer than the known one.
     NotNewer,
-    /// Only load and freshness are new.
+    /// Only the load and the time of the last statement changed.
     LoadOnly,
-    /// A life, an address or leaving is new.
+    /// The incarnation, an address or the leaving state changed.
     Change,
 }
 
-/// One peer: what the VM list says, and what was heard, kept apart.
+/// One peer. Data from the VM list and from statements is kept separately.
 #[derive(Clone, Debug)]
 pub(super) struct Member {
     pub(super) vm: VmId,
@@ -29,33 +29,34 @@
     pub(super) data_centre: DataCentre,
     pub(super) peer: SocketAddr,
     pub(super) control: SocketAddr,
-    /// Its life, once heard.
+    /// The incarnation, once a statement has been received.
     pub(super) incarnation: Option<Incarnation>,
-    /// Its own clock at the newest statement heard.
+    /// The peer's own clock in its newest statement.
     clock_ms: Millis,
-    /// When the newest statement was made, in this node's clock.
+    /// Time of the newest statement, in this node's clock.
     pub(super) heard_at: Option<Millis>,
-    /// It said so itself.
+    /// The peer reported that it is leaving.
     reported_leaving: bool,
     pub(super) load: Option<HeardLoad>,
-    /// The VM list names it.
+    /// The VM list contains the peer.
     pub(super) listed: bool,
-    /// The life that the VM list calls leaving.
+    /// The incarnation that the VM list marks as leaving.
     list_leaving: Option<ListLeaving>,
-    /// The VM list's version at which it became known or was last named.
+    /// Version of the VM list when the peer became known or was last listed.
     pub(super) known_at_list: ListVersion,
-    /// A later life of another VM speaks from its address.
+    /// A later incarnation of another VM uses the same address.
     pub(super) superseded: bool,
-    /// All members of its service are kept.
+    /// The peer's service is tracked, so all its members are kept.
     pub(super) is_tracked: bool,
-    /// When something other than its load changed last.
+    /// Time of the last change other than load.
     pub(super) changed_at: Millis,
-    /// When it was last probed.
+    /// Time of the last probe.
     pub(super) probed_at: Option<Millis>,
 }
 
-/// The life to which the VM list's word applies. The list names none, so it is
-/// the one known when the word came, or else the first heard after it.
+/// The incarnation to which the leaving mark of the VM list applies. The list contains no
+/// incarnation, so the mark applies to the one known when the mark appeared, or else to
+/// the first one seen afterwards.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ListLeaving {
     NextIncarnation,
@@ -63,7 +64,7 @@
 }
 
 impl Member {
-    /// A member that only the VM list knows.
+    /// Creates a member that is known only from the VM list.
     pub(super) fn from_list(entry: &ListedVm, version: ListVersion, now: Millis) -> Self {
         Self {
             vm: entry.vm.clone(),
@@ -86,7 +87,7 @@
         }
     }
 
-    /// A member that was heard of before the VM list named it.
+    /// Creates a member that made a statement before the VM list contained it.
     pub(super) fn from_digest(digest: &MemberDigest, version: ListVersion, now: Millis) -> Self {
         Self {
             vm: digest.vm.clone(),
@@ -109,11 +110,11 @@
         }
     }
 
-    /// Takes in a statement made at `stated_at` in this node's clock.
+    /// Merges a statement made at `stated_at` in this node's clock.
     ///
-    /// Statements are ordered by life, then by the speaker's own clock. A
-    /// datagram that was duplicated, delayed, or sent by a paused process can
-    /// thus neither bring back an earlier life nor take back a leaving.
+    /// Statements are ordered by incarnation and then by the peer's own clock. A datagram
+    /// that was duplicated, delayed, or sent by a paused process can therefore neither
+    /// restore an earlier incarnation nor revert the leaving state.
     pub(super) fn merge(
         &mut self,
         digest: &MemberDigest,
@@ -155,7 +156,7 @@
         MergeOutcome::Change
     }
 
-    /// Takes in a load report that came with an answer.
+    /// Merges a load report that arrived with an answer.
     pub(super) fn merge_load(&mut self, report: LoadReport, now: Millis) -> MergeOutcome {
         if self
             .incarnation
@@ -193,9 +194,9 @@
         self.load = None;
     }
 
-    /// Takes in a line of the VM list; true when something changed.
+    /// Merges an entry of the VM list. Returns whether something changed.
     ///
-    /// Addresses from the list only count until the member itself is heard.
+    /// Addresses from the list apply only until the peer itself has made a statement.
     pub(super) fn merge_list_entry(
         &mut self,
         entry: &ListedVm,
@@ -224,8 +225,8 @@
         changed
     }
 
-    /// Whether it takes no new work: it said so, or the VM list says so of
-    /// this life.
+    /// Returns whether the peer accepts no new work, because it reported so or because
+    /// the VM list marks this incarnation as leaving.
     pub(super) fn leaving(&self) -> bool {
         if self.reported_leaving {
             return true;
@@ -238,17 +239,17 @@
         }
     }
 
-    /// Time since it was last heard of; `None` for never.
+    /// Returns the time since the last statement, or `None` if there was none.
     pub(super) fn silent_ms(&self, now: Millis) -> Option<Millis> {
         Some(now.since(self.heard_at?))
     }
 
-    /// Whether it was heard of within a span.
+    /// Returns whether the last statement is at most `span` old.
     pub(super) fn is_fresh(&self, now: Millis, span: Millis) -> bool {
         self.silent_ms(now).is_some_and(|silent| silent <= span)
     }
 
-    /// What to show and publish.
+    /// Returns the state for status reports and publishing.
     pub(super) fn state(&self, now: Millis, doubtful_after: Millis) -> MemberState {
         if self.leaving() {
             return MemberState::Leaving;
@@ -259,7 +260,7 @@
         MemberState::Doubtful
     }
 
-    /// The newest statement, to be passed on; `None` when it was never heard.
+    /// Returns the newest statement for relaying, or `None` if there was none.
     pub(super) fn digest(&self) -> Option<MemberDigest> {
         Some(MemberDigest {
             vm: self.vm.clone(),
--- a/crates/core/src/control/members.rs
+++ b/crates/core/src/control/members.rs
@@ -1,6 +1,5 @@
-//! The blackboard's section of peers: members of the services held, and a
-//! bounded sample of others through which news crosses services and data
-//! centres.
+//! The peers section of the blackboard: members of the tracked services, and a bounded
+//! sample of other peers through which updates reach other services and data centres.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -15,24 +14,25 @@
 #[cfg(test)]
 mod tests;
 
-/// Peers of the own data centre kept beside the services held.
+/// Limit of sampled peers in the node's own data centre.
 pub(super) const MAX_LOCAL_SAMPLE: usize = 32;
-/// Peers of other data centres kept beside the services held.
+/// Limit of sampled peers in other data centres.
 pub(super) const MAX_REMOTE_SAMPLE: usize = 16;
 /// Silence after which a member of a small service is doubtful.
 const DOUBTFUL_AFTER: Millis = Millis::from_secs(5);
-/// Members are heard of in turn: each adds to the silence that is usual.
+/// Heartbeats carry statements about the members in turn, so each member adds to the
+/// usual silence.
 const DOUBTFUL_AFTER_PER_MEMBER: Millis = Millis(250);
-/// Silence that lets a member go which a newer VM list no longer names.
+/// Silence after which a member is removed if a newer VM list no longer contains it.
 const GONE_AFTER: Millis = Millis::from_secs(10);
-/// Silence that makes a sampled peer give way to a fresh one.
+/// Silence after which a sampled peer may be replaced.
 const SAMPLE_TIMEOUT: Millis = Millis::from_secs(20);
-/// Age above which a statement is not passed on.
+/// Age above which a statement is not relayed.
 const RELAY_MAX_AGE: Millis = Millis::from_secs(20);
-/// How long a change comes before other statements in heartbeats.
+/// How long a change takes precedence over other statements in heartbeats.
 const CHANGE_IS_RECENT: Millis = Millis::from_secs(5);
 
-/// All peers known.
+/// All known peers.
 #[derive(Debug)]
 pub(super) struct Members {
     own: VmId,
@@ -40,12 +40,12 @@
     own_data_centre: DataCentre,
     by_vm: BTreeMap<VmId, Member>,
     tracked: BTreeSet<ServiceName>,
-    /// Strangers that spoke while the sample was full.
+    /// Number of unknown peers that made a statement while the sample was full.
     rejected_peers: usize,
 }
 
 impl Members {
-    /// Knows nobody yet; holds the members of its own service.
+    /// Creates the section without peers. It tracks the node's own service.
     pub(super) fn new(own: VmId, own_data_centre: DataCentre, service: ServiceName) -> Self {
         Self {
             own,
@@ -57,28 +57,28 @@
         }
     }
 
-    /// All peers, by VM.
+    /// Returns all peers, ordered by VM.
     pub(super) fn iter(&self) -> impl Iterator<Item = &Member> {
         self.by_vm.values()
     }
 
-    /// Peers that speak for themselves and are not known to be replaced.
+    /// Returns the peers that are not known to have been replaced at their address.
     pub(super) fn reachable(&self) -> impl Iterator<Item = &Member> {
         self.by_vm.values().filter(|member| !member.superseded)
     }
 
-    /// One peer, to be changed.
+    /// Returns one peer for modification.
     pub(super) fn get_mut(&mut self, vm: &VmId) -> Option<&mut Member> {
         self.by_vm.get_mut(vm)
     }
 
-    /// Whether a message comes from an earlier life than the one known.
+    /// Returns whether a message comes from an earlier incarnation than the known one.
     pub(super) fn is_stale(&self, vm: &VmId, incarnation: Incarnation) -> bool {
         let known = self.by_vm.get(vm).and_then(|member| member.incarnation);
         known.is_some_and(|current| incarnation < current)
     }
 
-    /// Sets the services of which every member is kept.
+    /// Sets the tracked services, of which every member is kept.
     pub(super) fn track(&mut self, services: &[ServiceName]) {
         self.tracked = services.iter().cloned().collect();
         for member in self.by_vm.values_mut() {
@@ -87,15 +87,15 @@
         self.trim_sample();
     }
 
-    /// Whether all members of a service are kept.
+    /// Returns whether a service is tracked.
     pub(super) fn tracks(&self, service: &ServiceName) -> bool {
         self.tracked.contains(service)
     }
 
-    /// All peers by their service, each in the order of VMs.
+    /// Returns all peers by service, each list ordered by VM.
     ///
-    /// For whoever looks at every service: one walk over the members in place
-    /// of one a service, which took a node of 20 dependencies a fifth of its time.
+    /// Code that visits every service uses this single pass over the members. One pass
+    /// per service took a fifth of the time of a node with 20 dependencies.
     pub(super) fn by_service(&self) -> BTreeMap<&ServiceName, Vec<&Member>> {
         let mut by_service: BTreeMap<&ServiceName, Vec<&Member>> = BTreeMap::new();
         for member in self.by_vm.values() {
@@ -104,7 +104,7 @@
         by_service
     }
 
-    /// Takes in a statement that is `age_ms` old.
+    /// Merges a statement that is `age_ms` old.
     pub(super) fn merge(
         &mut self,
         digest: &MemberDigest,
@@ -140,12 +140,11 @@
         MergeOutcome::Change
     }
 
-    /// Two processes cannot share an address, so only the latest life there
-    /// counts.
+    /// Marks all but the latest incarnation at an address as superseded, because two
+    /// processes cannot share an address.
     ///
-    /// Without this, a VM that was replaced at its address would stay a target
-    /// until the lagging VM list drops it, and its calls would reach a gate
-    /// that refuses them.
+    /// Otherwise, a VM that was replaced at its address would remain a target until the
+    /// lagging VM list drops it, and calls to it would reach a gate that rejects them.
     fn supersede_at_address(&mut self, control: SocketAddr) {
         let mut latest = None;
         for member in self.by_vm.values() {
@@ -160,7 +159,7 @@
         }
     }
 
-    /// Takes in the VM list of one service; true when something changed.
+    /// Merges the VM list of one service. Returns whether something changed.
     pub(super) fn merge_list(
         &mut self,
         service: &ServiceName,
@@ -192,7 +191,7 @@
         changed
     }
 
-    /// Adds some of a whole VM list to the sample.
+    /// Adds an entry of a whole VM list to the sample.
     pub(super) fn add_to_sample(&mut self, entry: &ListedVm, version: ListVersion, now: Millis) {
         if entry.vm == self.own || self.by_vm.contains_key(&entry.vm) {
             return;
@@ -205,11 +204,11 @@
         self.by_vm.insert(entry.vm.clone(), member);
     }
 
-    /// Lets go of members that a newer VM list no longer names and that have
-    /// fallen silent; true when any went.
+    /// Removes members that a newer VM list no longer contains and that are silent.
+    /// Returns whether any was removed.
     ///
-    /// Either sign alone is not enough: a partition silences members that are
-    /// alive, and the VM list lags behind members that are new.
+    /// Both conditions are required: a partition silences members that are alive, and the
+    /// VM list lags behind new members.
     pub(super) fn remove_gone(&mut self, version: ListVersion, now: Millis) -> bool {
         let before = self.by_vm.len();
         self.by_vm.retain(|_, member| {
@@ -219,7 +218,7 @@
         self.by_vm.len() != before
     }
 
-    /// Chooses up to `count` peers at random.
+    /// Chooses up to `count` matching peers at random.
     pub(super) fn choose(
         &self,
         rng: &mut Xoshiro256PlusPlus,
@@ -236,11 +235,11 @@
         chosen.to_vec()
     }
 
-    /// Chooses like [`Self::choose`], members of called services only where
-    /// there are too few others.
+    /// Chooses like [`Self::choose`], but uses members of called services only if there
+    /// are too few other peers.
     ///
-    /// All callers of a service know its few members, and each of them would
-    /// send to them far more often than to anyone else.
+    /// All callers of a service know its few members and would otherwise send to them far
+    /// more often than to other nodes.
     pub(super) fn choose_uncalled_first(
         &self,
         rng: &mut Xoshiro256PlusPlus,
@@ -256,11 +255,11 @@
         chosen
     }
 
-    /// Statements for a peer of `service`: changes first, then any.
+    /// Returns statements for a peer of `service`, recent changes first.
     ///
-    /// Changes in services that this node calls count as news for peers of its
-    /// own service, which call the same ones; so a leaving that its announcer
-    /// could not tell to all its callers still spreads among them.
+    /// Changes in services that this node calls are also relevant to peers of its own
+    /// service, which call the same services. A leaving state that was not announced to
+    /// all callers thus spreads among them.
     pub(super) fn notes_for(
         &self,
         service: &ServiceName,
@@ -298,7 +297,7 @@
         notes
     }
 
-    /// The newest statement of one peer.
+    /// Returns the newest statement of one peer.
     pub(super) fn note_of(&self, vm: &VmId, now: Millis) -> Option<MemberNote> {
         let member = self.by_vm.get(vm)?;
         Some(MemberNote {
@@ -307,8 +306,8 @@
         })
     }
 
-    /// Statements for a node that joins: any, so that it knows peers beyond its
-    /// service.
+    /// Returns statements for a joining node, about any service, so that the node knows
+    /// peers beyond its own service.
     pub(super) fn any_notes(
         &self,
         count: usize,
@@ -318,7 +317,7 @@
         self.notes_for(&ServiceName::new(""), count, rng, now)
     }
 
-    /// Peers kept beside the services held.
+    /// Returns the number of sampled peers, which belong to no tracked service.
     pub(super) fn sample_size(&self) -> usize {
         let mut size = 0;
         for member in self.by_vm.values() {
@@ -329,7 +328,7 @@
         size
     }
 
-    /// Makes room in the sample; false when all its places hold fresh peers.
+    /// Makes room in the sample. Returns false if all sampled peers are fresh.
     fn make_room(&mut self, data_centre: &DataCentre, now: Millis) -> bool {
         let is_local = *data_centre == self.own_data_centre;
         let limit = sample_limit(is_local);
@@ -358,10 +357,11 @@
         true
     }
 
-    /// Lets every eighth stranger that speaks take a place in a full sample.
+    /// Lets every eighth unknown peer that sends a message replace a peer in a full
+    /// sample.
     ///
-    /// A node whose service has no other member is sent nothing by anyone who
-    /// does not sample it; were samples to stay as they are, it would be deaf.
+    /// A node whose service has no other member receives messages only from nodes that
+    /// have it in their sample. If samples never changed, such a node might receive none.
     fn replace_sampled_peer(&mut self, digest: &MemberDigest, age_ms: Millis) -> bool {
         const REPLACE_EVERY: usize = 8;
         if age_ms > Millis::ZERO {
@@ -391,7 +391,7 @@
         true
     }
 
-    /// Brings the sample back to its limits after a service was let go.
+    /// Reduces the sample to its limits after a service is no longer tracked.
     fn trim_sample(&mut self) {
         let mut room = [MAX_REMOTE_SAMPLE, MAX_LOCAL_SAMPLE];
         let own = &self.own_data_centre;
@@ -407,14 +407,14 @@
     }
 }
 
-/// A peer to whom something is sent.
+/// The recipient of a message.
 #[derive(Clone, Debug)]
 pub(super) struct Recipient {
     /// Its address for control messages.
     pub(super) control: SocketAddr,
     /// Its service.
     pub(super) service: ServiceName,
-    /// Where it stands.
+    /// Its data centre.
     pub(super) data_centre: DataCentre,
 }
 
@@ -428,11 +428,11 @@
     }
 }
 
-/// Silence after which a member of a service counts as doubtful, with so many
-/// members known.
+/// Returns the silence after which a member of a service is doubtful, given the number of
+/// known members.
 ///
-/// Statements about the members of a large service come round more slowly,
-/// because a node hears of a constant number a second.
+/// Statements about the members of a large service arrive less often, because a node
+/// receives a constant number per second.
 pub(super) fn doubtful_after(members: usize) -> Millis {
     DOUBTFUL_AFTER.max(Millis(members as u64 * DOUBTFUL_AFTER_PER_MEMBER.0))
 }
--- a/crates/core/src/control/members/tests.rs
+++ b/crates/core/src/control/members/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the section of peers.
+//! Tests of the peers section.
 
 use super::*;
 
@@ -45,7 +45,7 @@
     for member in members.iter() {
         late += usize::from(member.vm.as_str() > "vm-1500");
     }
-    assert!(late > 0, "no stranger ever got a turn");
+    assert!(late > 0, "no new peer was admitted to the sample");
 }
 
 #[test]
@@ -84,8 +84,8 @@
     assert!(members.is_stale(&later.vm, Incarnation(1)));
 }
 
-/// Whichever of two names at one address is heard first, only the later life
-/// is a target.
+/// Only the later incarnation at an address is a target, regardless of which of the two
+/// VMs is seen first.
 #[test]
 fn only_the_latest_incarnation_at_an_address_is_reachable() {
     for order in [[0, 1], [1, 0]] {
@@ -105,8 +105,8 @@
     }
 }
 
-/// A list drops a member for a while by mistake, and it is silent because of a
-/// partition, but the list is the one by which it was known: it stays.
+/// A list omits a member by mistake while a partition silences it. The member stays,
+/// because the list is not newer than the one with which it became known.
 #[test]
 fn silence_without_a_newer_list_removes_nobody() {
     let mut members = members();
--- a/crates/core/src/control/membership.rs
+++ b/crates/core/src/control/membership.rs
@@ -1,5 +1,4 @@
-//! Who is a member of which service: the VM list, corrected by what nodes say
-//! of themselves.
+//! Membership of services: the VM list, corrected by the statements of the nodes.
 
 use std::collections::BTreeMap;
 
@@ -11,24 +10,24 @@
 use crate::prelude::*;
 use crate::view::HeardLoad;
 
-/// How often members that are gone are looked for.
+/// Interval between searches for members to remove.
 const SWEEP_INTERVAL: Millis = Millis::from_secs(1);
-/// An unchanged report of the own gate is not taken over for this long.
+/// An unchanged load report of this node's gate is ignored for this long.
 const OWN_LOAD_REFRESH: Millis = Millis::from_secs(1);
-/// A sample smaller than this is filled up from a whole VM list.
+/// A sample smaller than this is filled from the whole VM list.
 const SMALL_SAMPLE: usize = 16;
-/// Services looked at to fill up the sample.
+/// Random attempts to fill the sample.
 const SAMPLE_TRIES: usize = 64;
 
-/// The controller of membership.
+/// Controller of membership.
 #[derive(Debug, Default)]
 pub(super) struct Membership {
-    /// Digests of the slices of the VM list taken in.
+    /// Digests of the merged slices of the VM list.
     merged_digests: BTreeMap<ServiceName, u64>,
     merged_edits: u64,
     tracked: Vec<ServiceName>,
     swept_at: Millis,
-    /// The VM list has named this VM as live.
+    /// The VM list has shown this VM as live.
     was_listed_live: bool,
 }
 
@@ -66,8 +65,8 @@
         }
     }
 
-    /// The own gate reports on each tick; what has not changed is published
-    /// anew only before it looks old.
+    /// Takes over the load report that this node's gate sends on each tick. An unchanged
+    /// report is published again only before it would look stale.
     fn update_own_load(board: &mut Board, report: LoadReport) {
         let now = board.now;
         if let Some(known) = board.own_load {
@@ -86,7 +85,7 @@
         board.request_publish(PendingPublish::Loads);
     }
 
-    /// Takes in the slices of the VM list that changed.
+    /// Merges the changed slices of the VM list.
     fn apply_list(&mut self, board: &mut Board) {
         let tracked = board.tracked_services().to_vec();
         let is_same = self.merged_edits == board.vms.edits() && self.tracked == tracked;
@@ -127,10 +126,11 @@
         }
     }
 
-    /// The platform takes this VM away: leave as if told to.
+    /// Starts leaving, as on a shutdown request, when the platform marks this VM as
+    /// leaving.
     ///
-    /// Only a turn from live to leaving counts. A list that calls the VM
-    /// leaving from the start may be old and speak of an earlier life.
+    /// Only a transition from live to leaving counts. A list that shows the VM as leaving
+    /// from the start may be outdated and refer to an earlier incarnation.
     fn read_own_entry(&mut self, board: &mut Board, entries: &[ListedVm]) {
         for entry in entries {
             if entry.vm != board.settings.vm {
@@ -144,7 +144,8 @@
         }
     }
 
-    /// A reader knows the whole list and can find peers beyond its service.
+    /// Fills the sample from the whole VM list, which only a reader has, to find peers
+    /// beyond its own service.
     fn fill_sample(&self, board: &mut Board) {
         if !board.vms.is_whole() || board.members.sample_size() >= SMALL_SAMPLE {
             return;
@@ -200,7 +201,7 @@
         self.swept_at = board.now;
         let version = board.list_version();
         board.members.remove_gone(version, board.now);
-        // Members grow doubtful by time alone.
+        // Members become doubtful through the passage of time alone.
         board.request_publish(PendingPublish::Loads);
     }
 
--- a/crates/core/src/control/probing.rs
+++ b/crates/core/src/control/probing.rs
@@ -1,8 +1,8 @@
-//! Probes of gates, within the measuring budget of the text.
+//! Probes of gates, within the probe budget of the configuration text.
 //!
-//! Only a target that this node may soon send to, and of which nothing recent
-//! is known, is worth a probe. The probe goes to the gate, which knows its
-//! target's load exactly; the target itself is never asked.
+//! A probe is sent only for a target to which this node may soon send calls and about
+//! which it has no recent information. It goes to the gate, which knows the exact load of
+//! its target. The target itself is never probed.
 
 use std::collections::BTreeMap;
 
@@ -13,26 +13,26 @@
 use crate::budget::TokenBucket;
 use crate::prelude::*;
 
-/// A service is sent to as long as the last call is no older than this.
+/// A service is in use if the last call to it is at most this old.
 const IN_USE_FOR: Millis = Millis::from_secs(10);
-/// What is older than this is not recent.
+/// Information older than this is not recent.
 const RECENT_WITHIN: Millis = Millis::from_secs(3);
-/// The same gate is not probed again within this time.
+/// Minimum time between two probes of the same gate.
 const MIN_PROBE_INTERVAL: Millis = Millis::from_secs(3);
-/// How often probes are considered.
+/// Interval between searches for gates to probe.
 const CHECK_INTERVAL: Millis = Millis(200);
-/// Probes answered a second, and at once.
+/// Rate and burst of answered probes per second.
 const REPLIES_PER_S: f64 = 50.0;
 const REPLY_BURST: u32 = 100;
 
-/// One service that is sent to.
+/// A service to which this node sends calls.
 #[derive(Debug)]
 struct UsedService {
     used_at: Millis,
     budget: Option<TokenBucket>,
 }
 
-/// The controller of probes.
+/// Controller that sends and answers probes.
 #[derive(Debug)]
 pub(super) struct Probing {
     used_services: BTreeMap<ServiceName, UsedService>,
@@ -41,7 +41,7 @@
 }
 
 impl Probing {
-    /// No service is sent to yet.
+    /// Creates the controller before any call.
     pub(super) fn new(now: Millis) -> Self {
         Self {
             used_services: BTreeMap::new(),
@@ -62,8 +62,8 @@
         self.used_services.insert(service.clone(), known);
     }
 
-    /// The budget outlives short idle times, so that coming and going of calls
-    /// never refills it.
+    /// Drops services that are no longer tracked. Idle services keep their budget, so
+    /// that calls which stop and start again never refill it.
     fn forget_untracked(&mut self, board: &Board) {
         let tracked = board.tracked_services();
         self.used_services
@@ -109,7 +109,7 @@
     }
 }
 
-/// Targets of which nothing recent is known, the longest silent first.
+/// Returns the targets without recent information, the longest silent first.
 fn targets_to_probe(board: &Board, service: &ServiceName) -> Vec<VmId> {
     let now = board.now;
     let mut found = Vec::new();
--- a/crates/core/src/control/publishing.rs
+++ b/crates/core/src/control/publishing.rs
@@ -1,4 +1,4 @@
-//! The route table that traffic reads, rebuilt when something has changed.
+//! Publishes the route table for the data path when something has changed.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -11,17 +11,17 @@
 use crate::prelude::*;
 use crate::suspects::SuspectSet;
 
-/// Load alone is published no more often than this: reports on answers reach
-/// entries directly, and are newer.
+/// Minimum time between two publications when only loads changed. Load reports in answers
+/// reach the entries directly and are newer.
 const MIN_LOAD_INTERVAL: Millis = Millis(200);
 
-/// The controller of publishing.
+/// Controller that publishes the route table.
 #[derive(Debug, Default)]
 pub(super) struct Publishing {
     published_at: Millis,
     services: BTreeMap<ServiceName, Arc<ServiceView>>,
     suspects: Arc<SuspectSet>,
-    /// A change that waits for its time.
+    /// A change whose publication is delayed.
     deferred: PendingPublish,
 }
 
@@ -38,8 +38,8 @@
                 policy: Arc::clone(policy),
                 targets: targets(board, service, members),
             };
-            // An unchanged view keeps its place in memory, so that traffic can
-            // tell by the pointer that there is nothing to take over.
+            // An unchanged view keeps its allocation, so that the data path can detect by
+            // pointer comparison that nothing changed.
             let view = match self.services.get(service) {
                 Some(old) if **old == view => Arc::clone(old),
                 _ => Arc::new(view),
@@ -86,7 +86,7 @@
     }
 }
 
-/// Whether every view is the very one published before.
+/// Returns whether every view is identical (the same allocation) to the published one.
 fn is_same(
     services: &BTreeMap<ServiceName, Arc<ServiceView>>,
     published: &BTreeMap<ServiceName, Arc<ServiceView>>,
@@ -154,8 +154,8 @@
     }
 }
 
-/// One-way time between two data centres; within one it counts as none unless
-/// the text says otherwise.
+/// Returns the one-way latency between two data centres. Within one data centre it is
+/// zero unless the text specifies it.
 fn distance_us(deployment: &DeploymentPolicy, from: &DataCentre, to: &DataCentre) -> u32 {
     for distance in &deployment.distances {
         let is_forth = distance.from == *from && distance.to == *to;
--- a/crates/core/src/control/pulls.rs
+++ b/crates/core/src/control/pulls.rs
@@ -1,4 +1,4 @@
-//! Bulk requests on their way.
+//! Bulk requests in flight.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -7,10 +7,10 @@
 
 use crate::prelude::*;
 
-/// A request unanswered for this long counts as failed.
+/// A request without an answer for this long has failed.
 const PULL_TIMEOUT: Millis = Millis::from_secs(3);
 
-/// One request, with what it asked, so that the answer can be read.
+/// One request in flight, with its content, which is needed to interpret the answer.
 #[derive(Clone, Debug)]
 pub(super) struct Pull {
     pub(super) sent_at: Millis,
@@ -20,29 +20,29 @@
     pub(super) vms_edits: u64,
 }
 
-/// All requests on their way, by the address that was asked.
+/// All requests in flight, by the address of the peer.
 #[derive(Debug, Default)]
 pub(super) struct Pulls {
     in_flight: BTreeMap<SocketAddr, Pull>,
 }
 
 impl Pulls {
-    /// Notes a request.
+    /// Records a request.
     pub(super) fn start(&mut self, to: SocketAddr, pull: Pull) {
         self.in_flight.insert(to, pull);
     }
 
-    /// Takes out the request that an answer or a failure belongs to.
+    /// Removes and returns the request that an answer or a failure belongs to.
     pub(super) fn take(&mut self, peer: SocketAddr) -> Option<Pull> {
         self.in_flight.remove(&peer)
     }
 
-    /// Whether none is on its way.
+    /// Returns whether no request is in flight.
     pub(super) fn is_empty(&self) -> bool {
         self.in_flight.is_empty()
     }
 
-    /// Takes out the addresses of requests that went unanswered for long.
+    /// Removes the requests that have timed out and returns their addresses.
     pub(super) fn expire(&mut self, now: Millis) -> Vec<SocketAddr> {
         let mut expired = Vec::new();
         self.in_flight.retain(|peer, pull| {
--- a/crates/core/src/control/reading.rs
+++ b/crates/core/src/control/reading.rs
@@ -1,4 +1,4 @@
-//! Reads of the platform by the nodes on the rota.
+//! Platform reads by the nodes on the rota.
 
 use hornbeamhitch_wire::control::{DatagramBody, ListVersion};
 use rand::RngExt;
@@ -8,47 +8,48 @@
 use super::status::PlatformState;
 use crate::prelude::*;
 
-/// How long the platform may hold a read until something changes.
+/// How long the platform may delay the response to a read until something changes.
 const WATCH_DURATION: Millis = Millis::from_secs(30);
-/// A read that has not ended by then counts as failed.
+/// A read that has not ended after this time has failed.
 const READ_TIMEOUT: Millis = Millis::from_secs(40);
-/// Pause after a failed read; doubles up to the limit, with jitter.
+/// Backoff after a failed read. It doubles up to the limit, with jitter.
 const INITIAL_BACKOFF: Millis = Millis(250);
 const MAX_BACKOFF: Millis = Millis::from_secs(5);
-/// Pause after a watch that ended at once, so that a platform which does not
-/// wait is not asked without pause.
+/// Delay after a watch that ended at once, so that a platform which does not support
+/// waiting is not polled without delay.
 const PAUSE_AFTER_SHORT_WATCH: Millis = Millis::from_secs(1);
-/// Failures in a row after which others shall take over.
+/// Consecutive failures after which other nodes should take over.
 const FAILURES_UNTIL_FAILING: u32 = 2;
-/// A platform that lacks what has been held for this long counts as stale.
+/// A platform is stale if it lacks a version that has been available locally for this long.
 const STALE_AFTER: Millis = Millis::from_secs(10);
-/// A node starts to read after it was elected for this long, and a random
-/// part of the same again: at a cold start every node elects itself until it
-/// has heard of the others.
+/// A node starts to read after it has been elected for this long plus a random delay of
+/// up to the same length. At a cold start every node elects itself until it has received
+/// heartbeats from the others.
 const START_DELAY: Millis = Millis(1_500);
-/// A reader stops after others were elected for this long.
+/// A reader stops after it has not been elected for this long.
 const STOP_DELAY: Millis = Millis::from_secs(5);
-/// What a reader held for others is let go this long after it stopped.
+/// A node that stopped reading drops the slices that it kept for other nodes after this
+/// time.
 const KEEP_WHOLE_DOCUMENTS_FOR: Millis = Millis::from_secs(30);
-/// How often unused slices are looked for.
+/// Interval between searches for unused slices.
 const PRUNE_INTERVAL: Millis = Millis::from_secs(10);
 
-/// Bytes a second that reads may bring on average.
+/// Average number of bytes per second that reads may transfer.
 ///
-/// The platform only serves whole values. With a change every 1.4 s, a reader
-/// of a text of one megabyte that read each version would take in 0.7 MB/s.
-/// Pausing in proportion to the size costs little time: pauses are spread at
-/// random, so that readers of all data centres soon pause at different moments,
-/// and whoever reads first tells the rest.
+/// The platform serves only complete values. With a change every 1.4 s, a reader that
+/// fetched each version of a text of one megabyte would receive 0.7 MB/s. A delay in
+/// proportion to the size costs little time: the delays are random, so the readers of all
+/// data centres are soon out of phase, and the first one to read announces the version to
+/// the others.
 const READ_BYTES_PER_S: u64 = 24_000;
-/// The longest mean of such pauses. One lasts at most half as long again, so a
-/// change is in force within 19 s even where there is a lone reader.
+/// Longest mean of these delays. A single delay is at most one and a half times as long,
+/// so a change is in force within 19 s even with a single reader.
 const MAX_SIZE_PAUSE: Millis = Millis::from_secs(12);
 
-/// Length of one line of the VM list in JSON, about.
+/// Approximate length of one entry of the VM list in JSON.
 const LISTED_VM_BYTES: usize = 150;
 
-/// What is held of the document that a watch is about.
+/// Version and completeness of the local copy of a watched document.
 #[derive(Clone, Copy, Debug)]
 struct LocalDocument {
     version: u64,
@@ -68,25 +69,26 @@
     }
 }
 
-/// One of the two things read.
+/// The state of the reads of one value.
 #[derive(Debug, Default)]
 struct Watch {
-    /// The newest version that the platform itself has shown to this node.
+    /// The newest version that the platform has served to this node.
     platform_version: u64,
-    /// The version above which was last asked.
+    /// The version above which the last read asked for changes.
     requested_after: u64,
     sent_at: Option<Millis>,
     next_at: Millis,
     failures: u32,
-    /// The version last seen to be held, and since when it is.
+    /// The last observed local version.
     local_version: u64,
+    /// Time since which this version has been available locally.
     local_since: Millis,
-    /// The platform was seen to lack what has long been held.
+    /// The platform lacks a version that has long been available locally.
     is_behind: bool,
 }
 
 impl Watch {
-    /// Begins anew. No read is on its way: whoever stopped has given them up.
+    /// Resets the state. No read is in flight, because stopping cancels them all.
     fn restart(&mut self) {
         self.sent_at = None;
         self.platform_version = 0;
@@ -109,15 +111,16 @@
         }
     }
 
-    /// Peers should long have been confirmed by the platform.
+    /// Returns whether the local version is so old that the platform should have served
+    /// it by now.
     fn is_settled(&self, now: Millis) -> bool {
         now.since(self.local_since) > STALE_AFTER
     }
 
-    /// Starts a read; gives the version above which to ask.
+    /// Starts a read and returns the version above which to ask for changes.
     ///
-    /// What came from peers need not be read once more, unless it has been
-    /// held for so long that a platform which lacks it must be stale.
+    /// A version received from peers is not read again, unless it has been
+    /// available for so long that a platform which lacks it must be stale.
     fn start(&mut self, local: LocalDocument, now: Millis) -> u64 {
         let trusts_peers = local.whole && !self.is_settled(now);
         self.requested_after = if trusts_peers {
@@ -129,7 +132,7 @@
         self.requested_after
     }
 
-    /// A read brought a value; the next one waits for `pause`.
+    /// Records that a read returned a value. The next read waits for `pause`.
     fn note_value(&mut self, version: u64, pause: Millis, local: LocalDocument, now: Millis) {
         let is_new = version > self.platform_version;
         self.platform_version = self.platform_version.max(version);
@@ -165,14 +168,14 @@
     }
 }
 
-/// The controller of the rota and of reads.
+/// Controller of the rota and of platform reads.
 #[derive(Debug, Default)]
 pub(super) struct Reading {
     text: Watch,
     vms: Watch,
-    /// Since when the rota says the opposite of what this node does.
+    /// Time since which the rota has demanded the opposite of what this node does.
     switch_pending_since: Option<Millis>,
-    /// When to act upon it.
+    /// Time at which this node follows the rota.
     switch_at: Millis,
     stopped_at: Millis,
     pruned_at: Millis,
@@ -200,15 +203,16 @@
             self.text.restart();
             self.vms.restart();
         } else {
-            // A watch would wait at the platform, which counts it as a read, for
-            // half a minute after it is of no use to anybody.
+            // A watch would stay open on the platform, which counts it as a read, for
+            // half a minute after it has become useless.
             board.outbox.push(ControlAction::CancelReads);
             self.stopped_at = board.now;
             board.platform = PlatformState::Unused;
         }
     }
 
-    /// How long an election must stand; one who knows nobody need not wait.
+    /// Returns how long an election result must be stable. A node without known peers
+    /// does not wait.
     fn delay(elected: bool, board: &mut Board) -> Millis {
         if !elected {
             return STOP_DELAY;
@@ -252,7 +256,7 @@
         };
     }
 
-    /// A node off the rota holds only what it needs itself.
+    /// Drops the slices that a node off the rota does not need itself.
     fn prune(&mut self, board: &mut Board) {
         if board.now.since(self.pruned_at) < PRUNE_INTERVAL {
             return;
--- a/crates/core/src/control/rota.rs
+++ b/crates/core/src/control/rota.rs
@@ -1,13 +1,12 @@
-//! Who reads the platform: a few nodes a data centre, elected without a word
-//! of coordination.
+//! The rota: which nodes read the platform. A few nodes per data centre are elected
+//! without coordination.
 //!
-//! Every VM has a score, a hash of its name and data centre. Heartbeats carry
-//! the best candidates with the age of their last sign of life, so that every
-//! node soon knows the best of its data centre, and forgets the silent ones.
-//! A node reads when it finds itself among the first [`READERS`] whose reads
-//! do not fail, and among the first [`MAX_READERS`] at all. While views
-//! disagree there are more readers than that for some seconds; no harm is
-//! done, because a read changes nothing.
+//! Every VM has a score, a hash of its name and data centre. Heartbeats carry the best
+//! candidates with the age of their last statement, so every node soon knows the best
+//! candidates of its data centre and drops silent ones. A node reads if it ranks among
+//! the first [`READERS`] candidates whose reads do not fail, and among the first
+//! [`MAX_READERS`] of all candidates. While the views of the nodes differ, there are more
+//! readers for some seconds. This is harmless, because a read changes nothing.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -21,29 +20,29 @@
 #[cfg(test)]
 mod tests;
 
-/// Readers of a data centre while the platform answers them.
+/// Readers per data centre while the platform responds to them.
 pub(super) const READERS: usize = 2;
-/// Readers of a data centre when the first ones fail. It is the bound on the
-/// load of a platform that is down: without it, each failing reader would pass
-/// the task on until the whole data centre reads.
+/// Limit of readers per data centre when the first ones fail. It limits the load on a
+/// platform that is down: without it, each failing reader would hand over to another
+/// until the whole data centre reads.
 pub(super) const MAX_READERS: usize = 2 * READERS;
-/// Candidates remembered and passed on, so that the next ones stand ready.
+/// Limit of stored and relayed candidates. It includes a spare for the next reader.
 const MAX_CANDIDATES: usize = MAX_READERS + 1;
-/// Silence after which a candidate is passed over.
+/// Silence after which a candidate is ignored.
 ///
-/// News of a candidate crosses a data centre of 900 nodes in about five
-/// heartbeats; three times that keeps a slow heartbeat from moving the rota.
+/// News of a candidate reaches a data centre of 900 nodes within about five heartbeats.
+/// Three times that keeps a slow heartbeat from changing the rota.
 const CANDIDATE_TIMEOUT: Millis = Millis::from_secs(15);
 
 #[derive(Clone, Debug)]
 struct Candidate {
     score: u64,
     note: ReaderNote,
-    /// When the note was made, in this node's clock.
+    /// Time at which the note was made, in this node's clock.
     stated_at: Millis,
 }
 
-/// The candidates of this node's data centre, other than itself.
+/// The candidates of this node's data centre other than the node itself.
 #[derive(Debug)]
 pub(super) struct Rota {
     own_score: u64,
@@ -52,7 +51,7 @@
 }
 
 impl Rota {
-    /// Knows of no candidate but itself.
+    /// Creates a rota without other candidates.
     pub(super) fn new(own: &VmId, data_centre: DataCentre) -> Self {
         Self {
             own_score: score(own, &data_centre),
@@ -61,15 +60,15 @@
         }
     }
 
-    /// Takes in what a node of the same data centre says.
+    /// Merges a note about a candidate in the same data centre.
     pub(super) fn merge(&mut self, note: &ReaderNote, own: &VmId, now: Millis) {
         if note.vm == *own || note.age_ms > CANDIDATE_TIMEOUT {
             return;
         }
         let order = (note.incarnation, note.clock_ms);
         if let Some(known) = self.candidates.get(&note.vm) {
-            // Only a later statement counts as a sign of life, so that notes
-            // going round cannot keep a dead candidate on the rota.
+            // Only a later statement proves that a candidate is alive, so that relayed
+            // notes cannot keep a dead candidate on the rota.
             if order <= (known.note.incarnation, known.note.clock_ms) {
                 return;
             }
@@ -83,7 +82,7 @@
         self.trim(now);
     }
 
-    /// Forgets the silent ones and all but the best.
+    /// Drops silent candidates and keeps only the best of the others.
     pub(super) fn trim(&mut self, now: Millis) {
         self.candidates
             .retain(|_, known| now.since(known.stated_at) <= CANDIDATE_TIMEOUT);
@@ -101,7 +100,7 @@
         }
     }
 
-    /// Whether this node, whose reads may be failing, is on the rota.
+    /// Returns whether this node is on the rota, given whether its own reads fail.
     pub(super) fn elects_self(&self, own_failing: bool, now: Millis) -> bool {
         let mut better = 0;
         let mut better_and_working = 0;
@@ -116,7 +115,8 @@
         better < MAX_READERS && (own_failing || better_and_working < READERS)
     }
 
-    /// Notes for peers of the data centre, the own one first when it is given.
+    /// Returns the notes to send to peers in the data centre, best candidate first,
+    /// including `own` if given.
     pub(super) fn notes(&self, own: Option<ReaderNote>, now: Millis) -> Vec<ReaderNote> {
         let mut ranked = Vec::new();
         if let Some(note) = own {
@@ -132,7 +132,7 @@
         ranked.into_iter().map(|(_, note)| note).collect()
     }
 
-    /// Addresses of candidates that hold everything.
+    /// Returns the addresses of candidates that have all slices of both documents.
     pub(super) fn whole_candidates(&self) -> Vec<SocketAddr> {
         let mut found = Vec::new();
         for known in self.candidates.values() {
@@ -143,7 +143,7 @@
         found
     }
 
-    /// The candidates for operators, best first.
+    /// Returns the candidates for operators, best first.
     pub(super) fn status(&self) -> Vec<ReaderStatus> {
         let mut ranked: Vec<_> = self.candidates.values().collect();
         ranked.sort_by_key(|known| std::cmp::Reverse(known.score));
--- a/crates/core/src/control/rota/tests.rs
+++ b/crates/core/src/control/rota/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the election of readers.
+//! Tests of the reader election.
 
 use super::*;
 
@@ -19,7 +19,8 @@
     }
 }
 
-/// Every node's view, when all have heard of all, with these failing.
+/// Returns the nodes that elect themselves when all have received all notes, given the
+/// failing nodes.
 fn elected(nodes: usize, failing: &[usize]) -> Vec<usize> {
     let mut elected = Vec::new();
     for own in 0..nodes {
@@ -51,8 +52,8 @@
     assert!(relieved.contains(&first[0]));
 }
 
-/// The platform is down for all: each that is elected fails in turn. Without a
-/// bound the whole data centre would end up reading.
+/// The platform is down for all nodes, so each elected reader fails in turn. Without a
+/// limit, the whole data centre would end up reading.
 #[test]
 fn failing_readers_never_exceed_the_bound() {
     let mut failing = Vec::new();
@@ -62,8 +63,8 @@
     assert_eq!(failing.len(), MAX_READERS);
 }
 
-/// Notes of a dead candidate go round between nodes for ever, each time with
-/// the age that its teller believes. None of it counts as a sign of life.
+/// Nodes relay the notes of a dead candidate to each other indefinitely, each time with
+/// their own estimate of its age. None of them may count as a sign of life.
 #[test]
 fn relayed_notes_do_not_keep_a_dead_candidate_on_the_rota() {
     let own = vm(0);
--- a/crates/core/src/control/status.rs
+++ b/crates/core/src/control/status.rs
@@ -1,4 +1,4 @@
-//! What operators see of the control half.
+//! Status of the control state machine for operators.
 
 use std::net::SocketAddr;
 
@@ -11,41 +11,41 @@
 /// A snapshot for operators and metrics.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct ControlStatus {
-    /// The configuration in force.
+    /// Version of the configuration in force.
     pub version: Option<ConfigVersion>,
-    /// A newer text that was refused.
+    /// A newer text that was rejected.
     pub refused: Option<RefusedText>,
-    /// The VM list held.
+    /// Version of the local VM list.
     pub list_version: ListVersion,
-    /// Start-up is over: peers or the platform have given a configuration or
-    /// stated that there is none.
+    /// Start-up is complete: peers or the platform have provided a configuration or
+    /// reported that there is none.
     pub joined: bool,
-    /// This node has announced that it leaves.
+    /// This node accepts no new work.
     pub leaving: bool,
-    /// A later life of this VM was heard of: this process is a leftover.
+    /// A later incarnation of this VM has been seen, so this process is obsolete.
     pub superseded: bool,
-    /// Every slice of the configuration is held.
+    /// All slices of the configuration and of the VM list are available locally.
     pub whole: bool,
     /// This node reads the platform.
     pub reading: bool,
-    /// Readers of the own data centre as known here, best first.
+    /// Reader candidates of this node's data centre known to it, best first.
     pub readers: Vec<ReaderStatus>,
-    /// How reads of the platform go.
+    /// State of the platform reads.
     pub platform: PlatformState,
-    /// Services held, ordered by name.
+    /// Tracked services, ordered by name.
     pub services: Vec<ServiceStatus>,
-    /// Peers known beyond the services held.
+    /// Known peers that belong to no tracked service.
     pub sampled_peers: usize,
-    /// Requests held as suspects.
+    /// Number of suspected requests.
     pub suspects: usize,
     /// Counters since start.
     pub counters: ControlCounters,
 }
 
-/// A text that was refused whole.
+/// A text that was rejected as a whole.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct RefusedText {
-    /// Its version.
+    /// Version of the text.
     pub version: ConfigVersion,
     /// Every fault with line and column.
     pub reason: String,
@@ -54,15 +54,15 @@
 /// One reader candidate.
 #[derive(Clone, Debug, Serialize)]
 pub struct ReaderStatus {
-    /// The candidate.
+    /// VM of the candidate.
     pub vm: VmId,
-    /// It reads the platform by its own account.
+    /// The candidate reports that it reads the platform.
     pub reading: bool,
-    /// Its reads fail or bring stale versions.
+    /// Its reads fail or return stale versions.
     pub failing: bool,
 }
 
-/// How reads of the platform go.
+/// State of the platform reads.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Display, IntoStaticStr)]
 #[strum(serialize_all = "kebab-case")]
 #[serde(rename_all = "kebab-case")]
@@ -70,22 +70,22 @@
     /// This node does not read the platform.
     #[default]
     Unused,
-    /// The last read succeeded.
+    /// Reads succeed.
     Answering,
-    /// It answers, with versions older than what peers hold.
+    /// The platform responds with versions older than those of the peers.
     Stale,
     /// Reads fail.
     Failing,
 }
 
-/// One service held.
+/// One tracked service.
 #[derive(Clone, Debug, Serialize)]
 pub struct ServiceStatus {
-    /// Its name.
+    /// Name of the service.
     pub service: ServiceName,
-    /// A policy is in force for it.
+    /// A policy is in force for the service.
     pub has_policy: bool,
-    /// Probes sent to its gates since start.
+    /// Probes sent to gates of the service since start.
     pub probes_sent: u64,
     /// Members, ordered by VM.
     pub members: Vec<MemberStatus>,
@@ -96,28 +96,29 @@
 pub struct MemberStatus {
     /// The VM.
     pub vm: VmId,
-    /// Where it stands.
+    /// The data centre of the VM.
     pub data_centre: DataCentre,
     /// TCP address of its gate.
     pub peer: SocketAddr,
-    /// Its life, once heard.
+    /// Its incarnation, once known.
     pub incarnation: Option<Incarnation>,
-    /// What this node holds of it.
+    /// Its state as known to this node.
     pub state: MemberState,
-    /// Time since it was last heard of; `None` for never.
+    /// Time since its last statement, or `None` if there was none.
     pub silent_ms: Option<Millis>,
 }
 
-/// What a node holds of a member.
+/// State of a member as known to a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Display, IntoStaticStr)]
 #[strum(serialize_all = "kebab-case")]
 #[serde(rename_all = "kebab-case")]
 pub enum MemberState {
-    /// Heard of lately.
+    /// It made a statement recently.
     Live,
-    /// Silent for long, or never heard of: gone or behind a partition.
+    /// It has been silent for long or never made a statement: it is gone or behind a
+    /// partition.
     Doubtful,
-    /// Takes no new work.
+    /// It accepts no new work.
     Leaving,
 }
 
@@ -126,15 +127,15 @@
 pub struct ControlCounters {
     /// Datagrams sent.
     pub datagrams_out: u64,
-    /// Datagrams received, bad ones included.
+    /// Datagrams received, including invalid ones.
     pub datagrams_in: u64,
     /// Bytes of datagrams sent.
     pub datagram_bytes_out: u64,
     /// Bytes of datagrams received.
     pub datagram_bytes_in: u64,
-    /// Datagrams and bulk messages that were not understood.
+    /// Datagrams and bulk messages that could not be decoded or contained invalid slices.
     pub bad_messages: u64,
-    /// Messages of an earlier life of their sender, dropped.
+    /// Messages dropped because they came from an earlier incarnation of their sender.
     pub stale_messages: u64,
     /// Bulk requests sent.
     pub bulk_pulls: u64,
@@ -144,19 +145,19 @@
     pub bulk_bytes_out: u64,
     /// Bytes of bulk messages received.
     pub bulk_bytes_in: u64,
-    /// Reads of the platform, a waiting watch as one.
+    /// Platform reads. A watch counts as one read.
     pub platform_reads: u64,
-    /// Reads of the platform that failed.
+    /// Failed platform reads.
     pub platform_failures: u64,
-    /// Texts that were refused.
+    /// Rejected texts.
     pub texts_refused: u64,
-    /// Offers of versions at or below the one in force.
+    /// Offered versions below the local one.
     pub old_versions_offered: u64,
     /// Probes sent to gates.
     pub probes_sent: u64,
-    /// Probes that the measuring budget held back.
+    /// Probes not sent because the probe budget was exhausted.
     pub probes_withheld: u64,
-    /// Probes answered for others.
+    /// Probes of other nodes answered.
     pub probes_answered: u64,
     /// Route tables published.
     pub tables_published: u64,
--- a/crates/core/src/control/suspicion.rs
+++ b/crates/core/src/control/suspicion.rs
@@ -1,9 +1,9 @@
-//! Spreading what is held against requests.
+//! Dissemination of suspicions against requests.
 //!
-//! A request that crashes targets is sent again by its caller, to another
-//! gate of the service. The word must be there first, so it goes at once to
-//! peers of the service; heartbeats repeat it. It stays within the service:
-//! its gates refuse for everybody.
+//! When a request crashes a target, its caller sends it again to another gate of the
+//! service. That gate must know of the suspicion first, so the suspicion is sent at once
+//! to peers of the service, and heartbeats repeat it. It stays within the service,
+//! because the gates of the service reject the request for all callers.
 
 use hornbeamhitch_wire::control::{DatagramBody, SuspectNote};
 
@@ -11,12 +11,12 @@
 use crate::prelude::*;
 use crate::suspects::{Standing, SuspectEntry, Suspects};
 
-/// Peers told by the node that saw the crash.
+/// Peers notified by the node that observed the crash.
 const FIRST_FAN_OUT: usize = 16;
-/// Peers told by a node that hears of it.
+/// Peers notified by a node that receives the suspicion.
 const FAN_OUT: usize = 3;
 
-/// The controller of suspicion.
+/// Controller that disseminates suspicions.
 #[derive(Debug, Default)]
 pub(super) struct Suspicion;
 
@@ -82,7 +82,7 @@
     }
 }
 
-/// The entries found last, for heartbeats.
+/// Returns the most recent entries, for heartbeats.
 pub(super) fn most_recent(suspects: &Suspects, count: usize, now: Millis) -> Vec<SuspectNote> {
     let mut entries: Vec<SuspectEntry> = suspects.entries(now).collect();
     entries.sort_by_key(|entry| entry.age_ms);
--- a/crates/core/src/control/tests.rs
+++ b/crates/core/src/control/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the control half: failures, figures, and properties.
+//! Tests of the control state machine: failures, measurements and properties.
 
 mod configuration;
 mod figures;
--- a/crates/core/src/control/tests/configuration.rs
+++ b/crates/core/src/control/tests/configuration.rs
@@ -1,12 +1,12 @@
-//! Failures around the configuration.
+//! Tests of failures that concern the configuration.
 
 use super::harness::*;
 use crate::control::*;
 
-/// The platform is down for long, then back with a newer text.
-/// Callers see no change: nodes keep what is in force, at most four a data
-/// centre go on trying, with pauses of up to five seconds, and once the
-/// platform is back the new text is in force everywhere within seconds.
+/// The platform is down for a long time and then returns with a newer text. Nodes keep
+/// the configuration in force, and at most four per data centre retry, with a backoff of
+/// up to five seconds. Once the platform is back, the new text is in force everywhere
+/// within seconds.
 #[test]
 fn a_platform_outage_keeps_the_configuration_in_force() {
     let mut fleet = bangkok(2);
@@ -31,9 +31,8 @@
     assert!(fleet.readers() <= 3 * 2);
 }
 
-/// The platform serves an old text while a node starts.
-/// The new node asks its peers first and starts with the newer text; it never
-/// puts the old one in force, not for a moment.
+/// The platform serves an outdated text while a node starts. The new node queries its
+/// peers first and starts with the newer text. It never puts the outdated text in force.
 #[test]
 fn a_new_node_beside_a_stale_platform_starts_with_the_newer_text() {
     let mut fleet = bangkok(3);
@@ -50,9 +49,9 @@
     assert!(fleet.all_at(5));
 }
 
-/// The same, and the new node is the only one of its service.
-/// Nobody of its service can answer, so it must ask others; were it to trust
-/// the platform at once, it would serve by the old text until it hears better.
+/// As above, but the new node is the only one of its service. No member of its service
+/// can answer, so it must query other nodes. If it trusted the platform at once, it would
+/// use the outdated text until it learned of a newer one.
 #[test]
 fn a_new_service_beside_a_stale_platform_starts_with_the_newer_text() {
     let mut fleet = bangkok(4);
@@ -72,14 +71,14 @@
     assert_eq!(reached, [5]);
 }
 
-/// The platform is restored from an old copy: version 5 was in force, now it
-/// offers 3 for minutes. Nobody goes back; its readers call it stale. Once it
-/// offers 6, that is in force within seconds.
+/// The platform is restored from an old copy: version 5 was in force, and it offers
+/// version 3 for minutes. No node reverts, and the readers report the platform as stale.
+/// Once it offers version 6, that version is in force within seconds.
 #[test]
 fn a_platform_restored_from_an_old_copy_reverts_no_node() {
     let mut fleet = bangkok(5);
     fleet.publish_text(3, "layouts::2");
-    // All readers die, so that new ones begin to read the old copy.
+    // All readers die, so that new ones start to read the old copy.
     for index in 0..14 {
         if !fleet.status(index).reading {
             continue;
@@ -95,7 +94,7 @@
         let status = node.control.status(fleet.now);
         stale += usize::from(status.platform == PlatformState::Stale);
     }
-    println!("platform went back: {stale} readers call it stale");
+    println!("platform restored from an old copy: {stale} readers report it as stale");
     assert!(stale > 0);
     assert!(fleet.readers() <= 3 * 4);
     fleet.publish_text(6, TEXT);
@@ -103,9 +102,9 @@
     println!("platform caught up: in force after {took}");
 }
 
-/// A text with a fault is published, then a good one.
-/// The faulty one is refused whole with its line; the one before stays in
-/// force everywhere; it is not fetched again and again; any node tells why.
+/// A faulty text is published, then a valid one. The faulty text is rejected as a whole
+/// with the line of the fault, and the previous text stays in force everywhere. The
+/// faulty text is not read repeatedly, and every node reports the reason.
 #[test]
 fn a_text_with_a_fault_is_refused_whole() {
     let mut fleet = bangkok(6);
@@ -115,7 +114,7 @@
     assert!(fleet.all_at(5));
     for node in fleet.alive() {
         let status = node.control.status(fleet.now);
-        let refused = status.refused.expect("told on by heartbeats");
+        let refused = status.refused.expect("relayed by heartbeats");
         assert_eq!(refused.version, ConfigVersion(6));
         assert_eq!(refused.reason, "line 2 column 1: not a service");
         assert!(status.counters.texts_refused <= 1);
@@ -131,8 +130,8 @@
     format!("{TEXT}\nname:{}", "x".repeat(size_bytes))
 }
 
-/// A text of one megabyte whose bulk concerns every node goes by TCP; no
-/// datagram grows (the harness checks their length).
+/// A text of one megabyte, most of which concerns every node, is transferred over TCP. No
+/// datagram exceeds its limit (the harness checks the length).
 #[test]
 fn a_text_of_one_megabyte_is_sent_over_tcp() {
     let mut fleet = bangkok(7);
@@ -146,9 +145,9 @@
     }
 }
 
-/// A large text is edited every second. Readers would spend far more on
-/// reading than a node may spend on control, so each pauses after a read; they
-/// take turns, and edits are still in force within seconds.
+/// A large text is edited every second. Reading every version would exceed the traffic
+/// that a node may spend on control, so each reader pauses after a read. The readers take
+/// turns, and edits are still in force within seconds.
 #[test]
 fn readers_of_a_large_text_that_changes_often_take_turns() {
     let mut fleet = bangkok(13);
@@ -172,12 +171,12 @@
     let reads = fleet.platform.reads - before;
     println!("large text: {edits} edits in 60 s, {reads} reads by 6 readers, at worst {worst}");
     assert!(edits >= 15);
-    // A text each 5 s and reader, and two watches each 30 s and reader.
+    // One text per 5 s and reader, and two watches per 30 s and reader.
     assert!(reads <= 6 * (60 / 5 + 2 * 3));
 }
 
-/// Two edits in quick succession, the second before the first has spread.
-/// Everyone ends at the second, with its content, whichever came first.
+/// Two edits in quick succession, the second before the first has spread. Every node ends
+/// with the content of the second, regardless of which arrives first.
 #[test]
 fn after_two_quick_edits_the_second_is_in_force() {
     let mut fleet = bangkok(8);
@@ -199,11 +198,10 @@
     }
 }
 
-/// A node that skipped a version holds a slice that was changed and changed
-/// back. Told only which slices differ between the versions that a reader
-/// compared, it could believe its slice to be current. The random edits here
-/// are read by readers that miss some of them, over a lossy network; at the
-/// end every node must hold the content of the last text.
+/// A node that skipped a version has a slice that was changed and changed back. If it
+/// knew only which slices differ between the versions that a reader compared, it could
+/// consider its slice current. Readers miss some of the random edits here, over a lossy
+/// network. At the end every node must have the content of the last text.
 #[test]
 fn skipped_versions_leave_no_old_content_behind() {
     let mut fleet = bangkok(9);
@@ -233,8 +231,8 @@
     }
 }
 
-/// The readers of a data centre die. Others of it notice their silence, take
-/// over, and the next text is in force everywhere.
+/// The readers of every data centre die. Other nodes notice their silence and take over,
+/// and the next text is in force everywhere.
 #[test]
 fn readers_that_die_are_replaced() {
     let mut fleet = bangkok(10);
@@ -255,9 +253,10 @@
     fleet.run_until(Millis::from_secs(5), "version 6", |fleet| fleet.all_at(6));
 }
 
-/// Fourteen nodes start at once and each elects itself until it has heard of the
-/// others. Those that leave the rota again must not keep the platform's watches for
-/// the half minute that one lasts: the platform counts them as reads of its own.
+/// Fourteen nodes start at once, and each elects itself until it has received heartbeats
+/// from the others. Nodes that leave the rota again must not keep their watches on the
+/// platform open for the half minute that a watch lasts, because the platform counts them
+/// as reads.
 #[test]
 fn a_node_that_leaves_the_rota_cancels_its_watches() {
     for seed in 0..20 {
@@ -271,8 +270,8 @@
     }
 }
 
-/// All readers are cut from the platform, other nodes are not. The cut ones say
-/// so, others of each data centre take over, and edits are in force again.
+/// All readers are cut off from the platform, other nodes are not. The readers report the
+/// failure, other nodes of each data centre take over, and edits come into force again.
 #[test]
 fn failing_readers_are_replaced() {
     let mut fleet = bangkok(11);
@@ -298,8 +297,8 @@
     assert!(fleet.readers() <= 3 * 4);
 }
 
-/// A call asks an entry for a service that its node does not hold. The slices
-/// are fetched on demand, and let go after ten idle minutes.
+/// A call requests a service that its node does not track. The node fetches the slices on
+/// demand and drops them after ten idle minutes.
 #[test]
 fn a_service_requested_on_demand_is_fetched_and_dropped_when_idle() {
     let mut fleet = bangkok(12);
@@ -311,7 +310,7 @@
         let view = fleet.nodes[0].table.services.get(&service);
         view.is_some_and(|view| view.targets.len() == 3)
     });
-    println!("service on demand: held after {took}");
+    println!("service on demand: available after {took}");
     fleet.run(Millis::from_secs(11 * 60));
     assert!(!fleet.nodes[0].table.services.contains_key(&darkroom));
 }
--- a/crates/core/src/control/tests/figures.rs
+++ b/crates/core/src/control/tests/figures.rs
@@ -1,4 +1,4 @@
-//! Figures against the number of nodes; bounds in virtual time.
+//! Measurements for different numbers of nodes, with limits in virtual time.
 
 use super::harness::*;
 use crate::control::*;
@@ -6,19 +6,20 @@
 struct Figures {
     nodes: usize,
     cold_start: Millis,
-    /// The last node, and 98 of 100; then with a fifth of datagrams lost.
+    /// Time until an edit is in force on the last node and on 98% of the nodes; `lossy`
+    /// is with a fifth of the datagrams lost.
     in_force: Millis,
     in_force_p98: Millis,
     in_force_lossy: Millis,
     in_force_lossy_p98: Millis,
     readers: usize,
-    /// Nodes that hold the slice which is edited.
+    /// Nodes that have the edited slice.
     concerned: usize,
     reads_per_s: f64,
     datagrams_per_s: f64,
     bytes_per_s: f64,
     worst_bytes_per_s: f64,
-    /// With an edit every 1.4 s.
+    /// Bytes per second and node with an edit every 1.4 s.
     busy_bytes_per_s: f64,
     pulls_per_edit: f64,
 }
@@ -98,7 +99,7 @@
     }
 }
 
-/// The rate of 60,000 edits a day; gives bytes a second and node, and pulls an
+/// Edits at a rate of 60,000 per day. Returns bytes per second and node, and pulls per
 /// edit.
 fn edit_often(fleet: &mut Fleet, services: &[(&str, usize)]) -> (f64, f64) {
     let pulls = |fleet: &Fleet| -> u64 {
@@ -119,7 +120,8 @@
     (bytes_per_s, (after.1 - before.1) as f64 / edits as f64)
 }
 
-/// What a node holds is bounded by its service, its dependencies and constants.
+/// Checks that the state of a node is bounded by its service, its dependencies and
+/// constants.
 fn check_state(fleet: &Fleet) {
     for node in fleet.alive() {
         let status = node.control.status(fleet.now);
@@ -130,7 +132,7 @@
     }
 }
 
-/// Loads make every statement longer.
+/// Sets the load of every gate, which makes every statement longer.
 fn give_loads(fleet: &mut Fleet) {
     for index in 0..fleet.nodes.len() {
         let load = LoadReport {
@@ -146,7 +148,7 @@
     }
 }
 
-/// Times from publishing an edit to each node's having it in force.
+/// Returns, for each node, the time from publishing an edit until it is in force.
 fn edit(fleet: &mut Fleet, services: &[(&str, usize)], version: u64) -> Vec<Millis> {
     let rate = u32::try_from(version).expect("small");
     let published_at = fleet.now;
@@ -157,14 +159,14 @@
     let mut times = Vec::new();
     for node in fleet.alive() {
         let reached = node.reached.range(version..).next();
-        let (_, at) = reached.expect("all are there");
+        let (_, at) = reached.expect("every node has the version in force");
         times.push(at.since(published_at));
     }
     fleet.run(Millis(500));
     times
 }
 
-/// The time by which a share of all has happened.
+/// Returns the given percentile.
 fn quantile(times: &mut [Millis], percent: usize) -> Millis {
     times.sort();
     times[(times.len() - 1) * percent / 100]
@@ -191,18 +193,19 @@
         figures.pulls_per_edit,
     );
     assert!(figures.busy_bytes_per_s <= 16_000.0);
-    // One service is edited: its nodes, those of two that call it, and readers.
+    // One service is edited. This concerns its nodes, those of the two services that call
+    // it, and the readers.
     let concerned = figures.concerned + 2 * 2 * data_centres;
     assert!(figures.pulls_per_edit <= 2.0 * concerned as f64);
     assert!(figures.cold_start <= Millis::from_secs(8));
-    // Announcements miss about two nodes in a hundred, which hear by one of
+    // Announcements miss about two nodes in a hundred. These receive the news with one of
     // the next heartbeats.
     assert!(figures.in_force_p98 <= Millis(150));
     assert!(figures.in_force <= Millis::from_secs(3));
     assert!(figures.in_force_lossy_p98 <= Millis::from_secs(1));
     assert!(figures.in_force_lossy <= Millis::from_secs(4));
     assert!(figures.readers <= 2 * data_centres);
-    // Two watches a reader, each renewed every 30 s.
+    // Two watches per reader, each renewed every 30 s.
     assert!(figures.reads_per_s <= 2.0 * 2.0 * data_centres as f64 / 30.0 + 0.1);
     assert!(figures.datagrams_per_s <= 20.0);
     assert!(figures.bytes_per_s <= 16_000.0);
@@ -241,9 +244,9 @@
     report(&measure(&services, 6, Millis::from_secs(20)), 6);
 }
 
-/// Eighty nodes call a service of three. What each of the three receives does
-/// not follow the callers: nobody is sent 27 questions a second of which it
-/// answers three.
+/// Eighty nodes call a service of three. The datagrams that each of the three receives
+/// must not grow with the number of callers, which would mean 27 requests per second of
+/// which it answers three.
 #[test]
 fn a_shared_service_is_not_overloaded_by_its_callers() {
     let mut services = equal_services(8, 10);
--- a/crates/core/src/control/tests/harness.rs
+++ b/crates/core/src/control/tests/harness.rs
@@ -1,4 +1,4 @@
-//! A few nodes in virtual time, with a fake network and a fake platform.
+//! A fleet of nodes in virtual time, with a simulated network and platform.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -17,8 +17,8 @@
 const REFUSED_CONNECTION_AFTER: Millis = Millis(5);
 const CONNECT_TIMEOUT: Millis = Millis(1_000);
 
-/// Understands lines `service:dependency,dependency:probes_per_s` and
-/// `name:deployment`; a line `bad` is a fault.
+/// Parses lines of the form `service:dependency,dependency:probes_per_s` and
+/// `name:deployment`. A line `bad` is a fault.
 pub(super) struct LineChecker;
 
 impl TextChecker for LineChecker {
@@ -82,16 +82,17 @@
     }
 }
 
-/// How the network treats datagrams.
+/// Behaviour of the network for datagrams.
 pub(super) struct Network {
     pub(super) delay: (u64, u64),
     pub(super) loss: f64,
     pub(super) duplicates: f64,
-    /// Share of datagrams that arrive up to ten seconds late.
+    /// Share of datagrams that are delayed by up to ten seconds.
     pub(super) late: f64,
-    /// Nodes of different groups do not reach each other.
+    /// Nodes of different groups cannot reach each other. Nodes without an entry are in
+    /// group 0.
     pub(super) groups: BTreeMap<usize, u8>,
-    /// Nodes without these do not reach the platform.
+    /// These nodes cannot reach the platform.
     pub(super) cut_from_platform: BTreeSet<usize>,
 }
 
@@ -101,14 +102,14 @@
     pub(super) table: Arc<RouteTable>,
     pub(super) paused_until: Millis,
     pub(super) alive: bool,
-    /// Reached this version at that time.
+    /// Time at which each version came into force.
     pub(super) reached: BTreeMap<u64, Millis>,
 }
 
 enum Occurrence {
     Tick,
     Event(ControlEvent),
-    /// A bulk request with the asker.
+    /// A bulk request and the node that sent it.
     BulkRequested(usize, Vec<u8>),
 }
 
@@ -124,12 +125,15 @@
 }
 
 pub(super) fn address(index: usize, port: u16) -> SocketAddr {
-    let [high, low] = u16::try_from(index).expect("few nodes").to_be_bytes();
+    let [high, low] = u16::try_from(index)
+        .expect("an index that fits into 16 bits")
+        .to_be_bytes();
     SocketAddr::from(([10, 0, high, low], port))
 }
 
 impl Fleet {
-    /// Nodes of `(service, count)` spread over data centres; none started.
+    /// Creates a fleet with VMs for each `(service, count)`, spread over the data
+    /// centres. No node is started.
     pub(super) fn new(services: &[(&str, usize)], data_centres: usize, seed: u64) -> Self {
         let mut vms = Vec::new();
         for (service, count) in services {
@@ -178,7 +182,7 @@
         }
     }
 
-    /// Starts a node on a VM; gives its index.
+    /// Starts a node on a VM and returns its index.
     pub(super) fn start(&mut self, entry: &ListedVm) -> usize {
         self.incarnations_started += 1;
         let settings = ControlSettings {
@@ -240,8 +244,8 @@
         self.now = end;
     }
 
-    /// Runs until the condition holds; panics when it does not in time. Gives
-    /// the time that it took.
+    /// Runs until the condition holds and returns the elapsed time. Panics if the time
+    /// limit is exceeded.
     pub(super) fn run_until(
         &mut self,
         limit: Millis,
@@ -314,8 +318,8 @@
         }
     }
 
-    /// Hands an event to a node and carries out its actions; gives the answer
-    /// to a bulk request.
+    /// Passes an event to a node and executes its actions. Returns the answer to a bulk
+    /// request.
     fn handle(&mut self, index: usize, event: ControlEvent) -> Option<Vec<u8>> {
         let now = self.now;
         let actions = self.nodes[index].control.handle(event, now);
@@ -342,7 +346,7 @@
         answer
     }
 
-    /// The version in force never goes down, in any test.
+    /// Every test checks here that the version in force never decreases.
     fn take_table(&mut self, index: usize, table: Arc<RouteTable>) {
         let now = self.now;
         let node = &mut self.nodes[index];
@@ -412,17 +416,18 @@
     }
 }
 
-/// The print office: services with their upstreams.
+/// The services of the print office, with their numbers of VMs.
 pub(super) const BANGKOK: &[(&str, usize)] = &[
     ("layouts", 5),
     ("cashier", 3),
     ("darkroom", 3),
     ("ledger", 3),
 ];
-/// Its text: cashier and darkroom call ledger.
+/// The configuration text of the print office: cashier and darkroom call ledger.
 pub(super) const TEXT: &str = "layouts::2\ncashier:ledger:2\ndarkroom:ledger:2\nledger::2";
 
-/// Bangkok in three data centres, with version 5 in force everywhere.
+/// Creates the print office of Bangkok in three data centres, with version 5 in force
+/// everywhere.
 pub(super) fn bangkok(seed: u64) -> Fleet {
     let mut fleet = Fleet::new(BANGKOK, 3, seed);
     fleet.publish_text(5, TEXT);
--- a/crates/core/src/control/tests/harness/platform.rs
+++ b/crates/core/src/control/tests/harness/platform.rs
@@ -1,4 +1,4 @@
-//! The platform of a fleet: reads, and watches that wait for a newer value.
+//! The simulated platform of a fleet: reads, and watches that wait for a newer value.
 
 use std::sync::Arc;
 
@@ -9,7 +9,7 @@
 
 const PLATFORM_DELAY: Millis = Millis(5);
 
-/// What the platform serves and how.
+/// What the platform serves, and its state.
 pub(in crate::control::tests) struct Platform {
     pub(in crate::control::tests) text: Option<(u64, Arc<str>)>,
     pub(in crate::control::tests) list_version: u64,
@@ -56,7 +56,7 @@
         self.end_watches();
     }
 
-    /// Ends watches whose value has come.
+    /// Answers the watches for which a newer value exists.
     pub(super) fn wake_watches(&mut self) {
         for watch in std::mem::take(&mut self.platform.watches) {
             let is_cut = self.network.cut_from_platform.contains(&watch.node);
@@ -72,8 +72,8 @@
         }
     }
 
-    /// Ends watches whose time is over, and those that the platform cannot
-    /// answer.
+    /// Ends watches that have timed out, and fails those of nodes that cannot reach the
+    /// platform.
     pub(super) fn end_watches(&mut self) {
         let now = self.now;
         let is_quiet = !self.platform.down && self.network.cut_from_platform.is_empty();
@@ -98,14 +98,14 @@
         }
     }
 
-    /// A node gives up the reads that it has on their way.
+    /// Cancels the reads of a node.
     pub(super) fn cancel_reads(&mut self, node: usize) {
         let incarnation = self.nodes[node].settings.incarnation;
         let watches = &mut self.platform.watches;
         watches.retain(|watch| watch.node != node || watch.incarnation != incarnation);
     }
 
-    /// Watches of living nodes that the platform holds.
+    /// Returns the number of open watches of running nodes.
     pub(in crate::control::tests) fn watches(&self) -> usize {
         let watches = self.platform.watches.iter();
         watches.filter(|watch| self.nodes[watch.node].alive).count()
--- a/crates/core/src/control/tests/membership.rs
+++ b/crates/core/src/control/tests/membership.rs
@@ -1,4 +1,4 @@
-//! Failures around members, leaving, suspicion and probes.
+//! Tests of failures that concern members, leaving, suspicions and probes.
 
 use std::collections::BTreeMap;
 
@@ -20,9 +20,9 @@
     usable.count()
 }
 
-/// Data centres lose each other for ten minutes while one side gets new texts and
-/// a new VM list. Each part keeps all members, the far ones as doubtful; after
-/// healing everyone is at the newer text, and all are heard of again.
+/// Data centres are partitioned for ten minutes while one side receives a new text and a
+/// new VM list. Each side keeps all members and marks the remote ones as doubtful. After
+/// the partition has healed, every node has the newer text and no member is doubtful.
 #[test]
 fn a_partition_empties_no_service_and_heals() {
     let mut fleet = bangkok(20);
@@ -58,10 +58,10 @@
     }
 }
 
-/// A process is paused for two minutes. Meanwhile the text goes up twice and a
-/// member leaves and comes back as a new life. It wakes with a buffer full of
-/// old datagrams and old beliefs: nobody takes anything back because of it,
-/// and it is up to date within seconds.
+/// A process is paused for two minutes. Meanwhile, the text advances twice, and a member
+/// leaves and returns as a new incarnation. The process resumes with buffered old
+/// datagrams and outdated state. No node reverts anything because of it, and it is up to
+/// date within seconds.
 #[test]
 fn a_paused_node_that_resumes_reverts_nothing() {
     let mut fleet = bangkok(21);
@@ -80,7 +80,7 @@
         fleet.all_at(7)
     });
     let took = took.minus(Millis::from_secs(10));
-    println!("paused node: up to date {took} after it woke");
+    println!("paused node: up to date {took} after it resumed");
     assert!(took <= Millis::from_secs(2));
     fleet.run(Millis::from_secs(3));
     for index in [5, paused] {
@@ -90,9 +90,9 @@
     }
 }
 
-/// A process is paused while its VM is replaced by a later life at another
-/// address, and wakes after half a minute. What it sends is dropped as stale;
-/// it is told of the later life and takes no new work from then on.
+/// A process is paused while its VM is replaced by a later incarnation at another
+/// address, and resumes after half a minute. Its messages are dropped as stale. It is
+/// informed of the later incarnation and accepts no new work from then on.
 #[test]
 fn an_earlier_incarnation_that_resumes_is_ignored_and_notified() {
     let mut fleet = bangkok(22);
@@ -103,10 +103,12 @@
     let new = fleet.start(&entry);
     let incarnation = fleet.nodes[new].settings.incarnation;
     fleet.run(Millis::from_secs(30));
-    let took = fleet.run_until(Millis::from_secs(4), "the old life to know", |fleet| {
-        fleet.status(6).superseded
-    });
-    println!("earlier life: told {took} after it woke");
+    let took = fleet.run_until(
+        Millis::from_secs(4),
+        "the earlier incarnation to be informed",
+        |fleet| fleet.status(6).superseded,
+    );
+    println!("earlier incarnation: informed {took} after it resumed");
     assert!(fleet.nodes[6].table.leaving);
     for _ in 0..100 {
         fleet.run(TICK);
@@ -122,9 +124,9 @@
     assert!(stale > 0);
 }
 
-/// A VM is replaced by another VM, of another name and service, on the same
-/// address, while the list lags. The old name stops being a target as soon as
-/// the new one is heard there, before the list says so.
+/// A VM is replaced by another VM, with another name and service, at the same address,
+/// while the list lags. The old VM stops being a target as soon as the new one is seen at
+/// this address, before the list contains it.
 #[test]
 fn another_vm_on_the_same_address_replaces_the_old_name() {
     let mut fleet = bangkok(23);
@@ -137,16 +139,16 @@
         let is_new = target(fleet, 5, "cashier", &entry.vm).is_some();
         is_new && target(fleet, 5, "cashier", &old.vm).is_none()
     });
-    println!("same address: renamed after {took}");
+    println!("same address: replaced after {took}");
     fleet.publish_vms(|vms| vms[6] = entry.clone());
     fleet.run(Millis::from_secs(15));
     assert_eq!(usable(&fleet, 5, "cashier"), 3);
     assert_eq!(usable(&fleet, 11, "ledger"), 3);
 }
 
-/// A member dies. Silence makes it doubtful, but the list still names it, so
-/// it stays; a newer list without it lets it go. A list that drops a member
-/// which is alive changes nothing.
+/// A member dies. Silence makes it doubtful, but it stays while the list contains it. It
+/// is removed with a newer list that omits it. A list that omits a live member removes
+/// nothing.
 #[test]
 fn only_a_newer_list_and_silence_together_remove_a_member() {
     let mut fleet = bangkok(24);
@@ -162,15 +164,15 @@
     let took = fleet.run_until(Millis::from_secs(5), "removal", |fleet| {
         target(fleet, 5, "cashier", &dead).is_none()
     });
-    println!("gone: removed {took} after the list");
+    println!("dead member: removed {took} after the list");
     fleet.run(Millis::from_secs(30));
     let seen = target(&fleet, 5, "cashier", &alive).expect("alive");
     assert!(!seen.doubtful);
 }
 
-/// The platform calls a VM leaving before its process knows. All nodes follow
-/// the list, the process takes it as an order, and a new life of the VM that
-/// is heard live is a target again although the list still says leaving.
+/// The platform marks a VM as leaving before its process knows. All nodes follow the
+/// list, and the process starts leaving. A new incarnation of the VM that reports itself
+/// live is a target again, although the list still marks the VM as leaving.
 #[test]
 fn a_new_incarnation_is_live_although_the_list_marks_the_vm_as_leaving() {
     let mut fleet = bangkok(25);
@@ -184,12 +186,12 @@
     fleet.kill(6);
     let entry = fleet.platform.vms[6].clone();
     fleet.start(&entry);
-    fleet.run_until(Millis::from_secs(5), "the new life", |fleet| {
+    fleet.run_until(Millis::from_secs(5), "the new incarnation", |fleet| {
         target(fleet, 5, "cashier", &vm).is_some_and(|target| !target.leaving)
     });
 }
 
-/// A gate leaves. Those that lately sent work to it know at once.
+/// A gate leaves. Nodes that recently sent work to it learn of it at once.
 #[test]
 fn leaving_is_announced_at_once_to_senders_and_the_service() {
     let mut fleet = bangkok(26);
@@ -205,8 +207,8 @@
     println!("leaving: known to sender and service after {took}");
 }
 
-/// A gate leaves and every announcement is lost, as is half of all other
-/// datagrams. The word still comes with heartbeats within a few seconds.
+/// A gate leaves, and all announcements and half of the other datagrams are lost.
+/// Heartbeats still spread the leaving state within a few seconds.
 #[test]
 fn leaving_is_known_by_heartbeats_when_announcements_are_lost() {
     let mut worst = Millis::ZERO;
@@ -227,8 +229,8 @@
     println!("leaving by heartbeats alone, half of them lost: at worst {worst}");
 }
 
-/// A target drains and comes back: its word is taken back by itself, and an
-/// old datagram from before cannot bring it back once more.
+/// A target drains and becomes available again. Its own later statement reverts the
+/// leaving state, and a late datagram cannot restore the earlier state.
 #[test]
 fn draining_ends_only_by_a_later_statement() {
     let mut fleet = bangkok(27);
@@ -250,8 +252,8 @@
     }
 }
 
-/// A request crashes one gate of a service; its caller sends it again to
-/// another. The others must know first.
+/// A request crashes one gate of a service, and its caller sends it again to another
+/// gate. The other gates must know of the suspicion first.
 #[test]
 fn suspicion_reaches_the_service_at_once() {
     let mut fleet = bangkok(28);
@@ -273,8 +275,8 @@
     }
 }
 
-/// Every member of a service falls silent while it is sent to. Probes stay
-/// within the budget of the text: burst plus rate times time.
+/// Every member of a service falls silent while calls are sent to it. Probes stay within
+/// the budget of the text: burst plus rate times time.
 #[test]
 fn probes_stay_within_the_budget() {
     let mut fleet = bangkok(29);
@@ -290,11 +292,11 @@
     let sent = fleet.status(5).counters.probes_sent;
     println!("probes: {sent} in {seconds} s of silence, budget 2 a second");
     assert!(sent > 0 && sent <= 4 + 2 * seconds);
-    // Three gates, each at most every three seconds.
+    // Three gates, each probed at most every three seconds.
     assert!(sent <= seconds + 3);
 }
 
-/// While gates are heard of, no probe is sent at all.
+/// No probe is sent while load reports of the gates arrive.
 #[test]
 fn gates_with_recent_reports_are_not_probed() {
     let mut fleet = bangkok(30);
--- a/crates/core/src/control/tests/properties.rs
+++ b/crates/core/src/control/tests/properties.rs
@@ -1,4 +1,4 @@
-//! Properties over arbitrary inputs.
+//! Property tests with arbitrary inputs.
 
 use std::sync::Arc;
 
@@ -13,7 +13,7 @@
 use super::harness::*;
 use crate::control::*;
 
-/// Every run tries the same cases, so that it gives the same verdict.
+/// Fixed seed: every run tests the same cases, so its result is reproducible.
 const SEED: u64 = 20_261;
 
 fn node() -> Control {
@@ -54,7 +54,7 @@
     }
 }
 
-/// Hands in one offer; a peer that is asked by bulk holds `pulled`.
+/// Applies one offer to the node.
 fn take(node: &mut Control, offer: &Offer, now: Millis) -> Vec<ControlAction> {
     match offer {
         Offer::Platform(version, good) => node.handle(
@@ -89,7 +89,7 @@
     }
 }
 
-/// Answers whatever the node asks next, with a version of the peer's own.
+/// Answers the node's next bulk requests from a peer at the given version.
 fn pull(node: &mut Control, version: u64, now: Millis) -> Vec<ControlAction> {
     let mut peer = node_with(version);
     let mut published = Vec::new();
@@ -141,7 +141,8 @@
     }
 }
 
-/// What a hostile or broken build might put into a well-formed heartbeat.
+/// Heartbeats that are well formed but contain values that only a hostile or broken build
+/// would send.
 fn heartbeat() -> impl Strategy<Value = Datagram> {
     let numbers = prop::collection::vec(any::<u64>(), 8);
     (numbers, any::<bool>(), ".{0,12}").prop_map(|(n, flag, name)| {
@@ -191,8 +192,8 @@
         ..ProptestConfig::default()
     })]
 
-    /// Whoever offers what in whatever order, the version in force only rises,
-    /// and a faulty text is never in force.
+    /// The version in force only increases, for any offers in any order, and a faulty
+    /// text never comes into force.
     #[test]
     fn the_version_in_force_never_goes_down(offers in prop::collection::vec(offer(), 1..40)) {
         let mut node = node();
@@ -212,7 +213,7 @@
         }
     }
 
-    /// Bytes from anywhere are dropped and counted, never a panic.
+    /// Arbitrary bytes are dropped and counted and never cause a panic.
     #[test]
     fn arbitrary_bytes_never_panic(
         datagrams in prop::collection::vec(prop::collection::vec(any::<u8>(), 0..1_300), 1..20),
@@ -235,7 +236,7 @@
         }
     }
 
-    /// Well-formed messages with absurd numbers do no harm either.
+    /// Well-formed messages with extreme numbers cause no panic either.
     #[test]
     fn absurd_numbers_never_panic(datagrams in prop::collection::vec(heartbeat(), 1..30)) {
         let mut node = node_with(3);
--- a/crates/wire/src/control.rs
+++ b/crates/wire/src/control.rs
@@ -1,9 +1,9 @@
-//! Control messages between nodes: datagrams over UDP, bulk over TCP.
+//! Control messages between nodes: datagrams over UDP and bulk messages over TCP.
 //!
-//! Every message starts with a format version and names its sender with the
-//! sender's incarnation, so that a message of another build is refused before
-//! it is decoded, and one of an earlier life is recognised. A datagram never
-//! exceeds [`MAX_DATAGRAM_BYTES`]; what does not fit goes by bulk.
+//! Every message starts with a format version and contains its sender with the sender's
+//! incarnation. Messages in another format are thus rejected before they are decoded, and
+//! messages from an earlier incarnation can be detected. A datagram never exceeds
+//! [`MAX_DATAGRAM_BYTES`]; larger data is sent as a bulk message.
 
 mod bulk;
 mod codec;
--- a/crates/wire/src/control/bulk.rs
+++ b/crates/wire/src/control/bulk.rs
@@ -1,4 +1,4 @@
-//! Control messages over TCP: slices of the configuration and the VM list.
+//! Control messages over TCP: slices of the configuration and of the VM list.
 
 use std::net::SocketAddr;
 
@@ -12,20 +12,20 @@
 use super::member::MemberNote;
 use crate::error::WireError;
 
-/// Who sent a bulk message.
+/// The sender of a bulk message.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Sender {
     /// The VM of the sender.
     pub vm: VmId,
-    /// Its life.
+    /// Its incarnation.
     pub incarnation: Incarnation,
-    /// Where it stands.
+    /// Its data centre.
     pub data_centre: DataCentre,
     /// Its address for control messages.
     pub control: SocketAddr,
 }
 
-/// One part of a document; a node holds only the parts that it needs.
+/// Name of one part of a document. A node stores only the parts that it needs.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum SliceName {
     /// Configuration: the deployment-wide policy.
@@ -38,60 +38,61 @@
     Members(ServiceName),
 }
 
-/// A slice that the asker holds or wants.
+/// A slice that the requesting node has or wants.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SliceClaim {
-    /// Which slice.
+    /// Name of the slice.
     pub name: SliceName,
-    /// Digest of the content held; `None` when none is.
+    /// Digest of the requesting node's content, or `None` if it has none.
     pub digest: Option<u64>,
 }
 
-/// What a node asks about one document.
+/// The part of a bulk request that concerns one document.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DocumentRequest {
-    /// Version held; zero for none.
+    /// Version at the requesting node, or zero for none.
     pub version: u64,
-    /// Slices held or wanted.
+    /// Slices that the requesting node has or wants.
     pub claims: Vec<SliceClaim>,
-    /// Slices that are not claimed are wanted as well.
+    /// Slices without a claim are wanted as well.
     pub everything: bool,
 }
 
-/// Asks a peer for what changed.
+/// Requests what has changed from a peer.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BulkRequest {
-    /// Who asks.
+    /// The requesting node.
     pub from: Sender,
-    /// About the configuration.
+    /// Request for the configuration.
     pub text: DocumentRequest,
-    /// About the VM list.
+    /// Request for the VM list.
     pub vms: DocumentRequest,
 }
 
 /// The content of one slice, encoded by `postcard`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SliceBytes {
-    /// Which slice.
+    /// Name of the slice.
     pub name: SliceName,
-    /// Its content.
+    /// Content of the slice.
     pub bytes: Vec<u8>,
 }
 
-/// What a peer answers about one document.
+/// The part of a bulk answer that concerns one document.
 ///
 /// A claimed slice that is in none of the three lists is unchanged.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DocumentReply {
-    /// Version at the answerer, to which all content belongs.
+    /// Version at the answering node, to which all content belongs.
     pub version: u64,
-    /// Slices that differ from what was claimed.
+    /// Slices that differ from the claims.
     pub slices: Vec<SliceBytes>,
     /// Slices that do not exist at this version.
     pub gone: Vec<SliceName>,
-    /// Slices that the answerer does not hold.
+    /// Slices that the answering node does not have.
     pub missing: Vec<SliceName>,
-    /// The answer, with what the asker holds, is the whole document.
+    /// The answer, together with the slices of the requesting node, forms the whole
+    /// document.
     pub whole: bool,
     /// Latest changes, oldest first.
     pub notes: Vec<ChangeNote>,
@@ -100,26 +101,27 @@
 /// Answers a [`BulkRequest`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BulkAnswer {
-    /// Who answers.
+    /// The answering node.
     pub from: Sender,
-    /// What the answerer holds.
+    /// Versions at the answering node.
     pub known: KnownVersions,
-    /// About the configuration.
+    /// Answer for the configuration.
     pub text: DocumentReply,
-    /// About the VM list.
+    /// Answer for the VM list.
     pub vms: DocumentReply,
-    /// Best reader candidates of the answerer's data centre.
+    /// Best reader candidates of the answering node's data centre. Empty if the
+    /// requesting node is in another one.
     pub readers: Vec<ReaderNote>,
-    /// A text that was refused and is newer than the one in force.
+    /// A rejected text that is newer than the one in force.
     pub refused: Option<RefusedNote>,
-    /// Some members, so that a new node knows peers beyond its service.
+    /// Some members, so that a joining node knows peers beyond its service.
     pub members: Vec<MemberNote>,
 }
 
-/// Digest by which two nodes compare the content of a slice.
+/// Returns the digest by which two nodes compare the content of a slice.
 ///
-/// Contents are compared and not the versions at which they changed, because
-/// two nodes that skipped different versions disagree about the latter.
+/// Nodes compare contents instead of the versions of the last change, because two nodes
+/// that skipped different versions disagree about the latter.
 #[must_use]
 pub fn digest_of(bytes: &[u8]) -> u64 {
     xxh3_64(bytes)
@@ -131,16 +133,16 @@
     postcard::to_stdvec(content).expect("no slice has a field that cannot be encoded")
 }
 
-/// Decodes the content of a slice; `None` when it is malformed.
+/// Decodes the content of a slice. Returns `None` if it is malformed.
 #[must_use]
 pub fn decode_slice<T: DeserializeOwned>(bytes: &[u8]) -> Option<T> {
     postcard::from_bytes(bytes).ok()
 }
 
 impl SliceName {
-    /// Short form of the name for change notes.
+    /// Returns a hash that identifies the name in change notes.
     ///
-    /// Two names that collide only cost a needless request to a peer.
+    /// A collision of two names costs only an unnecessary request to a peer.
     #[must_use]
     pub fn hash(&self) -> u64 {
         let (kind, name) = match self {
@@ -160,11 +162,12 @@
         codec::encode(self)
     }
 
-    /// Reads a request.
+    /// Decodes a request.
     ///
     /// # Errors
     ///
-    /// One that is too long, of another format or malformed is refused.
+    /// Returns an error if the message is too long, has another format version, or is
+    /// malformed.
     pub fn decode(bytes: &[u8]) -> Result<Self, WireError> {
         codec::decode(bytes, MAX_BULK_BYTES, "bulk request")
     }
@@ -177,11 +180,12 @@
         codec::encode(self)
     }
 
-    /// Reads an answer.
+    /// Decodes an answer.
     ///
     /// # Errors
     ///
-    /// One that is too long, of another format or malformed is refused.
+    /// Returns an error if the message is too long, has another format version, or is
+    /// malformed.
     pub fn decode(bytes: &[u8]) -> Result<Self, WireError> {
         codec::decode(bytes, MAX_BULK_BYTES, "bulk answer")
     }
--- a/crates/wire/src/control/codec.rs
+++ b/crates/wire/src/control/codec.rs
@@ -1,4 +1,4 @@
-//! Framing that all control messages share.
+//! Framing of all control messages.
 
 use std::fmt;
 
@@ -7,21 +7,22 @@
 
 use crate::error::WireError;
 
-/// First byte of every control message of this build.
+/// Format version, the first byte of every control message.
 pub const FORMAT_VERSION: u8 = 1;
-/// Longest datagram: passes every usual path in one packet.
+/// Maximum length of a datagram. It fits into one packet on all common network paths.
 pub const MAX_DATAGRAM_BYTES: usize = 1_200;
-/// Longest bulk message: a text of one megabyte and a list of 16,000 VMs fit.
+/// Maximum length of a bulk message. It is sufficient for a text of one megabyte and a
+/// list of 16,000 VMs.
 pub const MAX_BULK_BYTES: usize = 8 * 1_024 * 1_024;
 
-/// Writes the format version and the message.
+/// Encodes the format version and the message.
 pub(super) fn encode<T: Serialize>(message: &T) -> Vec<u8> {
     let bytes = vec![FORMAT_VERSION];
     postcard::to_extend(message, bytes)
         .expect("a control message has no field that cannot be encoded")
 }
 
-/// Reads a message after its length and format version were checked.
+/// Checks length and format version, then decodes the message.
 pub(super) fn decode<T: DeserializeOwned>(
     bytes: &[u8],
     limit_bytes: usize,
--- a/crates/wire/src/control/datagram.rs
+++ b/crates/wire/src/control/datagram.rs
@@ -12,33 +12,33 @@
 /// One control message over UDP.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Datagram {
-    /// The sender, with its incarnation.
+    /// The sender with its incarnation.
     pub from: MemberDigest,
-    /// What the sender holds.
+    /// Document versions at the sender.
     pub known: KnownVersions,
     /// The message itself.
     pub body: DatagramBody,
 }
 
-/// What a node holds of the two documents that the platform publishes.
+/// Versions that a node has of the two documents published by the platform.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KnownVersions {
-    /// Configuration in force; zero for none.
+    /// Configuration in force, or zero for none.
     pub text: ConfigVersion,
-    /// VM list; zero for none.
+    /// VM list, or zero for none.
     pub vms: ListVersion,
-    /// Every slice of the configuration is held.
+    /// The node has every slice of the configuration.
     pub text_whole: bool,
-    /// Every slice of the VM list is held.
+    /// The node has every slice of the VM list.
     pub vms_whole: bool,
 }
 
 /// The kinds of control message.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum DatagramBody {
-    /// Sent regularly to a constant number of peers.
+    /// Sent periodically to a constant number of peers.
     Heartbeat(Heartbeat),
-    /// Sent at once when a newer version is held than before.
+    /// Sent at once when the sender has advanced to a newer version.
     Announce {
         /// Latest changes of the configuration, oldest first.
         text_notes: Vec<ChangeNote>,
@@ -47,107 +47,109 @@
     },
     /// Sent at once when the sender starts to leave.
     Leaving,
-    /// Asks a gate how it is.
+    /// Requests the state of a gate.
     Probe {
         /// Returned with the reply.
         nonce: u64,
     },
-    /// The answer to [`DatagramBody::Probe`]; the load is in `from`.
+    /// The reply to [`DatagramBody::Probe`]. The load is in `from`.
     ProbeReply {
-        /// As it stood in the probe.
+        /// The nonce of the probe.
         nonce: u64,
     },
-    /// Sent at once when a request is suspected.
+    /// Sent at once when a request is suspected of crashing targets.
     Suspicion {
-        /// What is held against requests.
+        /// Suspected requests.
         suspects: Vec<SuspectNote>,
     },
 }
 
-/// The regular exchange of what is known.
+/// The periodic exchange of state.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Heartbeat {
-    /// The receiver is asked to answer with a heartbeat of its own.
+    /// The recipient is asked to reply with a heartbeat.
     pub wants_reply: bool,
     /// Latest changes of the configuration, oldest first.
     pub text_notes: Vec<ChangeNote>,
     /// Latest changes of the VM list, oldest first.
     pub vms_notes: Vec<ChangeNote>,
-    /// Best reader candidates of the sender's data centre.
+    /// Best reader candidates of the sender's data centre. Empty if the recipient is in
+    /// another one.
     pub readers: Vec<ReaderNote>,
-    /// Requests suspected lately.
+    /// Recently suspected requests.
     pub suspects: Vec<SuspectNote>,
-    /// A text that was refused and is newer than the one in force.
+    /// A rejected text that is newer than the one in force.
     pub refused: Option<RefusedNote>,
-    /// Members that the receiver may care about.
+    /// Members that may be relevant to the recipient.
     pub members: Vec<MemberNote>,
 }
 
-/// What changed between two versions of a document.
+/// The difference between two versions of a document.
 ///
-/// A node that is at exactly `previous` and holds none of the changed slices
-/// is at `version` by this note alone. At any other version the note proves
-/// nothing: a slice may have changed and changed back in between.
+/// A node at exactly `previous` that has none of the changed slices can advance to
+/// `version` by this note alone. At any other version the note must not be applied,
+/// because a slice may have changed and changed back in between.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ChangeNote {
     /// The later version.
     pub version: u64,
-    /// The version that it was compared with.
+    /// The version with which it was compared.
     pub previous: u64,
-    /// Hashes of the names of slices that differ; see `SliceName::hash`.
+    /// Hashes of the names of the changed slices; see `SliceName::hash`.
     pub changed: Vec<u64>,
 }
 
-/// A candidate for reading the platform, as a data centre's nodes tell it on.
+/// A candidate for reading the platform, as relayed between the nodes of a data centre.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReaderNote {
-    /// The candidate.
+    /// The VM of the candidate.
     pub vm: VmId,
     /// Its address for control messages.
     pub control: SocketAddr,
-    /// Its life.
+    /// Its incarnation.
     pub incarnation: Incarnation,
-    /// Its own clock at the statement; later statements win.
+    /// The candidate's own clock at the time of the statement. Later statements take
+    /// precedence.
     pub clock_ms: Millis,
-    /// How long ago the statement was made.
+    /// Age of the statement.
     pub age_ms: Millis,
-    /// It reads the platform at present.
+    /// The candidate currently reads the platform.
     pub reading: bool,
-    /// Its reads fail or bring stale versions.
+    /// Its reads fail or return stale versions, or it is leaving.
     pub failing: bool,
-    /// It holds every slice of the configuration and the VM list.
+    /// It has every slice of the configuration and the VM list.
     pub whole: bool,
 }
 
-/// A text that was refused.
+/// A rejected text.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RefusedNote {
-    /// Version of the refused text.
+    /// Version of the rejected text.
     pub version: ConfigVersion,
-    /// The reason with line and column, cut to [`RefusedNote::MAX_REASON_BYTES`].
+    /// The reason with line and column, truncated to [`RefusedNote::MAX_REASON_BYTES`].
     pub reason: String,
 }
 
-/// What is held against a request, as told on.
+/// A suspicion against a request, as relayed between nodes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SuspectNote {
     /// Fingerprint of the request.
     pub fingerprint: u64,
-    /// Count of observations that led here; more of them win.
+    /// Number of observations behind this entry. The higher number takes precedence.
     pub version: u32,
     /// 0 clear, 1 suspect, 2 convicted.
     pub standing: u8,
-    /// Crashes since it was last cleared.
+    /// Crashes since the request was last cleared.
     pub crashes: u8,
-    /// How long ago this was found.
+    /// Age of the entry.
     pub age_ms: Millis,
 }
 
 impl RefusedNote {
-    /// Longest reason in a datagram.
+    /// Maximum length of the reason in a datagram.
     pub const MAX_REASON_BYTES: usize = 160;
 
-    /// Cuts the reason to what a datagram carries.
+    /// Creates a note and truncates the reason to its maximum length.
     #[must_use]
     pub fn new(version: ConfigVersion, reason: &str) -> Self {
         let mut end = reason.len().min(Self::MAX_REASON_BYTES);
@@ -162,10 +164,10 @@
 }
 
 impl Datagram {
-    /// Encodes, leaving out members and then notes that do not fit.
+    /// Encodes the datagram. If it is too long, members are dropped first and then notes.
     ///
-    /// Names in settings are short, so that a datagram without its lists always
-    /// fits; should one not, it is still sent and refused by its receiver.
+    /// Names in settings are short, so a datagram with empty lists always fits. If one
+    /// does not fit, it is sent nevertheless and its recipient rejects it.
     #[must_use]
     pub fn encode(mut self) -> Vec<u8> {
         loop {
@@ -176,16 +178,17 @@
         }
     }
 
-    /// Reads a datagram.
+    /// Decodes a datagram.
     ///
     /// # Errors
     ///
-    /// One that is too long, of another format or malformed is refused.
+    /// Returns an error if the message is too long, has another format version, or is
+    /// malformed.
     pub fn decode(bytes: &[u8]) -> Result<Self, WireError> {
         codec::decode(bytes, MAX_DATAGRAM_BYTES, "datagram")
     }
 
-    /// Drops the least important item; false when nothing is left to drop.
+    /// Drops the least important item. Returns false if there is nothing left to drop.
     fn shorten(&mut self) -> bool {
         match &mut self.body {
             DatagramBody::Heartbeat(heartbeat) => heartbeat.shorten(),
--- a/crates/wire/src/control/member.rs
+++ b/crates/wire/src/control/member.rs
@@ -1,4 +1,4 @@
-//! What nodes tell about themselves and each other, and what the VM list says.
+//! Statements of nodes about themselves and each other, and the entries of the VM list.
 
 use std::net::SocketAddr;
 
@@ -7,23 +7,23 @@
 
 use crate::load::LoadReport;
 
-/// The platform's version number of the VM list; it only goes up.
+/// The platform's version number of the VM list. It only increases.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 #[serde(transparent)]
 pub struct ListVersion(pub u64);
 
-/// One line of the platform's VM list.
+/// One entry of the platform's VM list.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ListedVm {
     /// The VM.
     pub vm: VmId,
-    /// Where it stands.
+    /// The data centre of the VM.
     pub data_centre: DataCentre,
     /// The service of its target.
     pub service: ServiceName,
-    /// The platform is taking it away.
+    /// The platform is removing the VM.
     pub leaving: bool,
     /// TCP address for HTTP/2 between nodes.
     pub peer: SocketAddr,
@@ -36,53 +36,55 @@
 pub struct LoadDigest {
     /// Calls running in the target.
     pub in_flight: u32,
-    /// Calls waiting in the gate.
+    /// Calls queued in the gate.
     pub queued: u32,
-    /// The gate's present concurrency limit.
+    /// The current concurrency limit of the gate.
     pub limit: u32,
     /// Smoothed service time of the target in microseconds.
     pub service_time_us: u32,
-    /// The gate's clock at the report.
+    /// The gate's clock at the time of the report.
     pub gate_clock_ms: Millis,
 }
 
-/// What a node states about itself; passed on by others unchanged.
+/// A node's statement about itself, which others relay unchanged.
 ///
-/// Two statements of one VM are ordered by incarnation, then by clock: a
-/// repeated or late one can never undo a newer one.
+/// Two statements of one VM are ordered by incarnation and then by clock, so a repeated
+/// or late statement never reverts a newer one.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberDigest {
     /// The VM of the node.
     pub vm: VmId,
-    /// The service of its own target.
+    /// The service of its target.
     pub service: ServiceName,
-    /// Where it stands.
+    /// The data centre of the node.
     pub data_centre: DataCentre,
     /// TCP address for HTTP/2 between nodes.
     pub peer: SocketAddr,
     /// UDP and bulk TCP address for control messages.
     pub control: SocketAddr,
-    /// The life of the node.
+    /// The incarnation of the node.
     pub incarnation: Incarnation,
-    /// The node's own clock at this statement; its heartbeat counter.
+    /// The node's own clock at the time of the statement, which serves as its heartbeat
+    /// counter.
     pub clock_ms: Millis,
-    /// The node or its target takes no new work.
+    /// The node or its target accepts no new work.
     pub leaving: bool,
-    /// Its gate's load, once the gate has reported.
+    /// The load of its gate, once the gate has reported it.
     pub load: Option<LoadDigest>,
 }
 
-/// A statement of one node as passed on by another.
+/// A statement of one node, relayed by another.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberNote {
     /// The statement.
     pub digest: MemberDigest,
-    /// How long ago it was made, as far as the teller knows.
+    /// Age of the statement as known to the relaying node.
     pub age_ms: Millis,
 }
 
 impl LoadDigest {
-    /// Leaves out what the member digest says already.
+    /// Returns the digest of a report, without the fields that the member digest already
+    /// contains.
     #[must_use]
     pub const fn of(report: &LoadReport) -> Self {
         Self {
@@ -96,7 +98,7 @@
 }
 
 impl MemberDigest {
-    /// The gate's load report, made whole again.
+    /// Returns the complete load report of the gate.
     #[must_use]
     pub fn load_report(&self) -> Option<LoadReport> {
         let load = self.load?;
--- a/crates/wire/src/control/tests.rs
+++ b/crates/wire/src/control/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of control messages on the wire.
+//! Tests of the encoding of control messages.
 
 use std::net::SocketAddr;
 
@@ -8,7 +8,7 @@
 use crate::error::WireError;
 use crate::load::LoadReport;
 
-/// Names as long as operators are likely to choose, numbers at their largest.
+/// Names as long as operators are likely to choose, and the largest numbers.
 fn large_digest() -> MemberDigest {
     MemberDigest {
         vm: VmId::new(&"v".repeat(40)),
@@ -86,9 +86,9 @@
     assert!(bytes.len() <= MAX_DATAGRAM_BYTES, "{}", bytes.len());
     let read = Datagram::decode(&bytes).expect("still a heartbeat");
     let DatagramBody::Heartbeat(heartbeat) = read.body else {
-        panic!("another kind: {read:?}");
+        panic!("unexpected kind of message: {read:?}");
     };
-    // Members go first, what concerns safety last.
+    // Members are dropped first, safety-relevant items last.
     assert!(heartbeat.members.is_empty());
     assert_eq!(heartbeat.readers.len(), 5);
 }
--- a/crates/wire/src/prelude.rs
+++ b/crates/wire/src/prelude.rs
@@ -1,4 +1,4 @@
-//! The types that modules which speak to other nodes need.
+//! Common types of the modules that communicate with other nodes.
 
 pub use crate::error::WireError;
 pub use crate::load::LoadReport;
--- a/crates/wire/src/ticket.rs
+++ b/crates/wire/src/ticket.rs
@@ -10,24 +10,24 @@
 
 use crate::error::WireError;
 
-/// Longest ticket in its text form.
+/// Maximum length of a ticket in text form.
 pub const MAX_TICKET_CHARS: usize = 512;
 
 const FORMAT_VERSION: u8 = 1;
 const CHECKSUM_BYTES: usize = 4;
 
-/// Names the only life of the only gate that may run a request.
+/// Identifies the only gate, and the only incarnation of it, that may run a request.
 ///
-/// Any node that knows the gate can write one, because a ticket grants nothing
-/// by itself: the gate's records decide. `expires_at` is in the gate's own
-/// clock, as the writer last heard it, so no two clocks need to agree.
+/// Any node that knows the gate can issue a ticket, because a ticket grants nothing by
+/// itself: the records of the gate decide. `expires_at` is in the gate's clock, as last
+/// known to the issuer, so clocks need not be synchronised.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Ticket {
-    /// The service that the call is for.
+    /// The service of the call.
     pub service: ServiceName,
     /// The VM of the gate.
     pub gate: VmId,
-    /// The life of the gate.
+    /// The incarnation of the gate.
     pub incarnation: Incarnation,
     /// Identity of the request.
     pub key: CallKey,
@@ -36,7 +36,7 @@
 }
 
 impl Ticket {
-    /// Writes the ticket in a form that is safe in URLs and headers.
+    /// Encodes the ticket in a form that is safe in URLs and headers.
     #[must_use]
     pub fn encode(&self) -> String {
         let mut bytes = vec![FORMAT_VERSION];
@@ -47,12 +47,12 @@
         URL_SAFE_NO_PAD.encode(bytes)
     }
 
-    /// Reads a ticket.
+    /// Decodes a ticket.
     ///
     /// # Errors
     ///
-    /// A text that is too long, of another format, or damaged on the way is
-    /// refused; the checksum keeps a mistyped ticket from naming another key.
+    /// Returns an error if the text is too long, has another format version, or is
+    /// corrupted. The checksum prevents a mistyped ticket from identifying another key.
     pub fn decode(text: &str) -> Result<Self, WireError> {
         if text.len() > MAX_TICKET_CHARS {
             return Err(WireError::TooLong {
