--- a/crates/core/src/control/dissemination/tests.rs
+++ b/crates/core/src/control/dissemination/tests.rs
@@ -26,7 +26,7 @@
 }
 
 /// A datagram of a node at version 2 with either all slices or only its own.
-fn news_from(host: u8, service: &str, is_whole: bool) -> Datagram {
+fn datagram_from(host: u8, service: &str, is_whole: bool) -> Datagram {
     Datagram {
         from: MemberDigest {
             vm: VmId::new(&format!("vm-{host}")),
@@ -69,10 +69,10 @@
     assert!(board.text.replace(1, slices()));
     board
         .holders
-        .note_datagram(&news_from(2, "ledger", false), NOW);
+        .note_datagram(&datagram_from(2, "ledger", false), NOW);
     board
         .holders
-        .note_datagram(&news_from(3, "darkroom", true), NOW);
+        .note_datagram(&datagram_from(3, "darkroom", true), NOW);
     let dissemination = Dissemination::new(NOW);
     for _ in 0..32 {
         let needs = Needs::of(&board);
@@ -89,10 +89,10 @@
     assert!(board.text.replace(1, slices()));
     board
         .holders
-        .note_datagram(&news_from(2, "ledger", false), NOW);
+        .note_datagram(&datagram_from(2, "ledger", false), NOW);
     board
         .holders
-        .note_datagram(&news_from(4, "darkroom", false), NOW);
+        .note_datagram(&datagram_from(4, "darkroom", false), NOW);
     let needs = Needs::of(&board);
     let dissemination = Dissemination::new(NOW);
     assert_eq!(dissemination.choose_peer(&mut board, needs), None);
@@ -104,18 +104,18 @@
     let mut board = board();
     board
         .holders
-        .note_datagram(&news_from(2, "ledger", false), NOW);
+        .note_datagram(&datagram_from(2, "ledger", false), NOW);
     board
         .holders
-        .note_datagram(&news_from(3, "darkroom", true), NOW);
+        .note_datagram(&datagram_from(3, "darkroom", true), NOW);
     let dissemination = Dissemination::new(NOW);
-    let mut asked = std::collections::BTreeSet::new();
+    let mut chosen = std::collections::BTreeSet::new();
     for _ in 0..64 {
         let needs = Needs::of(&board);
-        asked.extend(dissemination.choose_peer(&mut board, needs));
+        chosen.extend(dissemination.choose_peer(&mut board, needs));
     }
     assert_eq!(
-        asked.into_iter().collect::<Vec<_>>(),
+        chosen.into_iter().collect::<Vec<_>>(),
         [address(2), address(3)]
     );
 }
--- a/crates/core/src/control/holders.rs
+++ b/crates/core/src/control/holders.rs
@@ -21,7 +21,7 @@
     pub(super) service: Option<ServiceName>,
     pub(super) known: KnownVersions,
     incarnation: Incarnation,
-    heard_at: Millis,
+    last_report_at: Millis,
 }
 
 /// The peers that recently reported their versions.
@@ -39,7 +39,7 @@
             service: Some(from.service.clone()),
             known: datagram.known,
             incarnation: from.incarnation,
-            heard_at: now,
+            last_report_at: now,
         });
     }
 
@@ -50,7 +50,7 @@
             service: None,
             known: answer.known,
             incarnation: answer.from.incarnation,
-            heard_at: now,
+            last_report_at: now,
         });
     }
 
@@ -67,7 +67,7 @@
             && (reported.known.text < holder.known.text || reported.known.vms < holder.known.vms);
         let service = reported.service.or(holder.service.take());
         holder.service = service;
-        holder.heard_at = reported.heard_at;
+        holder.last_report_at = reported.last_report_at;
         holder.incarnation = reported.incarnation;
         if !is_late {
             holder.known = reported.known;
@@ -78,7 +78,10 @@
         if self.by_address.len() < MAX_HOLDERS {
             return;
         }
-        let silent = self.by_address.values().min_by_key(|other| other.heard_at);
+        let silent = self
+            .by_address
+            .values()
+            .min_by_key(|other| other.last_report_at);
         if let Some(victim) = silent.map(|other| other.control) {
             self.by_address.remove(&victim);
         }
@@ -88,7 +91,7 @@
     pub(super) fn usable(&self, now: Millis) -> impl Iterator<Item = &Holder> {
         self.by_address
             .values()
-            .filter(move |holder| now.since(holder.heard_at) <= HOLDER_TIMEOUT)
+            .filter(move |holder| now.since(holder.last_report_at) <= HOLDER_TIMEOUT)
     }
 
     /// Returns the highest versions that usable peers have reported.
--- a/crates/core/src/control/member.rs
+++ b/crates/core/src/control/member.rs
@@ -34,7 +34,7 @@
     /// The peer's own clock in its newest statement.
     clock_ms: Millis,
     /// Time of the newest statement, in this node's clock.
-    pub(super) heard_at: Option<Millis>,
+    pub(super) last_statement_at: Option<Millis>,
     /// The peer reported that it is leaving.
     reported_leaving: bool,
     pub(super) load: Option<HeardLoad>,
@@ -74,7 +74,7 @@
             control: entry.control,
             incarnation: None,
             clock_ms: Millis::ZERO,
-            heard_at: None,
+            last_statement_at: None,
             reported_leaving: false,
             load: None,
             listed: true,
@@ -97,7 +97,7 @@
             control: digest.control,
             incarnation: None,
             clock_ms: Millis::ZERO,
-            heard_at: None,
+            last_statement_at: None,
             reported_leaving: false,
             load: None,
             listed: false,
@@ -142,7 +142,7 @@
         self.control = digest.control;
         self.data_centre = digest.data_centre.clone();
         self.service = digest.service.clone();
-        self.heard_at = Some(self.heard_at.unwrap_or_default().max(stated_at));
+        self.last_statement_at = Some(self.last_statement_at.unwrap_or_default().max(stated_at));
         if let Some(report) = digest.load_report() {
             self.load = Some(HeardLoad {
                 report,
@@ -174,7 +174,7 @@
         }
         self.clock_ms = report.gate_clock_ms;
         self.reported_leaving = report.leaving;
-        self.heard_at = Some(now);
+        self.last_statement_at = Some(now);
         self.load = Some(HeardLoad {
             report,
             heard_at: now,
@@ -241,7 +241,7 @@
 
     /// Returns the time since the last statement, or `None` if there was none.
     pub(super) fn silent_ms(&self, now: Millis) -> Option<Millis> {
-        Some(now.since(self.heard_at?))
+        Some(now.since(self.last_statement_at?))
     }
 
     /// Returns whether the last statement is at most `span` old.
--- a/crates/core/src/control/members.rs
+++ b/crates/core/src/control/members.rs
@@ -343,7 +343,7 @@
             if member.is_fresh(now, SAMPLE_TIMEOUT) {
                 continue;
             }
-            if silent.is_none_or(|other| member.heard_at < other.heard_at) {
+            if silent.is_none_or(|other| member.last_statement_at < other.last_statement_at) {
                 silent = Some(member);
             }
         }
--- a/crates/core/src/control/probing.rs
+++ b/crates/core/src/control/probing.rs
@@ -123,7 +123,10 @@
         {
             continue;
         }
-        found.push((member.heard_at.max(member.probed_at), member.vm.clone()));
+        found.push((
+            member.last_statement_at.max(member.probed_at),
+            member.vm.clone(),
+        ));
     }
     found.sort();
     found.into_iter().map(|(_, vm)| vm).collect()
--- a/crates/core/src/control/tests/configuration.rs
+++ b/crates/core/src/control/tests/configuration.rs
@@ -43,8 +43,8 @@
     fleet.run_until(Millis::from_secs(5), "the new node", |fleet| {
         fleet.all_at(5)
     });
-    let reached: Vec<u64> = fleet.nodes[new].reached.keys().copied().collect();
-    assert_eq!(reached, [5]);
+    let versions: Vec<u64> = fleet.nodes[new].first_in_force_at.keys().copied().collect();
+    assert_eq!(versions, [5]);
     fleet.run(Millis::from_secs(60));
     assert!(fleet.all_at(5));
 }
@@ -67,8 +67,8 @@
     fleet.run_until(Millis::from_secs(5), "the new node", |fleet| {
         fleet.all_at(5)
     });
-    let reached: Vec<u64> = fleet.nodes[new].reached.keys().copied().collect();
-    assert_eq!(reached, [5]);
+    let versions: Vec<u64> = fleet.nodes[new].first_in_force_at.keys().copied().collect();
+    assert_eq!(versions, [5]);
 }
 
 /// The platform is restored from an old copy: version 5 was in force, and it offers
@@ -285,14 +285,14 @@
     println!("readers cut from the platform: text in force after {took}");
     fleet.run(Millis::from_secs(10));
     for data_centre in ["dc-0", "dc-1", "dc-2"] {
-        let mut able = 0;
+        let mut working = 0;
         for node in fleet.alive() {
             let status = node.control.status(fleet.now);
             let is_there = node.settings.data_centre.as_str() == data_centre;
             let answers = status.platform == PlatformState::Answering;
-            able += usize::from(is_there && answers);
+            working += usize::from(is_there && answers);
         }
-        assert!((1..=2).contains(&able), "{able} in {data_centre}");
+        assert!((1..=2).contains(&working), "{working} in {data_centre}");
     }
     assert!(fleet.readers() <= 3 * 4);
 }
--- a/crates/core/src/control/tests/figures.rs
+++ b/crates/core/src/control/tests/figures.rs
@@ -3,7 +3,7 @@
 use super::harness::*;
 use crate::control::*;
 
-struct Figures {
+struct Measurements {
     nodes: usize,
     cold_start: Millis,
     /// Time until an edit is in force on the last node and on 98% of the nodes; `lossy`
@@ -47,12 +47,12 @@
     text
 }
 
-fn measure(services: &[(&str, usize)], data_centres: usize, settle: Millis) -> Figures {
+fn measure(services: &[(&str, usize)], data_centres: usize, settle: Millis) -> Measurements {
     let mut fleet = Fleet::new(services, data_centres, 42);
     fleet.publish_text(1, &text_of(services, 2));
     fleet.start_all();
     let cold_start = fleet.run_until(Millis::from_secs(20), "first text", |fleet| fleet.all_at(1));
-    give_loads(&mut fleet);
+    report_loads(&mut fleet);
     fleet.run(settle);
 
     let seconds = 30;
@@ -81,7 +81,7 @@
     }
     let nodes = before.len();
     let per_node = (nodes * seconds as usize) as f64;
-    Figures {
+    Measurements {
         nodes,
         cold_start,
         in_force: quantile(&mut times, 100),
@@ -133,7 +133,7 @@
 }
 
 /// Sets the load of every gate, which makes every statement longer.
-fn give_loads(fleet: &mut Fleet) {
+fn report_loads(fleet: &mut Fleet) {
     for index in 0..fleet.nodes.len() {
         let load = LoadReport {
             in_flight: 200,
@@ -158,8 +158,8 @@
     });
     let mut times = Vec::new();
     for node in fleet.alive() {
-        let reached = node.reached.range(version..).next();
-        let (_, at) = reached.expect("every node has the version in force");
+        let entry = node.first_in_force_at.range(version..).next();
+        let (_, at) = entry.expect("every node has the version in force");
         times.push(at.since(published_at));
     }
     fleet.run(Millis(500));
@@ -172,7 +172,7 @@
     times[(times.len() - 1) * percent / 100]
 }
 
-fn report(figures: &Figures, data_centres: usize) {
+fn report(figures: &Measurements, data_centres: usize) {
     println!(
         "{:4} nodes {data_centres} dc: cold {}, in force {} (p98 {}), \
          lossy {} (p98 {}), readers {}, \
--- a/crates/core/src/control/tests/harness.rs
+++ b/crates/core/src/control/tests/harness.rs
@@ -103,7 +103,7 @@
     pub(super) paused_until: Millis,
     pub(super) alive: bool,
     /// Time at which each version came into force.
-    pub(super) reached: BTreeMap<u64, Millis>,
+    pub(super) first_in_force_at: BTreeMap<u64, Millis>,
 }
 
 enum Occurrence {
@@ -203,7 +203,7 @@
             table: Arc::default(),
             paused_until: Millis::ZERO,
             alive: true,
-            reached: BTreeMap::new(),
+            first_in_force_at: BTreeMap::new(),
         });
         let offset = Millis(self.rng.random_range(0..TICK.0));
         self.push(self.now + offset, index, Occurrence::Tick);
@@ -216,13 +216,13 @@
 
     pub(super) fn publish_text(&mut self, version: u64, text: &str) {
         self.platform.text = Some((version, Arc::from(text)));
-        self.wake_watches();
+        self.answer_watches();
     }
 
     pub(super) fn publish_vms(&mut self, change: impl FnOnce(&mut Vec<ListedVm>)) {
         change(&mut self.platform.vms);
         self.platform.list_version += 1;
-        self.wake_watches();
+        self.answer_watches();
     }
 
     pub(super) fn event(&mut self, index: usize, event: ControlEvent) {
@@ -340,14 +340,14 @@
                     self.send_bulk_request(index, to, message)
                 }
                 ControlAction::BulkAnswer { message, .. } => answer = Some(message),
-                ControlAction::Publish(table) => self.take_table(index, table),
+                ControlAction::Publish(table) => self.apply_table(index, table),
             }
         }
         answer
     }
 
     /// Every test checks here that the version in force never decreases.
-    fn take_table(&mut self, index: usize, table: Arc<RouteTable>) {
+    fn apply_table(&mut self, index: usize, table: Arc<RouteTable>) {
         let now = self.now;
         let node = &mut self.nodes[index];
         assert!(
@@ -358,7 +358,7 @@
             table.version
         );
         if let Some(version) = table.version {
-            node.reached.entry(version.0).or_insert(now);
+            node.first_in_force_at.entry(version.0).or_insert(now);
         }
         node.table = table;
     }
--- a/crates/core/src/control/tests/harness/platform.rs
+++ b/crates/core/src/control/tests/harness/platform.rs
@@ -52,16 +52,16 @@
             after,
             until: self.now + wait_ms,
         });
-        self.wake_watches();
+        self.answer_watches();
         self.end_watches();
     }
 
     /// Answers the watches for which a newer value exists.
-    pub(super) fn wake_watches(&mut self) {
+    pub(super) fn answer_watches(&mut self) {
         for watch in std::mem::take(&mut self.platform.watches) {
             let is_cut = self.network.cut_from_platform.contains(&watch.node);
-            let news = self.platform.news_for(&watch);
-            let Some(event) = news.filter(|_| !is_cut) else {
+            let newer_value = self.platform.newer_value_for(&watch);
+            let Some(event) = newer_value.filter(|_| !is_cut) else {
                 self.platform.watches.push(watch);
                 continue;
             };
@@ -113,7 +113,7 @@
 }
 
 impl Platform {
-    fn news_for(&self, watch: &PlatformWatch) -> Option<ControlEvent> {
+    fn newer_value_for(&self, watch: &PlatformWatch) -> Option<ControlEvent> {
         if watch.read == PlatformRead::Text {
             let (version, text) = self.text.as_ref()?;
             return (*version > watch.after).then(|| ControlEvent::TextRead {
--- a/crates/core/src/control/tests/properties.rs
+++ b/crates/core/src/control/tests/properties.rs
@@ -55,7 +55,7 @@
 }
 
 /// Applies one offer to the node.
-fn take(node: &mut Control, offer: &Offer, now: Millis) -> Vec<ControlAction> {
+fn apply_offer(node: &mut Control, offer: &Offer, now: Millis) -> Vec<ControlAction> {
     match offer {
         Offer::Platform(version, good) => node.handle(
             ControlEvent::TextRead {
@@ -93,14 +93,14 @@
 fn pull(node: &mut Control, version: u64, now: Millis) -> Vec<ControlAction> {
     let mut peer = node_with(version);
     let mut published = Vec::new();
-    let mut asked = Vec::new();
+    let mut requests = Vec::new();
     for action in node.handle(ControlEvent::Tick, now) {
         match action {
-            ControlAction::BulkRequest { to, message } => asked.push((to, message)),
+            ControlAction::BulkRequest { to, message } => requests.push((to, message)),
             action => published.push(action),
         }
     }
-    for (to, message) in asked {
+    for (to, message) in requests {
         let request = RequestId(1);
         for answer in peer.handle(ControlEvent::BulkRequested { request, message }, now) {
             let ControlAction::BulkAnswer { message, .. } = answer else {
@@ -201,7 +201,7 @@
         let mut now = Millis::ZERO;
         for offer in &offers {
             now = now + Millis(700);
-            for action in take(&mut node, offer, now) {
+            for action in apply_offer(&mut node, offer, now) {
                 let ControlAction::Publish(table) = action else {
                     continue;
                 };
