--- a/crates/core/src/control/suspicion.rs
+++ b/crates/core/src/control/suspicion.rs
@@ -42,7 +42,7 @@
         }
     }
 
-    fn merge_notes(board: &mut Board, notes: &[SuspectNote]) {
+    fn merge(board: &mut Board, notes: &[SuspectNote]) {
         let mut new_notes = Vec::new();
         for note in notes {
             let Some(entry) = entry_of(note) else {
@@ -64,10 +64,8 @@
             Input::Suspicion(entry) => Self::note_found(board, entry),
             Input::Datagram(datagram) if datagram.from.service == board.settings.service => {
                 match &datagram.body {
-                    DatagramBody::Suspicion { suspects } => Self::merge_notes(board, suspects),
-                    DatagramBody::Heartbeat(heartbeat) => {
-                        Self::merge_notes(board, &heartbeat.suspects)
-                    }
+                    DatagramBody::Suspicion { suspects } => Self::merge(board, suspects),
+                    DatagramBody::Heartbeat(heartbeat) => Self::merge(board, &heartbeat.suspects),
                     _ => {}
                 }
             }
--- a/crates/core/src/control/tests/harness.rs
+++ b/crates/core/src/control/tests/harness.rs
@@ -336,9 +336,7 @@
                     wait_ms,
                 } => self.read(index, PlatformRead::Vms, service, after.0, wait_ms),
                 ControlAction::CancelReads => self.cancel_reads(index),
-                ControlAction::BulkRequest { to, message } => {
-                    self.send_bulk_request(index, to, message)
-                }
+                ControlAction::BulkRequest { to, message } => self.send_bulk(index, to, message),
                 ControlAction::BulkAnswer { message, .. } => answer = Some(message),
                 ControlAction::Publish(table) => self.apply_table(index, table),
             }
@@ -399,7 +397,7 @@
         }
     }
 
-    fn send_bulk_request(&mut self, from: usize, to: SocketAddr, message: Vec<u8>) {
+    fn send_bulk(&mut self, from: usize, to: SocketAddr, message: Vec<u8>) {
         let failure = match self.at_address(to) {
             None => Some(REFUSED_CONNECTION_AFTER),
             Some(target) if self.are_partitioned(from, target) => Some(CONNECT_TIMEOUT),
