--- a/crates/core/src/control/dissemination.rs
+++ b/crates/core/src/control/dissemination.rs
@@ -81,7 +81,7 @@
 /// The request of such a node names every slice, and a peer that has only a few slices
 /// cannot answer it. When such requests went to members of the same service, a node that
 /// had just stopped reading stayed behind for 46 s while the text kept changing.
-fn holds_whole(board: &Board) -> bool {
+fn has_whole_document(board: &Board) -> bool {
     board.text.is_whole() || board.vms.is_whole()
 }
 
@@ -178,7 +178,7 @@
         let known = datagram.known;
         let is_whole = known.text_whole && known.vms_whole;
         let is_same_service = datagram.from.service == board.settings.service;
-        let can_answer = is_whole || (is_same_service && !holds_whole(board));
+        let can_answer = is_whole || (is_same_service && !has_whole_document(board));
         let is_ahead = known.text > board.text_version() || known.vms > board.list_version();
         let is_skipped = self.skipped_until.contains_key(&datagram.from.control);
         if is_ahead && can_answer && !is_skipped {
@@ -306,7 +306,7 @@
             let is_level = known.text >= board.text_version() && known.vms >= board.list_version();
             let is_whole = known.text_whole && known.vms_whole;
             let is_same_service = holder.service.as_ref() == Some(&board.settings.service);
-            let is_partial = !holds_whole(board);
+            let is_partial = !has_whole_document(board);
             let can_answer = is_whole || (is_same_service && is_partial);
             let fit = match () {
                 () if needs.whole && is_whole && is_level => PeerFit::Good,
--- a/crates/core/src/control/heartbeat.rs
+++ b/crates/core/src/control/heartbeat.rs
@@ -27,7 +27,7 @@
 /// A new node sends rounds more often during its first seconds, so that it and its peers
 /// know each other before any of them elects itself as a reader.
 const WARM_UP: Millis = Millis::from_secs(5);
-const WARM_UP_SHARE: u64 = 4;
+const WARM_UP_SPEEDUP: u64 = 4;
 /// Recipients per round.
 const TO_OWN_SERVICE: usize = 3;
 const TO_NEAR: usize = 2;
@@ -221,7 +221,7 @@
         let longest = (INTERVAL + JITTER).0;
         let mut pause = board.rng.random_range(shortest..=longest);
         if board.now.since(self.started_at) < WARM_UP {
-            pause /= WARM_UP_SHARE;
+            pause /= WARM_UP_SPEEDUP;
         }
         self.next_at = board.now + Millis(pause);
         self.reply_requests.retain(board.tracked_services());
--- a/crates/core/src/control/heartbeat/asking/tests.rs
+++ b/crates/core/src/control/heartbeat/asking/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-const EVEN: f64 = 1.0;
+const NO_JITTER: f64 = 1.0;
 
 fn service() -> ServiceName {
     ServiceName::new("ledger")
@@ -19,7 +19,7 @@
         if !requests.is_due(&service(), now) {
             continue;
         }
-        requests.note_request(&service(), EVEN, now);
+        requests.note_request(&service(), NO_JITTER, now);
         sent_at.push(second - from_s);
         if answers(second) {
             requests.note_message(&service(), now);
@@ -64,7 +64,7 @@
     request_times(&mut requests, 0, |_| false);
     let now = Millis::from_secs(124);
     assert!(requests.is_due(&service(), now));
-    requests.note_request(&service(), EVEN, now);
+    requests.note_request(&service(), NO_JITTER, now);
     for offset_ms in 1..=6 {
         requests.note_message(&service(), now + Millis(offset_ms));
     }
--- a/crates/core/src/control/members.rs
+++ b/crates/core/src/control/members.rs
@@ -30,7 +30,7 @@
 /// Age above which a statement is not relayed.
 const RELAY_MAX_AGE: Millis = Millis::from_secs(20);
 /// How long a change takes precedence over other statements in heartbeats.
-const CHANGE_IS_RECENT: Millis = Millis::from_secs(5);
+const CHANGE_PRIORITY_FOR: Millis = Millis::from_secs(5);
 
 /// All known peers.
 #[derive(Debug)]
@@ -277,7 +277,7 @@
             }
             let is_theirs = member.service == *service;
             let is_shared = is_theirs || (is_same_service && member.is_tracked);
-            let list = if is_shared && now.since(member.changed_at) <= CHANGE_IS_RECENT {
+            let list = if is_shared && now.since(member.changed_at) <= CHANGE_PRIORITY_FOR {
                 &mut changes
             } else if is_theirs {
                 &mut rest
--- a/crates/core/src/control/publishing.rs
+++ b/crates/core/src/control/publishing.rs
@@ -158,9 +158,9 @@
 /// zero unless the text specifies it.
 fn distance_us(deployment: &DeploymentPolicy, from: &DataCentre, to: &DataCentre) -> u32 {
     for distance in &deployment.distances {
-        let is_forth = distance.from == *from && distance.to == *to;
-        let is_back = distance.from == *to && distance.to == *from;
-        if is_forth || is_back {
+        let is_forward = distance.from == *from && distance.to == *to;
+        let is_reverse = distance.from == *to && distance.to == *from;
+        if is_forward || is_reverse {
             return distance.one_way_us;
         }
     }
--- a/crates/core/src/control/reading.rs
+++ b/crates/core/src/control/reading.rs
@@ -101,7 +101,7 @@
         self.sent_at.is_none() && now >= self.next_at
     }
 
-    fn note_held(&mut self, local: LocalDocument, now: Millis) {
+    fn note_local_version(&mut self, local: LocalDocument, now: Millis) {
         if local.version != self.local_version {
             self.local_version = local.version;
             self.local_since = now;
@@ -143,7 +143,7 @@
     fn note_success(&mut self, is_new: bool, local: LocalDocument, now: Millis) {
         let sent_at = self.sent_at.take();
         self.failures = 0;
-        self.note_held(local, now);
+        self.note_local_version(local, now);
         let lacks_local =
             self.requested_after < local.version && self.platform_version < local.version;
         self.is_behind |= lacks_local && self.is_settled(now);
@@ -184,8 +184,8 @@
 impl Reading {
     fn follow_rota(&mut self, board: &mut Board) {
         board.rota.trim(board.now);
-        let is_able = board.joined && !board.takes_no_work();
-        let elected = is_able && board.rota.elects_self(board.fails_to_read(), board.now);
+        let may_read = board.joined && !board.takes_no_work();
+        let elected = may_read && board.rota.elects_self(board.fails_to_read(), board.now);
         if elected == board.reading {
             self.switch_pending_since = None;
             return;
@@ -232,13 +232,13 @@
             }
         }
         let text = LocalDocument::of(board, PlatformRead::Text);
-        self.text.note_held(text, now);
+        self.text.note_local_version(text, now);
         if self.text.is_due(now) {
             let after = self.text.start(text, now);
             board.read_text(ConfigVersion(after), WATCH_DURATION);
         }
         let vms = LocalDocument::of(board, PlatformRead::Vms);
-        self.vms.note_held(vms, now);
+        self.vms.note_local_version(vms, now);
         if self.vms.is_due(now) {
             let after = self.vms.start(vms, now);
             board.read_vms(None, ListVersion(after), WATCH_DURATION);
--- a/crates/core/src/control/rota/tests.rs
+++ b/crates/core/src/control/rota/tests.rs
@@ -47,9 +47,9 @@
 #[test]
 fn a_failing_reader_keeps_reading_beside_its_replacement() {
     let first = elected(100, &[]);
-    let relieved = elected(100, &first[..1]);
-    assert_eq!(relieved.len(), READERS + 1);
-    assert!(relieved.contains(&first[0]));
+    let with_replacement = elected(100, &first[..1]);
+    assert_eq!(with_replacement.len(), READERS + 1);
+    assert!(with_replacement.contains(&first[0]));
 }
 
 /// The platform is down for all nodes, so each elected reader fails in turn. Without a
--- a/crates/core/src/control/tests/configuration.rs
+++ b/crates/core/src/control/tests/configuration.rs
@@ -106,7 +106,7 @@
 /// with the line of the fault, and the previous text stays in force everywhere. The
 /// faulty text is not read repeatedly, and every node reports the reason.
 #[test]
-fn a_text_with_a_fault_is_refused_whole() {
+fn a_faulty_text_is_rejected_as_a_whole() {
     let mut fleet = bangkok(6);
     let before = fleet.platform.reads;
     fleet.publish_text(6, "layouts::2\nbad\ncashier::2");
--- a/crates/core/src/control/tests/harness/platform.rs
+++ b/crates/core/src/control/tests/harness/platform.rs
@@ -59,9 +59,9 @@
     /// Answers the watches for which a newer value exists.
     pub(super) fn answer_watches(&mut self) {
         for watch in std::mem::take(&mut self.platform.watches) {
-            let is_cut = self.network.cut_from_platform.contains(&watch.node);
+            let is_unreachable = self.network.cut_from_platform.contains(&watch.node);
             let newer_value = self.platform.newer_value_for(&watch);
-            let Some(event) = newer_value.filter(|_| !is_cut) else {
+            let Some(event) = newer_value.filter(|_| !is_unreachable) else {
                 self.platform.watches.push(watch);
                 continue;
             };
@@ -76,17 +76,18 @@
     /// platform.
     pub(super) fn end_watches(&mut self) {
         let now = self.now;
-        let is_quiet = !self.platform.down && self.network.cut_from_platform.is_empty();
-        if is_quiet && !self.platform.watches.iter().any(|watch| watch.until <= now) {
+        let all_reach_platform = !self.platform.down && self.network.cut_from_platform.is_empty();
+        if all_reach_platform && !self.platform.watches.iter().any(|watch| watch.until <= now) {
             return;
         }
         for watch in std::mem::take(&mut self.platform.watches) {
-            let is_cut = self.platform.down || self.network.cut_from_platform.contains(&watch.node);
-            if !is_cut && watch.until > now {
+            let is_unreachable =
+                self.platform.down || self.network.cut_from_platform.contains(&watch.node);
+            if !is_unreachable && watch.until > now {
                 self.platform.watches.push(watch);
                 continue;
             }
-            let event = match (is_cut, watch.read) {
+            let event = match (is_unreachable, watch.read) {
                 (true, read) => ControlEvent::PlatformFailed(read),
                 (false, PlatformRead::Text) => ControlEvent::TextUnchanged,
                 (false, PlatformRead::Vms) => ControlEvent::VmsUnchanged,
--- a/crates/core/src/control/tests/membership.rs
+++ b/crates/core/src/control/tests/membership.rs
@@ -210,7 +210,7 @@
 /// A gate leaves, and all announcements and half of the other datagrams are lost.
 /// Heartbeats still spread the leaving state within a few seconds.
 #[test]
-fn leaving_is_known_by_heartbeats_when_announcements_are_lost() {
+fn heartbeats_spread_leaving_when_announcements_are_lost() {
     let mut worst = Millis::ZERO;
     for seed in 0..10 {
         let mut fleet = bangkok(100 + seed);
