--- a/crates/dispatch/src/waits.rs
+++ b/crates/dispatch/src/waits.rs
@@ -87,7 +87,7 @@
 
     /// An answer that is due and does not begin, or does not go on, within this is lost.
     #[must_use]
-    pub const fn silence_ms(&self) -> Millis {
+    pub const fn idle_timeout_ms(&self) -> Millis {
         self.share(SILENCE)
     }
 
--- a/crates/edge/src/feed.rs
+++ b/crates/edge/src/feed.rs
@@ -72,7 +72,7 @@
     /// Everything up to this revision is known.
     pub revision: u64,
     /// The reader's own last read failed.
-    pub is_troubled: bool,
+    pub last_read_failed: bool,
     /// So long ago this was all that the source had published.
     pub age_ms: Millis,
 }
@@ -144,7 +144,7 @@
         Some(FeedPart {
             changes: state.log.after(revision)?,
             revision: state.revision,
-            is_troubled: state.standing == Standing::Troubled,
+            last_read_failed: state.standing == Standing::Troubled,
             age_ms: self.clock.now().since(state.as_of),
         })
     }
@@ -157,7 +157,7 @@
 
     /// Tells a subscriber who knows everything up to `known` what changes, until nobody
     /// listens or this node can tell no more.
-    pub(crate) async fn tell(&self, known: u64, subscriber: &UnboundedSender<ToEntry>) {
+    pub(crate) async fn serve(&self, known: u64, subscriber: &UnboundedSender<ToEntry>) {
         let mut known = known;
         let mut changed = self.subscribe();
         loop {
@@ -173,7 +173,7 @@
             }
             let known_to = ToEntry::KnownTo {
                 revision: part.revision,
-                is_troubled: part.is_troubled,
+                last_read_failed: part.last_read_failed,
                 age_ms: part.age_ms,
             };
             if subscriber.send(known_to).is_err() {
--- a/crates/edge/src/feed/change_log.rs
+++ b/crates/edge/src/feed/change_log.rs
@@ -26,7 +26,7 @@
         match fact {
             Fact::Routes(_) | Fact::LargeRoutes(_) => Self::Routes,
             Fact::Listed(member) => Self::Target(member.id.clone()),
-            Fact::Left(id) => Self::Target(id.clone()),
+            Fact::Removed(id) => Self::Target(id.clone()),
         }
     }
 }
@@ -58,7 +58,7 @@
             self.entries.remove(&replaced);
         }
         self.entries.insert(position, encoded);
-        if matches!(change.fact, Fact::Left(_)) {
+        if matches!(change.fact, Fact::Removed(_)) {
             self.tombstones.push_back((key, position));
             self.compact();
         }
--- a/crates/edge/src/feed/subscriptions.rs
+++ b/crates/edge/src/feed/subscriptions.rs
@@ -36,7 +36,7 @@
         /// Nothing up to this revision is left out.
         revision: u64,
         /// The reader's own last read failed.
-        is_troubled: bool,
+        last_read_failed: bool,
         /// This was all that the source had published by then, but for the time that
         /// the word was on its way.
         as_of: Millis,
@@ -177,7 +177,7 @@
         let (reader, health) = match &event {
             FeedEvent::Known {
                 reader,
-                is_troubled: true,
+                last_read_failed: true,
                 ..
             } => (reader, ReaderHealth::Unhealthy),
             FeedEvent::Known { reader, .. } => (reader, ReaderHealth::Healthy),
@@ -248,7 +248,7 @@
             },
             ToEntry::KnownTo {
                 revision,
-                is_troubled,
+                last_read_failed,
                 age_ms,
             } => {
                 if !*was_heard {
@@ -259,7 +259,7 @@
                     reader,
                     changes: std::mem::take(&mut changes),
                     revision,
-                    is_troubled,
+                    last_read_failed,
                     as_of: listening.clock.now().minus(age_ms),
                 };
                 if told.send(event).is_err() {
--- a/crates/edge/src/feed/tests.rs
+++ b/crates/edge/src/feed/tests.rs
@@ -9,7 +9,7 @@
 fn left(revision: u64) -> Change {
     Change {
         revision,
-        fact: Fact::Left(TargetId::new(&format!("i-{revision}"))),
+        fact: Fact::Removed(TargetId::new(&format!("i-{revision}"))),
     }
 }
 
@@ -102,7 +102,7 @@
 fn trouble_is_told() {
     let feed = open_feed();
     feed.set_standing(Standing::Troubled);
-    assert!(feed.after(10).is_some_and(|part| part.is_troubled));
+    assert!(feed.after(10).is_some_and(|part| part.last_read_failed));
 }
 
 /// Two readers hear each other. A word that brings nothing new must end there,
--- a/crates/edge/src/following.rs
+++ b/crates/edge/src/following.rs
@@ -111,7 +111,7 @@
     /// Reads everything, as often as it takes.
     async fn read_all(&mut self) {
         loop {
-            match self.source.read_all(self.waits.silence_ms()).await {
+            match self.source.read_all(self.waits.idle_timeout_ms()).await {
                 Ok(listing) => {
                     let age_ms = listing.age_ms;
                     self.note_success();
@@ -205,7 +205,9 @@
     /// Watches the source once and takes what came.
     async fn watch(&mut self) -> Result<(), SourceFault> {
         let (after, wait_ms) = (self.knowledge.revision(), self.watch_wait_ms());
-        let watching = self.source.watch(after, wait_ms, self.waits.silence_ms());
+        let watching = self
+            .source
+            .watch(after, wait_ms, self.waits.idle_timeout_ms());
         let batch = while_hearing(watching, &mut self.knowledge, &mut self.subscriptions).await?;
         self.note_success();
         let gathers = !batch.changes.is_empty() && !self.knowledge.has_held();
--- a/crates/edge/src/following/bootstrap.rs
+++ b/crates/edge/src/following/bootstrap.rs
@@ -23,7 +23,7 @@
         let mut pause_ms = FIRST_PAUSE_MS;
         let mut serves_stale_since = None;
         while !self.is_bootstrap_over(serves_stale_since) {
-            let listing = match self.source.read_stale(self.waits.silence_ms()).await {
+            let listing = match self.source.read_stale(self.waits.idle_timeout_ms()).await {
                 Ok(listing) => listing,
                 Err(fault) => {
                     log::warn!("no stale listing can be read: {fault}");
--- a/crates/edge/src/following/knowledge.rs
+++ b/crates/edge/src/following/knowledge.rs
@@ -153,7 +153,7 @@
         let mut facts = Vec::new();
         facts.extend(routes.map(Fact::Routes));
         facts.extend(difference.written.into_iter().map(Fact::Listed));
-        facts.extend(difference.removed.into_iter().map(Fact::Left));
+        facts.extend(difference.removed.into_iter().map(Fact::Removed));
         let changes = facts.into_iter().map(|fact| Change { revision, fact });
         // Not only what is beyond the known revision: a lapse that was kept back
         // is not.
@@ -190,13 +190,13 @@
                     self.directory.upsert(member);
                     members_changed = true;
                 }
-                Fact::Left(id) if self.holds(&id) => {
+                Fact::Removed(id) if self.holds(&id) => {
                     log::info!(
                         "the target {id} has lapsed, and is kept: the source is not reached"
                     );
                     self.has_held = true;
                 }
-                Fact::Left(id) => {
+                Fact::Removed(id) => {
                     log::info!("the target {id} has left the list");
                     self.directory.remove(&id);
                     members_changed = true;
@@ -214,18 +214,18 @@
 
     /// Takes what a reader told, or what was read because of it.
     pub(super) fn hear(&mut self, event: FeedEvent) {
-        let (changes, revision, is_troubled, as_of) = match event {
+        let (changes, revision, last_read_failed, as_of) = match event {
             FeedEvent::Known {
                 changes,
                 revision,
-                is_troubled,
+                last_read_failed,
                 as_of,
                 ..
-            } => (changes, revision, is_troubled, as_of),
+            } => (changes, revision, last_read_failed, as_of),
             FeedEvent::Read(routes) => return self.directory.set_routes(routes),
             FeedEvent::Lost { .. } => return,
         };
-        if is_troubled {
+        if last_read_failed {
             // Entries may lapse now, as if this node's own read had failed.
             let hold_ms = self.waits.hearsay_hold_ms();
             self.directory.note_distant_trouble(hold_ms);
@@ -244,7 +244,7 @@
         let members = self.directory.members();
         let mut lapses = 0;
         for change in changes {
-            let Fact::Left(id) = &change.fact else {
+            let Fact::Removed(id) = &change.fact else {
                 continue;
             };
             let Some(member) = members.get(id).filter(|member| !member.draining) else {
--- a/crates/edge/src/following/large_routes.rs
+++ b/crates/edge/src/following/large_routes.rs
@@ -49,7 +49,7 @@
     while let Ok(wanted) = wants.wait_for(|wanted| *wanted > known).await.map(|at| *at) {
         // All who were told turn to the source in this moment.
         pause_up_to(waits.first_pause_ms()).await;
-        match source.read_routes(waits.silence_ms()).await {
+        match source.read_routes(waits.idle_timeout_ms()).await {
             Ok(Some(routes)) => {
                 known = routes.version().max(known);
                 log::info!(version = routes.version(), wanted; "a large configuration is read");
--- a/crates/edge/src/following/tests.rs
+++ b/crates/edge/src/following/tests.rs
@@ -13,7 +13,7 @@
 
 use crate::prelude::*;
 use fleet::Fleet;
-use source::Mood;
+use source::SourceMode;
 
 /// Within this changes must be in force.
 const IN_FORCE_MS: Millis = Millis(2_000);
@@ -28,7 +28,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Fault {
     /// The store treats all nodes so.
-    Store(Mood),
+    Store(SourceMode),
     /// It loses its history, again and again.
     StoreForgets,
     /// It turns one reader away and serves the others.
@@ -52,9 +52,9 @@
 }
 
 const FAULTS: [Fault; 13] = [
-    Fault::Store(Mood::Losing),
-    Fault::Store(Mood::Failing),
-    Fault::Store(Mood::LosingWatches),
+    Fault::Store(SourceMode::DroppingCalls),
+    Fault::Store(SourceMode::Failing),
+    Fault::Store(SourceMode::DroppingWatches),
     Fault::StoreForgets,
     Fault::TurnsAwayReader,
     Fault::TurnsAwayAllReaders,
--- a/crates/edge/src/following/tests/calls.rs
+++ b/crates/edge/src/following/tests/calls.rs
@@ -4,7 +4,7 @@
 
 use super::IN_FORCE_MS;
 use super::fleet::{Calls, Fleet};
-use super::source::Mood;
+use super::source::SourceMode;
 
 /// Hundreds of nodes.
 const NODES: usize = 195;
@@ -93,21 +93,21 @@
 /// Guards against an outage in which each of hundreds of nodes asks again and again.
 #[test]
 fn an_outage_is_probed_by_few_nodes() {
-    for mood in [Mood::Failing, Mood::Losing] {
+    for mode in [SourceMode::Failing, SourceMode::DroppingCalls] {
         in_virtual_time(async move {
             let mut fleet = Fleet::of(NODES);
             fleet.start_over(STARTS, REGISTERS).await;
             tokio::time::sleep(Duration::from_secs(10)).await;
             let before = fleet.calls().current;
-            fleet.set_store(mood);
+            fleet.set_store(mode);
             tokio::time::sleep(OUTAGE).await;
-            fleet.set_store(Mood::Calm);
+            fleet.set_store(SourceMode::Normal);
             fleet.put_next_version();
             tokio::time::sleep(KNOWN_WITHIN).await;
             assert_eq!(fleet.behind(), 0);
             let calls = fleet.calls().current - before;
             let most = OUTAGE.as_secs() * MAX_PROBES_A_SECOND;
-            assert!(calls <= most, "{calls} calls, {mood:?}");
+            assert!(calls <= most, "{calls} calls, {mode:?}");
         });
     }
 }
--- a/crates/edge/src/following/tests/fleet.rs
+++ b/crates/edge/src/following/tests/fleet.rs
@@ -15,7 +15,7 @@
 use tokio::task::AbortHandle;
 use tokio::time::Instant;
 
-use super::source::{Mood, Published, TestSource};
+use super::source::{Published, SourceMode, TestSource};
 use super::{At, Fault, IN_FORCE_MS};
 use crate::directory::{Directory, DirectoryWriter};
 use crate::feed::{ChangeFeed, Coming, FeedLinks, FeedWords};
@@ -61,7 +61,7 @@
             }
             let (subscriber, words) = mpsc::unbounded_channel();
             let feed = Arc::clone(&reached.feed);
-            tokio::spawn(async move { feed.tell(known, &subscriber).await });
+            tokio::spawn(async move { feed.serve(known, &subscriber).await });
             let words: Box<dyn FeedWords> = Box::new(Words { words, voice });
             Ok(words)
         })
@@ -226,9 +226,9 @@
     }
 
     /// The store treats all nodes so.
-    pub(super) fn set_store(&self, mood: Mood) {
+    pub(super) fn set_store(&self, mode: SourceMode) {
         for life in self.lives.values() {
-            life.source.set_mood(mood);
+            life.source.set_mode(mode);
         }
     }
 
@@ -317,25 +317,25 @@
         let second = self.readers[1] == own;
         let is_reader = self.readers.contains(&own);
         let follower = self.ips.iter().find(|ip| !self.readers.contains(ip));
-        let mut mood = Mood::Calm;
+        let mut mode = SourceMode::Normal;
         let (mut is_frozen, mut is_gone) = (false, false);
         for fault in faults {
             match fault {
                 Fault::StoreForgets => self.store.forget(),
-                Fault::Store(known) => mood = *known,
-                Fault::TurnsAwayReader if first => mood = Mood::Failing,
-                Fault::TurnsAwayAllReaders if is_reader => mood = Mood::Failing,
-                Fault::LosesReadersWatches if first => mood = Mood::LosingWatches,
+                Fault::Store(known) => mode = *known,
+                Fault::TurnsAwayReader if first => mode = SourceMode::Failing,
+                Fault::TurnsAwayAllReaders if is_reader => mode = SourceMode::Failing,
+                Fault::LosesReadersWatches if first => mode = SourceMode::DroppingWatches,
                 Fault::ReaderFreezes => is_frozen |= second,
                 Fault::AllReadersFreeze => is_frozen |= is_reader,
-                Fault::AllReadersHang if is_reader => mood = Mood::Hanging,
+                Fault::AllReadersHang if is_reader => mode = SourceMode::Hanging,
                 Fault::ReaderRestarts => is_gone |= first,
                 Fault::AllReadersRestart => is_gone |= is_reader,
                 Fault::FollowerRestarts => is_gone |= follower == Some(&own),
                 _ => {}
             }
         }
-        let is_troubled = mood != Mood::Calm || is_frozen || is_gone;
+        let is_troubled = mode != SourceMode::Normal || is_frozen || is_gone;
         if is_troubled || faults.contains(&Fault::StoreForgets) {
             self.troubled.insert(own, Instant::now());
         }
@@ -349,9 +349,9 @@
         }
         let life = &self.lives[&own];
         // A frozen node's own calls are as good as lost.
-        life.source.set_mood(match is_frozen {
-            true => Mood::Losing,
-            false => mood,
+        life.source.set_mode(match is_frozen {
+            true => SourceMode::DroppingCalls,
+            false => mode,
         });
         let voice = match is_frozen {
             true => Voice::Frozen,
--- a/crates/edge/src/gate/health.rs
+++ b/crates/edge/src/gate/health.rs
@@ -54,7 +54,10 @@
     }
 
     async fn look_up(&self, id: &TargetId) {
-        let read = self.source.read_target(id, self.waits.silence_ms()).await;
+        let read = self
+            .source
+            .read_target(id, self.waits.idle_timeout_ms())
+            .await;
         let standing = match read {
             Ok(Some(member)) if member.draining => Standing::Draining,
             Ok(Some(_)) => Standing::Open,
--- a/crates/edge/src/gate/run.rs
+++ b/crates/edge/src/gate/run.rs
@@ -125,7 +125,7 @@
         let event = self.run_in_target(run).await;
         match &event {
             GateEvent::Answered { head, .. } if is_success(head.status) => {
-                self.suspicion.ran_well(fingerprint);
+                self.suspicion.note_success(fingerprint);
             }
             GateEvent::Ended(CallEnd::Broken) => self.look_for_crash().await,
             _ => {}
--- a/crates/edge/src/link/client.rs
+++ b/crates/edge/src/link/client.rs
@@ -201,7 +201,7 @@
             doubted: AtomicBool::new(false),
             asked: tokio::sync::Notify::new(),
         });
-        let (known, news) = suspicion.follow();
+        let (known, news) = suspicion.subscribe();
         for notice in known {
             link.push(ToGate::Suspect(notice));
         }
@@ -322,7 +322,7 @@
     fn take(&self, frame: ToEntry) {
         match frame {
             ToEntry::Hello { .. } | ToEntry::Pong => {}
-            ToEntry::Suspect(notice) => self.suspicion.hear(&notice),
+            ToEntry::Suspect(notice) => self.suspicion.merge_notice(&notice),
             ToEntry::WantsFacts => {
                 if let Some(encoded) = self.directory.load().to_facts() {
                     self.push(ToGate::Facts(encoded));
--- a/crates/edge/src/link/server.rs
+++ b/crates/edge/src/link/server.rs
@@ -68,7 +68,7 @@
             incarnation: self.incarnation,
         };
         let _ = answers.send(hello);
-        let (known, news) = self.suspicion.follow();
+        let (known, news) = self.suspicion.subscribe();
         for notice in known {
             let _ = answers.send(ToEntry::Suspect(notice));
         }
@@ -164,7 +164,7 @@
                     let sink = answer_sink(id, self.answers.clone(), InHand::default());
                     self.gate.fence(key, sink);
                 }
-                ToGate::Suspect(notice) => self.suspicion.hear(&notice),
+                ToGate::Suspect(notice) => self.suspicion.merge_notice(&notice),
                 ToGate::Facts(encoded) => adopt_facts(&self.directory, &encoded),
                 ToGate::Ping => {
                     let _ = self.answers.send(ToEntry::Pong);
@@ -172,7 +172,7 @@
                 ToGate::Follow { revision } => {
                     let feed = Arc::clone(&self.feed);
                     let answers = self.answers.clone();
-                    tokio::spawn(async move { feed.tell(revision, &answers).await });
+                    tokio::spawn(async move { feed.serve(revision, &answers).await });
                 }
             }
         }
--- a/crates/edge/src/source.rs
+++ b/crates/edge/src/source.rs
@@ -9,36 +9,41 @@
 use crate::prelude::*;
 
 /// One read of a source.
-pub type Reading<'a, T> = Pin<Box<dyn Future<Output = Result<T, SourceFault>> + Send + 'a>>;
+pub type ReadFuture<'a, T> = Pin<Box<dyn Future<Output = Result<T, SourceFault>> + Send + 'a>>;
 
 /// What a platform publishes, for reading.
 ///
 /// The platform counts its changes with one revision that only rises. Reads may
 /// be dropped before they end, and several may be in hand at once.
 ///
-/// Each read fails once its answer should have begun, or gone on, `silence_ms` ago. An
+/// Each read fails once its answer should have begun, or gone on, `idle_timeout_ms` ago. An
 /// answer that goes on coming may take as long as the line needs for it.
 pub trait Source: Send + Sync + std::fmt::Debug {
     /// Reads everything.
-    fn read_all(&self, silence_ms: Millis) -> Reading<'_, Listing>;
+    fn read_all(&self, idle_timeout_ms: Millis) -> ReadFuture<'_, Listing>;
 
     /// Reads everything from a replica that may be seconds behind, where that is cheaper.
     /// The listing's revision and age say nothing.
-    fn read_stale(&self, silence_ms: Millis) -> Reading<'_, Listing>;
+    fn read_stale(&self, idle_timeout_ms: Millis) -> ReadFuture<'_, Listing>;
 
     /// Waits until something changes after a revision; empty when nothing did
     /// for as long as `wait_ms`.
-    fn watch(&self, after: u64, wait_ms: Millis, silence_ms: Millis) -> Reading<'_, Changes>;
+    fn watch(
+        &self,
+        after: u64,
+        wait_ms: Millis,
+        idle_timeout_ms: Millis,
+    ) -> ReadFuture<'_, Changes>;
 
     /// Reads the entry of one target; `None` when it is not listed.
     fn read_target<'a>(
         &'a self,
         id: &'a TargetId,
-        silence_ms: Millis,
-    ) -> Reading<'a, Option<Member>>;
+        idle_timeout_ms: Millis,
+    ) -> ReadFuture<'a, Option<Member>>;
 
     /// Reads the configuration alone; `None` when there is none that can be used.
-    fn read_routes(&self, silence_ms: Millis) -> Reading<'_, Option<RouteSet>>;
+    fn read_routes(&self, idle_timeout_ms: Millis) -> ReadFuture<'_, Option<RouteSet>>;
 }
 
 /// A source that several parts of a node read.
@@ -100,5 +105,5 @@
     /// A target's entry was written.
     Listed(Member),
     /// A target's entry was removed.
-    Left(TargetId),
+    Removed(TargetId),
 }
--- a/crates/edge/src/suspicion.rs
+++ b/crates/edge/src/suspicion.rs
@@ -55,13 +55,13 @@
             let crashes = entry.crashes;
             let fingerprint = format!("{:016x}", entry.fingerprint);
             log::warn!(fingerprint, standing, crashes; "a request was in flight in a crash");
-            self.tell(entry);
+            self.broadcast(entry);
         }
     }
 
     /// A request ran well. It may share its fingerprint with others that do, so
     /// any good run clears it, not only one alone.
-    pub fn ran_well(&self, fingerprint: u64) {
+    pub fn note_success(&self, fingerprint: u64) {
         let mut known = self.known.lock();
         if known.is_empty() {
             return;
@@ -69,30 +69,30 @@
         let cleared = known.clear(fingerprint, self.clock.now());
         drop(known);
         if let Some(entry) = cleared {
-            self.tell(&entry);
+            self.broadcast(&entry);
         }
     }
 
     /// Takes in what another node says, and passes on what is new.
-    pub fn hear(&self, notice: &SuspectNotice) {
+    pub fn merge_notice(&self, notice: &SuspectNotice) {
         let Some(entry) = from_notice(notice) else {
             log::warn!("a notice with an unknown standing was dropped");
             return;
         };
         if self.known.lock().merge(&entry, self.clock.now()) {
-            self.tell(&entry);
+            self.broadcast(&entry);
         }
     }
 
     /// All that is known, for a link that has just opened, and what follows.
-    pub fn follow(&self) -> (Vec<SuspectNotice>, broadcast::Receiver<SuspectNotice>) {
+    pub fn subscribe(&self) -> (Vec<SuspectNotice>, broadcast::Receiver<SuspectNotice>) {
         let news = self.news.subscribe();
         let known = self.known.lock();
         let entries = known.entries(self.clock.now());
         (entries.map(|entry| to_notice(&entry)).collect(), news)
     }
 
-    fn tell(&self, entry: &SuspectEntry) {
+    fn broadcast(&self, entry: &SuspectEntry) {
         // Without links there is nobody to tell.
         let _ = self.news.send(to_notice(entry));
     }
--- a/crates/edge/src/suspicion/tests.rs
+++ b/crates/edge/src/suspicion/tests.rs
@@ -9,8 +9,8 @@
 
 /// Passes on all that a node has to tell.
 fn tell_all(from: &Suspicion, to: &Suspicion) {
-    for notice in from.follow().0 {
-        to.hear(&notice);
+    for notice in from.subscribe().0 {
+        to.merge_notice(&notice);
     }
 }
 
@@ -21,7 +21,7 @@
     let (node, _) = two_nodes();
     for _ in 0..10 {
         node.observe_crash(&[7, 8]);
-        node.ran_well(7);
+        node.note_success(7);
     }
     assert!(!node.is_convicted(7));
     assert!(node.is_convicted(8));
@@ -37,7 +37,7 @@
     tell_all(&other, &one);
     assert!(one.is_convicted(7) && other.is_convicted(7));
     // No good run of a request that happens to look alike lifts it.
-    one.ran_well(7);
+    one.note_success(7);
     assert!(one.is_convicted(7));
 }
 
@@ -51,10 +51,10 @@
         crashes: 9,
         age_ms: Millis::ZERO,
     };
-    node.hear(&notice);
+    node.merge_notice(&notice);
     assert!(!node.is_convicted(7));
     notice.standing = "convicted".to_owned();
-    node.hear(&notice);
+    node.merge_notice(&notice);
     assert!(node.is_convicted(7));
 }
 
--- a/crates/edge/tests/all/bounded_age.rs
+++ b/crates/edge/tests/all/bounded_age.rs
@@ -12,7 +12,7 @@
 use hornbeamhitch_edge::source::Fact;
 
 use crate::support::caller::ask;
-use crate::support::source::{Mood, Published, TestSource};
+use crate::support::source::{Published, SourceMode, TestSource};
 use crate::support::target::FakeTarget;
 use crate::support::{self, member, route, same_port, start_following_vm};
 
@@ -67,10 +67,10 @@
     tokio::time::sleep(Duration::from_secs(60)).await;
     assert_eq!(node.version(), Some(1));
     for version in 2..50 {
-        node.source.set_mood(Mood::Losing);
+        node.source.set_mode(SourceMode::DroppingCalls);
         // The outage ends at another point of the node's wait each time.
         tokio::time::sleep(Duration::from_millis(4_000 + version * 130)).await;
-        node.source.set_mood(Mood::Calm);
+        node.source.set_mode(SourceMode::Normal);
         node.published.put_version(version);
         tokio::time::sleep(IN_FORCE_MS.to_duration()).await;
         assert_eq!(node.version(), Some(version));
@@ -99,7 +99,7 @@
     let pay = async |number: usize| ask(vm.callers, "POST", "/pay/", &format!("id-{number}")).await;
     while pay(0).await.status() != 200 {}
 
-    source.set_mood(Mood::LosingWatches);
+    source.set_mode(SourceMode::DroppingWatches);
     vm.target.set_leaving(true);
     published.put(Fact::Listed(Member {
         draining: true,
--- a/crates/edge/tests/all/following.rs
+++ b/crates/edge/tests/all/following.rs
@@ -5,7 +5,7 @@
 use hornbeamhitch_edge::source::Fact;
 
 use crate::support::follower::{Follower, followers, unlisted};
-use crate::support::source::{Mood, version_fact};
+use crate::support::source::{SourceMode, version_fact};
 use crate::support::{member, route};
 
 /// More than everyone reads for itself at.
@@ -79,7 +79,7 @@
     let followers = followers(NODES).await;
     let mut readers: Vec<_> = followers.readers().collect();
     let deaf = readers.pop().expect("there are readers");
-    deaf.source.set_mood(Mood::Silent);
+    deaf.source.set_mode(SourceMode::Silent);
     let version = followers.version() + 1;
     followers.published.put_version(version);
     followers.until_version(version).await;
@@ -108,7 +108,7 @@
 async fn readers_that_are_turned_away_say_so() {
     let followers = followers(NODES).await;
     for reader in followers.readers() {
-        reader.source.set_mood(Mood::Failing);
+        reader.source.set_mode(SourceMode::Failing);
     }
     let version = followers.version() + 1;
     followers.published.put_version(version);
@@ -117,7 +117,7 @@
         node.until_version(version).await;
     }
     for reader in followers.readers() {
-        reader.source.set_mood(Mood::Calm);
+        reader.source.set_mode(SourceMode::Normal);
         reader.until_version(version).await;
     }
 }
@@ -127,7 +127,7 @@
 async fn reserves_watch_for_a_short_time_only_and_the_others_hear_of_it() {
     let followers = followers(NODES).await;
     for reader in followers.readers() {
-        reader.source.set_mood(Mood::Failing);
+        reader.source.set_mode(SourceMode::Failing);
     }
     let reserves = followers.nodes.iter().filter(|node| node.is_reserve());
     assert_eq!(reserves.clone().count() as u64, READERS);
@@ -161,7 +161,7 @@
         .collect();
     let calls = |told: &[&Follower]| -> u64 { told.iter().map(|node| node.source.calls()).sum() };
     let before = calls(&told);
-    let unseen = vec![Fact::Left(gone.id.clone()), version_fact(version + 1)];
+    let unseen = vec![Fact::Removed(gone.id.clone()), version_fact(version + 1)];
     followers.published.put_unseen(unseen);
     followers.until_version(version + 1).await;
     assert_eq!(calls(&told), before);
@@ -184,7 +184,7 @@
         told.next().expect("more than readers"),
         told.next().expect("more than readers"),
     );
-    cut.source.set_mood(Mood::Failing);
+    cut.source.set_mode(SourceMode::Failing);
     let lapsing = followers.lapse(cut, 3);
     other
         .until("the lapse", |known| !knows_any(known, &lapsing))
@@ -193,7 +193,7 @@
     cut.until_read().await;
     let directory = cut.directory.load();
     assert!(lapsing.iter().all(|id| directory.members.get(id).is_some()));
-    cut.source.set_mood(Mood::Calm);
+    cut.source.set_mode(SourceMode::Normal);
     cut.until("the lapse", |known| !knows_any(known, &lapsing))
         .await;
 }
@@ -223,7 +223,7 @@
     let gone = member(90, "s", ([127, 0, 0, 1], 9).into());
     for _ in 0..5 {
         followers.published.put(Fact::Listed(gone.clone()));
-        followers.published.put(Fact::Left(gone.id.clone()));
+        followers.published.put(Fact::Removed(gone.id.clone()));
         let version = followers.version() + 1;
         followers.published.put_version(version);
         followers.until_version(version).await;
@@ -276,14 +276,14 @@
     let [first, second] = &followers.nodes[..] else {
         panic!("there are two nodes");
     };
-    first.source.set_mood(Mood::Failing);
+    first.source.set_mode(SourceMode::Failing);
     first.until_read().await;
     let gone = followers.lapse(second, 0);
     second
         .until("the lapse", |known| !knows_any(known, &gone))
         .await;
     let before = first.source.listings();
-    first.source.set_mood(Mood::Calm);
+    first.source.set_mode(SourceMode::Normal);
     first
         .until("the lapse", |known| !knows_any(known, &gone))
         .await;
--- a/crates/edge/tests/all/support/follower.rs
+++ b/crates/edge/tests/all/support/follower.rs
@@ -106,7 +106,7 @@
             .filter(|other| other.ip != node.ip && !other.reads());
         lapsing.extend(rest.skip(1).take(others).map(Follower::target_id));
         for id in &lapsing {
-            self.published.put(Fact::Left(id.clone()));
+            self.published.put(Fact::Removed(id.clone()));
         }
         lapsing
     }
--- a/crates/edge/tests/all/support/source.rs
+++ b/crates/edge/tests/all/support/source.rs
@@ -6,26 +6,26 @@
 use std::time::Duration;
 
 use hornbeamhitch_edge::prelude::*;
-use hornbeamhitch_edge::source::{Change, Changes, Fact, Listing, Reading, Source, SourceFault};
+use hornbeamhitch_edge::source::{Change, Changes, Fact, Listing, ReadFuture, Source, SourceFault};
 use parking_lot::Mutex;
 use tokio::sync::watch;
 use tokio::time::Instant;
 
 /// How the source treats one reader.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Mood {
+pub enum SourceMode {
     /// It answers.
     #[default]
-    Calm,
+    Normal,
     /// It never answers, nor fails.
     Silent,
     /// It fails at once.
     Failing,
     /// It loses the calls that it has in hand and those that it takes, and answers
     /// none of them, also later.
-    Losing,
+    DroppingCalls,
     /// It loses watches, and answers everything else.
-    LosingWatches,
+    DroppingWatches,
     /// Calls hang, and nobody gives them up: their node does not get to it.
     Hanging,
 }
@@ -100,7 +100,7 @@
     pub fn source(&self) -> TestSource {
         TestSource {
             published: self.clone(),
-            mood: watch::channel(Mood::Calm).0.into(),
+            mode: watch::channel(SourceMode::Normal).0.into(),
             calls: Arc::default(),
             last_wait_ms: Arc::default(),
             reads_of_routes: Arc::default(),
@@ -149,7 +149,7 @@
             Fact::Listed(member) => {
                 self.members.insert(member.id.clone(), member.clone());
             }
-            Fact::Left(id) => {
+            Fact::Removed(id) => {
                 self.members.remove(id);
             }
         }
@@ -164,7 +164,7 @@
 #[derive(Clone, Debug)]
 pub struct TestSource {
     published: Published,
-    mood: Arc<watch::Sender<Mood>>,
+    mode: Arc<watch::Sender<SourceMode>>,
     calls: Arc<AtomicU64>,
     /// How long the last watch was to wait.
     last_wait_ms: Arc<AtomicU64>,
@@ -175,10 +175,10 @@
 }
 
 impl TestSource {
-    pub fn set_mood(&self, mood: Mood) {
-        self.mood.send_if_modified(|known| {
-            let is_new = *known != mood;
-            *known = mood;
+    pub fn set_mode(&self, mode: SourceMode) {
+        self.mode.send_if_modified(|known| {
+            let is_new = *known != mode;
+            *known = mode;
             is_new
         });
     }
@@ -215,23 +215,23 @@
 
     /// Ends at once unless the source is silent.
     async fn answers(&self) -> Result<(), SourceFault> {
-        let mut mood = self.mood.subscribe();
-        let speaks = mood.wait_for(|mood| *mood != Mood::Silent).await;
+        let mut mode = self.mode.subscribe();
+        let speaks = mode.wait_for(|mode| *mode != SourceMode::Silent).await;
         match *speaks.expect("this struct holds a sender") {
-            Mood::Failing => Err(SourceFault::Failed("refused".to_owned())),
+            SourceMode::Failing => Err(SourceFault::Failed("refused".to_owned())),
             _ => Ok(()),
         }
     }
 
     /// Ends when the source loses a call that it has in hand.
     async fn lost(&self, is_watch: bool) {
-        let mut mood = self.mood.subscribe();
-        let loses = |mood: &Mood| match mood {
-            Mood::Losing | Mood::Hanging => true,
-            Mood::LosingWatches => is_watch,
-            Mood::Calm | Mood::Silent | Mood::Failing => false,
+        let mut mode = self.mode.subscribe();
+        let loses = |mode: &SourceMode| match mode {
+            SourceMode::DroppingCalls | SourceMode::Hanging => true,
+            SourceMode::DroppingWatches => is_watch,
+            SourceMode::Normal | SourceMode::Silent | SourceMode::Failing => false,
         };
-        let lost = mood.wait_for(loses).await;
+        let lost = mode.wait_for(loses).await;
         drop(lost.expect("this struct holds a sender"));
     }
 
@@ -250,8 +250,8 @@
             biased;
             () = self.lost(is_watch) => {
                 tokio::time::sleep_until(started + limit_ms.to_duration()).await;
-                let mut mood = self.mood.subscribe();
-                let given_up = mood.wait_for(|mood| *mood != Mood::Hanging).await;
+                let mut mode = self.mode.subscribe();
+                let given_up = mode.wait_for(|mode| *mode != SourceMode::Hanging).await;
                 drop(given_up.expect("this struct holds a sender"));
                 Err(SourceFault::Failed("no answer in time".to_owned()))
             }
@@ -277,17 +277,19 @@
 }
 
 impl Source for TestSource {
-    fn read_all(&self, silence_ms: Millis) -> Reading<'_, Listing> {
+    fn read_all(&self, idle_timeout_ms: Millis) -> ReadFuture<'_, Listing> {
         self.listings.fetch_add(1, Ordering::Relaxed);
-        Box::pin(self.unless_lost(&self.calls, false, silence_ms, async {
-            self.answers().await?;
-            Ok(self.published.state.lock().listing())
-        }))
+        Box::pin(
+            self.unless_lost(&self.calls, false, idle_timeout_ms, async {
+                self.answers().await?;
+                Ok(self.published.state.lock().listing())
+            }),
+        )
     }
 
-    fn read_stale(&self, silence_ms: Millis) -> Reading<'_, Listing> {
+    fn read_stale(&self, idle_timeout_ms: Millis) -> ReadFuture<'_, Listing> {
         Box::pin(
-            self.unless_lost(&self.stale_reads, false, silence_ms, async {
+            self.unless_lost(&self.stale_reads, false, idle_timeout_ms, async {
                 self.answers().await?;
                 let lag = *self.replica_lag.lock();
                 Ok(self.published.state.lock().stale_listing(lag))
@@ -295,13 +297,18 @@
         )
     }
 
-    fn watch(&self, after: u64, wait_ms: Millis, silence_ms: Millis) -> Reading<'_, Changes> {
+    fn watch(
+        &self,
+        after: u64,
+        wait_ms: Millis,
+        idle_timeout_ms: Millis,
+    ) -> ReadFuture<'_, Changes> {
         self.last_wait_ms.store(wait_ms.0, Ordering::Relaxed);
         Box::pin(
-            self.unless_lost(&self.calls, true, wait_ms + silence_ms, async move {
+            self.unless_lost(&self.calls, true, wait_ms + idle_timeout_ms, async move {
                 self.answers().await?;
                 let mut changed = self.published.changed.subscribe();
-                let mut mood = self.mood.subscribe();
+                let mut mode = self.mode.subscribe();
                 let waiting = async {
                     loop {
                         changed.mark_unchanged();
@@ -312,7 +319,7 @@
                         }
                         tokio::select! {
                             _ = changed.changed() => {}
-                            _ = mood.changed() => {}
+                            _ = mode.changed() => {}
                         }
                     }
                 };
@@ -325,19 +332,23 @@
     fn read_target<'a>(
         &'a self,
         id: &'a TargetId,
-        silence_ms: Millis,
-    ) -> Reading<'a, Option<Member>> {
-        Box::pin(self.unless_lost(&self.calls, false, silence_ms, async {
-            self.answers().await?;
-            Ok(self.published.state.lock().members.get(id).cloned())
-        }))
+        idle_timeout_ms: Millis,
+    ) -> ReadFuture<'a, Option<Member>> {
+        Box::pin(
+            self.unless_lost(&self.calls, false, idle_timeout_ms, async {
+                self.answers().await?;
+                Ok(self.published.state.lock().members.get(id).cloned())
+            }),
+        )
     }
 
-    fn read_routes(&self, silence_ms: Millis) -> Reading<'_, Option<RouteSet>> {
+    fn read_routes(&self, idle_timeout_ms: Millis) -> ReadFuture<'_, Option<RouteSet>> {
         self.reads_of_routes.fetch_add(1, Ordering::Relaxed);
-        Box::pin(self.unless_lost(&self.calls, false, silence_ms, async {
-            self.answers().await?;
-            Ok(self.published.state.lock().routes.clone())
-        }))
+        Box::pin(
+            self.unless_lost(&self.calls, false, idle_timeout_ms, async {
+                self.answers().await?;
+                Ok(self.published.state.lock().routes.clone())
+            }),
+        )
     }
 }
--- a/crates/routed/src/source.rs
+++ b/crates/routed/src/source.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use hornbeamhitch_dispatch::prelude::*;
-use hornbeamhitch_edge::source::{Change, Changes, Fact, Listing, Reading, Source, SourceFault};
+use hornbeamhitch_edge::source::{Change, Changes, Fact, Listing, ReadFuture, Source, SourceFault};
 use hornbeamhitch_node::platform::{PlatformReader, PublishedText, PublishedVms};
 use hornbeamhitch_text::CheckedText;
 use hornbeamhitch_types::prelude::ConfigVersion;
@@ -184,17 +184,25 @@
 }
 
 impl Source for OwnSource {
-    fn read_all(&self, silence_ms: Millis) -> Reading<'_, Listing> {
-        Box::pin(unless_silent(silence_ms.to_duration(), self.read_both()))
+    fn read_all(&self, idle_timeout_ms: Millis) -> ReadFuture<'_, Listing> {
+        Box::pin(unless_silent(
+            idle_timeout_ms.to_duration(),
+            self.read_both(),
+        ))
     }
 
-    fn read_stale(&self, silence_ms: Millis) -> Reading<'_, Listing> {
+    fn read_stale(&self, idle_timeout_ms: Millis) -> ReadFuture<'_, Listing> {
         // This platform has no cheaper read.
-        self.read_all(silence_ms)
+        self.read_all(idle_timeout_ms)
     }
 
-    fn watch(&self, after: u64, wait_ms: Millis, silence_ms: Millis) -> Reading<'_, Changes> {
-        let limit = wait_ms.to_duration() + silence_ms.to_duration();
+    fn watch(
+        &self,
+        after: u64,
+        wait_ms: Millis,
+        idle_timeout_ms: Millis,
+    ) -> ReadFuture<'_, Changes> {
+        let limit = wait_ms.to_duration() + idle_timeout_ms.to_duration();
         Box::pin(unless_silent(limit, async move {
             let known = self.published.lock().revision();
             if after != known {
@@ -209,9 +217,9 @@
     fn read_target<'a>(
         &'a self,
         id: &'a TargetId,
-        silence_ms: Millis,
-    ) -> Reading<'a, Option<Member>> {
-        Box::pin(unless_silent(silence_ms.to_duration(), async move {
+        idle_timeout_ms: Millis,
+    ) -> ReadFuture<'a, Option<Member>> {
+        Box::pin(unless_silent(idle_timeout_ms.to_duration(), async move {
             let read = self.reader.vms(None, ListVersion(0), Millis::ZERO).await;
             let Some(read) = read.map_err(failed)? else {
                 return Ok(None);
@@ -222,8 +230,8 @@
         }))
     }
 
-    fn read_routes(&self, silence_ms: Millis) -> Reading<'_, Option<RouteSet>> {
-        Box::pin(unless_silent(silence_ms.to_duration(), async move {
+    fn read_routes(&self, idle_timeout_ms: Millis) -> ReadFuture<'_, Option<RouteSet>> {
+        Box::pin(unless_silent(idle_timeout_ms.to_duration(), async move {
             let read = self.reader.text(ConfigVersion(0), Millis::ZERO).await;
             Ok(read.map_err(failed)?.as_ref().and_then(route_set))
         }))
@@ -259,7 +267,7 @@
 
 fn difference(before: &BTreeMap<TargetId, Member>, now: BTreeMap<TargetId, Member>) -> Vec<Fact> {
     let gone = before.keys().filter(|id| !now.contains_key(*id));
-    let mut facts: Vec<Fact> = gone.cloned().map(Fact::Left).collect();
+    let mut facts: Vec<Fact> = gone.cloned().map(Fact::Removed).collect();
     for (id, member) in now {
         if before.get(&id) != Some(&member) {
             facts.push(Fact::Listed(member));
--- a/crates/wire/src/link.rs
+++ b/crates/wire/src/link.rs
@@ -282,7 +282,7 @@
         /// The revision.
         revision: u64,
         /// The reader's own last read failed.
-        is_troubled: bool,
+        last_read_failed: bool,
         /// So long ago this was all that the source had published.
         age_ms: Millis,
     },
