--- a/crates/edge/src/directory.rs
+++ b/crates/edge/src/directory.rs
@@ -224,12 +224,12 @@
     }
 
     /// The source could not be read.
-    pub fn note_trouble(&mut self) {
+    pub fn note_read_failure(&mut self) {
         self.tracker.note_trouble(self.clock.now());
     }
 
     /// A reader that this node hears could not read the source.
-    pub fn note_distant_trouble(&mut self, grace_ms: Millis) {
+    pub fn note_reader_failure(&mut self, grace_ms: Millis) {
         self.tracker
             .note_distant_trouble(grace_ms, self.clock.now());
     }
--- a/crates/edge/src/feed.rs
+++ b/crates/edge/src/feed.rs
@@ -18,9 +18,9 @@
 use crate::source::{Change, Fact};
 use change_log::ChangeLog;
 
-#[cfg(test)]
-pub(crate) use links::{Coming, FeedWords};
 pub(crate) use links::{FeedLinks, TcpFeedLinks};
+#[cfg(test)]
+pub(crate) use links::{FeedStream, LinkFuture};
 pub use subscriptions::{FeedEvent, Subscriptions};
 
 #[cfg(test)]
@@ -31,18 +31,18 @@
 ///
 /// Failure answered: readers tell a configuration of thousands of routes, their lines are
 /// full for seconds, and each departure that comes after it waits behind it.
-const MAX_TOLD_BYTES: usize = 8 * 1024;
+const MAX_CHANGE_BYTES: usize = 8 * 1024;
 
 /// Whether a node's feed can be subscribed to.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Standing {
+pub enum FeedStatus {
     /// The node is no reader.
     #[default]
     Closed,
     /// It reads.
     Open,
     /// It would read, but its last read failed.
-    Troubled,
+    Unhealthy,
 }
 
 /// Recent changes, for subscribers.
@@ -56,7 +56,7 @@
 
 #[derive(Debug, Default)]
 struct State {
-    standing: Standing,
+    status: FeedStatus,
     /// Everything up to this revision is known.
     revision: u64,
     /// That was all that the source had published by then.
@@ -66,7 +66,7 @@
 
 /// What is new to one subscriber.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct FeedPart {
+pub struct FeedUpdate {
     /// Encoded changes in their order.
     pub changes: Vec<Bytes>,
     /// Everything up to this revision is known.
@@ -123,12 +123,12 @@
     }
 
     /// Opens or closes the feed.
-    pub fn set_standing(&self, standing: Standing) {
+    pub fn set_status(&self, status: FeedStatus) {
         let mut state = self.state.lock();
-        if state.standing == standing {
+        if state.status == status {
             return;
         }
-        state.standing = standing;
+        state.status = status;
         drop(state);
         self.wake();
     }
@@ -136,20 +136,20 @@
     /// What is new to a subscriber who knows everything up to `revision`;
     /// `None` when this node cannot tell.
     #[must_use]
-    pub fn after(&self, revision: u64) -> Option<FeedPart> {
+    pub fn update_after(&self, revision: u64) -> Option<FeedUpdate> {
         let state = self.state.lock();
-        if state.standing == Standing::Closed {
+        if state.status == FeedStatus::Closed {
             return None;
         }
-        Some(FeedPart {
+        Some(FeedUpdate {
             changes: state.log.after(revision)?,
             revision: state.revision,
-            last_read_failed: state.standing == Standing::Troubled,
+            last_read_failed: state.status == FeedStatus::Unhealthy,
             age_ms: self.clock.now().since(state.as_of),
         })
     }
 
-    /// Tells when [`Self::after`] may have something new.
+    /// Tells when [`Self::update_after`] may have something new.
     #[must_use]
     pub fn subscribe(&self) -> watch::Receiver<()> {
         self.changed.subscribe()
@@ -162,26 +162,26 @@
         let mut changed = self.subscribe();
         loop {
             changed.mark_unchanged();
-            let Some(part) = self.after(known) else {
+            let Some(update) = self.update_after(known) else {
                 // A link that has ended needs no answer.
                 let _ = subscriber.send(ToEntry::NoFeed);
                 return;
             };
-            known = known.max(part.revision);
-            for change in part.changes {
+            known = known.max(update.revision);
+            for change in update.changes {
                 let _ = subscriber.send(ToEntry::Change(change));
             }
             let known_to = ToEntry::KnownTo {
-                revision: part.revision,
-                last_read_failed: part.last_read_failed,
-                age_ms: part.age_ms,
+                revision: update.revision,
+                last_read_failed: update.last_read_failed,
+                age_ms: update.age_ms,
             };
             if subscriber.send(known_to).is_err() {
                 return;
             }
             // Whether the wait ends by a change or by its time makes no difference.
-            let again = self.waits.tell_again_ms().to_duration();
-            let _ = tokio::time::timeout(again, changed.changed()).await;
+            let resend_interval = self.waits.tell_again_ms().to_duration();
+            let _ = tokio::time::timeout(resend_interval, changed.changed()).await;
         }
     }
 
@@ -197,7 +197,7 @@
             Err(error) => {
                 log::error!("a change cannot be written for other nodes: {error}");
                 // Nobody may be told that everything is known without it.
-                self.log.lose(change.revision);
+                self.log.note_lost(change.revision);
             }
         }
     }
@@ -209,12 +209,12 @@
     let Fact::Routes(routes) = &change.fact else {
         return Ok(encoded.into());
     };
-    if encoded.len() <= MAX_TOLD_BYTES {
+    if encoded.len() <= MAX_CHANGE_BYTES {
         return Ok(encoded.into());
     }
-    let named = Change {
+    let reference = Change {
         revision: change.revision,
         fact: Fact::LargeRoutes(routes.version()),
     };
-    postcard::to_stdvec(&named).map(Bytes::from)
+    postcard::to_stdvec(&reference).map(Bytes::from)
 }
--- a/crates/edge/src/feed/change_log.rs
+++ b/crates/edge/src/feed/change_log.rs
@@ -65,7 +65,7 @@
     }
 
     /// A change up to this revision cannot be told to anybody.
-    pub(super) fn lose(&mut self, revision: u64) {
+    pub(super) fn note_lost(&mut self, revision: u64) {
         self.lost_to = self.lost_to.max(revision);
     }
 
--- a/crates/edge/src/feed/links.rs
+++ b/crates/edge/src/feed/links.rs
@@ -15,19 +15,19 @@
 use crate::sockets;
 
 /// Something that comes from another node, or the end of the way to it.
-pub(crate) type Coming<'a, T> = Pin<Box<dyn Future<Output = Result<T, LinkFault>> + Send + 'a>>;
+pub(crate) type LinkFuture<'a, T> = Pin<Box<dyn Future<Output = Result<T, LinkFault>> + Send + 'a>>;
 
 /// Reaches the feeds of other nodes.
 pub(crate) trait FeedLinks: fmt::Debug + Send + Sync {
     /// Subscribes to a reader's feed, given the revision up to which all is known here.
     /// Whoever waits for it sets the limit.
-    fn open(&self, reader: IpAddr, known: u64) -> Coming<'_, Box<dyn FeedWords>>;
+    fn open(&self, reader: IpAddr, known: u64) -> LinkFuture<'_, Box<dyn FeedStream>>;
 }
 
 /// What a reader tells one subscriber.
-pub(crate) trait FeedWords: Send {
+pub(crate) trait FeedStream: Send {
     /// The next word. Safe to cancel.
-    fn next(&mut self) -> Coming<'_, ToEntry>;
+    fn next(&mut self) -> LinkFuture<'_, ToEntry>;
 }
 
 /// Links over TCP to the port at which all nodes listen.
@@ -37,7 +37,7 @@
 }
 
 impl FeedLinks for TcpFeedLinks {
-    fn open(&self, reader: IpAddr, known: u64) -> Coming<'_, Box<dyn FeedWords>> {
+    fn open(&self, reader: IpAddr, known: u64) -> LinkFuture<'_, Box<dyn FeedStream>> {
         let address = SocketAddr::new(reader, self.port);
         Box::pin(async move {
             let stream = TcpStream::connect(address).await?;
@@ -46,23 +46,23 @@
             let mut buffer = BytesMut::new();
             link::encode(&ToGate::Follow { revision: known }, &mut buffer)?;
             writer.write_all(&buffer).await?;
-            let subscribed: Box<dyn FeedWords> = Box::new(Subscribed {
+            let stream_of_feed: Box<dyn FeedStream> = Box::new(TcpFeedStream {
                 reader: FrameReader::new(frames),
                 _writer: writer,
             });
-            Ok(subscribed)
+            Ok(stream_of_feed)
         })
     }
 }
 
 /// A connection with a subscription; its writing half is kept open.
-struct Subscribed {
+struct TcpFeedStream {
     reader: FrameReader,
     _writer: OwnedWriteHalf,
 }
 
-impl FeedWords for Subscribed {
-    fn next(&mut self) -> Coming<'_, ToEntry> {
+impl FeedStream for TcpFeedStream {
+    fn next(&mut self) -> LinkFuture<'_, ToEntry> {
         Box::pin(self.reader.next())
     }
 }
--- a/crates/edge/src/feed/subscriptions.rs
+++ b/crates/edge/src/feed/subscriptions.rs
@@ -28,7 +28,7 @@
 pub enum FeedEvent {
     /// Every change up to the revision, of those after the revision that was
     /// known at the subscription.
-    Known {
+    Update {
         /// The reader.
         reader: IpAddr,
         /// Changes in their order.
@@ -42,7 +42,7 @@
         as_of: Millis,
     },
     /// This node has read a configuration that its readers could not tell.
-    Read(RouteSet),
+    RoutesRead(RouteSet),
     /// The reader tells nothing for now.
     Lost {
         /// The reader.
@@ -53,17 +53,17 @@
 /// The readers that this node hears.
 #[derive(Debug)]
 pub struct Subscriptions {
-    listening: Listening,
+    context: SubscriptionContext,
     /// Everything up to this revision is known here.
-    known: Arc<AtomicU64>,
+    known_revision: Arc<AtomicU64>,
     events: mpsc::UnboundedReceiver<FeedEvent>,
-    told: mpsc::UnboundedSender<FeedEvent>,
+    event_sender: mpsc::UnboundedSender<FeedEvent>,
     readers: BTreeMap<IpAddr, Subscription>,
 }
 
 /// How readers are heard.
 #[derive(Clone, Debug)]
-struct Listening {
+struct SubscriptionContext {
     links: Arc<dyn FeedLinks>,
     waits: Waits,
     clock: ProcessClock,
@@ -95,48 +95,48 @@
 impl Subscriptions {
     /// None yet; readers are reached over these links.
     pub(crate) fn new(links: Arc<dyn FeedLinks>, waits: Waits, clock: ProcessClock) -> Self {
-        let (told, events) = mpsc::unbounded_channel();
+        let (event_sender, events) = mpsc::unbounded_channel();
         Self {
-            listening: Listening {
+            context: SubscriptionContext {
                 links,
                 waits,
                 clock,
             },
-            known: Arc::default(),
+            known_revision: Arc::default(),
             events,
-            told,
+            event_sender,
             readers: BTreeMap::new(),
         }
     }
 
     /// Where this node's own reads are put in beside what readers tell.
-    pub fn beside(&self) -> mpsc::UnboundedSender<FeedEvent> {
-        self.told.clone()
+    pub fn event_sender(&self) -> mpsc::UnboundedSender<FeedEvent> {
+        self.event_sender.clone()
     }
 
     /// Everything up to this revision is known here.
-    pub fn note_known(&self, revision: u64) {
-        self.known.store(revision, Ordering::Release);
+    pub fn set_known_revision(&self, revision: u64) {
+        self.known_revision.store(revision, Ordering::Release);
     }
 
     /// Subscribes to these readers and to no others.
-    pub fn keep_to(&mut self, wanted: &[IpAddr]) {
+    pub fn set_readers(&mut self, wanted: &[IpAddr]) {
         self.readers.retain(|reader, _| wanted.contains(reader));
         let mut delay = Duration::ZERO;
         for reader in wanted {
             if self.readers.contains_key(reader) {
                 continue;
             }
-            let hearing = hear(
+            let subscription_task = run_subscription(
                 *reader,
                 delay,
-                self.listening.clone(),
-                Arc::clone(&self.known),
-                self.told.clone(),
+                self.context.clone(),
+                Arc::clone(&self.known_revision),
+                self.event_sender.clone(),
             );
             delay += self.next_subscription_delay();
             let subscription = Subscription {
-                task: tokio::spawn(hearing).abort_handle(),
+                task: tokio::spawn(subscription_task).abort_handle(),
                 health: ReaderHealth::Lost,
             };
             self.readers.insert(*reader, subscription);
@@ -147,22 +147,22 @@
     /// every reader that it subscribes to before the first update; when a whole fleet
     /// starts, that would saturate the readers' links.
     fn next_subscription_delay(&self) -> Duration {
-        match self.known.load(Ordering::Acquire) {
-            0 => self.listening.waits.tell_again_ms().to_duration(),
+        match self.known_revision.load(Ordering::Acquire) {
+            0 => self.context.waits.tell_again_ms().to_duration(),
             _ => Duration::ZERO,
         }
     }
 
     /// Readers that speak and whose own reads succeed.
     #[must_use]
-    pub fn sound(&self) -> usize {
+    pub fn healthy_readers(&self) -> usize {
         self.count(ReaderHealth::Healthy)
     }
 
     /// Whether some readers publish, and none of these reaches the source.
     #[must_use]
     pub fn all_unhealthy(&self) -> bool {
-        self.sound() == 0 && self.count(ReaderHealth::Unhealthy) > 0
+        self.healthy_readers() == 0 && self.count(ReaderHealth::Unhealthy) > 0
     }
 
     fn count(&self, health: ReaderHealth) -> usize {
@@ -175,14 +175,14 @@
         let event = self.events.recv().await;
         let event = event.expect("this struct holds a sender");
         let (reader, health) = match &event {
-            FeedEvent::Known {
+            FeedEvent::Update {
                 reader,
                 last_read_failed: true,
                 ..
             } => (reader, ReaderHealth::Unhealthy),
-            FeedEvent::Known { reader, .. } => (reader, ReaderHealth::Healthy),
+            FeedEvent::Update { reader, .. } => (reader, ReaderHealth::Healthy),
             FeedEvent::Lost { reader } => (reader, ReaderHealth::Lost),
-            FeedEvent::Read(_) => return event,
+            FeedEvent::RoutesRead(_) => return event,
         };
         if let Some(subscription) = self.readers.get_mut(reader) {
             subscription.health = health;
@@ -192,24 +192,31 @@
 }
 
 /// Hears one reader for as long as it is wanted.
-async fn hear(
+async fn run_subscription(
     reader: IpAddr,
     delay: Duration,
-    listening: Listening,
-    known: Arc<AtomicU64>,
-    told: mpsc::UnboundedSender<FeedEvent>,
+    context: SubscriptionContext,
+    known_revision: Arc<AtomicU64>,
+    event_sender: mpsc::UnboundedSender<FeedEvent>,
 ) {
-    let mut was_heard = false;
+    let mut is_established = false;
     let mut retry = FIRST_RETRY;
     tokio::time::sleep(delay).await;
     loop {
-        let ended = hear_once(reader, &listening, &known, &told, &mut was_heard).await;
-        if was_heard {
+        let ended = subscribe_once(
+            reader,
+            &context,
+            &known_revision,
+            &event_sender,
+            &mut is_established,
+        )
+        .await;
+        if is_established {
             log::info!("the reader {reader} is not heard any more: {ended}");
-            was_heard = false;
+            is_established = false;
             retry = FIRST_RETRY;
             let lost = FeedEvent::Lost { reader };
-            if told.send(lost).is_err() {
+            if event_sender.send(lost).is_err() {
                 return;
             }
         }
@@ -218,25 +225,25 @@
     }
 }
 
-async fn hear_once(
+async fn subscribe_once(
     reader: IpAddr,
-    listening: &Listening,
-    known: &AtomicU64,
-    told: &mpsc::UnboundedSender<FeedEvent>,
-    was_heard: &mut bool,
+    context: &SubscriptionContext,
+    known_revision: &AtomicU64,
+    event_sender: &mpsc::UnboundedSender<FeedEvent>,
+    is_established: &mut bool,
 ) -> LinkFault {
-    let known = known.load(Ordering::Acquire);
-    let timeout = listening.waits.tell_again_ms().to_duration();
-    let opening = tokio::time::timeout(timeout, listening.links.open(reader, known));
-    let mut words = match opening.await {
-        Ok(Ok(words)) => words,
+    let known_revision = known_revision.load(Ordering::Acquire);
+    let timeout = context.waits.tell_again_ms().to_duration();
+    let opening = tokio::time::timeout(timeout, context.links.open(reader, known_revision));
+    let mut stream = match opening.await {
+        Ok(Ok(stream)) => stream,
         Ok(Err(fault)) => return fault,
         Err(silence) => return LinkFault::Io(silence.into()),
     };
     let mut changes = Vec::new();
     loop {
-        let silence = listening.waits.reader_silence_ms().to_duration();
-        let frame = match tokio::time::timeout(silence, words.next()).await {
+        let silence = context.waits.reader_silence_ms().to_duration();
+        let frame = match tokio::time::timeout(silence, stream.next()).await {
             Ok(Ok(frame)) => frame,
             Ok(Err(fault)) => return fault,
             Err(silence) => return LinkFault::Io(silence.into()),
@@ -251,18 +258,18 @@
                 last_read_failed,
                 age_ms,
             } => {
-                if !*was_heard {
-                    *was_heard = true;
+                if !*is_established {
+                    *is_established = true;
                     log::info!(revision; "changes are heard from the reader {reader}");
                 }
-                let event = FeedEvent::Known {
+                let event = FeedEvent::Update {
                     reader,
                     changes: std::mem::take(&mut changes),
                     revision,
                     last_read_failed,
-                    as_of: listening.clock.now().minus(age_ms),
+                    as_of: context.clock.now().minus(age_ms),
                 };
-                if told.send(event).is_err() {
+                if event_sender.send(event).is_err() {
                     return LinkFault::Closed;
                 }
             }
--- a/crates/edge/src/feed/tests.rs
+++ b/crates/edge/src/feed/tests.rs
@@ -30,10 +30,11 @@
     }
 }
 
-fn revisions(part: &FeedPart) -> Vec<u64> {
+fn revisions(update: &FeedUpdate) -> Vec<u64> {
     let decode =
         |encoded: &Bytes| -> Change { postcard::from_bytes(encoded).expect("what was encoded") };
-    part.changes
+    update
+        .changes
         .iter()
         .map(|encoded| decode(encoded).revision)
         .collect()
@@ -42,43 +43,43 @@
 fn open_feed() -> ChangeFeed {
     let feed = ChangeFeed::new(ProcessClock::start(), Waits::new(Millis(2_000)));
     feed.append(&[left(10)], 10);
-    feed.set_standing(Standing::Open);
+    feed.set_status(FeedStatus::Open);
     feed
 }
 
 #[test]
-fn a_subscriber_is_told_what_is_new_to_it() {
+fn a_subscriber_receives_only_newer_changes() {
     let feed = open_feed();
     feed.append(&[left(11), left(13)], 15);
-    let part = feed.after(11).expect("an open feed");
-    assert_eq!((revisions(&part), part.revision), (vec![13], 15));
-    let part = feed.after(20).expect("an open feed");
-    assert_eq!((revisions(&part), part.revision), (vec![], 15));
+    let update = feed.update_after(11).expect("an open feed");
+    assert_eq!((revisions(&update), update.revision), (vec![13], 15));
+    let update = feed.update_after(20).expect("an open feed");
+    assert_eq!((revisions(&update), update.revision), (vec![], 15));
 }
 
 #[test]
-fn a_closed_feed_tells_nothing() {
+fn a_closed_feed_returns_nothing() {
     let feed = open_feed();
-    feed.set_standing(Standing::Closed);
-    assert_eq!(feed.after(10), None);
+    feed.set_status(FeedStatus::Closed);
+    assert_eq!(feed.update_after(10), None);
 }
 
 /// Told "everything is known up to 12" without what came before 10, a subscriber
 /// would miss that for ever.
 #[test]
-fn a_subscriber_from_before_the_kept_changes_is_told_nothing() {
+fn a_subscriber_behind_the_log_is_rejected() {
     let feed = open_feed();
     for revision in 12..=2_000 {
         feed.append(&[left(revision)], revision);
     }
-    assert_eq!(feed.after(12), None);
-    let last = feed.after(1_999).expect("the latest are kept");
+    assert_eq!(feed.update_after(12), None);
+    let last = feed.update_after(1_999).expect("the latest are kept");
     assert_eq!(revisions(&last), [2_000]);
 }
 
 /// Guards against restarted nodes that all read the source, as changes of long ago are gone.
 #[test]
-fn a_subscriber_that_knows_nothing_is_sent_the_latest_of_each_target() {
+fn a_new_subscriber_receives_the_latest_change_of_each_target() {
     const TARGETS: u64 = 40;
     const CHANGES: u64 = 5_000;
     let feed = open_feed();
@@ -89,33 +90,36 @@
     for revision in CHANGES + 1..=2 * CHANGES {
         feed.append(&[left(revision)], revision);
     }
-    let part = feed.after(0).expect("an open feed");
-    let known = revisions(&part).into_iter();
+    let update = feed.update_after(0).expect("an open feed");
+    let known = revisions(&update).into_iter();
     let expected: Vec<u64> = (CHANGES - TARGETS + 1..=CHANGES).collect();
     let listed: Vec<u64> = known.filter(|revision| *revision <= CHANGES).collect();
     assert_eq!(listed, expected);
-    assert_eq!(part.revision, 2 * CHANGES);
-    assert_eq!(feed.after(CHANGES), None);
+    assert_eq!(update.revision, 2 * CHANGES);
+    assert_eq!(feed.update_after(CHANGES), None);
 }
 
 #[test]
-fn trouble_is_told() {
+fn a_failed_read_is_reported() {
     let feed = open_feed();
-    feed.set_standing(Standing::Troubled);
-    assert!(feed.after(10).is_some_and(|part| part.last_read_failed));
+    feed.set_status(FeedStatus::Unhealthy);
+    assert!(
+        feed.update_after(10)
+            .is_some_and(|update| update.last_read_failed)
+    );
 }
 
 /// Two readers hear each other. A word that brings nothing new must end there,
 /// or they would answer each other for ever with a whole processor.
 #[test]
-fn what_is_known_wakes_nobody() {
+fn known_changes_wake_no_subscriber() {
     let feed = open_feed();
     feed.append(&[left(12)], 12);
     let mut subscriber = feed.subscribe();
     subscriber.mark_unchanged();
     feed.append(&[], 12);
     feed.append(&[], 11);
-    feed.set_standing(Standing::Open);
+    feed.set_status(FeedStatus::Open);
     assert!(!subscriber.has_changed().expect("an open feed"));
     feed.append(&[], 13);
     assert!(subscriber.has_changed().expect("an open feed"));
@@ -125,10 +129,10 @@
 /// readers with thin lines were telling each of their subscribers a configuration of
 /// thousands of routes, for seconds, and what was told after it waited behind it.
 #[test]
-fn what_a_subscriber_is_told_of_one_change_is_short() {
+fn encoded_changes_are_small() {
     /// A reader tells some 48 subscribers. So much to each of them is 0.3 s of a line of
     /// 10 Mbit/s, a tenth of the least time in which changes must be in force.
-    const MOST_BYTES: usize = 8 * 1024;
+    const MAX_BYTES: usize = 8 * 1024;
     let mut routes = RouteSet::new(7, CallerLimits::default());
     for number in 0..4_000 {
         routes.add("h", route(number));
@@ -139,10 +143,10 @@
     };
     let feed = open_feed();
     feed.append(&[written, left(12)], 12);
-    let part = feed.after(10).expect("an open feed");
-    assert_eq!(part.revision, 12);
-    for change in &part.changes {
-        assert!(change.len() <= MOST_BYTES, "{} bytes", change.len());
+    let update = feed.update_after(10).expect("an open feed");
+    assert_eq!(update.revision, 12);
+    for change in &update.changes {
+        assert!(change.len() <= MAX_BYTES, "{} bytes", change.len());
     }
 }
 
--- a/crates/edge/src/following.rs
+++ b/crates/edge/src/following.rs
@@ -15,25 +15,25 @@
 use rand::RngExt;
 
 use crate::directory::DirectoryWriter;
-use crate::feed::{ChangeFeed, FeedLinks, Standing, Subscriptions, TcpFeedLinks};
+use crate::feed::{ChangeFeed, FeedLinks, FeedStatus, Subscriptions, TcpFeedLinks};
 use crate::prelude::*;
 use crate::source::{SharedSource, SourceFault};
-use hearing::{while_hearing, with_expiry};
-use knowledge::{Knowledge, OwnReads};
-use large_routes::LargeRoutes;
+use hearing::{with_expiry, with_updates};
+use knowledge::{KnownState, OwnReads};
+use large_routes::LargeRoutesReader;
 
 #[cfg(test)]
 mod tests;
 
 /// A watch that is to be answered at once.
-const AT_ONCE_MS: Millis = Millis(1);
+const MIN_WATCH_MS: Millis = Millis(1);
 /// The first gathering of a node that has just started; each further one takes twice as
 /// long, up to the usual. VMs that start together do so within some tenths of a second.
-const FIRST_GATHER_MS: Millis = Millis(200);
+const FIRST_DEBOUNCE_MS: Millis = Millis(200);
 /// Doublings after which no more are counted.
-const MOST_GATHERINGS: u32 = 10;
+const MAX_DEBOUNCE_DOUBLINGS: u32 = 10;
 /// The same of pauses after failed reads.
-const MOST_DOUBLINGS: u32 = 4;
+const MAX_PAUSE_DOUBLINGS: u32 = 4;
 
 /// What following needs to know of its node.
 #[derive(Clone, Debug)]
@@ -72,42 +72,43 @@
     let waits = Waits::new(settings.in_force_ms);
     let clock = directory.clock();
     let subscriptions = Subscriptions::new(links, waits, clock);
-    let large_routes = LargeRoutes::start(Arc::clone(&source), waits, subscriptions.beside());
-    let mut following = Following {
+    let large_routes =
+        LargeRoutesReader::start(Arc::clone(&source), waits, subscriptions.event_sender());
+    let mut sync = DirectorySync {
         source,
-        knowledge: Knowledge::new(directory, feed, large_routes, settings.own_ip, waits),
+        known: KnownState::new(directory, feed, large_routes, settings.own_ip, waits),
         subscriptions,
         waits,
         role: Role::Alone,
         settings,
         failures: 0,
-        gatherings: 0,
+        debounces: 0,
     };
-    let is_told = following.bootstrap().await;
-    log::info!(is_told; "bootstrap complete");
-    if !is_told {
-        following.read_all().await;
+    let is_synced = sync.bootstrap().await;
+    log::info!(is_told = is_synced; "bootstrap complete");
+    if !is_synced {
+        sync.read_all().await;
     }
     loop {
-        following.keep_up().await;
-        following.read_all().await;
+        sync.follow_changes().await;
+        sync.read_all().await;
     }
 }
 
-struct Following {
+struct DirectorySync {
     source: SharedSource,
     waits: Waits,
-    knowledge: Knowledge,
+    known: KnownState,
     subscriptions: Subscriptions,
     role: Role,
     settings: FollowSettings,
     /// Reads that failed in a row.
     failures: u32,
     /// Times that this node gathered changes since its start.
-    gatherings: u32,
+    debounces: u32,
 }
 
-impl Following {
+impl DirectorySync {
     /// Reads everything, as often as it takes.
     async fn read_all(&mut self) {
         loop {
@@ -115,8 +116,8 @@
                 Ok(listing) => {
                     let age_ms = listing.age_ms;
                     self.note_success();
-                    self.knowledge.replace(listing);
-                    self.knowledge.renew(age_ms);
+                    self.known.apply_listing(listing);
+                    self.known.renew(age_ms);
                     return;
                 }
                 Err(fault) => self.pause_after(&fault).await,
@@ -125,12 +126,12 @@
     }
 
     /// Follows changes until everything has to be read anew.
-    async fn keep_up(&mut self) {
+    async fn follow_changes(&mut self) {
         loop {
-            self.settle_role();
-            if self.is_told() {
-                self.hear().await;
-                if !self.is_told() && self.role.is_follower() {
+            self.update_role();
+            if self.is_fed_by_readers() {
+                self.apply_next_update().await;
+                if !self.is_fed_by_readers() && self.role.is_follower() {
                     // Not in step with all others who heard the same readers.
                     self.pause(self.waits.lost_readers_pause_ms()).await;
                 }
@@ -141,7 +142,7 @@
                 continue;
             }
             match self.watch().await {
-                Ok(()) if self.knowledge.take_held() => {
+                Ok(()) if self.known.take_deferred_removals() => {
                     log::info!("the source is reached; what had lapsed meanwhile is read anew");
                     return;
                 }
@@ -160,10 +161,10 @@
     /// One sound reader is enough: its loss, or its silence, shows by the age of what is
     /// known here. Asking for two, a fleet of which a third is turned away by the source
     /// makes a call of each node at each change.
-    fn is_told(&self) -> bool {
-        self.subscriptions.sound() > 0
-            && self.knowledge.own_reads() == OwnReads::Good
-            && self.knowledge.age_ms() < self.oldest_told_ms()
+    fn is_fed_by_readers(&self) -> bool {
+        self.subscriptions.healthy_readers() > 0
+            && self.known.own_reads() == OwnReads::Good
+            && self.known.age_ms() < self.max_age_ms()
     }
 
     /// Whether probing a source that all subscribed readers report as unreachable is left
@@ -176,22 +177,22 @@
         self.role.is_follower()
             && !self.role.is_reserve()
             && self.subscriptions.all_unhealthy()
-            && self.knowledge.own_reads() == OwnReads::Good
-            && self.knowledge.age_ms() < self.waits.longest_outage_ms()
+            && self.known.own_reads() == OwnReads::Good
+            && self.known.age_ms() < self.waits.longest_outage_ms()
     }
 
     /// Applies what unhealthy readers publish until one of them recovers.
     async fn await_recovery(&mut self) {
-        if self.knowledge.age_ms() >= self.oldest_told_ms() {
+        if self.known.age_ms() >= self.max_age_ms() {
             // Entries may expire during an outage although their targets are alive.
-            self.knowledge.note_trouble();
+            self.known.note_entries_may_expire();
         }
-        let hearing = tokio::time::sleep(self.waits.tell_again_ms().to_duration());
-        while_hearing(hearing, &mut self.knowledge, &mut self.subscriptions).await;
+        let delay = tokio::time::sleep(self.waits.tell_again_ms().to_duration());
+        with_updates(delay, &mut self.known, &mut self.subscriptions).await;
     }
 
     /// Age of what is known at which this node asks the source itself.
-    fn oldest_told_ms(&self) -> Millis {
+    fn max_age_ms(&self) -> Millis {
         match &self.role {
             Role::Follower {
                 is_reserve: true, ..
@@ -204,21 +205,21 @@
 
     /// Watches the source once and takes what came.
     async fn watch(&mut self) -> Result<(), SourceFault> {
-        let (after, wait_ms) = (self.knowledge.revision(), self.watch_wait_ms());
+        let (after, wait_ms) = (self.known.revision(), self.watch_wait_ms());
         let watching = self
             .source
             .watch(after, wait_ms, self.waits.idle_timeout_ms());
-        let batch = while_hearing(watching, &mut self.knowledge, &mut self.subscriptions).await?;
+        let batch = with_updates(watching, &mut self.known, &mut self.subscriptions).await?;
         self.note_success();
-        let gathers = !batch.changes.is_empty() && !self.knowledge.has_held();
-        self.knowledge.take(batch.changes, batch.revision);
-        self.knowledge.renew(batch.age_ms);
-        if gathers {
+        let has_new_changes = !batch.changes.is_empty() && !self.known.has_deferred_removals();
+        self.known.apply_new(batch.changes, batch.revision);
+        self.known.renew(batch.age_ms);
+        if has_new_changes {
             // Whoever learns of its readers subscribes while it gathers. After it,
             // each node of a fleet that starts would fetch the next change itself.
-            self.settle_role();
-            let gathering = tokio::time::sleep(self.next_gathering().to_duration());
-            while_hearing(gathering, &mut self.knowledge, &mut self.subscriptions).await;
+            self.update_role();
+            let debounce = tokio::time::sleep(self.next_debounce().to_duration());
+            with_updates(debounce, &mut self.known, &mut self.subscriptions).await;
         }
         Ok(())
     }
@@ -228,27 +229,27 @@
     /// After changes were gathered, this is what is left of the time. A watch of the
     /// whole time, lost, would hide for both together what changed meanwhile.
     fn watch_wait_ms(&self) -> Millis {
-        match self.knowledge.own_reads() {
-            OwnReads::Doubtful | OwnReads::Failed => AT_ONCE_MS,
+        match self.known.own_reads() {
+            OwnReads::Doubtful | OwnReads::Failed => MIN_WATCH_MS,
             OwnReads::Good => {
-                let left_ms = self.waits.renewal_ms().minus(self.knowledge.age_ms());
-                left_ms.max(AT_ONCE_MS)
+                let left_ms = self.waits.renewal_ms().minus(self.known.age_ms());
+                left_ms.max(MIN_WATCH_MS)
             }
         }
     }
 
     /// Takes what a reader tells next, or nothing when what is known grows too old.
-    async fn hear(&mut self) {
-        let left_ms = self.oldest_told_ms().minus(self.knowledge.age_ms());
+    async fn apply_next_update(&mut self) {
+        let left_ms = self.max_age_ms().minus(self.known.age_ms());
         let next = tokio::time::timeout(left_ms.to_duration(), self.subscriptions.next());
-        match with_expiry(next, &mut self.knowledge).await {
-            Ok(event) => self.knowledge.hear(event),
+        match with_expiry(next, &mut self.known).await {
+            Ok(event) => self.known.apply_event(event),
             Err(_) => {
-                let known_ms = self.knowledge.age_ms().0;
+                let known_ms = self.known.age_ms().0;
                 log::info!(known_ms; "what readers tell is too old");
             }
         }
-        self.subscriptions.note_known(self.knowledge.revision());
+        self.subscriptions.set_known_revision(self.known.revision());
     }
 
     /// How long to gather changes now.
@@ -258,49 +259,49 @@
     /// are added tenths of a second later. With a whole gathering at once it went on for
     /// more than a second to refuse callers for want of targets, though all were there.
     /// A node that hears readers learns of them meanwhile.
-    fn next_gathering(&mut self) -> Millis {
+    fn next_debounce(&mut self) -> Millis {
         // Changes that come close together are fetched by one call.
         let usual = self.waits.renewal_ms();
         if self.role.is_follower() {
             return usual;
         }
-        let rising = Millis(FIRST_GATHER_MS.0 << self.gatherings);
-        self.gatherings = (self.gatherings + 1).min(MOST_GATHERINGS);
+        let rising = Millis(FIRST_DEBOUNCE_MS.0 << self.debounces);
+        self.debounces = (self.debounces + 1).min(MAX_DEBOUNCE_DOUBLINGS);
         rising.min(usual)
     }
 
     /// Draws the consequences of the targets that are known now.
-    fn settle_role(&mut self) {
-        self.subscriptions.note_known(self.knowledge.revision());
-        if !self.knowledge.take_members_changed() {
+    fn update_role(&mut self) {
+        self.subscriptions.set_known_revision(self.known.revision());
+        if !self.known.take_members_changed() {
             return;
         }
         let settings = &self.settings;
-        let members = self.knowledge.members();
+        let members = self.known.members();
         let role = readers::role(&members, settings.own_ip, &settings.data_centre);
         if role == self.role {
             return;
         }
         let name: &str = (&role).into();
-        let heard: Vec<String> = role.heard().iter().map(ToString::to_string).collect();
-        log::info!(role = name, readers = heard.join(" "); "this node's part in reading the source");
-        self.subscriptions.keep_to(&role.subscriptions());
+        let reader_ips: Vec<String> = role.heard().iter().map(ToString::to_string).collect();
+        log::info!(role = name, readers = reader_ips.join(" "); "this node's part in reading the source");
+        self.subscriptions.set_readers(&role.subscriptions());
         self.role = role;
-        self.settle_standing();
+        self.update_feed_status();
     }
 
     /// Tells subscribers whether this node reads.
-    fn settle_standing(&self) {
-        let standing = match (self.role.is_heard(), self.failures) {
-            (false, _) => Standing::Closed,
-            (true, 0) => Standing::Open,
-            (true, _) => Standing::Troubled,
+    fn update_feed_status(&self) {
+        let status = match (self.role.is_heard(), self.failures) {
+            (false, _) => FeedStatus::Closed,
+            (true, 0) => FeedStatus::Open,
+            (true, _) => FeedStatus::Unhealthy,
         };
-        self.knowledge.feed().set_standing(standing);
+        self.known.feed().set_status(status);
     }
 
     fn note_success(&mut self) {
-        self.knowledge.note_good_read();
+        self.known.note_good_read();
         if self.failures == 0 {
             return;
         }
@@ -309,31 +310,32 @@
             self.failures
         );
         self.failures = 0;
-        self.settle_standing();
+        self.update_feed_status();
     }
 
     /// Waits longer after each failure, and never in step with other nodes.
     async fn pause_after(&mut self, fault: &SourceFault) {
-        self.knowledge.note_failed_read();
+        self.known.note_failed_read();
         if self.failures == 0 {
-            let known_ms = self.knowledge.age_ms().0;
-            let revision = self.knowledge.revision();
+            let known_ms = self.known.age_ms().0;
+            let revision = self.known.revision();
             log::warn!(known_ms, revision; "the source is lost: {fault}");
         }
         let longest_ms = match self.role.is_follower() || self.role.is_led() {
             true => self.waits.followers_pause_ms(),
             false => self.waits.longest_pause_ms(),
         };
-        let doubled_ms = Millis(self.waits.first_pause_ms().0 << self.failures.min(MOST_DOUBLINGS));
+        let doubled_ms =
+            Millis(self.waits.first_pause_ms().0 << self.failures.min(MAX_PAUSE_DOUBLINGS));
         self.failures += 1;
-        self.settle_standing();
+        self.update_feed_status();
         self.pause(doubled_ms.min(longest_ms)).await;
     }
 
     /// Waits for half of a span or more, drawn at random.
     async fn pause(&mut self, most: Millis) {
-        let pausing = tokio::time::sleep(jittered(most));
-        while_hearing(pausing, &mut self.knowledge, &mut self.subscriptions).await;
+        let delay = tokio::time::sleep(jittered(most));
+        with_updates(delay, &mut self.known, &mut self.subscriptions).await;
     }
 }
 
--- a/crates/edge/src/following/bootstrap.rs
+++ b/crates/edge/src/following/bootstrap.rs
@@ -5,7 +5,7 @@
 
 use hornbeamhitch_dispatch::readers::{self, Role};
 
-use super::Following;
+use super::DirectorySync;
 use crate::directory::members_of;
 use crate::prelude::*;
 
@@ -14,7 +14,7 @@
 /// Longest such pause.
 const MAX_PAUSE_MS: Millis = Millis(800);
 
-impl Following {
+impl DirectorySync {
     /// Receives everything from a reader; false where this node has to read the source.
     ///
     /// Targets register while their nodes start, so the set of readers changes. The listing
@@ -22,7 +22,7 @@
     pub(super) async fn bootstrap(&mut self) -> bool {
         let mut pause_ms = FIRST_PAUSE_MS;
         let mut serves_stale_since = None;
-        while !self.is_bootstrap_over(serves_stale_since) {
+        while !self.is_bootstrap_timed_out(serves_stale_since) {
             let listing = match self.source.read_stale(self.waits.idle_timeout_ms()).await {
                 Ok(listing) => listing,
                 Err(fault) => {
@@ -35,11 +35,11 @@
             let is_listed = members.vms().contains(&own_ip);
             let role = readers::role(&members, own_ip, &self.settings.data_centre);
             if let Some(routes) = listing.routes {
-                self.knowledge.adopt_stale(routes, members);
-                serves_stale_since.get_or_insert(self.knowledge.age_ms());
+                self.known.adopt_stale(routes, members);
+                serves_stale_since.get_or_insert(self.known.age_ms());
             }
             match &role {
-                Role::Follower { heard, .. } => self.subscriptions.keep_to(heard),
+                Role::Follower { heard, .. } => self.subscriptions.set_readers(heard),
                 Role::Alone | Role::Reader { .. } if is_listed => return false,
                 Role::Alone | Role::Reader { .. } => {}
             }
@@ -53,8 +53,8 @@
 
     /// Whether the time limit is reached. It is shorter for a node that serves on stale
     /// facts than for one that has none and refuses every request.
-    fn is_bootstrap_over(&self, serves_stale_since: Option<Millis>) -> bool {
-        let age_ms = self.knowledge.age_ms();
+    fn is_bootstrap_timed_out(&self, serves_stale_since: Option<Millis>) -> bool {
+        let age_ms = self.known.age_ms();
         match serves_stale_since {
             Some(since) => age_ms.since(since) >= self.waits.longest_stale_ms(),
             None => age_ms >= self.waits.longest_idle_ms(),
@@ -62,15 +62,15 @@
     }
 
     /// Waits for the first complete update of a healthy reader, at most for this long.
-    async fn await_first_update(&mut self, most_ms: Millis) -> bool {
-        let until = tokio::time::Instant::now() + super::jittered(most_ms);
-        while self.subscriptions.sound() == 0 || self.knowledge.revision() == 0 {
+    async fn await_first_update(&mut self, max_ms: Millis) -> bool {
+        let until = tokio::time::Instant::now() + super::jittered(max_ms);
+        while self.subscriptions.healthy_readers() == 0 || self.known.revision() == 0 {
             let next = self.subscriptions.next();
             let Ok(event) = tokio::time::timeout_at(until, next).await else {
                 return false;
             };
-            self.knowledge.hear(event);
-            self.subscriptions.note_known(self.knowledge.revision());
+            self.known.apply_event(event);
+            self.subscriptions.set_known_revision(self.known.revision());
         }
         true
     }
--- a/crates/edge/src/following/hearing.rs
+++ b/crates/edge/src/following/hearing.rs
@@ -1,42 +1,39 @@
 //! Taking what readers tell while something else is waited for.
 
-use super::knowledge::Knowledge;
+use super::knowledge::KnownState;
 use crate::feed::Subscriptions;
 
 /// Takes what readers tell while something else is waited for.
-pub(super) async fn while_hearing<T>(
-    waiting: impl Future<Output = T>,
-    knowledge: &mut Knowledge,
+pub(super) async fn with_updates<T>(
+    future: impl Future<Output = T>,
+    known: &mut KnownState,
     subscriptions: &mut Subscriptions,
 ) -> T {
-    let mut waiting = std::pin::pin!(waiting);
+    let mut future = std::pin::pin!(future);
     loop {
         let either = async {
             tokio::select! {
-                done = &mut waiting => Ok(done),
+                output = &mut future => Ok(output),
                 event = subscriptions.next() => Err(event),
             }
         };
-        match with_expiry(either, knowledge).await {
-            Ok(done) => return done,
-            Err(event) => knowledge.hear(event),
+        match with_expiry(either, known).await {
+            Ok(output) => return output,
+            Err(event) => known.apply_event(event),
         }
-        subscriptions.note_known(knowledge.revision());
+        subscriptions.set_known_revision(known.revision());
     }
 }
 
 /// Drops lapsed entries in time while something else is waited for.
-pub(super) async fn with_expiry<T>(
-    waiting: impl Future<Output = T>,
-    knowledge: &mut Knowledge,
-) -> T {
-    let mut waiting = std::pin::pin!(waiting);
+pub(super) async fn with_expiry<T>(future: impl Future<Output = T>, known: &mut KnownState) -> T {
+    let mut future = std::pin::pin!(future);
     loop {
-        let Some(at) = knowledge.expire() else {
-            return waiting.await;
+        let Some(at) = known.expire() else {
+            return future.await;
         };
         tokio::select! {
-            done = &mut waiting => return done,
+            output = &mut future => return output,
             () = tokio::time::sleep_until(at) => {}
         }
     }
--- a/crates/edge/src/following/knowledge.rs
+++ b/crates/edge/src/following/knowledge.rs
@@ -5,7 +5,7 @@
 
 use hornbeamhitch_dispatch::waits::Waits;
 
-use super::large_routes::LargeRoutes;
+use super::large_routes::LargeRoutesReader;
 use crate::directory::DirectoryWriter;
 use crate::feed::{ChangeFeed, FeedEvent};
 use crate::prelude::*;
@@ -13,8 +13,8 @@
 
 /// So many entries that lapse together, or this part of all, are a sign of
 /// trouble on the way to the platform, and no longer of single targets that end.
-const MANY_LAPSES: usize = 3;
-const MANY_LAPSES_PART: usize = 8;
+const MASS_EXPIRY_COUNT: usize = 3;
+const MASS_EXPIRY_DIVISOR: usize = 8;
 
 /// What is known of this node's own way to the source.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -41,10 +41,10 @@
 /// those that were cut off did so too, on the word of readers, nobody would use a
 /// third of the targets, and callers would be refused at the others.
 #[derive(Debug)]
-pub(super) struct Knowledge {
+pub(super) struct KnownState {
     directory: DirectoryWriter,
     feed: Arc<ChangeFeed>,
-    large_routes: LargeRoutes,
+    large_routes: LargeRoutesReader,
     revision: u64,
     /// Newest version among the changes up to there.
     routes_version: Option<u64>,
@@ -53,15 +53,15 @@
     waits: Waits,
     own_reads: OwnReads,
     /// A lapse was told and not taken.
-    has_held: bool,
+    has_deferred_removals: bool,
 }
 
-impl Knowledge {
+impl KnownState {
     /// Nothing is known yet to the node on this VM.
     pub(super) const fn new(
         directory: DirectoryWriter,
         feed: Arc<ChangeFeed>,
-        large_routes: LargeRoutes,
+        large_routes: LargeRoutesReader,
         own_ip: IpAddr,
         waits: Waits,
     ) -> Self {
@@ -72,7 +72,7 @@
             large_routes,
             own_ip,
             own_reads: OwnReads::Good,
-            has_held: false,
+            has_deferred_removals: false,
             revision: 0,
             routes_version: None,
             members_changed: false,
@@ -118,14 +118,14 @@
     }
 
     /// Whether lapses were kept back.
-    pub(super) const fn has_held(&self) -> bool {
-        self.has_held
+    pub(super) const fn has_deferred_removals(&self) -> bool {
+        self.has_deferred_removals
     }
 
     /// Whether lapses were kept back, so that everything has to be read anew;
     /// true once.
-    pub(super) const fn take_held(&mut self) -> bool {
-        std::mem::replace(&mut self.has_held, false)
+    pub(super) const fn take_deferred_removals(&mut self) -> bool {
+        std::mem::replace(&mut self.has_deferred_removals, false)
     }
 
     /// What subscribers are told.
@@ -143,12 +143,12 @@
     /// Failure answered: the source drops its history, and each reader reads
     /// everything anew. If subscribers were not told the difference, all of them
     /// would turn to the source in that moment, with what they know from before.
-    pub(super) fn replace(&mut self, listing: Listing) {
+    pub(super) fn apply_listing(&mut self, listing: Listing) {
         let revision = listing.revision;
         // Routes in force may be those of a stale listing, of which subscribers know nothing.
         let known = self.routes_version;
-        let is_new = |routes: &RouteSet| known.is_none_or(|known| routes.version() > known);
-        let routes = listing.routes.filter(is_new);
+        let is_newer = |routes: &RouteSet| known.is_none_or(|known| routes.version() > known);
+        let routes = listing.routes.filter(is_newer);
         let difference = self.directory.difference(listing.members);
         let mut facts = Vec::new();
         facts.extend(routes.map(Fact::Routes));
@@ -161,7 +161,7 @@
     }
 
     /// Takes changes, after which everything up to `revision` is known.
-    pub(super) fn take(&mut self, changes: Vec<Change>, revision: u64) {
+    pub(super) fn apply_new(&mut self, changes: Vec<Change>, revision: u64) {
         let mut new = changes;
         new.retain(|change| change.revision > self.revision);
         self.apply(new, revision);
@@ -183,18 +183,18 @@
                 Fact::LargeRoutes(version) => {
                     self.routes_version = self.routes_version.max(Some(version));
                     if Some(version) > self.directory.version() {
-                        self.large_routes.want(version);
+                        self.large_routes.request(version);
                     }
                 }
                 Fact::Listed(member) => {
                     self.directory.upsert(member);
                     members_changed = true;
                 }
-                Fact::Removed(id) if self.holds(&id) => {
+                Fact::Removed(id) if self.defers_removal(&id) => {
                     log::info!(
                         "the target {id} has lapsed, and is kept: the source is not reached"
                     );
-                    self.has_held = true;
+                    self.has_deferred_removals = true;
                 }
                 Fact::Removed(id) => {
                     log::info!("the target {id} has left the list");
@@ -213,36 +213,36 @@
     }
 
     /// Takes what a reader told, or what was read because of it.
-    pub(super) fn hear(&mut self, event: FeedEvent) {
+    pub(super) fn apply_event(&mut self, event: FeedEvent) {
         let (changes, revision, last_read_failed, as_of) = match event {
-            FeedEvent::Known {
+            FeedEvent::Update {
                 changes,
                 revision,
                 last_read_failed,
                 as_of,
                 ..
             } => (changes, revision, last_read_failed, as_of),
-            FeedEvent::Read(routes) => return self.directory.set_routes(routes),
+            FeedEvent::RoutesRead(routes) => return self.directory.set_routes(routes),
             FeedEvent::Lost { .. } => return,
         };
         if last_read_failed {
             // Entries may lapse now, as if this node's own read had failed.
-            let hold_ms = self.waits.hearsay_hold_ms();
-            self.directory.note_distant_trouble(hold_ms);
+            let grace_ms = self.waits.hearsay_hold_ms();
+            self.directory.note_reader_failure(grace_ms);
         }
-        if self.own_reads == OwnReads::Good && self.is_doubtful(&changes) {
+        if self.own_reads == OwnReads::Good && self.is_isolation_likely(&changes) {
             self.own_reads = OwnReads::Doubtful;
         }
-        self.take(changes, revision);
+        self.apply_new(changes, revision);
         // Whoever knew less than this node shows that there was no more to know then.
         self.directory.note_as_of(as_of);
         self.feed.note_as_of(as_of);
     }
 
     /// Whether the entry of this VM lapses, or many do together.
-    fn is_doubtful(&self, changes: &[Change]) -> bool {
+    fn is_isolation_likely(&self, changes: &[Change]) -> bool {
         let members = self.directory.members();
-        let mut lapses = 0;
+        let mut expired = 0;
         for change in changes {
             let Fact::Removed(id) = &change.fact else {
                 continue;
@@ -253,14 +253,14 @@
             if member.vm_ip() == self.own_ip {
                 return true;
             }
-            lapses += 1;
+            expired += 1;
         }
-        lapses >= MANY_LAPSES.max(members.len() / MANY_LAPSES_PART)
+        expired >= MASS_EXPIRY_COUNT.max(members.len() / MASS_EXPIRY_DIVISOR)
     }
 
     /// Whether a removal is not taken for now. A target that said that it drains
     /// is going in any case.
-    fn holds(&self, id: &TargetId) -> bool {
+    fn defers_removal(&self, id: &TargetId) -> bool {
         if self.own_reads == OwnReads::Good {
             return false;
         }
@@ -271,12 +271,12 @@
     /// The source could not be read.
     pub(super) fn note_failed_read(&mut self) {
         self.own_reads = OwnReads::Failed;
-        self.note_trouble();
+        self.note_entries_may_expire();
     }
 
     /// Entries may lapse now, so that a removal waits for their return.
-    pub(super) fn note_trouble(&mut self) {
-        self.directory.note_trouble();
+    pub(super) fn note_entries_may_expire(&mut self) {
+        self.directory.note_read_failure();
     }
 
     /// Drops entries that stayed missing, and says when to look again.
--- a/crates/edge/src/following/large_routes.rs
+++ b/crates/edge/src/following/large_routes.rs
@@ -11,25 +11,25 @@
 /// Reads the configuration when one is known to be there, beside everything else: it may
 /// take a second of a thin line, and departures are heard meanwhile.
 #[derive(Debug)]
-pub(super) struct LargeRoutes {
+pub(super) struct LargeRoutesReader {
     /// The newest version that is known to be there.
     wanted: watch::Sender<u64>,
 }
 
-impl LargeRoutes {
+impl LargeRoutesReader {
     /// Reads what is wanted from now on, and puts it in beside what readers tell.
     pub(super) fn start(
         source: SharedSource,
         waits: Waits,
-        read: mpsc::UnboundedSender<FeedEvent>,
+        events: mpsc::UnboundedSender<FeedEvent>,
     ) -> Self {
-        let (wanted, wants) = watch::channel(0);
-        tokio::spawn(read_wanted(source, waits, wants, read));
+        let (wanted, wanted_versions) = watch::channel(0);
+        tokio::spawn(read_wanted(source, waits, wanted_versions, events));
         Self { wanted }
     }
 
     /// A configuration of this version is there.
-    pub(super) fn want(&self, version: u64) {
+    pub(super) fn request(&self, version: u64) {
         self.wanted.send_if_modified(|wanted| {
             let is_newer = version > *wanted;
             *wanted = version.max(*wanted);
@@ -41,19 +41,23 @@
 async fn read_wanted(
     source: SharedSource,
     waits: Waits,
-    mut wants: watch::Receiver<u64>,
-    read: mpsc::UnboundedSender<FeedEvent>,
+    mut wanted_versions: watch::Receiver<u64>,
+    events: mpsc::UnboundedSender<FeedEvent>,
 ) {
     let mut known = 0;
     // The sender lives as long as the node follows its source.
-    while let Ok(wanted) = wants.wait_for(|wanted| *wanted > known).await.map(|at| *at) {
+    while let Ok(wanted) = wanted_versions
+        .wait_for(|wanted| *wanted > known)
+        .await
+        .map(|at| *at)
+    {
         // All who were told turn to the source in this moment.
         pause_up_to(waits.first_pause_ms()).await;
         match source.read_routes(waits.idle_timeout_ms()).await {
             Ok(Some(routes)) => {
                 known = routes.version().max(known);
                 log::info!(version = routes.version(), wanted; "a large configuration is read");
-                if read.send(FeedEvent::Read(routes)).is_err() {
+                if events.send(FeedEvent::RoutesRead(routes)).is_err() {
                     return;
                 }
             }
--- a/crates/edge/src/following/tests.rs
+++ b/crates/edge/src/following/tests.rs
@@ -20,9 +20,9 @@
 /// Enough that three read and the others are told.
 const NODES: usize = 10;
 /// Between two versions of the configuration.
-const VERSION_EVERY: Duration = Duration::from_millis(170);
+const VERSION_INTERVAL: Duration = Duration::from_millis(170);
 /// Between two looks at what is in force.
-const LOOK_EVERY: Duration = Duration::from_millis(40);
+const CHECK_INTERVAL: Duration = Duration::from_millis(40);
 
 /// One thing that goes wrong.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -30,13 +30,13 @@
     /// The store treats all nodes so.
     Store(SourceMode),
     /// It loses its history, again and again.
-    StoreForgets,
+    StoreDropsHistory,
     /// It turns one reader away and serves the others.
-    TurnsAwayReader,
+    StoreRejectsReader,
     /// It turns all readers away and serves the others.
-    TurnsAwayAllReaders,
+    StoreRejectsAllReaders,
     /// It answers no watch of one reader, and everything else.
-    LosesReadersWatches,
+    StoreDropsReaderWatches,
     /// A reader freezes: its links stay open and say nothing.
     ReaderFreezes,
     /// All readers freeze.
@@ -55,10 +55,10 @@
     Fault::Store(SourceMode::DroppingCalls),
     Fault::Store(SourceMode::Failing),
     Fault::Store(SourceMode::DroppingWatches),
-    Fault::StoreForgets,
-    Fault::TurnsAwayReader,
-    Fault::TurnsAwayAllReaders,
-    Fault::LosesReadersWatches,
+    Fault::StoreDropsHistory,
+    Fault::StoreRejectsReader,
+    Fault::StoreRejectsAllReaders,
+    Fault::StoreDropsReaderWatches,
     Fault::ReaderFreezes,
     Fault::AllReadersFreeze,
     Fault::AllReadersHang,
@@ -69,15 +69,15 @@
 
 /// One fault, from when and for how long.
 #[derive(Clone, Copy, Debug)]
-struct At {
+struct FaultWindow {
     fault: Fault,
-    from_ms: u64,
-    for_ms: u64,
+    start_ms: u64,
+    duration_ms: u64,
 }
 
-impl At {
-    fn is_on(&self, now: Millis) -> bool {
-        (self.from_ms..self.from_ms + self.for_ms).contains(&now.0)
+impl FaultWindow {
+    fn is_active(&self, now: Millis) -> bool {
+        (self.start_ms..self.start_ms + self.duration_ms).contains(&now.0)
     }
 }
 
@@ -87,30 +87,30 @@
 /// that starts meanwhile. So each pair of faults is played, the second at each moment of
 /// the chain of waits that the first begins: while it lasts, as it ends, and after it.
 #[test]
-fn two_faults_at_any_moment_make_nothing_older_than_it_may_be() {
+fn two_faults_at_any_moment_keep_staleness_bounded() {
     let mut pairs = Vec::new();
     for first in FAULTS {
         for second in FAULTS {
             for step in 0..SECOND_FAULT_STEPS {
                 // Another moment between two renewals each time.
-                let from_ms = 5_000 + step * 90;
+                let start_ms = 5_000 + step * 90;
                 // A long one lets pauses after failed reads grow to their longest.
-                let for_ms = if step % 2 == 0 { 1_700 } else { 5_000 };
-                let first_at = At {
+                let duration_ms = if step % 2 == 0 { 1_700 } else { 5_000 };
+                let first_at = FaultWindow {
                     fault: first,
-                    from_ms,
-                    for_ms,
+                    start_ms,
+                    duration_ms,
                 };
-                let second_at = At {
+                let second_at = FaultWindow {
                     fault: second,
-                    from_ms: from_ms + for_ms - 1_700 + step * 290,
-                    for_ms: 900,
+                    start_ms: start_ms + duration_ms - 1_700 + step * 290,
+                    duration_ms: 900,
                 };
                 pairs.push(vec![first_at, second_at]);
             }
         }
     }
-    play_all(&pairs);
+    run_all(&pairs);
 }
 
 /// The second fault begins from 1.7 s before the first one's end to 0.9 s after it.
@@ -119,65 +119,65 @@
 /// Three faults overlap in any order, each for any time up to two seconds. The cases are
 /// drawn, the same ones in each run.
 #[test]
-fn three_faults_at_any_moment_make_nothing_older_than_it_may_be() {
+fn three_faults_at_any_moment_keep_staleness_bounded() {
     const CASES: u64 = 400;
     let mut cases = Vec::new();
     for seed in 0..CASES {
         let mut rng = Xoshiro256PlusPlus::seed_from_u64(seed);
         let mut case = Vec::new();
         for _ in 0..3 {
-            case.push(At {
+            case.push(FaultWindow {
                 fault: FAULTS[rng.random_range(0..FAULTS.len())],
-                from_ms: rng.random_range(5_000..8_000),
-                for_ms: rng.random_range(100..2_000),
+                start_ms: rng.random_range(5_000..8_000),
+                duration_ms: rng.random_range(100..2_000),
             });
         }
         cases.push(case);
     }
-    play_all(&cases);
+    run_all(&cases);
 }
 
 /// Plays all cases on as many threads as there are processors.
-fn play_all(cases: &[Vec<At>]) {
+fn run_all(cases: &[Vec<FaultWindow>]) {
     let threads = std::thread::available_parallelism().map_or(1, |count| count.get());
     std::thread::scope(|scope| {
         for part in cases.chunks(cases.len().div_ceil(threads)) {
             scope.spawn(move || {
                 for case in part {
-                    play(case);
+                    run(case);
                 }
             });
         }
     });
 }
 
-fn play(faults: &[At]) {
+fn run(faults: &[FaultWindow]) {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .start_paused(true)
         .build();
-    runtime.expect("a runtime").block_on(play_case(faults));
+    runtime.expect("a runtime").block_on(run_case(faults));
 }
 
-async fn play_case(faults: &[At]) {
+async fn run_case(faults: &[FaultWindow]) {
     let mut fleet = Fleet::start(NODES).await;
-    let last_ms = faults.iter().map(|at| at.from_ms + at.for_ms).max();
-    let ends_ms = last_ms.unwrap_or_default() + 3 * IN_FORCE_MS.0;
+    let last_end_ms = faults.iter().map(|at| at.start_ms + at.duration_ms).max();
+    let end_ms = last_end_ms.unwrap_or_default() + 3 * IN_FORCE_MS.0;
     let mut next_version = Duration::ZERO;
     loop {
         let now = fleet.elapsed();
-        if Millis::from_duration(now).0 >= ends_ms {
+        if Millis::from_duration(now).0 >= end_ms {
             return;
         }
         let now_ms = Millis::from_duration(now);
-        let on = faults.iter().filter(|at| at.is_on(now_ms));
-        fleet.set_faults(on.map(|at| at.fault).collect());
+        let active_faults = faults.iter().filter(|at| at.is_active(now_ms));
+        fleet.set_faults(active_faults.map(|at| at.fault).collect());
         fleet.apply();
         if now >= next_version {
-            next_version += VERSION_EVERY;
+            next_version += VERSION_INTERVAL;
             fleet.put_next_version();
         }
         fleet.check(faults);
-        tokio::time::sleep(LOOK_EVERY).await;
+        tokio::time::sleep(CHECK_INTERVAL).await;
     }
 }
--- a/crates/edge/src/following/tests/fleet.rs
+++ b/crates/edge/src/following/tests/fleet.rs
@@ -16,9 +16,9 @@
 use tokio::time::Instant;
 
 use super::source::{Published, SourceMode, TestSource};
-use super::{At, Fault, IN_FORCE_MS};
+use super::{Fault, FaultWindow, IN_FORCE_MS};
 use crate::directory::{Directory, DirectoryWriter};
-use crate::feed::{ChangeFeed, Coming, FeedLinks, FeedWords};
+use crate::feed::{ChangeFeed, FeedLinks, FeedStream, LinkFuture};
 use crate::following::{FollowSettings, follow_over};
 use crate::link::LinkFault;
 use crate::prelude::*;
@@ -29,89 +29,97 @@
 
 /// How a node can be heard.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Voice {
-    Speaks,
+enum LinkState {
+    Open,
     /// Its links are open and say nothing.
     Frozen,
     /// It has ended.
-    Gone,
+    Closed,
 }
 
 /// What others reach of a node.
 #[derive(Clone, Debug)]
-struct Reached {
+struct Endpoint {
     feed: Arc<ChangeFeed>,
-    voice: Arc<watch::Sender<Voice>>,
+    link_state: Arc<watch::Sender<LinkState>>,
 }
 
 /// All nodes that can be reached.
 #[derive(Clone, Debug, Default)]
-struct Net(Arc<Mutex<BTreeMap<IpAddr, Reached>>>);
+struct Network(Arc<Mutex<BTreeMap<IpAddr, Endpoint>>>);
 
-impl FeedLinks for Net {
-    fn open(&self, reader: IpAddr, known: u64) -> Coming<'_, Box<dyn FeedWords>> {
+impl FeedLinks for Network {
+    fn open(&self, reader: IpAddr, known: u64) -> LinkFuture<'_, Box<dyn FeedStream>> {
         Box::pin(async move {
             tokio::time::sleep(ONE_WAY).await;
-            let reached = self.0.lock().get(&reader).cloned();
-            let reached = reached.ok_or(LinkFault::Closed)?;
-            let mut voice = reached.voice.subscribe();
-            let answers = voice.wait_for(|voice| *voice != Voice::Frozen).await;
-            if answers.map_or(Voice::Gone, |voice| *voice) == Voice::Gone {
+            let endpoint = self.0.lock().get(&reader).cloned();
+            let endpoint = endpoint.ok_or(LinkFault::Closed)?;
+            let mut link_state = endpoint.link_state.subscribe();
+            let responding = link_state
+                .wait_for(|link_state| *link_state != LinkState::Frozen)
+                .await;
+            if responding.map_or(LinkState::Closed, |link_state| *link_state) == LinkState::Closed {
                 return Err(LinkFault::Closed);
             }
-            let (subscriber, words) = mpsc::unbounded_channel();
-            let feed = Arc::clone(&reached.feed);
+            let (subscriber, messages) = mpsc::unbounded_channel();
+            let feed = Arc::clone(&endpoint.feed);
             tokio::spawn(async move { feed.serve(known, &subscriber).await });
-            let words: Box<dyn FeedWords> = Box::new(Words { words, voice });
-            Ok(words)
+            let messages: Box<dyn FeedStream> = Box::new(NetworkFeedStream {
+                messages,
+                link_state,
+            });
+            Ok(messages)
         })
     }
 }
 
 /// What one node tells another.
-struct Words {
-    words: mpsc::UnboundedReceiver<ToEntry>,
-    voice: watch::Receiver<Voice>,
+struct NetworkFeedStream {
+    messages: mpsc::UnboundedReceiver<ToEntry>,
+    link_state: watch::Receiver<LinkState>,
 }
 
-impl FeedWords for Words {
-    fn next(&mut self) -> Coming<'_, ToEntry> {
+impl FeedStream for NetworkFeedStream {
+    fn next(&mut self) -> LinkFuture<'_, ToEntry> {
         Box::pin(async {
-            let mut voice = self.voice.clone();
-            let word = tokio::select! {
+            let mut link_state = self.link_state.clone();
+            let message = tokio::select! {
                 biased;
-                _ = voice.wait_for(|voice| *voice == Voice::Gone) => None,
-                word = self.words.recv() => word,
+                _ = link_state.wait_for(|link_state| *link_state == LinkState::Closed) => None,
+                message = self.messages.recv() => message,
             };
-            let word = word.ok_or(LinkFault::Closed)?;
-            let _ = self.voice.wait_for(|voice| *voice != Voice::Frozen).await;
+            let message = message.ok_or(LinkFault::Closed)?;
+            let _ = self
+                .link_state
+                .wait_for(|link_state| *link_state != LinkState::Frozen)
+                .await;
             tokio::time::sleep(ONE_WAY).await;
-            Ok(word)
+            Ok(message)
         })
     }
 }
 
 /// One life of a node.
-struct Life {
+struct RunningNode {
     directory: SharedDirectory,
     source: TestSource,
-    voice: Arc<watch::Sender<Voice>>,
+    link_state: Arc<watch::Sender<LinkState>>,
     following: AbortHandle,
     started: Instant,
     /// Newest version that was seen in force.
-    seen: u64,
+    newest_seen: u64,
 }
 
-impl Life {
+impl RunningNode {
     fn version(&self) -> u64 {
         let directory = self.directory.load();
         directory.routes.as_ref().map_or(0, |known| known.version())
     }
 }
 
-impl Drop for Life {
+impl Drop for RunningNode {
     fn drop(&mut self) {
-        self.voice.send_replace(Voice::Gone);
+        self.link_state.send_replace(LinkState::Closed);
         self.following.abort();
     }
 }
@@ -128,31 +136,31 @@
 /// Nodes and their store.
 pub(super) struct Fleet {
     store: Published,
-    net: Net,
+    network: Network,
     started: Instant,
     ips: Vec<IpAddr>,
-    lives: BTreeMap<IpAddr, Life>,
+    nodes: BTreeMap<IpAddr, RunningNode>,
     readers: Vec<IpAddr>,
     has_current_replicas: bool,
     version: u64,
     /// When each recent version was published.
     published: VecDeque<(Instant, u64)>,
     /// What is wrong now.
-    on: Vec<Fault>,
+    active_faults: Vec<Fault>,
     /// When a node, or the store for it, was last in trouble.
-    troubled: BTreeMap<IpAddr, Instant>,
+    last_fault_at: BTreeMap<IpAddr, Instant>,
 }
 
 impl Fleet {
     /// Starts nodes in three small data centres, and waits until they have their parts.
     pub(super) async fn start(count: usize) -> Self {
-        let mut fleet = Self::of(count);
-        fleet.list_all();
+        let mut fleet = Self::unstarted(count);
+        fleet.list_all_targets();
         for ip in fleet.ips.clone() {
             fleet.start_node(ip);
         }
         tokio::time::sleep(Duration::from_secs(4)).await;
-        let directory = fleet.lives[&fleet.ips[0]].directory.load();
+        let directory = fleet.nodes[&fleet.ips[0]].directory.load();
         let is_reader =
             |own: &IpAddr| readers::role(&directory.members, *own, &data_centre(*own)).is_reader();
         fleet.readers = fleet.ips.iter().copied().filter(is_reader).collect();
@@ -162,42 +170,46 @@
     }
 
     /// Nodes that are not started, in a store without targets.
-    pub(super) fn of(count: usize) -> Self {
+    pub(super) fn unstarted(count: usize) -> Self {
         let ips: Vec<IpAddr> = (1..=count).map(ip).collect();
         let store = Published::new();
         store.put_version(1);
         Self {
             store,
-            net: Net::default(),
+            network: Network::default(),
             started: Instant::now(),
             ips,
-            lives: BTreeMap::new(),
+            nodes: BTreeMap::new(),
             readers: Vec::new(),
             has_current_replicas: false,
             version: 1,
             published: VecDeque::new(),
-            on: Vec::new(),
-            troubled: BTreeMap::new(),
+            active_faults: Vec::new(),
+            last_fault_at: BTreeMap::new(),
         }
     }
 
     /// Lists all targets at once.
-    pub(super) fn list_all(&self) {
+    pub(super) fn list_all_targets(&self) {
         let all = self.ips.iter().map(member).map(Fact::Listed);
         self.store.put_all(all.collect());
     }
 
     /// Starts all nodes within the first span; their targets are listed one after the other
     /// over the second, each after its node.
-    pub(super) async fn start_over(&mut self, starts: Duration, registers: Duration) {
+    pub(super) async fn start_staggered(
+        &mut self,
+        start_span: Duration,
+        registration_span: Duration,
+    ) {
         let count = u32::try_from(self.ips.len()).expect("a small fleet");
         for ip in self.ips.clone() {
             self.start_node(ip);
-            tokio::time::sleep(starts / count).await;
+            tokio::time::sleep(start_span / count).await;
         }
         for ip in self.ips.clone() {
             self.store.put(Fact::Listed(member(&ip)));
-            tokio::time::sleep(registers / count).await;
+            tokio::time::sleep(registration_span / count).await;
         }
     }
 
@@ -215,42 +227,43 @@
     }
 
     /// All nodes lose power and start again within this span. Their targets stay listed.
-    pub(super) async fn restart_over(&mut self, starts: Duration) {
-        self.lives.clear();
-        self.net.0.lock().clear();
+    pub(super) async fn restart_staggered(&mut self, start_span: Duration) {
+        self.nodes.clear();
+        self.network.0.lock().clear();
         let count = u32::try_from(self.ips.len()).expect("a small fleet");
         for ip in self.ips.clone() {
             self.start_node(ip);
-            tokio::time::sleep(starts / count).await;
+            tokio::time::sleep(start_span / count).await;
         }
     }
 
     /// The store treats all nodes so.
-    pub(super) fn set_store(&self, mode: SourceMode) {
-        for life in self.lives.values() {
-            life.source.set_mode(mode);
+    pub(super) fn set_store_mode(&self, mode: SourceMode) {
+        for node in self.nodes.values() {
+            node.source.set_mode(mode);
         }
     }
 
     /// Nodes that do not know every target.
-    pub(super) fn lacking(&self) -> usize {
-        let knows_all = |life: &&Life| life.directory.load().members.len() == self.ips.len();
-        let knowing = self.lives.values().filter(knows_all).count();
-        self.ips.len() - knowing
+    pub(super) fn nodes_missing_targets(&self) -> usize {
+        let has_all_targets =
+            |node: &&RunningNode| node.directory.load().members.len() == self.ips.len();
+        let complete = self.nodes.values().filter(has_all_targets).count();
+        self.ips.len() - complete
     }
 
     /// Nodes that do not use the newest version.
-    pub(super) fn behind(&self) -> usize {
-        let is_behind = |life: &&Life| life.version() < self.version;
-        self.lives.values().filter(is_behind).count()
+    pub(super) fn outdated_nodes(&self) -> usize {
+        let is_behind = |node: &&RunningNode| node.version() < self.version;
+        self.nodes.values().filter(is_behind).count()
     }
 
     /// Calls to the store of the nodes that run now.
     pub(super) fn calls(&self) -> Calls {
         let mut calls = Calls::default();
-        for life in self.lives.values() {
-            calls.current += life.source.calls();
-            calls.stale += life.source.stale_reads();
+        for node in self.nodes.values() {
+            calls.current += node.source.calls();
+            calls.stale += node.source.stale_reads();
         }
         calls
     }
@@ -270,28 +283,28 @@
             gate_port: 9,
             in_force_ms: IN_FORCE_MS,
         };
-        let voice = Arc::new(watch::channel(Voice::Speaks).0);
-        let reached = Reached {
+        let link_state = Arc::new(watch::channel(LinkState::Open).0);
+        let endpoint = Endpoint {
             feed: Arc::clone(&feed),
-            voice: Arc::clone(&voice),
+            link_state: Arc::clone(&link_state),
         };
-        self.net.0.lock().insert(own, reached);
+        self.network.0.lock().insert(own, endpoint);
         let following = tokio::spawn(follow_over(
-            Arc::new(self.net.clone()),
+            Arc::new(self.network.clone()),
             Arc::new(source.clone()),
             DirectoryWriter::new(Arc::clone(&directory), clock),
             feed,
             settings,
         ));
-        let life = Life {
+        let node = RunningNode {
             directory,
             source,
-            voice,
+            link_state,
             following: following.abort_handle(),
             started: Instant::now(),
-            seen: 0,
+            newest_seen: 0,
         };
-        self.lives.insert(own, life);
+        self.nodes.insert(own, node);
     }
 
     /// Time since the start.
@@ -301,12 +314,12 @@
 
     /// Says what is wrong now.
     pub(super) fn set_faults(&mut self, faults: Vec<Fault>) {
-        self.on = faults;
+        self.active_faults = faults;
     }
 
     /// Lets nodes and store meet what is wrong now.
     pub(super) fn apply(&mut self) {
-        let faults = self.on.clone();
+        let faults = self.active_faults.clone();
         for own in self.ips.clone() {
             self.apply_to(own, &faults);
         }
@@ -318,48 +331,48 @@
         let is_reader = self.readers.contains(&own);
         let follower = self.ips.iter().find(|ip| !self.readers.contains(ip));
         let mut mode = SourceMode::Normal;
-        let (mut is_frozen, mut is_gone) = (false, false);
+        let (mut is_frozen, mut is_stopped) = (false, false);
         for fault in faults {
             match fault {
-                Fault::StoreForgets => self.store.forget(),
+                Fault::StoreDropsHistory => self.store.drop_history(),
                 Fault::Store(known) => mode = *known,
-                Fault::TurnsAwayReader if first => mode = SourceMode::Failing,
-                Fault::TurnsAwayAllReaders if is_reader => mode = SourceMode::Failing,
-                Fault::LosesReadersWatches if first => mode = SourceMode::DroppingWatches,
+                Fault::StoreRejectsReader if first => mode = SourceMode::Failing,
+                Fault::StoreRejectsAllReaders if is_reader => mode = SourceMode::Failing,
+                Fault::StoreDropsReaderWatches if first => mode = SourceMode::DroppingWatches,
                 Fault::ReaderFreezes => is_frozen |= second,
                 Fault::AllReadersFreeze => is_frozen |= is_reader,
                 Fault::AllReadersHang if is_reader => mode = SourceMode::Hanging,
-                Fault::ReaderRestarts => is_gone |= first,
-                Fault::AllReadersRestart => is_gone |= is_reader,
-                Fault::FollowerRestarts => is_gone |= follower == Some(&own),
+                Fault::ReaderRestarts => is_stopped |= first,
+                Fault::AllReadersRestart => is_stopped |= is_reader,
+                Fault::FollowerRestarts => is_stopped |= follower == Some(&own),
                 _ => {}
             }
         }
-        let is_troubled = mode != SourceMode::Normal || is_frozen || is_gone;
-        if is_troubled || faults.contains(&Fault::StoreForgets) {
-            self.troubled.insert(own, Instant::now());
+        let is_affected = mode != SourceMode::Normal || is_frozen || is_stopped;
+        if is_affected || faults.contains(&Fault::StoreDropsHistory) {
+            self.last_fault_at.insert(own, Instant::now());
         }
-        if is_gone {
-            self.lives.remove(&own);
-            self.net.0.lock().remove(&own);
+        if is_stopped {
+            self.nodes.remove(&own);
+            self.network.0.lock().remove(&own);
             return;
         }
-        if !self.lives.contains_key(&own) {
+        if !self.nodes.contains_key(&own) {
             self.start_node(own);
         }
-        let life = &self.lives[&own];
+        let node = &self.nodes[&own];
         // A frozen node's own calls are as good as lost.
-        life.source.set_mode(match is_frozen {
+        node.source.set_mode(match is_frozen {
             true => SourceMode::DroppingCalls,
             false => mode,
         });
-        let voice = match is_frozen {
-            true => Voice::Frozen,
-            false => Voice::Speaks,
+        let link_state = match is_frozen {
+            true => LinkState::Frozen,
+            false => LinkState::Open,
         };
-        life.voice.send_if_modified(|known| {
-            let is_new = *known != voice;
-            *known = voice;
+        node.link_state.send_if_modified(|known| {
+            let is_new = *known != link_state;
+            *known = link_state;
             is_new
         });
     }
@@ -373,28 +386,28 @@
 
     /// No node goes back, and none that was in no trouble itself for as long as changes
     /// may take acts on what is older than that.
-    pub(super) fn check(&mut self, faults: &[At]) {
+    pub(super) fn check(&mut self, faults: &[FaultWindow]) {
         let now = Instant::now();
-        let may_take = IN_FORCE_MS.to_duration();
-        let mut due = 0;
+        let max_lag = IN_FORCE_MS.to_duration();
+        let mut newest_due = 0;
         for (at, version) in &self.published {
-            if now.duration_since(*at) > may_take {
-                due = *version;
+            if now.duration_since(*at) > max_lag {
+                newest_due = *version;
             }
         }
-        for (own, life) in &mut self.lives {
-            let version = life.version();
-            assert!(version >= life.seen, "{own} goes back: {faults:?}");
-            life.seen = version;
-            let troubled = self.troubled.get(own);
-            let since = troubled.map_or(life.started, |at| life.started.max(*at));
-            if now.duration_since(since) <= may_take {
+        for (own, node) in &mut self.nodes {
+            let version = node.version();
+            assert!(version >= node.newest_seen, "{own} goes back: {faults:?}");
+            node.newest_seen = version;
+            let last_fault_at = self.last_fault_at.get(own);
+            let since = last_fault_at.map_or(node.started, |at| node.started.max(*at));
+            if now.duration_since(since) <= max_lag {
                 continue;
             }
             let elapsed = self.started.elapsed();
             assert!(
-                version >= due,
-                "{own} is at {version} and not at {due} after {elapsed:?}: {faults:?}"
+                version >= newest_due,
+                "{own} is at {version} and not at {newest_due} after {elapsed:?}: {faults:?}"
             );
         }
     }
--- a/crates/edge/src/suspicion.rs
+++ b/crates/edge/src/suspicion.rs
@@ -13,7 +13,7 @@
 
 /// Notices that wait for a link to send them; a link that lags further has been
 /// told most, and hears the rest from others.
-const WAITING_NOTICES: usize = 256;
+const NOTICE_CAPACITY: usize = 256;
 
 /// What is held against requests, shared by this node's entry, gate and links.
 ///
@@ -23,8 +23,8 @@
 /// calls go, so who might send the request to a target hears of it.
 #[derive(Debug)]
 pub struct Suspicion {
-    known: Mutex<Suspects>,
-    news: broadcast::Sender<SuspectNotice>,
+    suspects: Mutex<Suspects>,
+    notices: broadcast::Sender<SuspectNotice>,
     clock: ProcessClock,
 }
 
@@ -33,8 +33,8 @@
     #[must_use]
     pub fn new(clock: ProcessClock) -> Self {
         Self {
-            known: Mutex::new(Suspects::new()),
-            news: broadcast::channel(WAITING_NOTICES).0,
+            suspects: Mutex::new(Suspects::new()),
+            notices: broadcast::channel(NOTICE_CAPACITY).0,
             clock,
         }
     }
@@ -42,14 +42,17 @@
     /// Whether a request is refused everywhere.
     #[must_use]
     pub fn is_convicted(&self, fingerprint: u64) -> bool {
-        self.known.lock().standing(fingerprint) == Standing::Convicted
+        self.suspects.lock().standing(fingerprint) == Standing::Convicted
     }
 
     /// The target has crashed with these requests in flight.
     pub fn observe_crash(&self, fingerprints: &[u64]) {
-        let alone = fingerprints.len() == 1;
+        let is_only_request = fingerprints.len() == 1;
         let now = self.clock.now();
-        let entries = self.known.lock().observe_crash(fingerprints, alone, now);
+        let entries = self
+            .suspects
+            .lock()
+            .observe_crash(fingerprints, is_only_request, now);
         for entry in &entries {
             let standing: &'static str = entry.standing.into();
             let crashes = entry.crashes;
@@ -62,12 +65,12 @@
     /// A request ran well. It may share its fingerprint with others that do, so
     /// any good run clears it, not only one alone.
     pub fn note_success(&self, fingerprint: u64) {
-        let mut known = self.known.lock();
-        if known.is_empty() {
+        let mut suspects = self.suspects.lock();
+        if suspects.is_empty() {
             return;
         }
-        let cleared = known.clear(fingerprint, self.clock.now());
-        drop(known);
+        let cleared = suspects.clear(fingerprint, self.clock.now());
+        drop(suspects);
         if let Some(entry) = cleared {
             self.broadcast(&entry);
         }
@@ -79,22 +82,22 @@
             log::warn!("a notice with an unknown standing was dropped");
             return;
         };
-        if self.known.lock().merge(&entry, self.clock.now()) {
+        if self.suspects.lock().merge(&entry, self.clock.now()) {
             self.broadcast(&entry);
         }
     }
 
     /// All that is known, for a link that has just opened, and what follows.
     pub fn subscribe(&self) -> (Vec<SuspectNotice>, broadcast::Receiver<SuspectNotice>) {
-        let news = self.news.subscribe();
-        let known = self.known.lock();
-        let entries = known.entries(self.clock.now());
-        (entries.map(|entry| to_notice(&entry)).collect(), news)
+        let notices = self.notices.subscribe();
+        let suspects = self.suspects.lock();
+        let entries = suspects.entries(self.clock.now());
+        (entries.map(|entry| to_notice(&entry)).collect(), notices)
     }
 
     fn broadcast(&self, entry: &SuspectEntry) {
         // Without links there is nobody to tell.
-        let _ = self.news.send(to_notice(entry));
+        let _ = self.notices.send(to_notice(entry));
     }
 }
 
--- a/crates/edge/src/suspicion/tests.rs
+++ b/crates/edge/src/suspicion/tests.rs
@@ -8,7 +8,7 @@
 }
 
 /// Passes on all that a node has to tell.
-fn tell_all(from: &Suspicion, to: &Suspicion) {
+fn send_all_notices(from: &Suspicion, to: &Suspicion) {
     for notice in from.subscribe().0 {
         to.merge_notice(&notice);
     }
@@ -17,7 +17,7 @@
 /// Targets crash again and again for reasons of their own, and a common lookup
 /// is in flight each time. It runs well in between, so nobody refuses it.
 #[test]
-fn a_request_that_runs_well_in_between_is_never_convicted() {
+fn a_request_that_also_succeeds_is_never_convicted() {
     let (node, _) = two_nodes();
     for _ in 0..10 {
         node.observe_crash(&[7, 8]);
@@ -28,13 +28,13 @@
 }
 
 #[test]
-fn a_second_crash_alone_convicts_on_every_node() {
+fn a_second_crash_as_the_only_request_convicts_on_every_node() {
     let (one, other) = two_nodes();
     one.observe_crash(&[7]);
-    tell_all(&one, &other);
+    send_all_notices(&one, &other);
     assert!(!other.is_convicted(7));
     other.observe_crash(&[7]);
-    tell_all(&other, &one);
+    send_all_notices(&other, &one);
     assert!(one.is_convicted(7) && other.is_convicted(7));
     // No good run of a request that happens to look alike lifts it.
     one.note_success(7);
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn a_notice_that_says_nothing_known_is_dropped() {
+fn a_notice_with_an_unknown_standing_is_dropped() {
     let (node, _) = two_nodes();
     let mut notice = SuspectNotice {
         fingerprint: 7,
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn fingerprints_part_requests_by_what_comes_again() {
+fn fingerprints_distinguish_requests_by_repeated_parts() {
     let service = ServiceName::new("s");
     let base = fingerprint("GET", "/a", b"", &service);
     assert_eq!(base, fingerprint("GET", "/a", b"", &service));
--- a/crates/edge/tests/all/bounded_age.rs
+++ b/crates/edge/tests/all/bounded_age.rs
@@ -19,16 +19,16 @@
 /// Within this a change must be in force.
 const IN_FORCE_MS: Millis = Millis(2_000);
 /// A gate looks its target's entry up in the source of a test within this.
-const LOOK_UP_WITHIN: Duration = Duration::from_millis(500);
+const LOOKUP_DEADLINE: Duration = Duration::from_millis(500);
 
 /// A node that reads for itself, on this runtime.
-struct Alone {
+struct StandaloneNode {
     published: Published,
     source: TestSource,
     directory: SharedDirectory,
 }
 
-impl Alone {
+impl StandaloneNode {
     fn start() -> Self {
         let published = Published::new();
         published.put_version(1);
@@ -62,8 +62,8 @@
 /// still waited for the answer to its watch, which nobody would send: no change and no
 /// platform look alike.
 #[tokio::test(start_paused = true)]
-async fn a_watch_that_is_never_answered_hides_no_change() {
-    let node = Alone::start();
+async fn a_lost_watch_hides_no_change() {
+    let node = StandaloneNode::start();
     tokio::time::sleep(Duration::from_secs(60)).await;
     assert_eq!(node.version(), Some(1));
     for version in 2..50 {
@@ -82,7 +82,7 @@
 /// waited to hear it from afar, where a large configuration was on the way. Here nothing
 /// comes from afar at all.
 #[tokio::test]
-async fn a_gate_learns_from_its_own_target_that_it_leaves() {
+async fn a_gate_learns_from_its_own_target_that_it_is_draining() {
     let (gate_port, mut listeners) = same_port(1).await;
     let (ip, links) = listeners.remove(0);
     let target = FakeTarget::start(ip, "life-0").await;
@@ -114,7 +114,7 @@
     let mut refused = std::pin::pin!(refused);
     // The target was asked just before it began to leave, and is asked again after this.
     let asked_again = Waits::new(support::IN_FORCE_MS).own_health_ms();
-    let learnt = asked_again.to_duration() + LOOK_UP_WITHIN;
+    let learnt = asked_again.to_duration() + LOOKUP_DEADLINE;
     let is_refused = tokio::time::timeout(learnt, &mut refused).await.is_ok();
     let ran = vm.target.ran().len();
     if !is_refused {
--- a/crates/edge/tests/all/support/follower.rs
+++ b/crates/edge/tests/all/support/follower.rs
@@ -35,7 +35,7 @@
     pub directory: SharedDirectory,
     runtime: Handle,
     /// Its drop ends the thread.
-    _alive: oneshot::Sender<()>,
+    _shutdown: oneshot::Sender<()>,
 }
 
 /// Nodes of one data centre that follow the same source.
@@ -46,14 +46,14 @@
 
 /// Starts nodes, and waits until each knows all and has its role.
 pub async fn followers(count: usize) -> Followers {
-    let (followers, listed) = unlisted(count, IN_FORCE_MS).await;
+    let (followers, listed) = start_unlisted(count, IN_FORCE_MS).await;
     followers.published.put_all(listed);
-    followers.until_told().await;
+    followers.until_settled().await;
     followers
 }
 
 /// Starts nodes whose targets are not listed yet, and gives the entries to come.
-pub async fn unlisted(count: usize, in_force_ms: Millis) -> (Followers, Vec<Fact>) {
+pub async fn start_unlisted(count: usize, in_force_ms: Millis) -> (Followers, Vec<Fact>) {
     let published = Published::new();
     published.put_version(1);
     let (port, listeners) = same_port(count).await;
@@ -70,7 +70,7 @@
 impl Followers {
     /// Waits until whoever follows others has stopped to read for itself: a
     /// change then costs it no call.
-    async fn until_told(&self) {
+    async fn until_settled(&self) {
         let mut version = 1;
         loop {
             let before: Vec<u64> = self.nodes.iter().map(|node| node.source.calls()).collect();
@@ -81,7 +81,7 @@
             let mut before = before.into_iter();
             let settled = self.nodes.iter().all(|node| {
                 let before = before.next().expect("as many as nodes");
-                node.reads() || node.source.calls() == before
+                node.is_reader() || node.source.calls() == before
             });
             if settled {
                 return;
@@ -98,17 +98,17 @@
 
     /// The entry of a node's VM lapses, and those of so many others that read
     /// for nobody.
-    pub fn lapse(&self, node: &Follower, others: usize) -> Vec<TargetId> {
-        let mut lapsing = vec![node.target_id()];
+    pub fn expire_entries(&self, node: &Follower, others: usize) -> Vec<TargetId> {
+        let mut expiring = vec![node.target_id()];
         let rest = self
             .nodes
             .iter()
-            .filter(|other| other.ip != node.ip && !other.reads());
-        lapsing.extend(rest.skip(1).take(others).map(Follower::target_id));
-        for id in &lapsing {
+            .filter(|other| other.ip != node.ip && !other.is_reader());
+        expiring.extend(rest.skip(1).take(others).map(Follower::target_id));
+        for id in &expiring {
             self.published.put(Fact::Removed(id.clone()));
         }
-        lapsing
+        expiring
     }
 
     /// The version in force at the first node.
@@ -121,7 +121,7 @@
     }
 
     pub fn readers(&self) -> impl Iterator<Item = &Follower> {
-        self.nodes.iter().filter(|node| node.reads())
+        self.nodes.iter().filter(|node| node.is_reader())
     }
 }
 
@@ -163,8 +163,8 @@
         let writer = DirectoryWriter::new(Arc::clone(&directory), clock);
         let following = following::follow(Arc::new(source.clone()), writer, feed, settings);
         let listener = listener.into_std().expect("an open socket");
-        let (alive, ended) = oneshot::channel();
-        let runtime = on_own_thread(ended);
+        let (shutdown, stopped) = oneshot::channel();
+        let runtime = on_own_thread(stopped);
         runtime.spawn(async move {
             let listener = TcpListener::from_std(listener).expect("an open socket");
             server.accept(listener).await;
@@ -175,7 +175,7 @@
             source,
             directory,
             runtime,
-            _alive: alive,
+            _shutdown: shutdown,
         }
     }
 
@@ -189,7 +189,7 @@
     }
 
     /// Whether it reads for others.
-    pub fn reads(&self) -> bool {
+    pub fn is_reader(&self) -> bool {
         self.role().is_reader()
     }
 
@@ -216,7 +216,7 @@
     }
 
     /// Waits for its next call to the source.
-    pub async fn until_read(&self) {
+    pub async fn until_next_call(&self) {
         let before = self.source.calls();
         self.until("a read", |_| self.source.calls() > before).await;
     }
@@ -227,9 +227,9 @@
     }
 
     /// Waits until its directory is so.
-    pub async fn until(&self, what: &str, holds: impl Fn(&Directory) -> bool) {
+    pub async fn until(&self, what: &str, condition: impl Fn(&Directory) -> bool) {
         let waiting = async {
-            while !holds(&self.directory.load()) {
+            while !condition(&self.directory.load()) {
                 tokio::time::sleep(Duration::from_millis(2)).await;
             }
         };
@@ -239,7 +239,7 @@
 }
 
 /// A runtime that runs until the channel is closed.
-fn on_own_thread(ended: oneshot::Receiver<()>) -> Handle {
+fn on_own_thread(stopped: oneshot::Receiver<()>) -> Handle {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build();
@@ -247,7 +247,7 @@
     let handle = runtime.handle().clone();
     std::thread::spawn(move || {
         // The sender is only ever dropped.
-        let _ = runtime.block_on(ended);
+        let _ = runtime.block_on(stopped);
     });
     handle
 }
--- a/crates/edge/tests/all/support/source.rs
+++ b/crates/edge/tests/all/support/source.rs
@@ -41,10 +41,10 @@
 struct State {
     revision: u64,
     /// Watches from before this revision are told that the history is gone.
-    forgotten: u64,
+    dropped_to: u64,
     history: Vec<Change>,
     /// Every change there was, and when.
-    written: Vec<(Instant, Fact)>,
+    log: Vec<(Instant, Fact)>,
     members: BTreeMap<TargetId, Member>,
     routes: Option<RouteSet>,
 }
@@ -75,20 +75,20 @@
     }
 
     /// Drops the history: watches from before are told so.
-    pub fn forget(&self) {
+    pub fn drop_history(&self) {
         let mut state = self.state.lock();
-        state.forgotten = state.revision;
+        state.dropped_to = state.revision;
         state.history.clear();
     }
 
     /// Publishes changes that no watch sees, as the history is dropped.
-    pub fn put_unseen(&self, facts: Vec<Fact>) {
+    pub fn put_and_drop_history(&self, facts: Vec<Fact>) {
         let mut state = self.state.lock();
         for fact in facts {
             state.put(fact);
         }
         drop(state);
-        self.forget();
+        self.drop_history();
         self.changed.send_replace(());
     }
 
@@ -125,7 +125,7 @@
     /// What a replica that is behind knows.
     fn stale_listing(&self, lag: Duration) -> Listing {
         let mut replica = Self::default();
-        for (at, fact) in &self.written {
+        for (at, fact) in &self.log {
             if at.elapsed() >= lag {
                 replica.put(fact.clone());
             }
@@ -153,7 +153,7 @@
                 self.members.remove(id);
             }
         }
-        self.written.push((Instant::now(), fact.clone()));
+        self.log.push((Instant::now(), fact.clone()));
         self.revision += 1;
         let revision = self.revision;
         self.history.push(Change { revision, fact });
@@ -214,54 +214,54 @@
     }
 
     /// Ends at once unless the source is silent.
-    async fn answers(&self) -> Result<(), SourceFault> {
+    async fn until_responsive(&self) -> Result<(), SourceFault> {
         let mut mode = self.mode.subscribe();
-        let speaks = mode.wait_for(|mode| *mode != SourceMode::Silent).await;
-        match *speaks.expect("this struct holds a sender") {
+        let answering = mode.wait_for(|mode| *mode != SourceMode::Silent).await;
+        match *answering.expect("this struct holds a sender") {
             SourceMode::Failing => Err(SourceFault::Failed("refused".to_owned())),
             _ => Ok(()),
         }
     }
 
     /// Ends when the source loses a call that it has in hand.
-    async fn lost(&self, is_watch: bool) {
+    async fn until_call_dropped(&self, is_watch: bool) {
         let mut mode = self.mode.subscribe();
-        let loses = |mode: &SourceMode| match mode {
+        let drops = |mode: &SourceMode| match mode {
             SourceMode::DroppingCalls | SourceMode::Hanging => true,
             SourceMode::DroppingWatches => is_watch,
             SourceMode::Normal | SourceMode::Silent | SourceMode::Failing => false,
         };
-        let lost = mode.wait_for(loses).await;
-        drop(lost.expect("this struct holds a sender"));
+        let until_call_dropped = mode.wait_for(drops).await;
+        drop(until_call_dropped.expect("this struct holds a sender"));
     }
 
     /// Counts a call, and makes of it what a client does: lost, it ends with a fault once
     /// it should long have been answered.
-    async fn unless_lost<T>(
+    async fn run_call<T>(
         &self,
         count: &AtomicU64,
         is_watch: bool,
-        limit_ms: Millis,
-        answered: impl Future<Output = Result<T, SourceFault>>,
+        timeout_ms: Millis,
+        response: impl Future<Output = Result<T, SourceFault>>,
     ) -> Result<T, SourceFault> {
         count.fetch_add(1, Ordering::Relaxed);
         let started = tokio::time::Instant::now();
         tokio::select! {
             biased;
-            () = self.lost(is_watch) => {
-                tokio::time::sleep_until(started + limit_ms.to_duration()).await;
+            () = self.until_call_dropped(is_watch) => {
+                tokio::time::sleep_until(started + timeout_ms.to_duration()).await;
                 let mut mode = self.mode.subscribe();
-                let given_up = mode.wait_for(|mode| *mode != SourceMode::Hanging).await;
-                drop(given_up.expect("this struct holds a sender"));
+                let released = mode.wait_for(|mode| *mode != SourceMode::Hanging).await;
+                drop(released.expect("this struct holds a sender"));
                 Err(SourceFault::Failed("no answer in time".to_owned()))
             }
-            answered = answered => answered,
+            response = response => response,
         }
     }
 
     fn after(&self, revision: u64) -> Result<Changes, SourceFault> {
         let state = self.published.state.lock();
-        if revision < state.forgotten {
+        if revision < state.dropped_to {
             return Err(SourceFault::HistoryGone);
         }
         let new = state
@@ -279,18 +279,16 @@
 impl Source for TestSource {
     fn read_all(&self, idle_timeout_ms: Millis) -> ReadFuture<'_, Listing> {
         self.listings.fetch_add(1, Ordering::Relaxed);
-        Box::pin(
-            self.unless_lost(&self.calls, false, idle_timeout_ms, async {
-                self.answers().await?;
-                Ok(self.published.state.lock().listing())
-            }),
-        )
+        Box::pin(self.run_call(&self.calls, false, idle_timeout_ms, async {
+            self.until_responsive().await?;
+            Ok(self.published.state.lock().listing())
+        }))
     }
 
     fn read_stale(&self, idle_timeout_ms: Millis) -> ReadFuture<'_, Listing> {
         Box::pin(
-            self.unless_lost(&self.stale_reads, false, idle_timeout_ms, async {
-                self.answers().await?;
+            self.run_call(&self.stale_reads, false, idle_timeout_ms, async {
+                self.until_responsive().await?;
                 let lag = *self.replica_lag.lock();
                 Ok(self.published.state.lock().stale_listing(lag))
             }),
@@ -305,14 +303,14 @@
     ) -> ReadFuture<'_, Changes> {
         self.last_wait_ms.store(wait_ms.0, Ordering::Relaxed);
         Box::pin(
-            self.unless_lost(&self.calls, true, wait_ms + idle_timeout_ms, async move {
-                self.answers().await?;
+            self.run_call(&self.calls, true, wait_ms + idle_timeout_ms, async move {
+                self.until_responsive().await?;
                 let mut changed = self.published.changed.subscribe();
                 let mut mode = self.mode.subscribe();
                 let waiting = async {
                     loop {
                         changed.mark_unchanged();
-                        self.answers().await?;
+                        self.until_responsive().await?;
                         let changes = self.after(after)?;
                         if !changes.changes.is_empty() {
                             return Ok(changes);
@@ -334,21 +332,17 @@
         id: &'a TargetId,
         idle_timeout_ms: Millis,
     ) -> ReadFuture<'a, Option<Member>> {
-        Box::pin(
-            self.unless_lost(&self.calls, false, idle_timeout_ms, async {
-                self.answers().await?;
-                Ok(self.published.state.lock().members.get(id).cloned())
-            }),
-        )
+        Box::pin(self.run_call(&self.calls, false, idle_timeout_ms, async {
+            self.until_responsive().await?;
+            Ok(self.published.state.lock().members.get(id).cloned())
+        }))
     }
 
     fn read_routes(&self, idle_timeout_ms: Millis) -> ReadFuture<'_, Option<RouteSet>> {
         self.reads_of_routes.fetch_add(1, Ordering::Relaxed);
-        Box::pin(
-            self.unless_lost(&self.calls, false, idle_timeout_ms, async {
-                self.answers().await?;
-                Ok(self.published.state.lock().routes.clone())
-            }),
-        )
+        Box::pin(self.run_call(&self.calls, false, idle_timeout_ms, async {
+            self.until_responsive().await?;
+            Ok(self.published.state.lock().routes.clone())
+        }))
     }
 }
