--- a/crates/edge/src/directory.rs
+++ b/crates/edge/src/directory.rs
@@ -1,4 +1,4 @@
-//! What traffic knows of configuration and targets, and who writes it.
+//! The configuration and targets that traffic uses, and the writer that updates them.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -11,39 +11,40 @@
 use crate::prelude::*;
 use crate::source::Listing;
 
-/// Facts in force, replaced whole by the control thread.
+/// Configuration and targets in force. The control thread replaces the value as a whole.
 #[derive(Clone, Debug, Default)]
 pub struct Directory {
     /// Routes; `None` until a configuration is known.
     pub routes: Option<Arc<RouteSet>>,
-    /// Targets.
+    /// The targets.
     pub members: Arc<Members>,
-    /// How old both may be.
+    /// Time as of which both are complete.
     pub as_of: AsOf,
 }
 
-/// The time as of which a node knows everything that the source has published. Shared by
-/// all directories of a process.
+/// Time as of which a node knows everything that the source has published. All
+/// directories of a process share one value.
 #[derive(Clone, Debug, Default)]
 pub struct AsOf(Arc<AtomicU64>);
 
 impl AsOf {
-    /// Everything that was published by then is known.
+    /// Records that everything published by `at` is known.
     pub fn note(&self, at: Millis) {
         self.0.fetch_max(at.0, Ordering::Relaxed);
     }
 
-    /// Age of what is known. Counted from the process's start while nothing is.
+    /// Age of the known state, counted from the start of the process while nothing is
+    /// known.
     #[must_use]
     pub fn age_ms(&self, now: Millis) -> Millis {
         now.since(Millis(self.0.load(Ordering::Relaxed)))
     }
 }
 
-/// Largest facts that are told: a frame without room for the message around them.
+/// Largest encoded size of [`Facts`]: a frame, less room for the message around them.
 const MAX_FACTS_BYTES: usize = hornbeamhitch_wire::link::MAX_FRAME_BYTES - 1024;
 
-/// What one node tells another that knows nothing.
+/// The state that a node sends to another node that has none.
 #[derive(Serialize, Deserialize)]
 struct Facts {
     routes: RouteSet,
@@ -51,9 +52,9 @@
 }
 
 impl Directory {
-    /// What is known, for a node that knows nothing; `None` without routes, or when it is
-    /// more than one frame carries: a frame that cannot be sent would end the link with
-    /// all calls on it.
+    /// Encodes the known state for a node that has none. Returns `None` without routes,
+    /// or if the state exceeds one frame: sending an oversized frame would close the link
+    /// and fail all calls on it.
     #[must_use]
     pub fn to_facts(&self) -> Option<Bytes> {
         let facts = Facts {
@@ -66,28 +67,32 @@
         };
         match postcard::to_stdvec(&facts) {
             Ok(encoded) if encoded.len() > MAX_FACTS_BYTES => {
-                log::warn!("{} bytes of facts are too large to be told", encoded.len());
+                log::warn!(
+                    "{} bytes of facts are too large to send to other nodes",
+                    encoded.len()
+                );
                 None
             }
             Ok(encoded) => Some(Bytes::from(encoded)),
             Err(error) => {
-                log::error!("facts cannot be written: {error}");
+                log::error!("facts cannot be encoded: {error}");
                 None
             }
         }
     }
 }
 
-/// Takes over another node's facts where nothing is known.
+/// Adopts the state of another node if this node has no configuration.
 ///
-/// Failure answered: nodes are restarted while the store is away, and refuse
-/// everything until it returns, although every node beside them knows all that
-/// they lack. What is read from the store later replaces it; versions only rise.
+/// Nodes that restart while the store is unavailable would otherwise reject every request
+/// until it returns, although all other nodes have the state that they lack. State that
+/// is read from the store later replaces the adopted state because versions only
+/// increase.
 pub fn adopt_facts(directory: &SharedDirectory, encoded: &[u8]) {
     let facts: Facts = match postcard::from_bytes(encoded) {
         Ok(facts) => facts,
         Err(error) => {
-            log::warn!("another node's facts cannot be read: {error}");
+            log::warn!("facts received from another node cannot be decoded: {error}");
             return;
         }
     };
@@ -110,7 +115,7 @@
     }
 }
 
-/// The targets of a listing, as traffic reads them.
+/// Returns the targets of a listing in the form that traffic uses.
 pub(crate) fn members_of(listing: &Listing) -> Members {
     let mut tracker = MemberTracker::default();
     for member in &listing.members {
@@ -122,21 +127,21 @@
     }
 }
 
-/// The directory as traffic reads it.
+/// A directory shared between the control thread and traffic.
 pub type SharedDirectory = Arc<ArcSwap<Directory>>;
 
-/// Writes the directory; owned by the control thread.
+/// Writes the directory. Owned by the control thread.
 #[derive(Debug)]
 pub struct DirectoryWriter {
     directory: SharedDirectory,
     tracker: MemberTracker,
     clock: ProcessClock,
-    /// The facts in force are those of a stale listing.
+    /// Whether the state in force comes from a stale listing.
     serves_stale: bool,
 }
 
 impl DirectoryWriter {
-    /// A writer of an empty directory.
+    /// Creates a writer for an empty directory.
     #[must_use]
     pub fn new(directory: SharedDirectory, clock: ProcessClock) -> Self {
         Self {
@@ -147,21 +152,21 @@
         }
     }
 
-    /// Takes over a configuration unless one as new is in force.
+    /// Puts a configuration in force unless the one in force is as new or newer.
     ///
-    /// Failure answered: a read that was answered late, or by a replica behind,
-    /// brings an older version after a newer one; requests would go back to
-    /// routes that the operator has taken away. Versions of one life only rise.
+    /// A late response, or one from a lagging replica, can deliver an older version after
+    /// a newer one. Requests would then use routes that the operator has removed.
+    /// Versions only increase while the process runs.
     pub fn set_routes(&self, routes: RouteSet) {
         let directory = self.directory.load();
         let in_force = directory.routes.as_ref().map(|known| known.version());
         if in_force.is_some_and(|known| routes.version() <= known) {
-            log::debug!(offered = routes.version(), in_force; "an older configuration was offered");
+            log::debug!(offered = routes.version(), in_force; "ignored a configuration that is not newer than the one in force");
             return;
         }
         log::info!(version = routes.version(), before = in_force; "configuration in force");
         let routes = Arc::new(routes);
-        // It may name services whose targets were listed before it.
+        // The configuration may name services whose targets were listed before it.
         let members = Arc::new(self.tracker.snapshot_for(&routes));
         let is_tracking = !self.tracker.is_empty();
         self.directory.rcu(|known| Directory {
@@ -174,10 +179,10 @@
         });
     }
 
-    /// Lets traffic use a listing that may be stale while nothing is known. None of it
-    /// counts as known, so current facts replace all of it.
+    /// Lets traffic use a possibly stale listing while no current state is known. The
+    /// listing does not count as known, so current state replaces all of it.
     ///
-    /// What another node told is left alone: it is newer as a rule.
+    /// State adopted from another node is kept because it is usually newer.
     pub fn adopt_stale(&mut self, routes: RouteSet, members: Members) {
         let version = routes.version();
         let (routes, members) = (Arc::new(routes), Arc::new(members));
@@ -202,39 +207,40 @@
         }
     }
 
-    /// Whether the targets in force are those of a stale listing; true once.
+    /// Whether the targets in force come from a stale listing. Resets the flag.
     pub const fn take_serves_stale(&mut self) -> bool {
         std::mem::replace(&mut self.serves_stale, false)
     }
 
-    /// A target's entry was written.
+    /// Adds or replaces the entry of a target.
     pub fn upsert(&mut self, member: Member) {
         self.tracker.upsert(member);
     }
 
-    /// A target's entry was removed.
+    /// Removes the entry of a target.
     pub fn remove(&mut self, id: &TargetId) {
         self.tracker.remove(id, self.clock.now());
     }
 
-    /// What a complete listing changes.
+    /// Returns the changes that turn the known targets into a complete listing.
     #[must_use]
     pub fn difference(&self, listed: Vec<Member>) -> Difference {
         self.tracker.difference(listed)
     }
 
-    /// The source could not be read.
-    pub fn note_read_failure(&mut self) {
+    /// Records that this node failed to read the source.
+    pub fn note_store_failure(&mut self) {
         self.tracker.note_trouble(self.clock.now());
     }
 
-    /// A reader that this node hears could not read the source.
-    pub fn note_reader_failure(&mut self, grace_ms: Millis) {
+    /// Records that a reader to which this node subscribes failed to read the source.
+    pub fn note_remote_store_failure(&mut self, grace_ms: Millis) {
         self.tracker
             .note_distant_trouble(grace_ms, self.clock.now());
     }
 
-    /// Drops entries that stayed missing, and says when to look again.
+    /// Drops entries whose grace period has ended, and returns the time of the next
+    /// check.
     pub fn expire(&mut self) -> Option<Millis> {
         if self.tracker.expire(self.clock.now()) {
             self.publish_members();
@@ -242,13 +248,13 @@
         self.tracker.next_expiry()
     }
 
-    /// The targets that traffic knows.
+    /// The targets in force.
     #[must_use]
     pub fn members(&self) -> Arc<Members> {
         Arc::clone(&self.directory.load().members)
     }
 
-    /// Shows the changes to traffic.
+    /// Puts the current targets in force.
     pub fn publish_members(&self) {
         let routes = self.directory.load().routes.clone();
         let members = Arc::new(match routes {
@@ -263,12 +269,12 @@
         });
     }
 
-    /// Everything that was published by then is known.
+    /// Records that everything published by `at` is known.
     pub fn note_as_of(&self, at: Millis) {
         self.directory.load().as_of.note(at);
     }
 
-    /// Age of what is known.
+    /// Age of the known state.
     #[must_use]
     pub fn age_ms(&self) -> Millis {
         self.directory.load().as_of.age_ms(self.clock.now())
@@ -281,7 +287,7 @@
         directory.routes.as_ref().map(|routes| routes.version())
     }
 
-    /// The clock that times are read from.
+    /// The clock on which all times of this writer are based.
     #[must_use]
     pub const fn clock(&self) -> ProcessClock {
         self.clock
--- a/crates/edge/src/feed.rs
+++ b/crates/edge/src/feed.rs
@@ -1,7 +1,7 @@
-//! The change feed: what a node that reads the source tells nodes that do not.
+//! The change feed, by which nodes that read the source publish changes to other nodes.
 //!
-//! A reader's control thread appends to its [`ChangeFeed`]; the link server
-//! answers subscriptions from it. The other side is [`Subscriptions`].
+//! A reader's control thread appends changes to its [`ChangeFeed`], from which the link
+//! server serves subscriptions. [`Subscriptions`] is the subscriber's side.
 
 mod change_log;
 mod links;
@@ -26,26 +26,27 @@
 #[cfg(test)]
 mod tests;
 
-/// A larger change is told by its name alone. A reader tells some 48 subscribers: so much
-/// to each is 0.3 s of a line of 10 Mbit/s.
+/// Largest encoded change. For a larger configuration only the version is published. A
+/// reader has about 48 subscribers, so a change of this size takes 0.3 s on a link of 10
+/// Mbit/s.
 ///
-/// Failure answered: readers tell a configuration of thousands of routes, their lines are
-/// full for seconds, and each departure that comes after it waits behind it.
+/// A configuration of thousands of routes would occupy the readers' links for seconds and
+/// delay the removals of targets that are published after it.
 const MAX_CHANGE_BYTES: usize = 8 * 1024;
 
-/// Whether a node's feed can be subscribed to.
+/// Whether a node's feed accepts subscribers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum FeedStatus {
-    /// The node is no reader.
+    /// The node is neither a reader nor a reserve.
     #[default]
     Closed,
-    /// It reads.
+    /// The node accepts subscribers, and its last read succeeded.
     Open,
-    /// It would read, but its last read failed.
+    /// The node accepts subscribers, but its last read failed.
     Unhealthy,
 }
 
-/// Recent changes, for subscribers.
+/// Recent changes for subscribers.
 #[derive(Debug)]
 pub struct ChangeFeed {
     clock: ProcessClock,
@@ -57,28 +58,29 @@
 #[derive(Debug, Default)]
 struct State {
     status: FeedStatus,
-    /// Everything up to this revision is known.
+    /// Revision up to which all changes are known.
     revision: u64,
-    /// That was all that the source had published by then.
+    /// Time as of which the known changes are all that the source has published.
     as_of: Millis,
     log: ChangeLog,
 }
 
-/// What is new to one subscriber.
+/// Changes that are new to a subscriber.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FeedUpdate {
-    /// Encoded changes in their order.
+    /// Encoded changes in the order of their revisions.
     pub changes: Vec<Bytes>,
-    /// Everything up to this revision is known.
+    /// Revision up to which all changes are known.
     pub revision: u64,
-    /// The reader's own last read failed.
+    /// Whether the reader's own last read of the source failed.
     pub last_read_failed: bool,
-    /// So long ago this was all that the source had published.
+    /// Time since the known changes were confirmed to be all that the source has
+    /// published.
     pub age_ms: Millis,
 }
 
 impl ChangeFeed {
-    /// A closed feed of a node that knows nothing.
+    /// Creates a closed feed without changes.
     #[must_use]
     pub fn new(clock: ProcessClock, waits: Waits) -> Self {
         let (changed, _) = watch::channel(());
@@ -90,10 +92,10 @@
         }
     }
 
-    /// Adds changes, after which everything up to `revision` is known.
+    /// Appends changes, after which all changes up to `revision` are known.
     ///
-    /// Subscribers are woken only by what is new. Readers hear each other: woken
-    /// by each word of the other, two of them would answer each other for ever.
+    /// Only a new revision wakes subscribers. Readers subscribe to each other; if every
+    /// update woke them, two readers would exchange updates endlessly.
     pub fn append(&self, changes: &[Change], revision: u64) {
         let mut state = self.state.lock();
         if revision <= state.revision {
@@ -107,22 +109,23 @@
         self.wake();
     }
 
-    /// This node's own read has shown that all is known that was published by then.
+    /// Records that this node's own read confirmed the known state as of `as_of`.
     ///
-    /// Subscribers hear of it at once: told a while later, they would take what they know
-    /// for older than it is, and all of them would read for themselves.
+    /// Subscribers are notified immediately. If they were notified later, they would
+    /// consider their state older than it is and all read the source themselves.
     pub fn renew(&self, as_of: Millis) {
         self.note_as_of(as_of);
         self.wake();
     }
 
-    /// Another node has told so. Subscribers hear of it when they are told again.
+    /// Records that another node confirmed the known state as of `as_of`. Subscribers
+    /// receive it with their next update.
     pub fn note_as_of(&self, as_of: Millis) {
         let mut state = self.state.lock();
         state.as_of = as_of.max(state.as_of);
     }
 
-    /// Opens or closes the feed.
+    /// Sets whether the feed accepts subscribers, and wakes them if that changed.
     pub fn set_status(&self, status: FeedStatus) {
         let mut state = self.state.lock();
         if state.status == status {
@@ -133,8 +136,8 @@
         self.wake();
     }
 
-    /// What is new to a subscriber who knows everything up to `revision`;
-    /// `None` when this node cannot tell.
+    /// Returns the changes for a subscriber that knows everything up to `revision`, or
+    /// `None` if this node cannot provide them.
     #[must_use]
     pub fn update_after(&self, revision: u64) -> Option<FeedUpdate> {
         let state = self.state.lock();
@@ -149,21 +152,23 @@
         })
     }
 
-    /// Tells when [`Self::update_after`] may have something new.
+    /// Returns a receiver that is notified when [`Self::update_after`] may return
+    /// something new.
     #[must_use]
     pub fn subscribe(&self) -> watch::Receiver<()> {
         self.changed.subscribe()
     }
 
-    /// Tells a subscriber who knows everything up to `known` what changes, until nobody
-    /// listens or this node can tell no more.
+    /// Sends updates to a subscriber that knows everything up to `known`. Returns when
+    /// the subscriber is gone or this node can no longer provide updates.
     pub(crate) async fn serve(&self, known: u64, subscriber: &UnboundedSender<ToEntry>) {
         let mut known = known;
         let mut changed = self.subscribe();
         loop {
             changed.mark_unchanged();
             let Some(update) = self.update_after(known) else {
-                // A link that has ended needs no answer.
+                // The send fails only if the link has closed, and then no reply is
+                // needed.
                 let _ = subscriber.send(ToEntry::NoFeed);
                 return;
             };
@@ -179,7 +184,8 @@
             if subscriber.send(known_to).is_err() {
                 return;
             }
-            // Whether the wait ends by a change or by its time makes no difference.
+            // An update is sent after a change and after each interval, so the result is
+            // irrelevant.
             let resend_interval = self.waits.tell_again_ms().to_duration();
             let _ = tokio::time::timeout(resend_interval, changed.changed()).await;
         }
@@ -195,15 +201,17 @@
         match encode(change) {
             Ok(encoded) => self.log.append(change, encoded),
             Err(error) => {
-                log::error!("a change cannot be written for other nodes: {error}");
-                // Nobody may be told that everything is known without it.
+                log::error!("a change cannot be encoded for subscribers: {error}");
+                // Subscribers must not consider this revision known, as they lack the
+                // change.
                 self.log.note_lost(change.revision);
             }
         }
     }
 }
 
-/// What subscribers are told of a change.
+/// Encodes a change for subscribers. A configuration that is too large is replaced by its
+/// version.
 fn encode(change: &Change) -> postcard::Result<Bytes> {
     let encoded = postcard::to_stdvec(change)?;
     let Fact::Routes(routes) = &change.fact else {
--- a/crates/edge/src/feed/change_log.rs
+++ b/crates/edge/src/feed/change_log.rs
@@ -1,7 +1,7 @@
-//! A compacted log of changes: the latest of each key, in the order of revisions.
+//! A compacted log that holds the latest change of each key in the order of revisions.
 //!
-//! Whoever knows nothing can be sent all of it, whatever happened before, and its size
-//! follows what is listed and not how much has changed.
+//! A new subscriber can always be served from the log. The size of the log depends on the
+//! number of listed entries, not on the number of changes.
 
 use std::collections::{BTreeMap, HashMap, VecDeque};
 
@@ -10,11 +10,11 @@
 use crate::prelude::*;
 use crate::source::{Change, Fact};
 
-/// Removals that are kept for subscribers that are behind. One that is further behind
-/// reads for itself; at a few removals a second this is minutes.
+/// Number of removals retained for subscribers that are behind. A subscriber that is
+/// further behind reads the source. At a few removals per second this covers minutes.
 const MAX_TOMBSTONES: usize = 1_024;
 
-/// What a change replaces.
+/// Subject of a change. A change replaces earlier changes with the same key.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Key {
     Routes,
@@ -31,7 +31,7 @@
     }
 }
 
-/// Order of entries: by revision, then as appended.
+/// Position in the log: revision, then order of appending.
 type Position = (u64, u64);
 
 /// The latest change of each key.
@@ -39,7 +39,8 @@
 pub(super) struct ChangeLog {
     entries: BTreeMap<Position, Bytes>,
     positions: HashMap<Key, Position>,
-    /// Removals, oldest first. Some may have been replaced by a later change of the key.
+    /// Removals, oldest first. Later changes of the same key may have replaced some of
+    /// them.
     tombstones: VecDeque<(Key, Position)>,
     appended: u64,
     /// Removals up to this revision may be missing.
@@ -49,7 +50,7 @@
 }
 
 impl ChangeLog {
-    /// Adds a change in its encoded form.
+    /// Appends a change in its encoded form.
     pub(super) fn append(&mut self, change: &Change, encoded: Bytes) {
         self.appended += 1;
         let position = (change.revision, self.appended);
@@ -64,13 +65,13 @@
         }
     }
 
-    /// A change up to this revision cannot be told to anybody.
+    /// Records that changes up to this revision cannot be sent to subscribers.
     pub(super) fn note_lost(&mut self, revision: u64) {
         self.lost_to = self.lost_to.max(revision);
     }
 
-    /// Changes for a subscriber that knows everything up to `revision`; `None` when some
-    /// are missing. A subscriber that knows nothing (0) needs no removals.
+    /// Returns the changes for a subscriber that knows everything up to `revision`, or
+    /// `None` if some are missing. A new subscriber (revision 0) needs no removals.
     pub(super) fn after(&self, revision: u64) -> Option<Vec<Bytes>> {
         let knows_removals = revision == 0 || revision >= self.compacted_to;
         if revision < self.lost_to || !knows_removals {
@@ -80,7 +81,7 @@
         Some(new.map(|(_, encoded)| encoded.clone()).collect())
     }
 
-    /// Drops the oldest removals above the limit.
+    /// Drops the oldest removals beyond [`MAX_TOMBSTONES`].
     fn compact(&mut self) {
         while self.tombstones.len() > MAX_TOMBSTONES {
             let Some((key, position)) = self.tombstones.pop_front() else {
--- a/crates/edge/src/feed/links.rs
+++ b/crates/edge/src/feed/links.rs
@@ -1,4 +1,4 @@
-//! The way to the feeds of other nodes.
+//! Connections to the feeds of other nodes.
 
 use std::fmt;
 use std::future::Future;
@@ -14,23 +14,23 @@
 use crate::link::{FrameReader, LinkFault};
 use crate::sockets;
 
-/// Something that comes from another node, or the end of the way to it.
+/// Future of a result from another node, which fails when the link ends.
 pub(crate) type LinkFuture<'a, T> = Pin<Box<dyn Future<Output = Result<T, LinkFault>> + Send + 'a>>;
 
-/// Reaches the feeds of other nodes.
+/// Opens connections to the feeds of other nodes.
 pub(crate) trait FeedLinks: fmt::Debug + Send + Sync {
-    /// Subscribes to a reader's feed, given the revision up to which all is known here.
-    /// Whoever waits for it sets the limit.
+    /// Subscribes to a reader's feed. All changes up to the revision `known` are known
+    /// here. The caller sets the timeout.
     fn open(&self, reader: IpAddr, known: u64) -> LinkFuture<'_, Box<dyn FeedStream>>;
 }
 
-/// What a reader tells one subscriber.
+/// The messages of a reader to one subscriber.
 pub(crate) trait FeedStream: Send {
-    /// The next word. Safe to cancel.
+    /// Returns the next message. Cancel safe.
     fn next(&mut self) -> LinkFuture<'_, ToEntry>;
 }
 
-/// Links over TCP to the port at which all nodes listen.
+/// TCP connections to the port on which all nodes listen.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct TcpFeedLinks {
     pub(crate) port: u16,
@@ -55,7 +55,7 @@
     }
 }
 
-/// A connection with a subscription; its writing half is kept open.
+/// A connection with a subscription. Its write half is kept open.
 struct TcpFeedStream {
     reader: FrameReader,
     _writer: OwnedWriteHalf,
--- a/crates/edge/src/feed/subscriptions.rs
+++ b/crates/edge/src/feed/subscriptions.rs
@@ -17,51 +17,52 @@
 use crate::prelude::*;
 use crate::source::Change;
 
-/// First pause before a reader that was lost, or was none, is asked again; doubled with
-/// each attempt in vain. Nodes that start together are ready some tenths of a second apart.
+/// First delay before a subscription is retried, after a reader was lost or turned out
+/// not to be one. The delay doubles with each failed attempt. Nodes that start together
+/// become ready within a few tenths of a second of each other.
 const FIRST_RETRY: Duration = Duration::from_millis(100);
-/// Longest such pause.
+/// Longest delay before a subscription is retried.
 const MAX_RETRY: Duration = Duration::from_secs(1);
 
-/// What a reader told.
+/// An event from the subscriptions of a node.
 #[derive(Debug)]
 pub enum FeedEvent {
-    /// Every change up to the revision, of those after the revision that was
-    /// known at the subscription.
+    /// An update from a reader: all changes up to `revision` since the previous update,
+    /// or since the revision that was known when the node subscribed.
     Update {
         /// The reader.
         reader: IpAddr,
-        /// Changes in their order.
+        /// Changes in the order of their revisions.
         changes: Vec<Change>,
-        /// Nothing up to this revision is left out.
+        /// Revision up to which no change is missing.
         revision: u64,
-        /// The reader's own last read failed.
+        /// Whether the reader's own last read of the source failed.
         last_read_failed: bool,
-        /// This was all that the source had published by then, but for the time that
-        /// the word was on its way.
+        /// Time as of which the source had published nothing newer, not corrected for the
+        /// network delay of the update.
         as_of: Millis,
     },
-    /// This node has read a configuration that its readers could not tell.
+    /// This node has read a configuration that was too large for the change feed.
     RoutesRead(RouteSet),
-    /// The reader tells nothing for now.
+    /// The connection to the reader was lost.
     Lost {
         /// The reader.
         reader: IpAddr,
     },
 }
 
-/// The readers that this node hears.
+/// Subscriptions to the readers of this node.
 #[derive(Debug)]
 pub struct Subscriptions {
     context: SubscriptionContext,
-    /// Everything up to this revision is known here.
+    /// Revision up to which this node knows all changes.
     known_revision: Arc<AtomicU64>,
     events: mpsc::UnboundedReceiver<FeedEvent>,
     event_sender: mpsc::UnboundedSender<FeedEvent>,
     readers: BTreeMap<IpAddr, Subscription>,
 }
 
-/// How readers are heard.
+/// What the task of a subscription needs.
 #[derive(Clone, Debug)]
 struct SubscriptionContext {
     links: Arc<dyn FeedLinks>,
@@ -75,14 +76,14 @@
     health: ReaderHealth,
 }
 
-/// What is known of a reader.
+/// Health of a reader, as seen by a subscriber.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ReaderHealth {
-    /// It is not connected, or silent.
+    /// The reader is not connected or silent.
     Lost,
-    /// It publishes, and its own last read failed.
+    /// The reader publishes, but its own last read failed.
     Unhealthy,
-    /// It publishes, and its own reads succeed.
+    /// The reader publishes, and its own reads succeed.
     Healthy,
 }
 
@@ -93,7 +94,7 @@
 }
 
 impl Subscriptions {
-    /// None yet; readers are reached over these links.
+    /// Creates an empty set of subscriptions that reaches readers over these links.
     pub(crate) fn new(links: Arc<dyn FeedLinks>, waits: Waits, clock: ProcessClock) -> Self {
         let (event_sender, events) = mpsc::unbounded_channel();
         Self {
@@ -109,17 +110,17 @@
         }
     }
 
-    /// Where this node's own reads are put in beside what readers tell.
+    /// Returns a sender that adds this node's own reads to the events from readers.
     pub fn event_sender(&self) -> mpsc::UnboundedSender<FeedEvent> {
         self.event_sender.clone()
     }
 
-    /// Everything up to this revision is known here.
+    /// Sets the revision up to which this node knows all changes.
     pub fn set_known_revision(&self, revision: u64) {
         self.known_revision.store(revision, Ordering::Release);
     }
 
-    /// Subscribes to these readers and to no others.
+    /// Subscribes to exactly these readers.
     pub fn set_readers(&mut self, wanted: &[IpAddr]) {
         self.readers.retain(|reader, _| wanted.contains(reader));
         let mut delay = Duration::ZERO;
@@ -143,9 +144,9 @@
         }
     }
 
-    /// Delay of each further subscription. A node without state receives all of it from
-    /// every reader that it subscribes to before the first update; when a whole fleet
-    /// starts, that would saturate the readers' links.
+    /// Delay between consecutive new subscriptions. A node without state receives the
+    /// complete state from every reader that it subscribes to before the first update.
+    /// When a whole fleet starts, that would saturate the readers' links.
     fn next_subscription_delay(&self) -> Duration {
         match self.known_revision.load(Ordering::Acquire) {
             0 => self.context.waits.tell_again_ms().to_duration(),
@@ -153,13 +154,14 @@
         }
     }
 
-    /// Readers that speak and whose own reads succeed.
+    /// Number of readers that publish and whose own reads succeed.
     #[must_use]
     pub fn healthy_readers(&self) -> usize {
         self.count(ReaderHealth::Healthy)
     }
 
-    /// Whether some readers publish, and none of these reaches the source.
+    /// Whether at least one reader publishes and none of the publishing readers reaches
+    /// the source.
     #[must_use]
     pub fn all_unhealthy(&self) -> bool {
         self.healthy_readers() == 0 && self.count(ReaderHealth::Unhealthy) > 0
@@ -170,7 +172,7 @@
         readers.filter(|reader| reader.health == health).count()
     }
 
-    /// What is told next. Safe to cancel.
+    /// Returns the next event. Cancel safe.
     pub async fn next(&mut self) -> FeedEvent {
         let event = self.events.recv().await;
         let event = event.expect("this struct holds a sender");
@@ -191,7 +193,7 @@
     }
 }
 
-/// Hears one reader for as long as it is wanted.
+/// Keeps a subscription to one reader open until the task is aborted.
 async fn run_subscription(
     reader: IpAddr,
     delay: Duration,
@@ -274,7 +276,7 @@
                 }
             }
             ToEntry::NoFeed => return LinkFault::Closed,
-            // What a gate tells its entries is of no use here.
+            // Messages from a gate to its entries are irrelevant here.
             _ => {}
         }
     }
--- a/crates/edge/src/feed/tests.rs
+++ b/crates/edge/src/feed/tests.rs
@@ -1,4 +1,4 @@
-//! What a feed tells subscribers.
+//! Tests of the updates that a feed provides to subscribers.
 
 use hornbeamhitch_dispatch::prelude::*;
 use hornbeamhitch_dispatch::routes::Destination;
@@ -64,8 +64,8 @@
     assert_eq!(feed.update_after(10), None);
 }
 
-/// Told "everything is known up to 12" without what came before 10, a subscriber
-/// would miss that for ever.
+/// A subscriber that received "complete up to 12" without the changes before revision 10
+/// would never receive them.
 #[test]
 fn a_subscriber_behind_the_log_is_rejected() {
     let feed = open_feed();
@@ -77,7 +77,8 @@
     assert_eq!(revisions(&last), [2_000]);
 }
 
-/// Guards against restarted nodes that all read the source, as changes of long ago are gone.
+/// Guards against restarted nodes that all read the source because old changes have been
+/// dropped.
 #[test]
 fn a_new_subscriber_receives_the_latest_change_of_each_target() {
     const TARGETS: u64 = 40;
@@ -109,8 +110,8 @@
     );
 }
 
-/// Two readers hear each other. A word that brings nothing new must end there,
-/// or they would answer each other for ever with a whole processor.
+/// Readers subscribe to each other. If updates without news were forwarded, two readers
+/// would exchange updates endlessly and each occupy a processor.
 #[test]
 fn known_changes_wake_no_subscriber() {
     let feed = open_feed();
@@ -125,13 +126,13 @@
     assert!(subscriber.has_changed().expect("an open feed"));
 }
 
-/// Work reaches a target that said 2.6 s ago that it leaves. Its gate had not heard so:
-/// readers with thin lines were telling each of their subscribers a configuration of
-/// thousands of routes, for seconds, and what was told after it waited behind it.
+/// Guards against work that still reaches a target 2.6 s after it announced that it
+/// drains. Readers on slow links were sending a configuration of thousands of routes to
+/// each subscriber for seconds, which delayed the change behind it.
 #[test]
 fn encoded_changes_are_small() {
-    /// A reader tells some 48 subscribers. So much to each of them is 0.3 s of a line of
-    /// 10 Mbit/s, a tenth of the least time in which changes must be in force.
+    /// A reader has about 48 subscribers. A change of this size takes 0.3 s on a link of
+    /// 10 Mbit/s, a tenth of the shortest time in which changes must be in force.
     const MAX_BYTES: usize = 8 * 1024;
     let mut routes = RouteSet::new(7, CallerLimits::default());
     for number in 0..4_000 {
--- a/crates/edge/src/following.rs
+++ b/crates/edge/src/following.rs
@@ -1,5 +1,6 @@
-//! Follows the platform's facts for as long as the process lives, on the control
-//! thread: reads the source, or hears nodes that do.
+//! Keeps this node's directory in sync with the platform, on the control thread and for
+//! as long as the process runs. A node either reads the source itself or subscribes to
+//! nodes that do.
 
 mod bootstrap;
 mod hearing;
@@ -25,30 +26,31 @@
 #[cfg(test)]
 mod tests;
 
-/// A watch that is to be answered at once.
+/// Shortest watch, for when the source has to answer immediately.
 const MIN_WATCH_MS: Millis = Millis(1);
-/// The first gathering of a node that has just started; each further one takes twice as
-/// long, up to the usual. VMs that start together do so within some tenths of a second.
+/// Debounce interval after the first changes that a node receives. It doubles with each
+/// further batch, up to the usual interval. VMs that start together register within a few
+/// tenths of a second of each other.
 const FIRST_DEBOUNCE_MS: Millis = Millis(200);
-/// Doublings after which no more are counted.
+/// Number of doublings after which the debounce interval is no longer doubled.
 const MAX_DEBOUNCE_DOUBLINGS: u32 = 10;
-/// The same of pauses after failed reads.
+/// Number of failed reads in a row after which the pause is no longer doubled.
 const MAX_PAUSE_DOUBLINGS: u32 = 4;
 
-/// What following needs to know of its node.
+/// Settings of [`follow`].
 #[derive(Clone, Debug)]
 pub struct FollowSettings {
-    /// This VM's address.
+    /// Address of this VM.
     pub own_ip: IpAddr,
-    /// Where it stands.
+    /// Data centre of this VM.
     pub data_centre: DataCentre,
-    /// Where the gates of all VMs listen.
+    /// Port on which the gates of all VMs listen.
     pub gate_port: u16,
-    /// Within this a change must be in force.
+    /// Time within which a change must be in force on every node.
     pub in_force_ms: Millis,
 }
 
-/// Follows a source; never returns.
+/// Follows a source and never returns.
 pub async fn follow(
     source: SharedSource,
     directory: DirectoryWriter,
@@ -61,7 +63,7 @@
     follow_over(Arc::new(links), source, directory, feed, settings).await;
 }
 
-/// The same over links of any kind.
+/// Like [`follow`], over any kind of links to other nodes.
 async fn follow_over(
     links: Arc<dyn FeedLinks>,
     source: SharedSource,
@@ -102,14 +104,14 @@
     subscriptions: Subscriptions,
     role: Role,
     settings: FollowSettings,
-    /// Reads that failed in a row.
+    /// Consecutive failed reads.
     failures: u32,
-    /// Times that this node gathered changes since its start.
+    /// Debounced batches since this node started, up to [`MAX_DEBOUNCE_DOUBLINGS`].
     debounces: u32,
 }
 
 impl DirectorySync {
-    /// Reads everything, as often as it takes.
+    /// Reads the complete listing, retrying until a read succeeds.
     async fn read_all(&mut self) {
         loop {
             match self.source.read_all(self.waits.idle_timeout_ms()).await {
@@ -125,14 +127,15 @@
         }
     }
 
-    /// Follows changes until everything has to be read anew.
+    /// Applies changes until a gap requires the complete listing to be read again.
     async fn follow_changes(&mut self) {
         loop {
             self.update_role();
             if self.is_fed_by_readers() {
                 self.apply_next_update().await;
                 if !self.is_fed_by_readers() && self.role.is_follower() {
-                    // Not in step with all others who heard the same readers.
+                    // A random delay keeps the subscribers of the same readers from
+                    // reading all at once.
                     self.pause(self.waits.lost_readers_pause_ms()).await;
                 }
                 continue;
@@ -143,12 +146,14 @@
             }
             match self.watch().await {
                 Ok(()) if self.known.take_deferred_removals() => {
-                    log::info!("the source is reached; what had lapsed meanwhile is read anew");
+                    log::info!(
+                        "the source is reachable again; reading the complete listing because removals were deferred"
+                    );
                     return;
                 }
                 Ok(()) => {}
                 Err(SourceFault::HistoryGone) => {
-                    log::info!("the source dropped its history; everything is read anew");
+                    log::info!("the source dropped its history; reading the complete listing");
                     return;
                 }
                 Err(fault) => self.pause_after(&fault).await,
@@ -156,22 +161,23 @@
         }
     }
 
-    /// Whether this node is told enough to leave reading to others.
+    /// Whether updates from readers are current enough that this node need not read the
+    /// source.
     ///
-    /// One sound reader is enough: its loss, or its silence, shows by the age of what is
-    /// known here. Asking for two, a fleet of which a third is turned away by the source
-    /// makes a call of each node at each change.
+    /// One healthy reader is sufficient: if it fails or falls silent, the age of the
+    /// known state shows it. If two were required and the source rejected a third of a
+    /// fleet, every node would call the source at each change.
     fn is_fed_by_readers(&self) -> bool {
         self.subscriptions.healthy_readers() > 0
             && self.known.own_reads() == OwnReads::Good
             && self.known.age_ms() < self.max_age_ms()
     }
 
-    /// Whether probing a source that all subscribed readers report as unreachable is left
-    /// to these readers and to the reserves.
+    /// Whether only readers and reserves probe the source while all subscribed readers
+    /// report it as unreachable.
     ///
     /// Readers publish as soon as one of them reaches the source. Reserves cover a source
-    /// that rejects only the readers. Probed by every node, a source that recovers would
+    /// that rejects only the readers. If every node probed, a source that recovers would
     /// receive hundreds of calls a second.
     fn defers_probing(&self) -> bool {
         self.role.is_follower()
@@ -191,7 +197,7 @@
         with_updates(delay, &mut self.known, &mut self.subscriptions).await;
     }
 
-    /// Age of what is known at which this node asks the source itself.
+    /// Age of the known state from which on this node reads the source itself.
     fn max_age_ms(&self) -> Millis {
         match &self.role {
             Role::Follower {
@@ -203,7 +209,7 @@
         }
     }
 
-    /// Watches the source once and takes what came.
+    /// Watches the source once and applies the changes that it returns.
     async fn watch(&mut self) -> Result<(), SourceFault> {
         let (after, wait_ms) = (self.known.revision(), self.watch_wait_ms());
         let watching = self
@@ -215,8 +221,9 @@
         self.known.apply_new(batch.changes, batch.revision);
         self.known.renew(batch.age_ms);
         if has_new_changes {
-            // Whoever learns of its readers subscribes while it gathers. After it,
-            // each node of a fleet that starts would fetch the next change itself.
+            // Subscribes before the debounce interval if the changes reveal this node's
+            // readers. Otherwise each node of a starting fleet would fetch the next
+            // change itself after it.
             self.update_role();
             let debounce = tokio::time::sleep(self.next_debounce().to_duration());
             with_updates(debounce, &mut self.known, &mut self.subscriptions).await;
@@ -224,10 +231,11 @@
         Ok(())
     }
 
-    /// How long the next watch waits: until what is known has to be renewed.
+    /// Timeout of the next watch: the time until the known state has to be renewed.
     ///
-    /// After changes were gathered, this is what is left of the time. A watch of the
-    /// whole time, lost, would hide for both together what changed meanwhile.
+    /// After a debounce interval this is the remainder of the time. If a watch of the
+    /// full time were lost, changes would stay unknown for the debounce interval and the
+    /// watch together.
     fn watch_wait_ms(&self) -> Millis {
         match self.known.own_reads() {
             OwnReads::Doubtful | OwnReads::Failed => MIN_WATCH_MS,
@@ -238,7 +246,8 @@
         }
     }
 
-    /// Takes what a reader tells next, or nothing when what is known grows too old.
+    /// Applies the next event from a reader, or returns when the known state becomes too
+    /// old.
     async fn apply_next_update(&mut self) {
         let left_ms = self.max_age_ms().minus(self.known.age_ms());
         let next = tokio::time::timeout(left_ms.to_duration(), self.subscriptions.next());
@@ -252,15 +261,16 @@
         self.subscriptions.set_known_revision(self.known.revision());
     }
 
-    /// How long to gather changes now.
+    /// Returns the debounce interval for the changes that were just received.
     ///
-    /// Failure answered: all VMs lose power and come back. A node that is among the
-    /// first reads a list on which most targets are still those of before, and new ones
-    /// are added tenths of a second later. With a whole gathering at once it went on for
-    /// more than a second to refuse callers for want of targets, though all were there.
-    /// A node that hears readers learns of them meanwhile.
+    /// The interval starts short: when all VMs restart after a power loss, the first
+    /// nodes read a listing that mostly names targets from before the outage, and new
+    /// targets register tenths of a second later. With the full interval from the start,
+    /// these nodes rejected callers for more than a second for lack of targets although
+    /// all targets were running. Followers always use the full interval because they
+    /// receive updates from readers in the meantime.
     fn next_debounce(&mut self) -> Millis {
-        // Changes that come close together are fetched by one call.
+        // One call fetches all changes of one interval.
         let usual = self.waits.renewal_ms();
         if self.role.is_follower() {
             return usual;
@@ -270,7 +280,8 @@
         rising.min(usual)
     }
 
-    /// Draws the consequences of the targets that are known now.
+    /// Updates the role, subscriptions and feed status after the set of targets has
+    /// changed.
     fn update_role(&mut self) {
         self.subscriptions.set_known_revision(self.known.revision());
         if !self.known.take_members_changed() {
@@ -290,7 +301,7 @@
         self.update_feed_status();
     }
 
-    /// Tells subscribers whether this node reads.
+    /// Publishes whether this node is a reader and whether its reads succeed.
     fn update_feed_status(&self) {
         let status = match (self.role.is_heard(), self.failures) {
             (false, _) => FeedStatus::Closed,
@@ -313,7 +324,7 @@
         self.update_feed_status();
     }
 
-    /// Waits longer after each failure, and never in step with other nodes.
+    /// Pauses after a failed read, with exponential backoff and jitter.
     async fn pause_after(&mut self, fault: &SourceFault) {
         self.known.note_failed_read();
         if self.failures == 0 {
@@ -332,14 +343,14 @@
         self.pause(doubled_ms.min(longest_ms)).await;
     }
 
-    /// Waits for half of a span or more, drawn at random.
+    /// Pauses for a random time between half of `most` and `most`.
     async fn pause(&mut self, most: Millis) {
         let delay = tokio::time::sleep(jittered(most));
         with_updates(delay, &mut self.known, &mut self.subscriptions).await;
     }
 }
 
-/// Half of a span or more, drawn at random.
+/// Returns a random duration between half of `most` and `most`.
 fn jittered(most: Millis) -> Duration {
     Millis(rand::rng().random_range(most.0 / 2..=most.0)).to_duration()
 }
--- a/crates/edge/src/following/bootstrap.rs
+++ b/crates/edge/src/following/bootstrap.rs
@@ -1,7 +1,7 @@
-//! Joins a fleet without a current read of the source.
+//! Initial state of a starting node, obtained without a current read of the source.
 //!
-//! A stale listing costs a fraction of a current one and names the readers. A node that is
-//! no reader itself receives the current state from one of them.
+//! A stale listing costs a fraction of a current one and names the readers. A node that
+//! is not a reader itself receives the current state from one of them.
 
 use hornbeamhitch_dispatch::readers::{self, Role};
 
@@ -9,16 +9,17 @@
 use crate::directory::members_of;
 use crate::prelude::*;
 
-/// First pause between two stale listings; doubled with each.
+/// First pause between two stale listings. It doubles with each further listing.
 const FIRST_PAUSE_MS: Millis = Millis(200);
-/// Longest such pause.
+/// Longest pause between two stale listings.
 const MAX_PAUSE_MS: Millis = Millis(800);
 
 impl DirectorySync {
-    /// Receives everything from a reader; false where this node has to read the source.
+    /// Receives the complete state from a reader. Returns false if this node has to read
+    /// the source.
     ///
-    /// Targets register while their nodes start, so the set of readers changes. The listing
-    /// is read again until one of the readers that it names has sent an update.
+    /// Targets register while their nodes start, so the set of readers changes. The
+    /// listing is read again until one of the readers that it names has sent an update.
     pub(super) async fn bootstrap(&mut self) -> bool {
         let mut pause_ms = FIRST_PAUSE_MS;
         let mut serves_stale_since = None;
@@ -51,8 +52,9 @@
         false
     }
 
-    /// Whether the time limit is reached. It is shorter for a node that serves on stale
-    /// facts than for one that has none and refuses every request.
+    /// Whether the time limit of the bootstrap has passed. The limit is shorter for a
+    /// node that serves stale facts than for a node without any, which rejects every
+    /// request.
     fn is_bootstrap_timed_out(&self, serves_stale_since: Option<Millis>) -> bool {
         let age_ms = self.known.age_ms();
         match serves_stale_since {
@@ -61,7 +63,7 @@
         }
     }
 
-    /// Waits for the first complete update of a healthy reader, at most for this long.
+    /// Waits up to `max_ms` for the first complete update from a healthy reader.
     async fn await_first_update(&mut self, max_ms: Millis) -> bool {
         let until = tokio::time::Instant::now() + super::jittered(max_ms);
         while self.subscriptions.healthy_readers() == 0 || self.known.revision() == 0 {
--- a/crates/edge/src/following/hearing.rs
+++ b/crates/edge/src/following/hearing.rs
@@ -1,9 +1,9 @@
-//! Taking what readers tell while something else is waited for.
+//! Applies events from readers and expires entries while another future runs.
 
 use super::knowledge::KnownState;
 use crate::feed::Subscriptions;
 
-/// Takes what readers tell while something else is waited for.
+/// Runs a future to completion and applies the events that readers send meanwhile.
 pub(super) async fn with_updates<T>(
     future: impl Future<Output = T>,
     known: &mut KnownState,
@@ -25,7 +25,7 @@
     }
 }
 
-/// Drops lapsed entries in time while something else is waited for.
+/// Runs a future to completion and drops missing entries when their grace period ends.
 pub(super) async fn with_expiry<T>(future: impl Future<Output = T>, known: &mut KnownState) -> T {
     let mut future = std::pin::pin!(future);
     loop {
--- a/crates/edge/src/following/knowledge.rs
+++ b/crates/edge/src/following/knowledge.rs
@@ -1,4 +1,5 @@
-//! What this node knows of the platform's facts, from whomever it was learnt.
+//! The state that this node knows, whether it was read from the source or received from
+//! readers.
 
 use std::net::IpAddr;
 use std::sync::Arc;
@@ -11,53 +12,54 @@
 use crate::prelude::*;
 use crate::source::{Change, Fact, Listing};
 
-/// So many entries that lapse together, or this part of all, are a sign of
-/// trouble on the way to the platform, and no longer of single targets that end.
+/// When this many entries, or this fraction of all entries, expire together, a network
+/// problem between VMs and the platform is likelier than the failure of single targets.
 const MASS_EXPIRY_COUNT: usize = 3;
 const MASS_EXPIRY_DIVISOR: usize = 8;
 
-/// What is known of this node's own way to the source.
+/// State of this node's own reads of the source.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum OwnReads {
-    /// The last read was answered, and nothing speaks against another.
+    /// The last read succeeded, and no update from a reader suggests otherwise.
     Good,
-    /// What readers told makes it doubtful; a read will tell.
+    /// Updates from readers suggest that this node cannot reach the source; the next read
+    /// decides.
     Doubtful,
     /// The last read failed.
     Failed,
 }
 
-/// Facts, with the revision up to which they are complete.
+/// Published facts, and the revision up to which they are complete.
 ///
-/// Invariant: every change up to `revision` was taken, and none beyond it. The
-/// same change comes from the source and from several readers, in any order of
-/// batches; taken twice, an older entry would bring back a target that a later
-/// change took away. So what is not beyond the revision is left out.
+/// Invariant: every change up to `revision` has been applied, and none after it. The same
+/// change arrives from the source and from several readers, with batches in any order. If
+/// an older entry were applied again, a target that a later change removed would come
+/// back. Changes up to `revision` are therefore ignored.
 ///
-/// One exception: while this node's own reads are not good, targets that lapse
-/// are kept, and everything has to be read anew afterwards. Failure answered: a
-/// part of the VMs is cut off from the platform, and their entries lapse, though
-/// their targets serve. Whoever reaches the platform must leave them alone; if
-/// those that were cut off did so too, on the word of readers, nobody would use a
-/// third of the targets, and callers would be refused at the others.
+/// There is one exception: while this node's own reads are not good, expired targets are
+/// kept, and the complete listing has to be read afterwards. When a partition separates
+/// some VMs from the platform, their entries expire although their targets are still
+/// serving. Nodes that reach the platform must not use these targets. If the partitioned
+/// nodes followed the readers' updates and dropped them too, no node would use a third of
+/// the targets, and the remaining targets would reject callers.
 #[derive(Debug)]
 pub(super) struct KnownState {
     directory: DirectoryWriter,
     feed: Arc<ChangeFeed>,
     large_routes: LargeRoutesReader,
     revision: u64,
-    /// Newest version among the changes up to there.
+    /// Newest version of the configuration among the changes up to `revision`.
     routes_version: Option<u64>,
     members_changed: bool,
     own_ip: IpAddr,
     waits: Waits,
     own_reads: OwnReads,
-    /// A lapse was told and not taken.
+    /// Whether the removal of an expired target has been deferred.
     has_deferred_removals: bool,
 }
 
 impl KnownState {
-    /// Nothing is known yet to the node on this VM.
+    /// Returns the empty state of the node on the VM `own_ip`.
     pub(super) const fn new(
         directory: DirectoryWriter,
         feed: Arc<ChangeFeed>,
@@ -79,12 +81,12 @@
         }
     }
 
-    /// Everything up to this revision is known.
+    /// Revision up to which all changes are known.
     pub(super) const fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// Age of what is known.
+    /// Age of the known state.
     pub(super) fn age_ms(&self) -> Millis {
         self.directory.age_ms()
     }
@@ -94,58 +96,59 @@
         self.directory.members()
     }
 
-    /// Whether this node reaches the source, as far as it knows.
+    /// State of this node's own reads of the source.
     pub(super) const fn own_reads(&self) -> OwnReads {
         self.own_reads
     }
 
-    /// The source has answered. Comes before what it told is taken: lapses that it tells
-    /// are no longer held then.
+    /// Records a successful read. Must be called before the changes of the read are
+    /// applied, so that removals among them are not deferred.
     pub(super) const fn note_good_read(&mut self) {
         self.own_reads = OwnReads::Good;
     }
 
-    /// Lets traffic use a listing that may be stale while nothing is known.
+    /// Lets traffic use a possibly stale listing while no current one is known.
     pub(super) fn adopt_stale(&mut self, routes: RouteSet, members: Members) {
         self.directory.adopt_stale(routes, members);
     }
 
-    /// Everything is known that the source had published so long ago.
+    /// Records that the state is complete as of `age_ms` ago, as confirmed by the source.
     pub(super) fn renew(&self, age_ms: Millis) {
         let as_of = self.directory.clock().now().minus(age_ms);
         self.directory.note_as_of(as_of);
         self.feed.renew(as_of);
     }
 
-    /// Whether lapses were kept back.
+    /// Whether removals have been deferred.
     pub(super) const fn has_deferred_removals(&self) -> bool {
         self.has_deferred_removals
     }
 
-    /// Whether lapses were kept back, so that everything has to be read anew;
-    /// true once.
+    /// Whether removals have been deferred, so that the complete listing has to be read.
+    /// Resets the flag.
     pub(super) const fn take_deferred_removals(&mut self) -> bool {
         std::mem::replace(&mut self.has_deferred_removals, false)
     }
 
-    /// What subscribers are told.
+    /// The feed that publishes this state to subscribers.
     pub(super) fn feed(&self) -> &ChangeFeed {
         &self.feed
     }
 
-    /// Whether targets came or went since this was last asked.
+    /// Whether the targets have changed since the last call.
     pub(super) const fn take_members_changed(&mut self) -> bool {
         std::mem::replace(&mut self.members_changed, false)
     }
 
-    /// Takes over everything that was read, as changes to what was known.
+    /// Applies a complete listing as a set of changes to the known state.
     ///
-    /// Failure answered: the source drops its history, and each reader reads
-    /// everything anew. If subscribers were not told the difference, all of them
-    /// would turn to the source in that moment, with what they know from before.
+    /// When the source drops its history, each reader reads the complete listing. The
+    /// difference is published to subscribers; otherwise all of them would have to read
+    /// the source at that moment, with an outdated state.
     pub(super) fn apply_listing(&mut self, listing: Listing) {
         let revision = listing.revision;
-        // Routes in force may be those of a stale listing, of which subscribers know nothing.
+        // The routes in force may come from a stale listing that was not published to
+        // subscribers.
         let known = self.routes_version;
         let is_newer = |routes: &RouteSet| known.is_none_or(|known| routes.version() > known);
         let routes = listing.routes.filter(is_newer);
@@ -155,12 +158,13 @@
         facts.extend(difference.written.into_iter().map(Fact::Listed));
         facts.extend(difference.removed.into_iter().map(Fact::Removed));
         let changes = facts.into_iter().map(|fact| Change { revision, fact });
-        // Not only what is beyond the known revision: a lapse that was kept back
-        // is not.
+        // Changes up to the known revision are not skipped because deferred removals are
+        // among them.
         self.apply(changes.collect(), revision);
     }
 
-    /// Takes changes, after which everything up to `revision` is known.
+    /// Applies the changes that are newer than the known state, which is then complete up
+    /// to `revision`.
     pub(super) fn apply_new(&mut self, changes: Vec<Change>, revision: u64) {
         let mut new = changes;
         new.retain(|change| change.revision > self.revision);
@@ -171,7 +175,7 @@
         self.feed.append(&changes, revision);
         self.revision = revision.max(self.revision);
         let mut routes = Vec::new();
-        // Targets of a stale listing end with the first current facts, also where these
+        // The first current facts replace the targets of a stale listing, even if they
         // name no target.
         let mut members_changed = self.directory.take_serves_stale();
         for change in changes {
@@ -206,13 +210,13 @@
         if members_changed {
             self.publish_members();
         }
-        // After the targets, which new routes may lead to.
+        // Routes are set after the targets that they may refer to.
         for written in routes {
             self.directory.set_routes(written);
         }
     }
 
-    /// Takes what a reader told, or what was read because of it.
+    /// Applies an event from a reader, or a configuration that was read separately.
     pub(super) fn apply_event(&mut self, event: FeedEvent) {
         let (changes, revision, last_read_failed, as_of) = match event {
             FeedEvent::Update {
@@ -226,20 +230,22 @@
             FeedEvent::Lost { .. } => return,
         };
         if last_read_failed {
-            // Entries may lapse now, as if this node's own read had failed.
+            // Entries may expire now, as after a failed read of this node.
             let grace_ms = self.waits.hearsay_hold_ms();
-            self.directory.note_reader_failure(grace_ms);
+            self.directory.note_remote_store_failure(grace_ms);
         }
         if self.own_reads == OwnReads::Good && self.is_isolation_likely(&changes) {
             self.own_reads = OwnReads::Doubtful;
         }
         self.apply_new(changes, revision);
-        // Whoever knew less than this node shows that there was no more to know then.
+        // A reader that knows less than this node still confirms that nothing newer
+        // existed as of that time.
         self.directory.note_as_of(as_of);
         self.feed.note_as_of(as_of);
     }
 
-    /// Whether the entry of this VM lapses, or many do together.
+    /// Whether this VM's own entry or many entries at once have expired, which suggests
+    /// that this node cannot reach the source.
     fn is_isolation_likely(&self, changes: &[Change]) -> bool {
         let members = self.directory.members();
         let mut expired = 0;
@@ -258,8 +264,8 @@
         expired >= MASS_EXPIRY_COUNT.max(members.len() / MASS_EXPIRY_DIVISOR)
     }
 
-    /// Whether a removal is not taken for now. A target that said that it drains
-    /// is going in any case.
+    /// Whether the removal of a target is deferred. Removals of draining targets never
+    /// are.
     fn defers_removal(&self, id: &TargetId) -> bool {
         if self.own_reads == OwnReads::Good {
             return false;
@@ -268,18 +274,20 @@
         members.get(id).is_some_and(|member| !member.draining)
     }
 
-    /// The source could not be read.
+    /// Records a failed read of the source.
     pub(super) fn note_failed_read(&mut self) {
         self.own_reads = OwnReads::Failed;
         self.note_entries_may_expire();
     }
 
-    /// Entries may lapse now, so that a removal waits for their return.
+    /// Records that entries may expire although their targets are alive, which delays
+    /// removals.
     pub(super) fn note_entries_may_expire(&mut self) {
-        self.directory.note_read_failure();
+        self.directory.note_store_failure();
     }
 
-    /// Drops entries that stayed missing, and says when to look again.
+    /// Drops entries whose grace period has ended, and returns the time of the next
+    /// check.
     pub(super) fn expire(&mut self) -> Option<tokio::time::Instant> {
         let at = self.directory.expire()?;
         Some(self.directory.clock().to_instant(at))
--- a/crates/edge/src/following/large_routes.rs
+++ b/crates/edge/src/following/large_routes.rs
@@ -1,4 +1,4 @@
-//! Reads configurations that are too large to be told from node to node.
+//! Reads configurations that are too large for the change feed.
 
 use hornbeamhitch_dispatch::waits::Waits;
 use rand::RngExt;
@@ -8,16 +8,16 @@
 use crate::prelude::*;
 use crate::source::SharedSource;
 
-/// Reads the configuration when one is known to be there, beside everything else: it may
-/// take a second of a thin line, and departures are heard meanwhile.
+/// Reads a large configuration in a task of its own. A read may take a second on a slow
+/// link, and the node applies removals of targets in the meantime.
 #[derive(Debug)]
 pub(super) struct LargeRoutesReader {
-    /// The newest version that is known to be there.
+    /// Newest version that has been requested.
     wanted: watch::Sender<u64>,
 }
 
 impl LargeRoutesReader {
-    /// Reads what is wanted from now on, and puts it in beside what readers tell.
+    /// Starts the task. It sends each configuration that it reads to `events`.
     pub(super) fn start(
         source: SharedSource,
         waits: Waits,
@@ -28,7 +28,7 @@
         Self { wanted }
     }
 
-    /// A configuration of this version is there.
+    /// Requests a configuration of at least this version.
     pub(super) fn request(&self, version: u64) {
         self.wanted.send_if_modified(|wanted| {
             let is_newer = version > *wanted;
@@ -45,13 +45,14 @@
     events: mpsc::UnboundedSender<FeedEvent>,
 ) {
     let mut known = 0;
-    // The sender lives as long as the node follows its source.
+    // The sender is dropped when the node stops following its source.
     while let Ok(wanted) = wanted_versions
         .wait_for(|wanted| *wanted > known)
         .await
         .map(|at| *at)
     {
-        // All who were told turn to the source in this moment.
+        // All nodes that received the change read the source now, so their reads are
+        // spread out.
         pause_up_to(waits.first_pause_ms()).await;
         match source.read_routes(waits.idle_timeout_ms()).await {
             Ok(Some(routes)) => {
@@ -61,7 +62,7 @@
                     return;
                 }
             }
-            // Another one will be told of; this cannot be used.
+            // This configuration cannot be used, so the task waits for the next version.
             Ok(None) => known = wanted,
             Err(fault) => {
                 log::warn!(wanted; "a large configuration cannot be read: {fault}");
--- a/crates/edge/src/source.rs
+++ b/crates/edge/src/source.rs
@@ -1,4 +1,4 @@
-//! Where configuration and targets come from.
+//! Interface to the source of configuration and targets.
 
 use std::future::Future;
 use std::pin::Pin;
@@ -8,26 +8,27 @@
 
 use crate::prelude::*;
 
-/// One read of a source.
+/// Future of one read of a source.
 pub type ReadFuture<'a, T> = Pin<Box<dyn Future<Output = Result<T, SourceFault>> + Send + 'a>>;
 
-/// What a platform publishes, for reading.
+/// Read access to the configuration and targets that a platform publishes.
 ///
-/// The platform counts its changes with one revision that only rises. Reads may
-/// be dropped before they end, and several may be in hand at once.
+/// The platform numbers its changes with a single revision that only increases. A read
+/// may be cancelled by dropping its future, and several reads may run concurrently.
 ///
-/// Each read fails once its answer should have begun, or gone on, `idle_timeout_ms` ago. An
-/// answer that goes on coming may take as long as the line needs for it.
+/// A read fails when its response does not begin or continue within `idle_timeout_ms`.
+/// The total duration of a response is not limited, so large responses may use slow
+/// links.
 pub trait Source: Send + Sync + std::fmt::Debug {
-    /// Reads everything.
+    /// Reads the complete listing.
     fn read_all(&self, idle_timeout_ms: Millis) -> ReadFuture<'_, Listing>;
 
-    /// Reads everything from a replica that may be seconds behind, where that is cheaper.
-    /// The listing's revision and age say nothing.
+    /// Reads the complete listing from a replica where that is cheaper. The replica may
+    /// lag by seconds, and the revision and age of the listing are meaningless.
     fn read_stale(&self, idle_timeout_ms: Millis) -> ReadFuture<'_, Listing>;
 
-    /// Waits until something changes after a revision; empty when nothing did
-    /// for as long as `wait_ms`.
+    /// Waits for changes after a revision. Returns an empty list if there are none within
+    /// `wait_ms`.
     fn watch(
         &self,
         after: u64,
@@ -35,72 +36,72 @@
         idle_timeout_ms: Millis,
     ) -> ReadFuture<'_, Changes>;
 
-    /// Reads the entry of one target; `None` when it is not listed.
+    /// Reads the entry of one target. Returns `None` if it is not listed.
     fn read_target<'a>(
         &'a self,
         id: &'a TargetId,
         idle_timeout_ms: Millis,
     ) -> ReadFuture<'a, Option<Member>>;
 
-    /// Reads the configuration alone; `None` when there is none that can be used.
+    /// Reads only the configuration. Returns `None` if there is no valid one.
     fn read_routes(&self, idle_timeout_ms: Millis) -> ReadFuture<'_, Option<RouteSet>>;
 }
 
-/// A source that several parts of a node read.
+/// A source shared by several parts of a node.
 pub type SharedSource = Arc<dyn Source>;
 
-/// Why a read brought nothing.
+/// Reason for a failed read.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SourceFault {
-    /// The changes after the revision are no longer held: everything has to be
-    /// read anew.
-    #[error("its history is gone")]
+    /// The source has dropped the changes after the revision, so the complete listing has
+    /// to be read.
+    #[error("the source dropped the requested history")]
     HistoryGone,
-    /// It could not be read, for this reason.
+    /// The read failed for this reason.
     #[error("{0}")]
     Failed(String),
 }
 
-/// Everything that is published.
+/// The complete published state.
 #[derive(Clone, Debug, Default)]
 pub struct Listing {
-    /// The configuration, if there is one that can be used.
+    /// The configuration, if there is a valid one.
     pub routes: Option<RouteSet>,
     /// The targets.
     pub members: Vec<Member>,
-    /// Every change up to this revision is contained.
+    /// Revision up to which all changes are included.
     pub revision: u64,
-    /// Time since the source began to answer.
+    /// Time since the source began to respond.
     pub age_ms: Millis,
 }
 
-/// Changes in their order.
+/// Changes in the order of their revisions.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Changes {
-    /// The changes that can be used.
+    /// The valid changes.
     pub changes: Vec<Change>,
-    /// No change up to this revision is left out.
+    /// Revision up to which no change is missing.
     pub revision: u64,
-    /// Time since the source began to answer.
+    /// Time since the source began to respond.
     pub age_ms: Millis,
 }
 
-/// One change.
+/// A published change.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Change {
-    /// Revision at which it was made.
+    /// Revision of the change.
     pub revision: u64,
-    /// What is so since.
+    /// The new fact.
     pub fact: Fact,
 }
 
-/// What a change brought.
+/// Content of a change.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Fact {
     /// A configuration was written.
     Routes(RouteSet),
-    /// A configuration of this version was written. It is too large to be told from node
-    /// to node; who hears of it reads it from the source.
+    /// A configuration of this version was written that is too large for the change feed.
+    /// Nodes that receive this change read the configuration from the source.
     LargeRoutes(u64),
     /// A target's entry was written.
     Listed(Member),
--- a/crates/edge/src/suspicion.rs
+++ b/crates/edge/src/suspicion.rs
@@ -1,4 +1,5 @@
-//! Requests that crash targets: what this node knows, and what it tells others.
+//! Requests that are suspected of crashing targets, and the notices by which nodes share
+//! them.
 
 use hornbeamhitch_core::suspects::{Standing, SuspectEntry, Suspects};
 use hornbeamhitch_wire::link::SuspectNotice;
@@ -11,16 +12,16 @@
 #[cfg(test)]
 mod tests;
 
-/// Notices that wait for a link to send them; a link that lags further has been
-/// told most, and hears the rest from others.
+/// Notices queued for a slow link. A link that lags further has already sent most of
+/// them, and its peer receives the rest from other nodes.
 const NOTICE_CAPACITY: usize = 256;
 
-/// What is held against requests, shared by this node's entry, gate and links.
+/// The suspected requests, shared by this node's entry, gate and links.
 ///
-/// Failure answered: a request crashes each target that runs it, and its caller
-/// sends it again, to any node. Every node that hears of the crashes refuses it;
-/// the word goes over all open links and on from there. Links exist wherever
-/// calls go, so who might send the request to a target hears of it.
+/// A request may crash each target that runs it while its caller retries it at any node.
+/// All nodes that learn of the crashes reject it. Notices are sent over all open links,
+/// and each node forwards them. Links exist wherever calls are sent, so each node that
+/// could send the request to a target receives the notice.
 #[derive(Debug)]
 pub struct Suspicion {
     suspects: Mutex<Suspects>,
@@ -29,7 +30,7 @@
 }
 
 impl Suspicion {
-    /// Nothing is held against anyone yet.
+    /// Creates an empty set of suspected requests.
     #[must_use]
     pub fn new(clock: ProcessClock) -> Self {
         Self {
@@ -39,13 +40,13 @@
         }
     }
 
-    /// Whether a request is refused everywhere.
+    /// Whether the request is rejected by all nodes.
     #[must_use]
     pub fn is_convicted(&self, fingerprint: u64) -> bool {
         self.suspects.lock().standing(fingerprint) == Standing::Convicted
     }
 
-    /// The target has crashed with these requests in flight.
+    /// Records that the target crashed with these requests in flight.
     pub fn observe_crash(&self, fingerprints: &[u64]) {
         let is_only_request = fingerprints.len() == 1;
         let now = self.clock.now();
@@ -62,8 +63,8 @@
         }
     }
 
-    /// A request ran well. It may share its fingerprint with others that do, so
-    /// any good run clears it, not only one alone.
+    /// Records that a request succeeded. Other requests may share its fingerprint, so any
+    /// success clears it, not only that of a request running on its own.
     pub fn note_success(&self, fingerprint: u64) {
         let mut suspects = self.suspects.lock();
         if suspects.is_empty() {
@@ -76,7 +77,7 @@
         }
     }
 
-    /// Takes in what another node says, and passes on what is new.
+    /// Merges a notice from another node, and forwards it if it is new.
     pub fn merge_notice(&self, notice: &SuspectNotice) {
         let Some(entry) = from_notice(notice) else {
             log::warn!("a notice with an unknown standing was dropped");
@@ -87,7 +88,8 @@
         }
     }
 
-    /// All that is known, for a link that has just opened, and what follows.
+    /// Returns all current notices, for a link that has just opened, and a receiver of
+    /// later ones.
     pub fn subscribe(&self) -> (Vec<SuspectNotice>, broadcast::Receiver<SuspectNotice>) {
         let notices = self.notices.subscribe();
         let suspects = self.suspects.lock();
@@ -96,13 +98,13 @@
     }
 
     fn broadcast(&self, entry: &SuspectEntry) {
-        // Without links there is nobody to tell.
+        // Sending fails only if there are no links.
         let _ = self.notices.send(to_notice(entry));
     }
 }
 
-/// Hash of what a request has in common with its next sending: method, path,
-/// body, and the service beside which it began.
+/// Hash of the properties that a request shares with its retries: method, path, body and
+/// the service of the caller.
 #[must_use]
 pub fn fingerprint(method: &str, path: &str, body: &[u8], caller: &ServiceName) -> u64 {
     let mut hash = Xxh3::new();
--- a/crates/edge/src/suspicion/tests.rs
+++ b/crates/edge/src/suspicion/tests.rs
@@ -1,4 +1,4 @@
-//! What is held against requests, in virtual order.
+//! Tests of suspected requests, on nodes that exchange notices directly.
 
 use super::*;
 
@@ -7,15 +7,15 @@
     (Suspicion::new(clock), Suspicion::new(clock))
 }
 
-/// Passes on all that a node has to tell.
+/// Delivers all notices of one node to another.
 fn send_all_notices(from: &Suspicion, to: &Suspicion) {
     for notice in from.subscribe().0 {
         to.merge_notice(&notice);
     }
 }
 
-/// Targets crash again and again for reasons of their own, and a common lookup
-/// is in flight each time. It runs well in between, so nobody refuses it.
+/// Targets crash repeatedly for unrelated reasons while a common lookup is in flight. The
+/// lookup succeeds between the crashes, so no node rejects it.
 #[test]
 fn a_request_that_also_succeeds_is_never_convicted() {
     let (node, _) = two_nodes();
@@ -36,7 +36,7 @@
     other.observe_crash(&[7]);
     send_all_notices(&other, &one);
     assert!(one.is_convicted(7) && other.is_convicted(7));
-    // No good run of a request that happens to look alike lifts it.
+    // A successful request with the same fingerprint does not lift the conviction.
     one.note_success(7);
     assert!(one.is_convicted(7));
 }
