--- a/crates/edge/src/following/tests.rs
+++ b/crates/edge/src/following/tests.rs
@@ -1,4 +1,4 @@
-//! How old what nodes act on may grow, whatever goes wrong on the way to them.
+//! Tests that the staleness of the state that nodes act on stays bounded under faults.
 
 mod calls;
 mod fleet;
@@ -15,39 +15,39 @@
 use fleet::Fleet;
 use source::SourceMode;
 
-/// Within this changes must be in force.
+/// Time within which changes must be in force.
 const IN_FORCE_MS: Millis = Millis(2_000);
-/// Enough that three read and the others are told.
+/// Enough nodes that three of them are readers and the others are followers.
 const NODES: usize = 10;
-/// Between two versions of the configuration.
+/// Interval between two versions of the configuration.
 const VERSION_INTERVAL: Duration = Duration::from_millis(170);
-/// Between two looks at what is in force.
+/// Interval between two checks of the state in force.
 const CHECK_INTERVAL: Duration = Duration::from_millis(40);
 
-/// One thing that goes wrong.
+/// An injected fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Fault {
-    /// The store treats all nodes so.
+    /// The store treats all nodes in this mode.
     Store(SourceMode),
-    /// It loses its history, again and again.
+    /// The store repeatedly drops its history.
     StoreDropsHistory,
-    /// It turns one reader away and serves the others.
+    /// The store rejects one reader and serves the other nodes.
     StoreRejectsReader,
-    /// It turns all readers away and serves the others.
+    /// The store rejects all readers and serves the other nodes.
     StoreRejectsAllReaders,
-    /// It answers no watch of one reader, and everything else.
+    /// The store answers no watch of one reader, but all other calls.
     StoreDropsReaderWatches,
-    /// A reader freezes: its links stay open and say nothing.
+    /// A reader freezes: its links stay open without sending anything.
     ReaderFreezes,
     /// All readers freeze.
     AllReadersFreeze,
-    /// All readers hang in their reads, and go on telling what they knew.
+    /// The reads of all readers hang, while they continue to publish what they know.
     AllReadersHang,
-    /// A reader ends and starts again.
+    /// A reader stops and starts again.
     ReaderRestarts,
-    /// All readers end and start again.
+    /// All readers stop and start again.
     AllReadersRestart,
-    /// A node that is told ends and starts again.
+    /// A follower stops and starts again.
     FollowerRestarts,
 }
 
@@ -67,7 +67,7 @@
     Fault::FollowerRestarts,
 ];
 
-/// One fault, from when and for how long.
+/// A fault, its start and its duration.
 #[derive(Clone, Copy, Debug)]
 struct FaultWindow {
     fault: Fault,
@@ -81,20 +81,21 @@
     }
 }
 
-/// A route that was confirmed longer ago than changes may take is not served, or one of
-/// an older version is served again. What led there was never one fault alone: a store
-/// that falls silent just as it takes a watch, a reader that ends in that second, a node
-/// that starts meanwhile. So each pair of faults is played, the second at each moment of
-/// the chain of waits that the first begins: while it lasts, as it ends, and after it.
+/// Guards against nodes that do not serve a route although it was confirmed longer ago
+/// than changes may take, or that return to an older version of it. This never followed
+/// from a single fault, but for example from a store that falls silent just as it accepts
+/// a watch, a reader that stops in the same second, and a node that starts meanwhile.
+/// Therefore this test combines all pairs of faults and starts the second at each stage
+/// of the delays caused by the first: during the first fault, as it ends, and after it.
 #[test]
 fn two_faults_at_any_moment_keep_staleness_bounded() {
     let mut pairs = Vec::new();
     for first in FAULTS {
         for second in FAULTS {
             for step in 0..SECOND_FAULT_STEPS {
-                // Another moment between two renewals each time.
+                // Each step starts at a different time between two renewals.
                 let start_ms = 5_000 + step * 90;
-                // A long one lets pauses after failed reads grow to their longest.
+                // A long fault lets the pauses after failed reads reach their maximum.
                 let duration_ms = if step % 2 == 0 { 1_700 } else { 5_000 };
                 let first_at = FaultWindow {
                     fault: first,
@@ -113,11 +114,11 @@
     run_all(&pairs);
 }
 
-/// The second fault begins from 1.7 s before the first one's end to 0.9 s after it.
+/// The second fault starts from 1.7 s before to 0.9 s after the end of the first one.
 const SECOND_FAULT_STEPS: u64 = 10;
 
-/// Three faults overlap in any order, each for any time up to two seconds. The cases are
-/// drawn, the same ones in each run.
+/// Combines three overlapping faults of up to two seconds each. The cases are random, but
+/// the same in each run.
 #[test]
 fn three_faults_at_any_moment_keep_staleness_bounded() {
     const CASES: u64 = 400;
@@ -137,7 +138,7 @@
     run_all(&cases);
 }
 
-/// Plays all cases on as many threads as there are processors.
+/// Runs all cases on as many threads as there are processors.
 fn run_all(cases: &[Vec<FaultWindow>]) {
     let threads = std::thread::available_parallelism().map_or(1, |count| count.get());
     std::thread::scope(|scope| {
--- a/crates/edge/src/following/tests/calls.rs
+++ b/crates/edge/src/following/tests/calls.rs
@@ -1,4 +1,5 @@
-//! Thundering herd: what a fleet asks of its store when all of it starts, and at rest.
+//! Bounds the calls of a fleet to its store at startup, during an outage, and while
+//! nothing changes.
 
 use std::time::Duration;
 
@@ -6,20 +7,20 @@
 use super::fleet::{Calls, Fleet};
 use super::source::SourceMode;
 
-/// Hundreds of nodes.
+/// A fleet of hundreds of nodes.
 const NODES: usize = 195;
 const START_SPAN: Duration = Duration::from_millis(300);
 const REGISTRATION_SPAN: Duration = Duration::from_secs(3);
-/// From the last start, or the last entry, until all nodes must know all targets.
+/// Time from the last start or the last new entry until all nodes must know all targets.
 const SYNC_DEADLINE: Duration = IN_FORCE_MS.to_duration();
 
-/// Starts whose mean is bounded.
+/// Number of first starts over which the cost is averaged.
 const SAMPLED_STARTS: u64 = 8;
 const OUTAGE: Duration = Duration::from_secs(7);
-/// Three groups of 65, each with five readers and five reserves.
+/// There are three groups of 65 nodes, each with five readers and five reserves.
 const MAX_PROBES_PER_SECOND: u64 = 3 * 10 * 3;
 
-/// Guards against a first start at which every node fetches every change of the list.
+/// Guards against a first start at which every node fetches every change of the listing.
 #[test]
 fn first_start_of_a_fleet_costs_about_two_store_calls_per_node() {
     let costs = std::thread::scope(|scope| {
@@ -29,7 +30,7 @@
         let cost = |start: std::thread::ScopedJoinHandle<'_, u64>| start.join().expect("a start");
         handles.into_iter().map(cost).collect::<Vec<u64>>()
     });
-    // Nodes draw their pauses, so one start differs from the next by a half.
+    // Pauses are random, so the cost of a single start varies by half.
     let mean = costs.iter().sum::<u64>() / SAMPLED_STARTS;
     assert!(mean <= NODES as u64 * 9 / 4, "{costs:?}");
 }
@@ -44,7 +45,7 @@
     })
 }
 
-/// Guards against a fleet that loses power and reads the whole list once a node.
+/// Guards against nodes that all read the complete listing after a power loss.
 #[test]
 fn restart_of_a_fleet_costs_half_a_store_call_per_node() {
     in_virtual_time(async {
@@ -60,7 +61,7 @@
     });
 }
 
-/// Guards against a reader that takes a version from a stale listing and never tells it.
+/// Guards against readers that take a version from a stale listing and never publish it.
 #[test]
 fn version_from_a_stale_listing_of_readers_reaches_all_nodes() {
     in_virtual_time(async {
@@ -75,7 +76,7 @@
     });
 }
 
-/// Guards against calls at rest that grow with the number of readers.
+/// Guards against idle calls that grow with the number of readers.
 #[test]
 fn few_nodes_call_the_store_while_nothing_changes() {
     in_virtual_time(async {
@@ -85,12 +86,13 @@
         let before = fleet.calls().current;
         tokio::time::sleep(Duration::from_secs(30)).await;
         let calls = fleet.calls().current - before;
-        // Three groups of 65, each with one leader that asks every 600 ms.
+        // There are three groups of 65 nodes, each with one leader that calls every 600
+        // ms.
         assert!(calls <= 3 * 51, "{calls} calls");
     });
 }
 
-/// Guards against an outage in which each of hundreds of nodes asks again and again.
+/// Guards against hundreds of nodes that all probe the store during an outage.
 #[test]
 fn few_nodes_probe_the_store_during_an_outage() {
     for mode in [SourceMode::Failing, SourceMode::DroppingCalls] {
@@ -112,7 +114,7 @@
     }
 }
 
-/// A stale read costs a tenth of a call.
+/// Cost of these calls, in current reads. A stale read costs a tenth of one.
 const fn cost(calls: Calls) -> u64 {
     calls.current + calls.stale / 10
 }
--- a/crates/edge/src/following/tests/fleet.rs
+++ b/crates/edge/src/following/tests/fleet.rs
@@ -1,4 +1,5 @@
-//! Nodes that follow a store and tell each other, in virtual time and without sockets.
+//! A fleet of nodes that follow a store and each other, in virtual time and without
+//! sockets.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::net::IpAddr;
@@ -24,27 +25,27 @@
 use crate::prelude::*;
 use crate::source::Fact;
 
-/// From one node to another.
+/// Network delay from one node to another.
 const ONE_WAY: Duration = Duration::from_millis(2);
 
-/// How a node can be heard.
+/// State of the links to a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum LinkState {
     Open,
-    /// Its links are open and say nothing.
+    /// Links stay open without delivering anything.
     Frozen,
-    /// It has ended.
+    /// The node has stopped.
     Closed,
 }
 
-/// What others reach of a node.
+/// The part of a node that other nodes reach.
 #[derive(Clone, Debug)]
 struct Endpoint {
     feed: Arc<ChangeFeed>,
     link_state: Arc<watch::Sender<LinkState>>,
 }
 
-/// All nodes that can be reached.
+/// All reachable nodes.
 #[derive(Clone, Debug, Default)]
 struct Network(Arc<Mutex<BTreeMap<IpAddr, Endpoint>>>);
 
@@ -73,7 +74,7 @@
     }
 }
 
-/// What one node tells another.
+/// Messages of one node's feed to another node.
 struct NetworkFeedStream {
     messages: mpsc::UnboundedReceiver<ToEntry>,
     link_state: watch::Receiver<LinkState>,
@@ -99,14 +100,14 @@
     }
 }
 
-/// One life of a node.
+/// A node between its start and its stop.
 struct RunningNode {
     directory: SharedDirectory,
     source: TestSource,
     link_state: Arc<watch::Sender<LinkState>>,
     following: AbortHandle,
     started: Instant,
-    /// Newest version that was seen in force.
+    /// Newest version seen in force.
     newest_seen: u64,
 }
 
@@ -124,12 +125,12 @@
     }
 }
 
-/// Calls to the store.
+/// Numbers of calls to the store.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Calls {
-    /// At the whole price.
+    /// Calls at full cost.
     pub(super) current: u64,
-    /// Stale reads, at a tenth of it.
+    /// Stale reads, at a tenth of the cost.
     pub(super) stale: u64,
 }
 
@@ -143,16 +144,16 @@
     readers: Vec<IpAddr>,
     has_current_replicas: bool,
     version: u64,
-    /// When each recent version was published.
+    /// Publication time of each recent version.
     published: VecDeque<(Instant, u64)>,
-    /// What is wrong now.
+    /// Faults that are active now.
     active_faults: Vec<Fault>,
-    /// When a node, or the store for it, was last in trouble.
+    /// When a fault last affected a node or the store's treatment of it.
     last_fault_at: BTreeMap<IpAddr, Instant>,
 }
 
 impl Fleet {
-    /// Starts nodes in three small data centres, and waits until they have their parts.
+    /// Starts nodes in three small data centres, and waits until they have their roles.
     pub(super) async fn start(count: usize) -> Self {
         let mut fleet = Self::unstarted(count);
         fleet.list_all_targets();
@@ -169,7 +170,7 @@
         fleet
     }
 
-    /// Nodes that are not started, in a store without targets.
+    /// Creates nodes without starting them, and a store without targets.
     pub(super) fn unstarted(count: usize) -> Self {
         let ips: Vec<IpAddr> = (1..=count).map(ip).collect();
         let store = Published::new();
@@ -195,8 +196,8 @@
         self.store.put_all(all.collect());
     }
 
-    /// Starts all nodes within the first span; their targets are listed one after the other
-    /// over the second, each after its node.
+    /// Starts all nodes within `start_span`. Their targets are then listed one after the
+    /// other within `registration_span`.
     pub(super) async fn start_staggered(
         &mut self,
         start_span: Duration,
@@ -213,7 +214,7 @@
         }
     }
 
-    /// The replicas that readers meet are never behind.
+    /// Gives readers replicas without lag.
     pub(super) fn give_readers_current_replicas(&mut self) {
         let mut tracker = MemberTracker::default();
         for ip in &self.ips {
@@ -226,7 +227,8 @@
         self.has_current_replicas = true;
     }
 
-    /// All nodes lose power and start again within this span. Their targets stay listed.
+    /// Stops all nodes, as in a power loss, and starts them again within this span. Their
+    /// targets stay listed.
     pub(super) async fn restart_staggered(&mut self, start_span: Duration) {
         self.nodes.clear();
         self.network.0.lock().clear();
@@ -237,14 +239,14 @@
         }
     }
 
-    /// The store treats all nodes so.
+    /// Sets how the store treats all nodes.
     pub(super) fn set_store_mode(&self, mode: SourceMode) {
         for node in self.nodes.values() {
             node.source.set_mode(mode);
         }
     }
 
-    /// Nodes that do not know every target.
+    /// Number of nodes that do not know every target.
     pub(super) fn nodes_missing_targets(&self) -> usize {
         let has_all_targets =
             |node: &&RunningNode| node.directory.load().members.len() == self.ips.len();
@@ -252,13 +254,13 @@
         self.ips.len() - complete
     }
 
-    /// Nodes that do not use the newest version.
+    /// Number of nodes that do not use the newest version.
     pub(super) fn outdated_nodes(&self) -> usize {
         let is_behind = |node: &&RunningNode| node.version() < self.version;
         self.nodes.values().filter(is_behind).count()
     }
 
-    /// Calls to the store of the nodes that run now.
+    /// Calls of the running nodes to the store.
     pub(super) fn calls(&self) -> Calls {
         let mut calls = Calls::default();
         for node in self.nodes.values() {
@@ -307,17 +309,17 @@
         self.nodes.insert(own, node);
     }
 
-    /// Time since the start.
+    /// Time since the fleet was created.
     pub(super) fn elapsed(&self) -> Duration {
         self.started.elapsed()
     }
 
-    /// Says what is wrong now.
+    /// Sets the active faults.
     pub(super) fn set_faults(&mut self, faults: Vec<Fault>) {
         self.active_faults = faults;
     }
 
-    /// Lets nodes and store meet what is wrong now.
+    /// Applies the active faults to nodes and store.
     pub(super) fn apply(&mut self) {
         let faults = self.active_faults.clone();
         for own in self.ips.clone() {
@@ -361,7 +363,7 @@
             self.start_node(own);
         }
         let node = &self.nodes[&own];
-        // A frozen node's own calls are as good as lost.
+        // Calls of a frozen node are effectively lost.
         node.source.set_mode(match is_frozen {
             true => SourceMode::DroppingCalls,
             false => mode,
@@ -384,8 +386,8 @@
         self.published.push_back((Instant::now(), self.version));
     }
 
-    /// No node goes back, and none that was in no trouble itself for as long as changes
-    /// may take acts on what is older than that.
+    /// Checks that no node returns to an older version, and that each node that no fault
+    /// has affected for the time that changes may take uses no state older than that.
     pub(super) fn check(&mut self, faults: &[FaultWindow]) {
         let now = Instant::now();
         let max_lag = IN_FORCE_MS.to_duration();
@@ -397,7 +399,10 @@
         }
         for (own, node) in &mut self.nodes {
             let version = node.version();
-            assert!(version >= node.newest_seen, "{own} goes back: {faults:?}");
+            assert!(
+                version >= node.newest_seen,
+                "{own} returned to an older version: {faults:?}"
+            );
             node.newest_seen = version;
             let last_fault_at = self.last_fault_at.get(own);
             let since = last_fault_at.map_or(node.started, |at| node.started.max(*at));
@@ -407,7 +412,7 @@
             let elapsed = self.started.elapsed();
             assert!(
                 version >= newest_due,
-                "{own} is at {version} and not at {newest_due} after {elapsed:?}: {faults:?}"
+                "{own} uses version {version} instead of {newest_due} after {elapsed:?}: {faults:?}"
             );
         }
     }
@@ -418,10 +423,10 @@
     [10, 0, 0, number].into()
 }
 
-/// Nodes take turns in three data centres.
+/// Distributes nodes over three data centres in turn.
 fn data_centre(own: IpAddr) -> DataCentre {
     let IpAddr::V4(own) = own else {
-        panic!("only IPv4 here")
+        panic!("expected an IPv4 address")
     };
     DataCentre::new(&format!("dc-{}", own.octets()[3] % 3))
 }
--- a/crates/edge/tests/all/bounded_age.rs
+++ b/crates/edge/tests/all/bounded_age.rs
@@ -1,4 +1,4 @@
-//! How old that may be which a node acts on.
+//! Tests that the staleness of the state that a node acts on stays bounded.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,12 +16,12 @@
 use crate::support::target::FakeTarget;
 use crate::support::{self, member, route, same_port, start_following_vm};
 
-/// Within this a change must be in force.
+/// Time within which a change must be in force.
 const IN_FORCE_MS: Millis = Millis(2_000);
-/// A gate looks its target's entry up in the source of a test within this.
+/// Time within which a gate looks up its target's entry in the source of a test.
 const LOOKUP_DEADLINE: Duration = Duration::from_millis(500);
 
-/// A node that reads for itself, on this runtime.
+/// A node without readers, on the runtime of the test.
 struct StandaloneNode {
     published: Published,
     source: TestSource,
@@ -57,10 +57,10 @@
     }
 }
 
-/// Callers are answered 404 for a route that was confirmed 2.6 s ago. The platform had
-/// taken a watch and fallen silent; it came back, and took a new configuration. The node
-/// still waited for the answer to its watch, which nobody would send: no change and no
-/// platform look alike.
+/// Guards against callers that receive 404 for a route that was confirmed 2.6 s ago. The
+/// platform had accepted a watch, fallen silent, and accepted a new configuration when it
+/// was back. The node was still waiting for the lost watch, because a lost watch looks
+/// like one without changes.
 #[tokio::test(start_paused = true)]
 async fn a_lost_watch_hides_no_change() {
     let node = StandaloneNode::start();
@@ -68,7 +68,7 @@
     assert_eq!(node.version(), Some(1));
     for version in 2..50 {
         node.source.set_mode(SourceMode::DroppingCalls);
-        // The outage ends at another point of the node's wait each time.
+        // The outage ends at a different point of the node's watch each time.
         tokio::time::sleep(Duration::from_millis(4_000 + version * 130)).await;
         node.source.set_mode(SourceMode::Normal);
         node.published.put_version(version);
@@ -77,10 +77,10 @@
     }
 }
 
-/// Work reaches a target 2.6 s after it has said that it leaves, through the gate beside
-/// it. The gate asked the target's health before each start and was told so each time; it
-/// waited to hear it from afar, where a large configuration was on the way. Here nothing
-/// comes from afar at all.
+/// Guards against work that reaches a target through its own gate 2.6 s after the target
+/// announced that it drains. The gate checked the target's health before each call and
+/// learnt of it each time, but waited for the entry's change, which was delayed behind a
+/// large configuration. In this test the change never arrives at all.
 #[tokio::test]
 async fn a_gate_learns_from_its_own_target_that_it_is_draining() {
     let (gate_port, mut listeners) = same_port(1).await;
@@ -112,14 +112,15 @@
         }
     };
     let mut refused = std::pin::pin!(refused);
-    // The target was asked just before it began to leave, and is asked again after this.
+    // The target's health was checked just before it began to drain, and is checked again
+    // after this interval.
     let asked_again = Waits::new(support::IN_FORCE_MS).own_health_ms();
     let learnt = asked_again.to_duration() + LOOKUP_DEADLINE;
     let is_refused = tokio::time::timeout(learnt, &mut refused).await.is_ok();
     let ran = vm.target.ran().len();
     if !is_refused {
         let at_last = tokio::time::timeout(Duration::from_secs(10), refused).await;
-        assert!(at_last.is_ok(), "payments run in a leaving target");
+        assert!(at_last.is_ok(), "payments still run in a draining target");
     }
     assert_eq!(vm.target.ran().len(), ran);
 }
--- a/crates/edge/tests/all/following.rs
+++ b/crates/edge/tests/all/following.rs
@@ -1,4 +1,4 @@
-//! Nodes that learn of changes from others.
+//! Tests of nodes that receive changes from other nodes.
 
 use hornbeamhitch_edge::directory::Directory;
 use hornbeamhitch_edge::prelude::*;
@@ -8,7 +8,7 @@
 use crate::support::source::{SourceMode, version_fact};
 use crate::support::{member, route};
 
-/// More than everyone reads for itself at.
+/// More nodes than the number up to which all of them are readers.
 const NODES: usize = 12;
 const READERS: u64 = 3;
 
@@ -23,17 +23,16 @@
     assert!(followers.calls() <= before + READERS);
 }
 
-/// All nodes lose power, and their targets are listed anew some time after they are
-/// back. Each node watches for itself until then. As soon as the list is there it
-/// knows who reads, so the watch that brought the list is the last one of all nodes
-/// that are not readers.
+/// After a power loss all nodes are back before their targets are listed again, and each
+/// of them watches the source until then. The listing determines the readers, so the
+/// watch that returns it must be the last call of all other nodes.
 #[tokio::test]
 async fn followers_stop_reading_once_the_list_names_readers() {
-    // Changes are gathered for 30% of this, in which followers find their readers, and a
-    // watch that brings nothing lasts as long.
+    // The debounce interval, in which followers subscribe to their readers, is 30% of
+    // this time. A watch without changes lasts as long.
     let in_force_ms = Millis(10_000);
     let (followers, listed) = start_unlisted(NODES, in_force_ms).await;
-    // One call reads everything, and one watches.
+    // One call reads the complete listing, and one watches.
     for node in &followers.nodes {
         node.until("the watch", |_| node.source.calls() == 2).await;
     }
@@ -50,9 +49,9 @@
     }
 }
 
-/// All VMs have lost power. A node is among the first that are back, and reads a list
-/// to which targets are added one after the other. Gathering changes for as long as it
-/// may, a minute here, it would refuse callers for want of targets that are there.
+/// After a power loss the first nodes read a listing to which targets are added one after
+/// the other. With the full debounce interval, one minute here, they would reject callers
+/// for lack of targets that are already running.
 #[tokio::test]
 async fn a_started_node_learns_of_changes_soon() {
     let in_force_ms = Millis::from_secs(100);
@@ -72,8 +71,8 @@
     }
 }
 
-/// The path from one reader to the platform is cut without a sign: its watch
-/// hangs. It and those who hear it learn of the next change from the others.
+/// The path from one reader to the platform is cut silently, so its watch hangs. The
+/// reader and its subscribers receive the next change from the other readers.
 #[tokio::test]
 async fn a_reader_whose_watch_hangs_receives_changes_from_other_readers() {
     let followers = followers(NODES).await;
@@ -85,8 +84,8 @@
     followers.until_version(version).await;
 }
 
-/// Every reader is frozen: their links stay open and say nothing. The others
-/// notice the silence, read for themselves, and have the change in force.
+/// All readers are frozen: their links stay open without sending anything. The other
+/// nodes detect the silence, read the source, and put the change in force.
 #[tokio::test]
 async fn followers_read_the_source_when_all_readers_are_silent() {
     let followers = followers(NODES).await;
@@ -102,8 +101,8 @@
     }
 }
 
-/// The platform turns the readers away and serves the others. The readers say
-/// so at once, and the others read for themselves.
+/// The platform rejects the readers and serves the other nodes. The readers report this
+/// immediately, and the other nodes read the source.
 #[tokio::test]
 async fn readers_report_failed_reads_to_followers() {
     let followers = followers(NODES).await;
@@ -122,7 +121,8 @@
     }
 }
 
-/// Guards against long watches of nodes that lost their readers, which the platform may forget.
+/// Guards against long watches of nodes without readers: the platform may lose such
+/// watches.
 #[tokio::test]
 async fn reserves_use_short_watches_and_publish_what_they_read() {
     let followers = followers(NODES).await;
@@ -143,9 +143,9 @@
     }
 }
 
-/// The source drops its history with changes that no watch has seen. The readers
-/// read everything anew and tell the others what is different; did they not, all
-/// nodes would turn to the source at once, knowing only what was before.
+/// The source drops its history with changes that no watch has returned. The readers read
+/// the complete listing and publish the difference. Otherwise all nodes would read the
+/// source at once, with an outdated state.
 #[tokio::test]
 async fn readers_publish_what_a_dropped_history_hid() {
     let followers = followers(NODES).await;
@@ -173,13 +173,13 @@
     }
 }
 
-/// A third of the VMs is cut off from the platform, and their entries lapse though
-/// their targets serve. Whoever reaches the platform leaves them alone. One that
-/// was cut off hears of it from readers: it keeps using them, or nobody would,
-/// until it reaches the platform itself.
+/// A third of the VMs is partitioned from the platform, and their entries expire although
+/// their targets are serving. Nodes that reach the platform stop using these targets. A
+/// partitioned node receives the removals from readers, but keeps using the targets until
+/// it reaches the platform itself, as otherwise no node would use them.
 #[tokio::test]
 async fn an_isolated_node_keeps_expired_targets() {
-    // Enough that some still follow others when four are gone.
+    // Enough nodes that some still follow others when four are removed.
     let followers = followers(NODES + 4).await;
     let mut subscribers = followers.nodes.iter().filter(|node| !node.is_reader());
     let (isolated, other) = (
@@ -189,7 +189,7 @@
     isolated.source.set_mode(SourceMode::Failing);
     let expiring = followers.expire_entries(isolated, 3);
     other
-        .until("the lapse", |known| !knows_any(known, &expiring))
+        .until("the removal", |known| !knows_any(known, &expiring))
         .await;
     isolated.until_next_call().await;
     isolated.until_next_call().await;
@@ -201,19 +201,19 @@
     );
     isolated.source.set_mode(SourceMode::Normal);
     isolated
-        .until("the lapse", |known| !knows_any(known, &expiring))
+        .until("the removal", |known| !knows_any(known, &expiring))
         .await;
 }
 
-/// The same is told to a node that reaches the platform: it asks once, and leaves
-/// the targets alone as the others do.
+/// A node that reaches the platform receives the same removals. It reads the source once
+/// and removes the targets as the other nodes do.
 #[tokio::test]
 async fn a_connected_node_removes_expired_targets() {
     let followers = followers(NODES).await;
     let own = followers.nodes.iter().find(|node| !node.is_reader());
     let expiring = followers.expire_entries(own.expect("more than readers"), 0);
     for node in &followers.nodes {
-        node.until("the lapse", |known| !knows_any(known, &expiring))
+        node.until("the removal", |known| !knows_any(known, &expiring))
             .await;
     }
 }
@@ -222,8 +222,8 @@
     ids.iter().any(|id| directory.members.get(id).is_some())
 }
 
-/// A target leaves while others are told by readers. It must not come back by
-/// what is told late, by a reader that learnt of its arrival after its end.
+/// Guards against a target that returns after its removal because a reader that learnt of
+/// its registration late publishes it after its end.
 #[tokio::test]
 async fn a_removed_target_does_not_return() {
     let followers = followers(NODES).await;
@@ -241,8 +241,8 @@
     }
 }
 
-/// A configuration is too large to be told by readers on thin lines. They tell that it is
-/// there, and what changes after it; each other node reads it once for itself.
+/// A configuration is too large for readers on slow links to publish. They publish its
+/// version and the changes after it, and each other node reads it once.
 #[tokio::test]
 async fn each_node_reads_a_large_configuration_once() {
     let followers = followers(NODES).await;
@@ -253,11 +253,11 @@
     let others = NODES as u64 - READERS;
     assert!(followers.calls() - before >= others);
     for node in followers.nodes.iter().filter(|node| !node.is_reader()) {
-        assert_eq!(node.source.reads_of_routes(), 1, "{}", node.ip);
+        assert_eq!(node.source.route_reads(), 1, "{}", node.ip);
     }
 }
 
-/// A configuration of four thousand routes.
+/// Returns a configuration of four thousand routes.
 fn large(version: u64) -> Fact {
     let mut routes = RouteSet::new(version, CallerLimits::default());
     routes.set_health_path(ServiceName::new("s"), "/health");
@@ -268,9 +268,9 @@
     Fact::Routes(routes)
 }
 
-/// Targets lapse while the source is away, for a node that reads for itself. It lets them
-/// go by its first good read: held still, they would cost it a second one of everything,
-/// and a whole fleet does so at the end of an outage.
+/// Targets expire while a node that reads the source cannot reach it. Its first
+/// successful read must remove them. Deferring the removals would require a second
+/// complete read, of each node in the fleet at the end of an outage.
 #[tokio::test]
 async fn expired_targets_are_removed_by_the_first_successful_read() {
     const FEW: usize = 2;
@@ -287,12 +287,12 @@
     first.until_next_call().await;
     let removed = followers.expire_entries(second, 0);
     second
-        .until("the lapse", |known| !knows_any(known, &removed))
+        .until("the removal", |known| !knows_any(known, &removed))
         .await;
     let before = first.source.listings();
     first.source.set_mode(SourceMode::Normal);
     first
-        .until("the lapse", |known| !knows_any(known, &removed))
+        .until("the removal", |known| !knows_any(known, &removed))
         .await;
     first.until_next_call().await;
     assert_eq!(first.source.listings(), before);
--- a/crates/edge/tests/all/main.rs
+++ b/crates/edge/tests/all/main.rs
@@ -1,5 +1,5 @@
-//! The routed path from a caller's socket to a target's, in one process: real
-//! sockets on loopback, targets played by the tests.
+//! Integration tests of the path from a caller's socket to a target's socket, in one
+//! process. Sockets are real and on loopback, and the tests act as the targets.
 
 mod answers;
 mod asking;
--- a/crates/edge/tests/all/support.rs
+++ b/crates/edge/tests/all/support.rs
@@ -35,7 +35,7 @@
 use source::{Published, TestSource};
 use target::FakeTarget;
 
-/// Header names of the tests' own making: the product knows none by heart.
+/// Header names that only the tests use, as the product defines none itself.
 #[derive(Debug)]
 pub struct TestDialect;
 
@@ -61,7 +61,7 @@
         &NAMES
     }
 
-    /// The slowness alone.
+    /// Reads only the slowness.
     fn load(&self, value: &str) -> Option<TargetLoad> {
         Some(TargetLoad {
             running: 0,
@@ -72,19 +72,19 @@
     }
 }
 
-/// Within this changes must be in force: longer than any test waits.
+/// Time within which changes must be in force. It is longer than any test waits.
 pub const IN_FORCE_MS: Millis = Millis(100_000);
-/// Callers' bodies that a node holds at once.
+/// Bytes of callers' bodies that a node buffers at once.
 pub const BUFFERED_BYTES: u64 = 16 * 1024 * 1024;
 
-/// One VM with its target, gate and entry.
+/// A VM with its target, gate and entry.
 pub struct Vm {
     pub target: FakeTarget,
     pub callers: SocketAddr,
     pub leaving: watch::Sender<Leaving>,
 }
 
-/// VMs that know of each other.
+/// VMs that share a directory.
 pub struct Fleet {
     pub vms: Vec<Vm>,
     pub directory: SharedDirectory,
@@ -92,11 +92,11 @@
     pub gate_port: u16,
 }
 
-/// Starts a VM for each service; callers' routes go to the first service.
+/// Starts a VM for each service. Callers' routes lead to the first service.
 pub async fn fleet(services: &[&str]) -> Fleet {
     let directory: SharedDirectory = Arc::new(ArcSwap::from_pointee(Directory::default()));
     let (gate_port, mut listeners) = same_port(services.len()).await;
-    // Gates alone read it: tests of fleets set what all their nodes know.
+    // Only gates read this source, as tests of fleets set the directory of all nodes.
     let published = Published::new();
     let source = published.source();
     let mut vms = Vec::new();
@@ -131,7 +131,8 @@
     }
 }
 
-/// Routes: `/read/`, `/pay/` and `/short/` of the host `h` go to the service.
+/// Sets a directory whose routes `/read/`, `/pay/` and `/short/` of the host `h` lead to
+/// the service.
 pub fn set_directory(directory: &SharedDirectory, service: &str, members: Vec<Member>) {
     let mut tracker = hornbeamhitch_dispatch::members::MemberTracker::default();
     for member in members {
@@ -174,8 +175,8 @@
     }
 }
 
-/// Gates listen at one port on every VM, so a port is sought that is free on as
-/// many loopback addresses.
+/// Binds the same port on `count` loopback addresses, since gates listen on one port on
+/// every VM.
 pub async fn same_port(count: usize) -> (u16, Vec<(IpAddr, TcpListener)>) {
     static NEXT_NET: AtomicU16 = AtomicU16::new(1);
     loop {
@@ -200,7 +201,7 @@
     }
 }
 
-/// The gate's end of links, in a life of its own.
+/// Creates the gate's end of links, with a random incarnation.
 pub fn link_server(parts: GateParts, feed: Arc<ChangeFeed>) -> LinkServer {
     LinkServer {
         incarnation: Incarnation(rand::random()),
@@ -280,7 +281,7 @@
     }
 }
 
-/// A VM whose node reads what is published.
+/// Starts a VM whose node follows the published state.
 pub async fn start_following_vm(
     published: &Published,
     target: FakeTarget,
--- a/crates/edge/tests/all/support/follower.rs
+++ b/crates/edge/tests/all/support/follower.rs
@@ -23,18 +23,18 @@
 use super::source::{Published, TestSource};
 use super::{TestDialect, link_server, member, same_port};
 
-/// Where the members of tests stand.
+/// Data centre of the tests' members.
 const DATA_CENTRE: &str = "here";
-/// Within this changes must be in force.
+/// Time within which changes must be in force.
 const IN_FORCE_MS: Millis = Millis(1_000);
 
-/// One node, on a thread of its own.
+/// A node on a thread of its own.
 pub struct Follower {
     pub ip: IpAddr,
     pub source: TestSource,
     pub directory: SharedDirectory,
     runtime: Handle,
-    /// Its drop ends the thread.
+    /// Dropping it ends the thread.
     _shutdown: oneshot::Sender<()>,
 }
 
@@ -44,7 +44,7 @@
     pub nodes: Vec<Follower>,
 }
 
-/// Starts nodes, and waits until each knows all and has its role.
+/// Starts nodes, and waits until each knows the complete state and has its role.
 pub async fn followers(count: usize) -> Followers {
     let (followers, listed) = start_unlisted(count, IN_FORCE_MS).await;
     followers.published.put_all(listed);
@@ -52,7 +52,7 @@
     followers
 }
 
-/// Starts nodes whose targets are not listed yet, and gives the entries to come.
+/// Starts nodes whose targets are not listed yet, and returns the entries to be listed.
 pub async fn start_unlisted(count: usize, in_force_ms: Millis) -> (Followers, Vec<Fact>) {
     let published = Published::new();
     published.put_version(1);
@@ -68,8 +68,8 @@
 }
 
 impl Followers {
-    /// Waits until whoever follows others has stopped to read for itself: a
-    /// change then costs it no call.
+    /// Waits until followers have stopped reading the source, so that a change costs them
+    /// no call.
     async fn until_settled(&self) {
         let mut version = 1;
         loop {
@@ -89,15 +89,15 @@
         }
     }
 
-    /// Waits until a version is in force everywhere.
+    /// Waits until a version is in force on all nodes.
     pub async fn until_version(&self, version: u64) {
         for node in &self.nodes {
             node.until_version(version).await;
         }
     }
 
-    /// The entry of a node's VM lapses, and those of so many others that read
-    /// for nobody.
+    /// Removes the entry of a node's VM and those of `others` further nodes that are not
+    /// readers, as if they had expired. Returns the removed targets.
     pub fn expire_entries(&self, node: &Follower, others: usize) -> Vec<TargetId> {
         let mut expiring = vec![node.target_id()];
         let rest = self
@@ -111,7 +111,7 @@
         expiring
     }
 
-    /// The version in force at the first node.
+    /// The version in force on the first node.
     pub fn version(&self) -> u64 {
         self.nodes[0].version()
     }
@@ -179,7 +179,7 @@
         }
     }
 
-    /// The node does nothing more; its links stay open.
+    /// Blocks the node's thread; its links stay open.
     pub fn freeze(&self) {
         self.runtime.spawn(async {
             loop {
@@ -188,12 +188,12 @@
         });
     }
 
-    /// Whether it reads for others.
+    /// Whether the node is a reader.
     pub fn is_reader(&self) -> bool {
         self.role().is_reader()
     }
 
-    /// Whether it reads when the readers cannot.
+    /// Whether the node is a reserve, which reads when the readers cannot.
     pub fn is_reserve(&self) -> bool {
         self.role().is_reserve()
     }
@@ -215,7 +215,7 @@
         directory.routes.as_ref().map_or(0, |known| known.version())
     }
 
-    /// Waits for its next call to the source.
+    /// Waits for the next call of the node to the source.
     pub async fn until_next_call(&self) {
         let before = self.source.calls();
         self.until("a read", |_| self.source.calls() > before).await;
@@ -226,7 +226,7 @@
             .await;
     }
 
-    /// Waits until its directory is so.
+    /// Waits until the node's directory fulfils a condition.
     pub async fn until(&self, what: &str, condition: impl Fn(&Directory) -> bool) {
         let waiting = async {
             while !condition(&self.directory.load()) {
@@ -234,11 +234,11 @@
             }
         };
         let waited = tokio::time::timeout(Duration::from_secs(30), waiting).await;
-        assert!(waited.is_ok(), "{} waited in vain for {what}", self.ip);
+        assert!(waited.is_ok(), "{} timed out waiting for {what}", self.ip);
     }
 }
 
-/// A runtime that runs until the channel is closed.
+/// Starts a runtime that runs until the channel is closed.
 fn on_own_thread(stopped: oneshot::Receiver<()>) -> Handle {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
@@ -246,7 +246,7 @@
     let runtime = runtime.expect("a runtime");
     let handle = runtime.handle().clone();
     std::thread::spawn(move || {
-        // The sender is only ever dropped.
+        // The sender is dropped without sending.
         let _ = runtime.block_on(stopped);
     });
     handle
--- a/crates/edge/tests/all/support/source.rs
+++ b/crates/edge/tests/all/support/source.rs
@@ -1,4 +1,4 @@
-//! A source of facts that counts who reads it.
+//! A source of published facts that counts its reads and injects faults.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -11,26 +11,26 @@
 use tokio::sync::watch;
 use tokio::time::Instant;
 
-/// How the source treats one reader.
+/// How the source treats the calls of one node.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum SourceMode {
     /// It answers.
     #[default]
     Normal,
-    /// It never answers, nor fails.
+    /// It neither answers nor fails.
     Silent,
-    /// It fails at once.
+    /// It fails immediately.
     Failing,
-    /// It loses the calls that it has in hand and those that it takes, and answers
-    /// none of them, also later.
+    /// It never answers the calls in progress and those that it accepts, not even in a
+    /// later mode.
     DroppingCalls,
-    /// It loses watches, and answers everything else.
+    /// It drops watches, and answers all other calls.
     DroppingWatches,
-    /// Calls hang, and nobody gives them up: their node does not get to it.
+    /// Calls hang, and their node does not time them out.
     Hanging,
 }
 
-/// What is published, to be shared by nodes.
+/// The published state, shared by nodes.
 #[derive(Clone, Debug)]
 pub struct Published {
     state: Arc<Mutex<State>>,
@@ -40,10 +40,10 @@
 #[derive(Debug, Default)]
 struct State {
     revision: u64,
-    /// Watches from before this revision are told that the history is gone.
+    /// Watches from before this revision fail because the history is gone.
     dropped_to: u64,
     history: Vec<Change>,
-    /// Every change there was, and when.
+    /// All changes with their times.
     log: Vec<(Instant, Fact)>,
     members: BTreeMap<TargetId, Member>,
     routes: Option<RouteSet>,
@@ -74,14 +74,14 @@
         self.changed.send_replace(());
     }
 
-    /// Drops the history: watches from before are told so.
+    /// Drops the history, so that watches from before fail.
     pub fn drop_history(&self) {
         let mut state = self.state.lock();
         state.dropped_to = state.revision;
         state.history.clear();
     }
 
-    /// Publishes changes that no watch sees, as the history is dropped.
+    /// Publishes changes that no watch sees because the history is dropped.
     pub fn put_and_drop_history(&self, facts: Vec<Fact>) {
         let mut state = self.state.lock();
         for fact in facts {
@@ -96,14 +96,14 @@
         self.put(version_fact(version));
     }
 
-    /// One node's way to it.
+    /// Returns a source by which one node reads the published state.
     pub fn source(&self) -> TestSource {
         TestSource {
             published: self.clone(),
             mode: watch::channel(SourceMode::Normal).0.into(),
             calls: Arc::default(),
             last_wait_ms: Arc::default(),
-            reads_of_routes: Arc::default(),
+            route_reads: Arc::default(),
             listings: Arc::default(),
             stale_reads: Arc::default(),
             replica_lag: Arc::new(Mutex::new(REPLICA_LAG)),
@@ -113,16 +113,16 @@
 
 pub fn version_fact(version: u64) -> Fact {
     let mut routes = RouteSet::new(version, CallerLimits::default());
-    // Targets of services that the configuration does not name are no targets.
+    // Targets are ignored if the configuration does not name their service.
     routes.set_health_path(ServiceName::new("s"), "/health");
     Fact::Routes(routes)
 }
 
-/// A replica of the source is so far behind, where a test says nothing else.
+/// Default lag of the source's replica.
 const REPLICA_LAG: Duration = Duration::from_secs(1);
 
 impl State {
-    /// What a replica that is behind knows.
+    /// Returns the listing of a replica with this lag.
     fn stale_listing(&self, lag: Duration) -> Listing {
         let mut replica = Self::default();
         for (at, fact) in &self.log {
@@ -145,7 +145,7 @@
     fn put(&mut self, fact: Fact) {
         match &fact {
             Fact::Routes(routes) => self.routes = Some(routes.clone()),
-            Fact::LargeRoutes(_) => panic!("only nodes tell each other so"),
+            Fact::LargeRoutes(_) => panic!("the platform publishes no such change"),
             Fact::Listed(member) => {
                 self.members.insert(member.id.clone(), member.clone());
             }
@@ -160,15 +160,15 @@
     }
 }
 
-/// One node's way to what is published.
+/// The source by which one node reads the published state.
 #[derive(Clone, Debug)]
 pub struct TestSource {
     published: Published,
     mode: Arc<watch::Sender<SourceMode>>,
     calls: Arc<AtomicU64>,
-    /// How long the last watch was to wait.
+    /// Timeout of the last watch.
     last_wait_ms: Arc<AtomicU64>,
-    reads_of_routes: Arc<AtomicU64>,
+    route_reads: Arc<AtomicU64>,
     listings: Arc<AtomicU64>,
     stale_reads: Arc<AtomicU64>,
     replica_lag: Arc<Mutex<Duration>>,
@@ -183,7 +183,7 @@
         });
     }
 
-    /// How far its replica is behind.
+    /// Sets the lag of the source's replica.
     #[allow(dead_code, reason = "tests with sockets take the usual lag")]
     pub fn set_replica_lag(&self, lag: Duration) {
         *self.replica_lag.lock() = lag;
@@ -193,27 +193,27 @@
         self.calls.load(Ordering::Relaxed)
     }
 
-    /// How often everything was read.
+    /// Number of reads of the complete listing.
     pub fn listings(&self) -> u64 {
         self.listings.load(Ordering::Relaxed)
     }
 
-    /// How often everything was read from a replica; [`Self::calls`] leaves these out.
+    /// Number of reads from a replica, which [`Self::calls`] does not include.
     #[allow(dead_code, reason = "tests with sockets count whole calls alone")]
     pub fn stale_reads(&self) -> u64 {
         self.stale_reads.load(Ordering::Relaxed)
     }
 
-    /// How often the configuration alone was read.
-    pub fn reads_of_routes(&self) -> u64 {
-        self.reads_of_routes.load(Ordering::Relaxed)
+    /// Number of reads of only the configuration.
+    pub fn route_reads(&self) -> u64 {
+        self.route_reads.load(Ordering::Relaxed)
     }
 
     pub fn last_wait_ms(&self) -> Millis {
         Millis(self.last_wait_ms.load(Ordering::Relaxed))
     }
 
-    /// Ends at once unless the source is silent.
+    /// Returns immediately unless the source is silent.
     async fn until_responsive(&self) -> Result<(), SourceFault> {
         let mut mode = self.mode.subscribe();
         let answering = mode.wait_for(|mode| *mode != SourceMode::Silent).await;
@@ -223,7 +223,7 @@
         }
     }
 
-    /// Ends when the source loses a call that it has in hand.
+    /// Returns when the source drops a call in progress.
     async fn until_call_dropped(&self, is_watch: bool) {
         let mut mode = self.mode.subscribe();
         let drops = |mode: &SourceMode| match mode {
@@ -235,8 +235,7 @@
         drop(until_call_dropped.expect("this struct holds a sender"));
     }
 
-    /// Counts a call, and makes of it what a client does: lost, it ends with a fault once
-    /// it should long have been answered.
+    /// Counts a call, and runs it like a client: a dropped call fails after its timeout.
     async fn run_call<T>(
         &self,
         count: &AtomicU64,
@@ -339,7 +338,7 @@
     }
 
     fn read_routes(&self, idle_timeout_ms: Millis) -> ReadFuture<'_, Option<RouteSet>> {
-        self.reads_of_routes.fetch_add(1, Ordering::Relaxed);
+        self.route_reads.fetch_add(1, Ordering::Relaxed);
         Box::pin(self.run_call(&self.calls, false, idle_timeout_ms, async {
             self.until_responsive().await?;
             Ok(self.published.state.lock().routes.clone())
