--- a/crates/edge/src/feed.rs
+++ b/crates/edge/src/feed.rs
@@ -169,14 +169,14 @@
             let Some(update) = self.update_after(known) else {
                 // The send fails only if the link has closed, and then no reply is
                 // needed.
-                let _ = subscriber.send(ToEntry::NoFeed);
+                let _ = subscriber.send(ToEntry::FeedUnavailable);
                 return;
             };
             known = known.max(update.revision);
             for change in update.changes {
                 let _ = subscriber.send(ToEntry::Change(change));
             }
-            let progress = ToEntry::KnownTo {
+            let progress = ToEntry::Progress {
                 revision: update.revision,
                 last_read_failed: update.last_read_failed,
                 age_ms: update.age_ms,
--- a/crates/edge/src/feed/subscriptions.rs
+++ b/crates/edge/src/feed/subscriptions.rs
@@ -255,7 +255,7 @@
                 Ok(change) => changes.push(change),
                 Err(fault) => return fault,
             },
-            ToEntry::KnownTo {
+            ToEntry::Progress {
                 revision,
                 last_read_failed,
                 age_ms,
@@ -275,7 +275,7 @@
                     return LinkFault::Closed;
                 }
             }
-            ToEntry::NoFeed => return LinkFault::Closed,
+            ToEntry::FeedUnavailable => return LinkFault::Closed,
             // Messages from a gate to its entries are irrelevant here.
             _ => {}
         }
--- a/crates/edge/tests/all/support/target.rs
+++ b/crates/edge/tests/all/support/target.rs
@@ -1,6 +1,6 @@
-//! A target that does what the path of a request asks for.
+//! A fake target whose behaviour each request selects.
 //!
-//! The last segment of the path names its behaviour; see [`Behaviour`].
+//! The last segment of the request's path names the behaviour; see [`answer`].
 
 use std::collections::HashMap;
 use std::net::{IpAddr, SocketAddr};
@@ -16,65 +16,66 @@
 
 use super::{DIGEST, LOAD, NOT_RUN, REQUEST_ID};
 
-/// What the target remembers of a request that it ran.
+/// A request that the target has run.
 #[derive(Clone, Debug)]
-pub struct Ran {
+pub struct RecordedRun {
     pub head: RequestHead,
     pub body: Vec<u8>,
 }
 
 #[derive(Debug, Default)]
 struct Journal {
-    ran: Mutex<Vec<Ran>>,
-    /// A request has crashed the target.
+    ran: Mutex<Vec<RecordedRun>>,
+    /// Notified when a request crashes the target.
     crashed: tokio::sync::Notify,
-    /// Connections that closed within a run.
+    /// Number of runs during which the connection was closed.
     cancelled: AtomicU32,
     connections: AtomicU32,
     slowness_percent: AtomicU32,
     /// Health checks are answered as by a target that is still starting.
     is_starting: AtomicBool,
-    /// Health checks say that it leaves.
+    /// Health checks report that the target is leaving.
     is_leaving: AtomicBool,
-    /// Connections that rest longer than this many milliseconds reset whatever
-    /// comes next; 0 for never.
-    forgets_after_ms: AtomicU32,
-    /// The behaviour for all requests that name none.
-    usual: Mutex<String>,
-    /// The id that it answers to.
-    life: Mutex<String>,
+    /// Connections that were idle for longer than this are closed on the next request,
+    /// which resets it. 0 disables this.
+    reset_idle_after_ms: AtomicU32,
+    /// The behaviour for requests that do not name one.
+    default_behaviour: Mutex<String>,
+    /// The target id that requests must expect; others get status 421.
+    target_id: Mutex<String>,
 }
 
-/// A target on loopback.
+/// A fake target on a loopback address.
 #[derive(Clone, Debug)]
 pub struct FakeTarget {
     pub address: SocketAddr,
     journal: Arc<Journal>,
-    /// The accepting task; aborted, connections are refused.
+    /// The task that accepts connections. It ends when the target crashes, and new
+    /// connections are then refused.
     accepting: Arc<tokio::task::JoinHandle<()>>,
 }
 
 impl FakeTarget {
-    pub async fn start(ip: IpAddr, life: &str) -> Self {
+    pub async fn start(ip: IpAddr, target_id: &str) -> Self {
         let listener = TcpListener::bind((ip, 0)).await.expect("a free port");
         let address = listener.local_addr().expect("an address");
         let journal = Arc::new(Journal::default());
         journal.slowness_percent.store(100, Ordering::Relaxed);
-        *journal.usual.lock() = "ok".to_owned();
-        let accepted = Arc::clone(&journal);
-        *journal.life.lock() = life.to_owned();
+        *journal.default_behaviour.lock() = "ok".to_owned();
+        let served_journal = Arc::clone(&journal);
+        *journal.target_id.lock() = target_id.to_owned();
         let accepting = tokio::spawn(async move {
-            let mut served = tokio::task::JoinSet::new();
+            let mut connections = tokio::task::JoinSet::new();
             loop {
-                // A target that crashes closes its listener and its connections
-                // together, and is back after some seconds.
-                let crashed = accepted.crashed.notified();
+                // As in a real crash, the listener and all connections close together. A
+                // real target is back after some seconds.
+                let crashed = served_journal.crashed.notified();
                 let (stream, _) = tokio::select! {
                     stream = listener.accept() => stream.expect("accepted"),
                     () = crashed => return,
                 };
-                accepted.connections.fetch_add(1, Ordering::Relaxed);
-                served.spawn(serve(stream, Arc::clone(&accepted)));
+                served_journal.connections.fetch_add(1, Ordering::Relaxed);
+                connections.spawn(serve(stream, Arc::clone(&served_journal)));
             }
         });
         Self {
@@ -84,17 +85,17 @@
         }
     }
 
-    /// Whether a request has crashed it.
+    /// Whether a request has crashed the target.
     pub fn has_crashed(&self) -> bool {
         self.accepting.is_finished()
     }
 
-    /// Requests that ran, in their order.
-    pub fn ran(&self) -> Vec<Ran> {
+    /// The requests that ran, in order.
+    pub fn ran(&self) -> Vec<RecordedRun> {
         self.journal.ran.lock().clone()
     }
 
-    /// How often a request ran.
+    /// The number of runs of a request.
     pub fn runs_of(&self, request_id: &str) -> usize {
         let ran = self.journal.ran.lock();
         ran.iter()
@@ -116,53 +117,56 @@
             .store(percent, Ordering::Relaxed);
     }
 
-    /// While it starts, its health checks fail and tell no load.
+    /// Makes health checks fail without a load report, as while a target starts.
     pub fn set_starting(&self, is_starting: bool) {
         self.journal
             .is_starting
             .store(is_starting, Ordering::Relaxed);
     }
 
-    /// It says that it leaves, and goes on serving.
+    /// Makes health checks report that the target is leaving. It continues to serve.
     pub fn set_leaving(&self, is_leaving: bool) {
         self.journal.is_leaving.store(is_leaving, Ordering::Relaxed);
     }
 
-    /// From now on forgets connections that rest for this long, without notice.
-    pub fn forget_idle_after(&self, span: Duration) {
+    /// From now on, drops connections without notice once they are idle for this long.
+    pub fn reset_idle_after(&self, span: Duration) {
         let ms = u32::try_from(span.as_millis()).expect("a short span");
-        self.journal.forgets_after_ms.store(ms, Ordering::Relaxed);
+        self.journal
+            .reset_idle_after_ms
+            .store(ms, Ordering::Relaxed);
     }
 
-    /// From now on answers to this id alone.
-    pub fn set_life(&self, life: &str) {
-        *self.journal.life.lock() = life.to_owned();
+    /// From now on, serves only requests that expect this target id.
+    pub fn set_target_id(&self, target_id: &str) {
+        *self.journal.target_id.lock() = target_id.to_owned();
     }
 
-    /// What requests without a behaviour of their own meet.
-    pub fn set_usual(&self, behaviour: &str) {
-        *self.journal.usual.lock() = behaviour.to_owned();
+    /// Sets the behaviour for requests that do not name one.
+    pub fn set_default_behaviour(&self, behaviour: &str) {
+        *self.journal.default_behaviour.lock() = behaviour.to_owned();
     }
 }
 
 async fn serve(stream: TcpStream, journal: Arc<Journal>) {
     let (reader, mut writer) = stream.into_split();
     let mut reader = HttpReader::new(reader);
-    let mut rests_since = std::time::Instant::now();
+    let mut idle_since = std::time::Instant::now();
     while let Ok(head) = reader.request_head(64 * 1024).await {
-        let forgets_after_ms = journal.forgets_after_ms.load(Ordering::Relaxed);
-        let rested_ms = rests_since.elapsed().as_millis();
-        if forgets_after_ms > 0 && rested_ms > u128::from(forgets_after_ms) {
+        let reset_idle_after_ms = journal.reset_idle_after_ms.load(Ordering::Relaxed);
+        let idle_ms = idle_since.elapsed().as_millis();
+        if reset_idle_after_ms > 0 && idle_ms > u128::from(reset_idle_after_ms) {
             return;
         }
         if !answer(&mut reader, &mut writer, head, &journal).await {
             return;
         }
-        rests_since = std::time::Instant::now();
+        idle_since = std::time::Instant::now();
     }
 }
 
-/// Plays one request; false when the connection ends.
+/// Handles one request with the behaviour that it names. Returns false when the
+/// connection must end.
 async fn answer(
     reader: &mut HttpReader<OwnedReadHalf>,
     writer: &mut OwnedWriteHalf,
@@ -186,16 +190,16 @@
         .unwrap_or_default()
         .to_owned();
     let expected = http1::field(&head.fields, super::EXPECTED_TARGET);
-    if expected.is_some_and(|expected| expected != *journal.life.lock()) {
+    if expected.is_some_and(|expected| expected != *journal.target_id.lock()) {
         let text = "HTTP/1.1 421 Misdirected Request\r\nContent-Length: 0\r\n\r\n";
         return writer.write_all(text.as_bytes()).await.is_ok();
     }
-    let named = head.path.rsplit('/').next().unwrap_or_default().to_owned();
-    let behaviour = match named.as_str() {
-        "" => journal.usual.lock().clone(),
-        named => named.to_owned(),
+    let path_name = head.path.rsplit('/').next().unwrap_or_default().to_owned();
+    let behaviour = match path_name.as_str() {
+        "" => journal.default_behaviour.lock().clone(),
+        name => name.to_owned(),
     };
-    let good = |body: &str| {
+    let success = |body: &str| {
         let length = body.len();
         format!(
             "HTTP/1.1 200 OK\r\n{REQUEST_ID}: {id}\r\n{DIGEST}: d-{id}\r\n{LOAD}: {load}\r\n\
@@ -210,20 +214,20 @@
     }
     let head_framing = head.framing().unwrap_or(Framing::Length(0));
     if behaviour == "early" {
-        journal.ran.lock().push(Ran {
+        journal.ran.lock().push(RecordedRun {
             head,
             body: Vec::new(),
         });
-        // It answers at once and reads the body later, on the same connection.
+        // Answers at once and reads the body later, on the same connection.
         let framing = head_framing;
-        let is_written = writer.write_all(good("early").as_bytes()).await.is_ok();
+        let is_written = writer.write_all(success("early").as_bytes()).await.is_ok();
         tokio::time::sleep(Duration::from_millis(50)).await;
         return is_written && reader.body(framing, u64::MAX).await.is_ok();
     }
     let Ok(body) = reader.body(head_framing, u64::MAX).await else {
         return false;
     };
-    journal.ran.lock().push(Ran {
+    journal.ran.lock().push(RecordedRun {
         head,
         body: body.to_vec(),
     });
@@ -238,35 +242,43 @@
             return std::future::pending().await;
         }
         "cut" => {
-            let text = good("a whole body");
+            let text = success("a whole body");
             let _ = writer.write_all(&text.as_bytes()[..text.len() - 4]).await;
             return false;
         }
         "garbage" => "this is no answer\r\n\r\n".to_owned(),
-        "twice" => format!("{}{}", good("first"), good("second")),
-        "foreign" => format!("{}{}", good("theirs").replace(&id, "another"), good("mine")),
-        "unsigned" => good("unsigned").replace(DIGEST, "T-Other"),
+        "twice" => format!("{}{}", success("first"), success("second")),
+        "foreign" => format!(
+            "{}{}",
+            success("theirs").replace(&id, "another"),
+            success("mine")
+        ),
+        "unsigned" => success("unsigned").replace(DIGEST, "T-Other"),
         "until-close" => {
-            let text = good("open").replace("Content-Length: 4\r\n", "");
+            let text = success("open").replace("Content-Length: 4\r\n", "");
             let _ = writer.write_all(text.as_bytes()).await;
             return false;
         }
         "hang" => {
-            // Whoever sent it closes; nothing else is to come.
+            // Waits until the sender closes the connection; it sends nothing more.
             let _ = reader.wait_for_bytes().await;
             journal.cancelled.fetch_add(1, Ordering::Relaxed);
             return false;
         }
         "slow" => {
             tokio::time::sleep(Duration::from_millis(120)).await;
-            good("slow")
+            success("slow")
         }
-        _ => good(&format!("served {}", body.len())),
+        _ => success(&format!("served {}", body.len())),
     };
     writer.write_all(text.as_bytes()).await.is_ok()
 }
 
-/// Waits until something holds; the runtime's clock bounds it.
+/// Waits until `holds` returns true.
+///
+/// # Panics
+///
+/// The condition did not hold within 10 s of the runtime's clock.
 pub async fn until(what: &str, holds: impl Fn() -> bool) {
     let waiting = async {
         while !holds() {
@@ -274,10 +286,10 @@
         }
     };
     let waited = tokio::time::timeout(Duration::from_secs(10), waiting).await;
-    assert!(waited.is_ok(), "waited in vain: {what}");
+    assert!(waited.is_ok(), "timed out waiting until {what}");
 }
 
-/// Runs by request id over several targets.
+/// The number of runs by request id, over several targets.
 pub fn runs(targets: &[&FakeTarget]) -> HashMap<String, usize> {
     let mut runs = HashMap::new();
     for target in targets {
