--- a/crates/edge/src/following.rs
+++ b/crates/edge/src/following.rs
@@ -26,7 +26,7 @@
 #[cfg(test)]
 mod tests;
 
-/// Shortest watch, for when the source has to answer immediately.
+/// Timeout of a watch that the source has to answer immediately.
 const MIN_WATCH_MS: Millis = Millis(1);
 /// Debounce interval after the first changes that a node receives. It doubles with each
 /// further batch, up to the usual interval. VMs that start together register within a few
@@ -210,10 +210,10 @@
     /// Watches the source once and applies the changes that it returns.
     async fn watch(&mut self) -> Result<(), SourceFault> {
         let (after, wait_ms) = (self.known.revision(), self.watch_wait_ms());
-        let watching = self
+        let changes = self
             .source
             .watch(after, wait_ms, self.waits.idle_timeout_ms());
-        let batch = with_updates(watching, &mut self.known, &mut self.subscriptions).await?;
+        let batch = with_updates(changes, &mut self.known, &mut self.subscriptions).await?;
         self.note_success();
         let has_new_changes = !batch.changes.is_empty() && !self.known.has_deferred_removals();
         self.known.apply_new(batch.changes, batch.revision);
--- a/crates/edge/src/following/tests.rs
+++ b/crates/edge/src/following/tests.rs
@@ -3,7 +3,7 @@
 mod calls;
 mod fleet;
 #[path = "../../tests/all/support/source.rs"]
-#[allow(dead_code, reason = "tests with sockets use the rest of it")]
+#[allow(dead_code, reason = "only tests with sockets use all of it")]
 mod source;
 
 use std::time::Duration;
--- a/crates/edge/src/following/tests/fleet.rs
+++ b/crates/edge/src/following/tests/fleet.rs
@@ -65,11 +65,11 @@
             let (subscriber, messages) = mpsc::unbounded_channel();
             let feed = Arc::clone(&endpoint.feed);
             tokio::spawn(async move { feed.serve(known, &subscriber).await });
-            let messages: Box<dyn FeedStream> = Box::new(NetworkFeedStream {
+            let stream: Box<dyn FeedStream> = Box::new(NetworkFeedStream {
                 messages,
                 link_state,
             });
-            Ok(messages)
+            Ok(stream)
         })
     }
 }
--- a/crates/edge/tests/all/bounded_age.rs
+++ b/crates/edge/tests/all/bounded_age.rs
@@ -14,7 +14,7 @@
 use crate::support::caller::ask;
 use crate::support::source::{Published, SourceMode, TestSource};
 use crate::support::target::FakeTarget;
-use crate::support::{self, member, route, same_port, start_following_vm};
+use crate::support::{self, bind_same_port, member, route, start_following_vm};
 
 /// Time within which a change must be in force.
 const IN_FORCE_MS: Millis = Millis(2_000);
@@ -83,7 +83,7 @@
 /// large configuration. In this test the change never arrives at all.
 #[tokio::test]
 async fn a_gate_learns_from_its_own_target_that_it_is_draining() {
-    let (gate_port, mut listeners) = same_port(1).await;
+    let (gate_port, mut listeners) = bind_same_port(1).await;
     let (ip, links) = listeners.remove(0);
     let target = FakeTarget::start(ip, "life-0").await;
     let entry = member(0, "s", target.address);
--- a/crates/edge/tests/all/support.rs
+++ b/crates/edge/tests/all/support.rs
@@ -95,7 +95,7 @@
 /// Starts a VM for each service. Callers' routes lead to the first service.
 pub async fn fleet(services: &[&str]) -> Fleet {
     let directory: SharedDirectory = Arc::new(ArcSwap::from_pointee(Directory::default()));
-    let (gate_port, mut listeners) = same_port(services.len()).await;
+    let (gate_port, mut listeners) = bind_same_port(services.len()).await;
     // Only gates read this source, as tests of fleets set the directory of all nodes.
     let published = Published::new();
     let source = published.source();
@@ -177,7 +177,7 @@
 
 /// Binds the same port on `count` loopback addresses, since gates listen on one port on
 /// every VM.
-pub async fn same_port(count: usize) -> (u16, Vec<(IpAddr, TcpListener)>) {
+pub async fn bind_same_port(count: usize) -> (u16, Vec<(IpAddr, TcpListener)>) {
     static NEXT_NET: AtomicU16 = AtomicU16::new(1);
     loop {
         let net = NEXT_NET.fetch_add(1, Ordering::Relaxed);
--- a/crates/edge/tests/all/support/follower.rs
+++ b/crates/edge/tests/all/support/follower.rs
@@ -21,7 +21,7 @@
 use tokio::sync::oneshot;
 
 use super::source::{Published, TestSource};
-use super::{TestDialect, link_server, member, same_port};
+use super::{TestDialect, bind_same_port, link_server, member};
 
 /// Data centre of the tests' members.
 const DATA_CENTRE: &str = "here";
@@ -56,7 +56,7 @@
 pub async fn start_unlisted(count: usize, in_force_ms: Millis) -> (Followers, Vec<Fact>) {
     let published = Published::new();
     published.put_version(1);
-    let (port, listeners) = same_port(count).await;
+    let (port, listeners) = bind_same_port(count).await;
     let mut nodes = Vec::new();
     let mut listed = Vec::new();
     for (number, (ip, listener)) in listeners.into_iter().enumerate() {
--- a/crates/edge/tests/all/support/source.rs
+++ b/crates/edge/tests/all/support/source.rs
@@ -184,7 +184,7 @@
     }
 
     /// Sets the lag of the source's replica.
-    #[allow(dead_code, reason = "tests with sockets take the usual lag")]
+    #[allow(dead_code, reason = "tests with sockets use the default lag")]
     pub fn set_replica_lag(&self, lag: Duration) {
         *self.replica_lag.lock() = lag;
     }
@@ -199,7 +199,7 @@
     }
 
     /// Number of reads from a replica, which [`Self::calls`] does not include.
-    #[allow(dead_code, reason = "tests with sockets count whole calls alone")]
+    #[allow(dead_code, reason = "tests with sockets count only current reads")]
     pub fn stale_reads(&self) -> u64 {
         self.stale_reads.load(Ordering::Relaxed)
     }
@@ -231,8 +231,8 @@
             SourceMode::DroppingWatches => is_watch,
             SourceMode::Normal | SourceMode::Silent | SourceMode::Failing => false,
         };
-        let until_call_dropped = mode.wait_for(drops).await;
-        drop(until_call_dropped.expect("this struct holds a sender"));
+        let dropped = mode.wait_for(drops).await;
+        drop(dropped.expect("this struct holds a sender"));
     }
 
     /// Counts a call, and runs it like a client: a dropped call fails after its timeout.
