--- a/crates/dispatch/src/departure/tests.rs
+++ b/crates/dispatch/src/departure/tests.rs
@@ -1,4 +1,4 @@
-//! What a gate makes of its target's health and of its entry.
+//! Tests of how a gate combines health checks and entries of its target.
 
 use super::*;
 
@@ -12,40 +12,40 @@
     TargetId::new("i-1")
 }
 
-/// Health checks may be wrong for seconds. A target whose entry is good goes on getting
-/// work, and its entry is looked up a few times only: each time costs a call.
+/// A health check may be wrong for seconds. A target whose entry is good keeps getting
+/// work, and its entry is looked up only a few times, since each lookup costs a call.
 #[test]
-fn a_target_whose_health_check_is_wrong_keeps_its_work() {
+fn a_target_whose_health_check_is_wrong_keeps_getting_work() {
     let mut departure = departure();
-    let mut look_ups = 0;
+    let mut lookups = 0;
     for now in (0..6_000).step_by(10).map(Millis) {
         departure.note_health(true, now);
-        if departure.take_look_up(now) {
-            look_ups += 1;
-            departure.note_entry(&target(), Standing::Open);
+        if departure.start_lookup_if_due(now) {
+            lookups += 1;
+            departure.note_entry(&target(), ListingState::Open);
         }
         assert!(!departure.has_left(&target()));
     }
-    assert_eq!(look_ups, 8);
+    assert_eq!(lookups, 8);
 }
 
-/// A target is ill, and leaves at any time after that. Its gate looks the entry up often
-/// enough to know in time, whenever that is.
+/// Guards against a late departure: an unhealthy target may leave at any later time, and
+/// its gate must look up the entry often enough to notice in time.
 #[test]
-fn a_target_that_leaves_while_it_is_ill_is_known_to_leave_in_time() {
+fn the_departure_of_an_unhealthy_target_is_noticed_in_time() {
     for leaves_at in (0..3_000).step_by(10).map(Millis) {
         let mut departure = departure();
         let mut known_at = None;
         for now in (0..6_000).step_by(10).map(Millis) {
             departure.note_health(true, now);
-            if !departure.take_look_up(now) {
+            if !departure.start_lookup_if_due(now) {
                 continue;
             }
-            let standing = match now >= leaves_at {
-                true => Standing::Draining,
-                false => Standing::Open,
+            let listing_state = match now >= leaves_at {
+                true => ListingState::Draining,
+                false => ListingState::Open,
             };
-            if departure.note_entry(&target(), standing) {
+            if departure.note_entry(&target(), listing_state) {
                 known_at.get_or_insert(now);
             }
         }
@@ -55,50 +55,51 @@
     }
 }
 
-/// The entry of an ill target has lapsed, and is back two seconds later. No call starts
-/// meanwhile, so nobody asks the target's health; it must get work again all the same.
+/// The entry of an unhealthy target has expired and returns two seconds later. No call
+/// starts meanwhile, so no health check is made; the target must get work again all the
+/// same.
 #[test]
-fn a_target_whose_entry_lapsed_is_back_with_it() {
+fn a_target_gets_work_again_when_its_entry_returns() {
     let mut departure = departure();
     departure.note_health(true, Millis(10));
-    assert!(departure.take_look_up(Millis(10)));
-    assert!(departure.note_entry(&target(), Standing::Unlisted));
+    assert!(departure.start_lookup_if_due(Millis(10)));
+    assert!(departure.note_entry(&target(), ListingState::Unlisted));
     assert!(departure.has_left(&target()));
-    assert!(!departure.take_look_up(Millis(20)));
-    assert!(departure.take_look_up(Millis(2_010)));
-    assert!(departure.note_entry(&target(), Standing::Open));
+    assert!(!departure.start_lookup_if_due(Millis(20)));
+    assert!(departure.start_lookup_if_due(Millis(2_010)));
+    assert!(departure.note_entry(&target(), ListingState::Open));
     assert!(!departure.has_left(&target()));
 }
 
-/// What is known of one target is not held against the next at its address.
+/// The departure of one target does not affect the next one at its address.
 #[test]
 fn another_target_gets_work() {
     let mut departure = departure();
-    departure.note_entry(&target(), Standing::Draining);
+    departure.note_entry(&target(), ListingState::Draining);
     assert!(!departure.has_left(&TargetId::new("i-2")));
 }
 
-/// A target that is always busy is asked for its health all the same.
+/// A target that is always busy has its health checked as well.
 #[test]
-fn health_is_asked_for_again() {
+fn health_is_checked_again_while_the_target_is_busy() {
     let mut departure = departure();
     assert!(departure.health_is_due(Millis(0)));
     departure.note_health(false, Millis(0));
     assert!(!departure.health_is_due(Millis(100)));
     assert!(departure.health_is_due(Millis(300)));
-    assert!(!departure.take_look_up(Millis(300)));
+    assert!(!departure.start_lookup_if_due(Millis(300)));
 }
 
-/// A target said that it leaves, ended, and started again under its id. Nobody asks its
-/// health while it gets no work, so its entry has to tell.
+/// A target has announced that it leaves, has ended, and has restarted under the same id.
+/// Its health is not checked while it gets no work, so its entry must show the restart.
 #[test]
 fn a_target_that_starts_again_under_its_id_gets_work() {
     let mut departure = departure();
     departure.note_health(true, Millis(10));
-    assert!(departure.take_look_up(Millis(10)));
-    departure.note_entry(&target(), Standing::Draining);
+    assert!(departure.start_lookup_if_due(Millis(10)));
+    departure.note_entry(&target(), ListingState::Draining);
     assert!(departure.has_left(&target()));
-    assert!(departure.take_look_up(Millis(5_000)));
-    assert!(departure.note_entry(&target(), Standing::Open));
+    assert!(departure.start_lookup_if_due(Millis(5_000)));
+    assert!(departure.note_entry(&target(), ListingState::Open));
     assert!(!departure.has_left(&target()));
 }
--- a/crates/dispatch/src/retry_budget/tests.rs
+++ b/crates/dispatch/src/retry_budget/tests.rs
@@ -1,4 +1,4 @@
-//! The shared retry budget, summed over entries.
+//! Tests of the retry budget, summed over entries.
 
 use proptest::prelude::*;
 
@@ -11,9 +11,9 @@
 };
 
 proptest! {
-    /// Every request fails at every entry, and each retries all it may. Over
-    /// any window the sum of retries stays within the shared limit, although
-    /// no entry sees more than its own.
+    /// Every request fails at every entry, and each entry retries as much as it may. In
+    /// any window the sum of all retries stays within the common limit, although no entry
+    /// sees more than its own.
     #[test]
     fn all_entries_together_keep_the_shared_limit(
         entries in 1_usize..40,
@@ -27,12 +27,12 @@
         let steps = 200_u64;
         let mut sent = 0;
         for step in 0..steps {
-            // 20 windows of 10 s, in steps of a second.
+            // 20 windows of 10 s, in steps of one second.
             let now = Millis(step * 1_000);
             let due = requests_per_window * (step + 1) / 10;
             while sent < due {
                 let budget = &mut budgets[sent as usize % entries];
-                budget.count_first(&LIMIT, entries);
+                budget.count_first_attempt(&LIMIT, entries);
                 sent += 1;
             }
             for budget in &mut budgets {
@@ -50,16 +50,16 @@
 }
 
 proptest! {
-    /// A caller's run asks another service up to twice. Everything fails at both, so
-    /// each entry retries all it may, and each repeated run asks anew. What arrives
-    /// at the asked service beyond the first of each request is its own retries and
-    /// all that repeated runs ask; no entry sees that sum, which must stay within
-    /// the limit in every window.
+    /// A caller's run makes up to two calls to another service. Everything fails at both
+    /// services, so each entry retries as much as it may, and each repeated run makes its
+    /// calls again. The extra arrivals at the called service are its own retries and all
+    /// calls of repeated runs. No entry sees their sum, which must stay within the limit
+    /// in every window.
     #[test]
     fn calls_of_repeated_runs_are_within_the_limit(
         entries in 1_usize..30,
         requests_per_window in 0_u64..3_000,
-        calls_a_run in 0_u64..=2,
+        calls_per_run in 0_u64..=2,
     ) {
         let mut outer: Vec<RetryBudget> = Vec::new();
         let mut inner: Vec<RetryBudget> = Vec::new();
@@ -69,7 +69,7 @@
         }
         let steps = 60_usize;
         let mut extra = vec![0_u64; steps];
-        let mut asked = vec![0_u64; steps];
+        let mut arrived = vec![0_u64; steps];
         let mut sent = 0;
         for step in 0..steps {
             let now = Millis(step as u64 * 1_000);
@@ -77,7 +77,7 @@
             let mut runs_at = vec![0_u64; entries];
             while sent < due {
                 let at = sent as usize % entries;
-                outer[at].count_first(&LIMIT, entries);
+                outer[at].count_first_attempt(&LIMIT, entries);
                 runs_at[at] += 1;
                 sent += 1;
             }
@@ -88,10 +88,10 @@
                 }
                 for run in 0..runs_at[at] + repeats {
                     let repeated_percent = if run < repeats { 100 } else { 0 };
-                    for _ in 0..calls_a_run {
-                        inner[at].count_first(&LIMIT, entries);
+                    for _ in 0..calls_per_run {
+                        inner[at].count_first_attempt(&LIMIT, entries);
                         inner[at].count_repeated(&LIMIT, entries, repeated_percent);
-                        asked[step] += 1;
+                        arrived[step] += 1;
                         if repeated_percent > 0 {
                             extra[step] += 1;
                         }
@@ -104,7 +104,7 @@
         }
         for from in 0..steps - 10 {
             let in_window = |counts: &[u64]| counts[from..from + 10].iter().sum::<u64>() as f64;
-            let allowed = LIMIT.ratio * in_window(&asked) + LIMIT.slack;
+            let allowed = LIMIT.ratio * in_window(&arrived) + LIMIT.slack;
             let found = in_window(&extra);
             prop_assert!(found <= allowed, "{found} of {allowed}");
         }
@@ -112,10 +112,10 @@
 }
 
 #[test]
-fn a_token_that_led_nowhere_is_given_back() {
+fn an_unused_token_is_refunded() {
     let mut budget = RetryBudget::new(&LIMIT, 19, Millis(0));
     assert!(budget.try_take(&LIMIT, 19, Millis(0)));
     assert!(!budget.try_take(&LIMIT, 19, Millis(0)));
-    budget.give_back();
+    budget.refund();
     assert!(budget.try_take(&LIMIT, 19, Millis(0)));
 }
--- a/crates/edge/src/directory.rs
+++ b/crates/edge/src/directory.rs
@@ -230,13 +230,13 @@
 
     /// Records that this node failed to read the source.
     pub fn note_store_failure(&mut self) {
-        self.tracker.note_trouble(self.clock.now());
+        self.tracker.note_store_failure(self.clock.now());
     }
 
     /// Records that a reader to which this node subscribes failed to read the source.
     pub fn note_remote_store_failure(&mut self, grace_ms: Millis) {
         self.tracker
-            .note_distant_trouble(grace_ms, self.clock.now());
+            .note_remote_store_failure(grace_ms, self.clock.now());
     }
 
     /// Drops entries whose grace period has ended, and returns the time of the next
--- a/crates/edge/src/feed.rs
+++ b/crates/edge/src/feed.rs
@@ -186,7 +186,7 @@
             }
             // An update is sent after a change and after each interval, so the result is
             // irrelevant.
-            let resend_interval = self.waits.tell_again_ms().to_duration();
+            let resend_interval = self.waits.publish_interval_ms().to_duration();
             let _ = tokio::time::timeout(resend_interval, changed.changed()).await;
         }
     }
--- a/crates/edge/src/feed/subscriptions.rs
+++ b/crates/edge/src/feed/subscriptions.rs
@@ -149,7 +149,7 @@
     /// When a whole fleet starts, that would saturate the readers' links.
     fn next_subscription_delay(&self) -> Duration {
         match self.known_revision.load(Ordering::Acquire) {
-            0 => self.context.waits.tell_again_ms().to_duration(),
+            0 => self.context.waits.publish_interval_ms().to_duration(),
             _ => Duration::ZERO,
         }
     }
@@ -235,7 +235,7 @@
     is_established: &mut bool,
 ) -> LinkFault {
     let known_revision = known_revision.load(Ordering::Acquire);
-    let timeout = context.waits.tell_again_ms().to_duration();
+    let timeout = context.waits.publish_interval_ms().to_duration();
     let opening = tokio::time::timeout(timeout, context.links.open(reader, known_revision));
     let mut stream = match opening.await {
         Ok(Ok(stream)) => stream,
@@ -244,7 +244,7 @@
     };
     let mut changes = Vec::new();
     loop {
-        let reader_timeout = context.waits.reader_silence_ms().to_duration();
+        let reader_timeout = context.waits.reader_timeout_ms().to_duration();
         let frame = match tokio::time::timeout(reader_timeout, stream.next()).await {
             Ok(Ok(frame)) => frame,
             Ok(Err(fault)) => return fault,
--- a/crates/edge/src/feed/tests.rs
+++ b/crates/edge/src/feed/tests.rs
@@ -21,8 +21,8 @@
         data_centre: DataCentre::new("dc"),
         slots: 1,
         draining: false,
-        listed_at: revision,
-        born_ms: None,
+        listing_order: revision,
+        started_at_ms: None,
     };
     Change {
         revision,
--- a/crates/edge/src/following.rs
+++ b/crates/edge/src/following.rs
@@ -136,7 +136,7 @@
                 if !self.is_fed_by_readers() && self.role.is_follower() {
                     // A random delay keeps the subscribers of the same readers from
                     // reading all at once.
-                    self.pause(self.waits.lost_readers_pause_ms()).await;
+                    self.pause(self.waits.lost_readers_delay_ms()).await;
                 }
                 continue;
             }
@@ -182,7 +182,7 @@
             && !self.role.is_reserve()
             && self.subscriptions.all_unhealthy()
             && self.known.own_reads() == OwnReads::Good
-            && self.known.age_ms() < self.waits.longest_outage_ms()
+            && self.known.age_ms() < self.waits.max_outage_ms()
     }
 
     /// Applies what unhealthy readers publish until one of them recovers.
@@ -191,7 +191,7 @@
             // Entries may expire during an outage although their targets are alive.
             self.known.note_entries_may_expire();
         }
-        let delay = tokio::time::sleep(self.waits.tell_again_ms().to_duration());
+        let delay = tokio::time::sleep(self.waits.publish_interval_ms().to_duration());
         with_updates(delay, &mut self.known, &mut self.subscriptions).await;
     }
 
@@ -200,9 +200,9 @@
         match &self.role {
             Role::Follower {
                 is_reserve: true, ..
-            } => self.waits.oldest_reserve_ms(),
-            Role::Follower { .. } => self.waits.oldest_told_ms(),
-            Role::Reader { leads: false, .. } => self.waits.oldest_led_ms(),
+            } => self.waits.reserve_max_age_ms(),
+            Role::Follower { .. } => self.waits.follower_max_age_ms(),
+            Role::Reader { leads: false, .. } => self.waits.led_reader_max_age_ms(),
             Role::Reader { leads: true, .. } | Role::Alone => Millis::ZERO,
         }
     }
@@ -238,7 +238,7 @@
         match self.known.own_reads() {
             OwnReads::Doubtful | OwnReads::Failed => MIN_WATCH_MS,
             OwnReads::Good => {
-                let remaining_ms = self.waits.renewal_ms().minus(self.known.age_ms());
+                let remaining_ms = self.waits.refresh_interval_ms().minus(self.known.age_ms());
                 remaining_ms.max(MIN_WATCH_MS)
             }
         }
@@ -269,7 +269,7 @@
     /// receive updates from readers in the meantime.
     fn next_debounce(&mut self) -> Millis {
         // One call fetches all changes of one interval.
-        let full_interval = self.waits.renewal_ms();
+        let full_interval = self.waits.refresh_interval_ms();
         if self.role.is_follower() {
             return full_interval;
         }
@@ -292,7 +292,7 @@
             return;
         }
         let name: &str = (&role).into();
-        let reader_ips: Vec<String> = role.heard().iter().map(ToString::to_string).collect();
+        let reader_ips: Vec<String> = role.readers().iter().map(ToString::to_string).collect();
         log::info!(role = name, readers = reader_ips.join(" "); "role of this node in reading the source");
         self.subscriptions.set_readers(&role.subscriptions());
         self.role = role;
@@ -301,7 +301,7 @@
 
     /// Publishes whether this node is a reader and whether its reads succeed.
     fn update_feed_status(&self) {
-        let status = match (self.role.is_heard(), self.failures) {
+        let status = match (self.role.accepts_subscribers(), self.failures) {
             (false, _) => FeedStatus::Closed,
             (true, 0) => FeedStatus::Open,
             (true, _) => FeedStatus::Unhealthy,
@@ -331,11 +331,11 @@
             log::warn!(known_ms, revision; "reading the source failed: {fault}");
         }
         let longest_ms = match self.role.is_follower() || self.role.is_led() {
-            true => self.waits.followers_pause_ms(),
-            false => self.waits.longest_pause_ms(),
+            true => self.waits.follower_max_backoff_ms(),
+            false => self.waits.max_backoff_ms(),
         };
         let doubled_ms =
-            Millis(self.waits.first_pause_ms().0 << self.failures.min(MAX_PAUSE_DOUBLINGS));
+            Millis(self.waits.initial_backoff_ms().0 << self.failures.min(MAX_PAUSE_DOUBLINGS));
         self.failures += 1;
         self.update_feed_status();
         self.pause(doubled_ms.min(longest_ms)).await;
--- a/crates/edge/src/following/bootstrap.rs
+++ b/crates/edge/src/following/bootstrap.rs
@@ -40,7 +40,7 @@
                 serves_stale_since.get_or_insert(self.known.age_ms());
             }
             match &role {
-                Role::Follower { heard, .. } => self.subscriptions.set_readers(heard),
+                Role::Follower { readers, .. } => self.subscriptions.set_readers(readers),
                 Role::Alone | Role::Reader { .. } if is_listed => return false,
                 Role::Alone | Role::Reader { .. } => {}
             }
@@ -58,8 +58,8 @@
     fn is_bootstrap_timed_out(&self, serves_stale_since: Option<Millis>) -> bool {
         let age_ms = self.known.age_ms();
         match serves_stale_since {
-            Some(since) => age_ms.since(since) >= self.waits.longest_stale_ms(),
-            None => age_ms >= self.waits.longest_idle_ms(),
+            Some(since) => age_ms.since(since) >= self.waits.startup_max_stale_ms(),
+            None => age_ms >= self.waits.unconfigured_max_stale_ms(),
         }
     }
 
--- a/crates/edge/src/following/knowledge.rs
+++ b/crates/edge/src/following/knowledge.rs
@@ -229,7 +229,7 @@
         };
         if last_read_failed {
             // Entries may expire now, as after a failed read of this node.
-            let grace_ms = self.waits.hearsay_hold_ms();
+            let grace_ms = self.waits.relayed_removal_hold_ms();
             self.directory.note_remote_store_failure(grace_ms);
         }
         if self.own_reads == OwnReads::Good && self.is_isolation_likely(&changes) {
--- a/crates/edge/src/following/large_routes.rs
+++ b/crates/edge/src/following/large_routes.rs
@@ -53,7 +53,7 @@
     {
         // All nodes that received the change read the source now, so their reads are
         // spread out.
-        pause_up_to(waits.first_pause_ms()).await;
+        pause_up_to(waits.initial_backoff_ms()).await;
         match source.read_routes(waits.idle_timeout_ms()).await {
             Ok(Some(routes)) => {
                 known = routes.version().max(known);
@@ -66,7 +66,7 @@
             Ok(None) => known = wanted,
             Err(fault) => {
                 log::warn!(wanted; "reading a large configuration failed: {fault}");
-                pause_up_to(waits.longest_pause_ms()).await;
+                pause_up_to(waits.max_backoff_ms()).await;
             }
         }
     }
--- a/crates/edge/src/following/tests/fleet.rs
+++ b/crates/edge/src/following/tests/fleet.rs
@@ -441,7 +441,7 @@
         data_centre: data_centre(*own_ip),
         slots: 4,
         draining: false,
-        listed_at: 1,
-        born_ms: None,
+        listing_order: 1,
+        started_at_ms: None,
     }
 }
--- a/crates/edge/tests/all/bounded_age.rs
+++ b/crates/edge/tests/all/bounded_age.rs
@@ -114,7 +114,7 @@
     let mut rejected = std::pin::pin!(rejected);
     // The target's health was checked just before it began to drain, and is checked again
     // after this interval.
-    let health_interval = Waits::new(support::IN_FORCE_MS).own_health_ms();
+    let health_interval = Waits::new(support::IN_FORCE_MS).own_health_interval_ms();
     let detection_limit = health_interval.to_duration() + LOOKUP_DEADLINE;
     let is_rejected = tokio::time::timeout(detection_limit, &mut rejected)
         .await
