--- a/crates/edge/src/gate.rs
+++ b/crates/edge/src/gate.rs
@@ -1,8 +1,8 @@
-//! The gate: starts calls in this VM's target, one copy of each at most.
+//! The gate: admits calls to this VM's target and runs each attempt at most once.
 
+mod guards;
 mod health;
 mod lives;
-mod places;
 mod records;
 mod request;
 mod run;
@@ -23,38 +23,38 @@
 use crate::source::SharedSource;
 use crate::suspicion::Suspicion;
 use crate::target::TargetClient;
-use places::{InLine, Slot};
-use records::{Fencing, Records};
-pub use request::{CallContent, EventSink, GateEvent, GateRequest, Wanted, WholeCall};
+use guards::{QueueGuard, SlotGuard};
+use records::{FenceResult, Records};
+pub use request::{CallContent, CallGuard, EventSink, GateEvent, GateRequest, WholeCall};
 use run::Run;
 use speed::SpeedProbe;
 
-/// What a gate is put together from.
+/// Everything that [`Gate::new`] needs.
 #[derive(Debug)]
 pub struct GateParts {
     /// Service of the target.
     pub service: ServiceName,
     /// Connections to the target.
     pub target: TargetClient,
-    /// Facts in force.
+    /// Routes and targets in force.
     pub directory: SharedDirectory,
-    /// Names of header fields.
+    /// Header names of the deployment.
     pub dialect: Arc<dyn Dialect>,
-    /// The process's clock.
+    /// Clock of the process.
     pub clock: ProcessClock,
-    /// The target's address.
+    /// Address under which the target is listed.
     pub listed_address: std::net::SocketAddr,
-    /// What is held against requests.
+    /// Requests that are suspected of crashing targets.
     pub suspicion: Arc<Suspicion>,
-    /// Counts and histograms.
+    /// Metrics of this node.
     pub metrics: Arc<Metrics>,
-    /// Where the target's entry is looked up.
+    /// Source from which the gate reads its target's listing.
     pub source: SharedSource,
-    /// How long what may take.
+    /// Intervals and time limits.
     pub waits: Waits,
 }
 
-/// The gate of this VM's target.
+/// Admits calls to this VM's target and runs them.
 #[derive(Debug)]
 pub struct Gate {
     service: ServiceName,
@@ -64,7 +64,8 @@
     dialect: Arc<dyn Dialect>,
     clock: ProcessClock,
     state: Mutex<GateState>,
-    /// A slot came free, or the line or the speed changed.
+    /// Wakes queued calls after a slot was freed, or the queue, the limit or the speed
+    /// changed.
     changed: Notify,
     speed: SpeedProbe,
     suspicion: Arc<Suspicion>,
@@ -76,26 +77,26 @@
 
 #[derive(Debug, Default)]
 struct GateState {
-    /// The calls that run in the target.
+    /// Calls that are running in the target.
     running: Vec<RunningCall>,
     admission: Admission,
     records: Records,
-    /// Lives of the target that it no longer is.
-    ended_lives: VecDeque<TargetIncarnation>,
-    /// The life of the target that was last seen in the list.
-    life: Option<TargetIncarnation>,
+    /// Incarnations of the target that the target itself has said are over.
+    ended_incarnations: VecDeque<TargetIncarnation>,
+    /// Incarnation of the target that was last seen in the list.
+    incarnation: Option<TargetIncarnation>,
 }
 
-/// What a gate needs to know of a call while it runs.
+/// What the gate records about a call while it runs.
 #[derive(Clone, Copy, Debug)]
 struct RunningCall {
     fingerprint: u64,
-    /// How much of it repeats an earlier run.
+    /// Probability in percent that this run repeats an earlier one.
     repeated_percent: u8,
 }
 
 impl Gate {
-    /// A gate in front of the target.
+    /// Creates the gate for a target.
     #[must_use]
     pub fn new(parts: GateParts) -> Self {
         Self {
@@ -116,34 +117,37 @@
         }
     }
 
-    /// Takes in a call; what becomes of it goes to `sink`.
-    pub fn submit(self: &Arc<Self>, request: GateRequest, sink: EventSink) -> Wanted {
-        let (wanted, left) = watch::channel(());
+    /// Accepts a call and reports its events to `sink`. Dropping the returned guard
+    /// cancels the call.
+    pub fn submit(self: &Arc<Self>, request: GateRequest, sink: EventSink) -> CallGuard {
+        let (guard, caller_left) = watch::channel(());
         let gate = Arc::clone(self);
-        tokio::spawn(async move { gate.serve(request, &sink, left).await });
-        Wanted(wanted)
+        tokio::spawn(async move { gate.serve(request, &sink, caller_left).await });
+        CallGuard(guard)
     }
 
-    /// What became of a key? One that has not started never will.
+    /// Reports the outcome of the call with this key to `sink`. A call that has not
+    /// started is fenced: it never will.
     pub fn fence(&self, key: CallKey, sink: EventSink) {
         let now = self.clock.now();
         let sink = Arc::new(sink);
-        let fencing = self.state.lock().records.fence(key, &sink, now);
-        match fencing {
-            Fencing::NeverStarts => sink(GateEvent::Ended(CallEnd::Fenced)),
-            Fencing::Ended(event) => sink(event),
-            Fencing::Running => {}
+        let result = self.state.lock().records.fence(key, &sink, now);
+        match result {
+            FenceResult::NeverStarts => sink(GateEvent::Ended(CallEnd::Fenced)),
+            FenceResult::Ended(event) => sink(event),
+            FenceResult::Running => {}
         }
     }
 
-    /// From now on refuses new work; what runs is finished.
-    pub fn leave(&self) {
+    /// Refuses all new calls from now on. Running calls continue.
+    pub fn stop_admitting(&self) {
         self.state.lock().admission.set_leaving(true);
         self.changed.notify_waiters();
     }
 
-    /// How much of what runs in the target repeats earlier runs, in percent. A call
-    /// that the target makes now is of such a run with this probability.
+    /// Returns the mean share of the running calls that repeats earlier runs, in
+    /// percent. A call that the target makes now belongs to such a run with this
+    /// probability.
     #[must_use]
     pub fn repeated_percent(&self) -> u8 {
         let state = self.state.lock();
@@ -155,14 +159,14 @@
         u8::try_from(mean).unwrap_or(u8::MAX)
     }
 
-    /// Whether nothing waits or runs.
+    /// Whether no call is queued or running.
     #[must_use]
     pub fn is_idle(&self) -> bool {
         let state = self.state.lock();
         state.admission.in_flight() == 0 && state.admission.queued() == 0
     }
 
-    /// Records how many calls run and wait.
+    /// Updates the gauges of running and queued calls.
     pub fn refresh_gauges(&self) {
         let state = self.state.lock();
         self.metrics.gate_levels(&GateLevels {
@@ -170,7 +174,7 @@
             queued: u32::try_from(state.admission.queued()).unwrap_or(u32::MAX),
             limit: state.admission.limit(),
             records: u32::try_from(state.records.len()).unwrap_or(u32::MAX),
-            // Answers are kept with their records only until these are forgotten.
+            // Answers are kept within their records and not counted separately.
             stored_bytes: 0,
         });
     }
@@ -179,7 +183,7 @@
         self: &Arc<Self>,
         request: GateRequest,
         sink: &EventSink,
-        mut left: watch::Receiver<()>,
+        mut caller_left: watch::Receiver<()>,
     ) {
         let GateRequest { terms, content } = request;
         let arrived = self.clock.now();
@@ -192,21 +196,23 @@
             slow_from: arrived + terms.slow_after_ms,
             deadline_at: arrived + terms.deadline_ms,
         };
-        let mut in_line = InLine {
+        let mut queued = QueueGuard {
             gate: self,
-            place: Some(self.enlist(&call)),
+            place: Some(self.enqueue(&call)),
         };
         let admitting = async {
-            let slowness_percent = self.admit(&call, &mut in_line, &terms).await?;
-            let slot = Slot(self);
-            let whole = self.whole_call(content, sink, call.deadline_at).await?;
+            let slowness_percent = self.admit(&call, &mut queued, &terms).await?;
+            let slot = SlotGuard(self);
+            let whole = self
+                .receive_whole_call(content, sink, call.deadline_at)
+                .await?;
             Ok((slowness_percent, slot, whole))
         };
-        // The caller's leaving goes first: a process that was paused wakes with a
-        // call and its withdrawal both in hand, and must not start it.
+        // Checks for cancellation first. A process that was paused may resume with both
+        // a call and its cancellation pending, and must not start the call.
         let admitted = tokio::select! {
             biased;
-            _ = left.changed() => return,
+            _ = caller_left.changed() => return,
             admitted = admitting => admitted,
         };
         let (slowness_percent, slot, whole) = match admitted {
@@ -229,9 +235,9 @@
             started,
         };
         if terms.idempotent {
-            self.run_while_wanted(&run, sink, left).await;
+            self.run_until_cancelled(&run, sink, caller_left).await;
         } else {
-            self.run_to_its_end(&run, sink).await;
+            self.run_to_completion(&run, sink).await;
         }
         drop(slot);
     }
@@ -241,16 +247,16 @@
         sink(GateEvent::Ended(end));
     }
 
-    /// Runs a call that may be repeated; its caller's leaving stops the work.
-    async fn run_while_wanted(
+    /// Runs an idempotent call and cancels it if its caller leaves.
+    async fn run_until_cancelled(
         &self,
         run: &Run<'_>,
         sink: &EventSink,
-        mut left: watch::Receiver<()>,
+        mut caller_left: watch::Receiver<()>,
     ) {
         let event = tokio::select! {
             event = self.run(run) => Some(event),
-            _ = left.changed() => None,
+            _ = caller_left.changed() => None,
         };
         self.note_run(run, event.as_ref());
         if let Some(event) = event {
@@ -258,9 +264,9 @@
         }
     }
 
-    /// Runs a call that may run only once, whoever has left meanwhile, and keeps
-    /// its end for those who ask.
-    async fn run_to_its_end(&self, run: &Run<'_>, sink: &EventSink) {
+    /// Runs a non-idempotent call to completion even if its caller leaves, and records
+    /// its outcome for entries that query it.
+    async fn run_to_completion(&self, run: &Run<'_>, sink: &EventSink) {
         let event = self.run(run).await;
         self.note_run(run, Some(&event));
         let key = run.terms.key;
@@ -271,36 +277,36 @@
         sink(event);
     }
 
-    fn enlist(&self, call: &GateCall) -> QueuePosition {
+    fn enqueue(&self, call: &GateCall) -> QueuePosition {
         let directory = self.directory.load();
         let listed = directory.members.at_address(self.listed_address);
         let mut state = self.state.lock();
         if let Some(member) = listed {
             state.admission.set_slots(member.slots);
-            self.note_life(&mut state, member);
+            self.note_incarnation(&mut state, member);
         }
         state.admission.enqueue(call, self.clock.now())
     }
 
-    /// Waits until the call may start, and starts it. Returns how slow the
-    /// target was.
+    /// Waits until the call may start and takes a slot. Returns the target's slowness
+    /// in percent of its usual run time.
     async fn admit(
         self: &Arc<Self>,
         call: &GateCall,
-        in_line: &mut InLine<'_>,
+        queued: &mut QueueGuard<'_>,
         terms: &CallTerms,
     ) -> Result<u32, CallEnd> {
-        let place = in_line.place.expect("the call was just enlisted");
+        let place = queued.place.expect("the call was just queued");
         loop {
-            if self.takes_no_more(terms) {
+            if self.rejects_new_work(terms) {
                 return Err(CallEnd::Leaving);
             }
             if self.suspicion.is_convicted(terms.fingerprint) {
                 return Err(CallEnd::Convicted);
             }
             let mut changed = std::pin::pin!(self.changed.notified());
-            // Registered before the decision, so that a slot which comes free
-            // in between is not missed.
+            // Registers before the decision, so that a slot freed in between is not
+            // missed.
             changed.as_mut().enable();
             let now = self.clock.now();
             let verdict = self.state.lock().admission.decide(place, call, now);
@@ -308,7 +314,7 @@
                 Verdict::Start if self.departure.lock().health_is_due(now) => {
                     self.read_speed().await;
                 }
-                Verdict::Start => return Ok(self.take_slot(in_line, now)),
+                Verdict::Start => return Ok(self.take_slot(queued, now)),
                 Verdict::Refuse(refused) => return Err(end_of(refused)),
                 Verdict::ReadSpeed => self.read_speed().await,
                 Verdict::Wait(until) => {
@@ -322,52 +328,53 @@
         }
     }
 
-    fn take_slot(&self, in_line: &mut InLine<'_>, now: Millis) -> u32 {
-        in_line.start();
+    fn take_slot(&self, queued: &mut QueueGuard<'_>, now: Millis) -> u32 {
+        queued.start();
         let state = self.state.lock();
         let speed = state.admission.fresh_speed(now);
         speed.map_or(100, |speed| speed.slowness_percent)
     }
 
-    /// Fetches what was kept back of a call.
-    async fn whole_call(
+    /// Returns the call's head and body, and requests them from the entry if they were
+    /// deferred.
+    async fn receive_whole_call(
         &self,
         content: CallContent,
         sink: &EventSink,
         deadline_at: Millis,
     ) -> Result<WholeCall, CallEnd> {
-        let coming = match content {
+        let deferred = match content {
             CallContent::Whole(whole) => return Ok(whole),
-            CallContent::Later(coming) => coming,
+            CallContent::Deferred(deferred) => deferred,
         };
         sink(GateEvent::WantsContent);
         let deadline = self.clock.to_instant(deadline_at);
-        match tokio::time::timeout_at(deadline, coming).await {
+        match tokio::time::timeout_at(deadline, deferred).await {
             Ok(Ok(whole)) => Ok(whole),
-            // The link has ended, or nothing is left of the deadline.
+            // The link was lost, or the deadline has passed.
             Ok(Err(_)) | Err(_) => Err(CallEnd::Late),
         }
     }
 
-    /// Notes that a call which may run only once starts; false when it was
-    /// fenced meanwhile.
+    /// Records the start of a non-idempotent call; returns false if it was fenced in
+    /// the meantime.
     fn record_start(&self, terms: &CallTerms) -> bool {
         let now = self.clock.now();
         let deadline_at = now + terms.deadline_ms;
         self.state.lock().records.start(terms.key, deadline_at, now)
     }
 
-    /// Waits until nothing waits or runs.
+    /// Waits until no call is queued or running.
     pub async fn drained(&self) {
-        /// Runs end without a signal to wait for, so look again soon.
-        const LOOK_AGAIN: Duration = Duration::from_millis(20);
+        /// The end of a run is not signalled to this function, so it polls.
+        const POLL_INTERVAL: Duration = Duration::from_millis(20);
         while !self.is_idle() {
-            tokio::time::sleep(LOOK_AGAIN).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 }
 
-/// The code under which a gate's refusals are counted.
+/// Returns the result code under which a gate's refusal is counted.
 const fn code_of(end: CallEnd) -> ResultCode {
     match end {
         CallEnd::Leaving => ResultCode::Leaving,
--- a/crates/edge/src/gate/places.rs
+++ b/crates/edge/src/gate/guards.rs
@@ -1,26 +1,27 @@
-//! Places that a call holds at a gate: in line, and in the target.
+//! Guards that release a call's slot in the target and its position in the queue.
 
 use hornbeamhitch_dispatch::admission::QueuePosition;
 
 use super::Gate;
 
-/// Frees a slot when a run has ended, in whatever way.
-pub(super) struct Slot<'a>(pub(super) &'a Gate);
+/// Frees the slot of a call when dropped, however its run ended.
+pub(super) struct SlotGuard<'a>(pub(super) &'a Gate);
 
-impl Drop for Slot<'_> {
+impl Drop for SlotGuard<'_> {
     fn drop(&mut self) {
         self.0.state.lock().admission.finish();
         self.0.changed.notify_waiters();
     }
 }
 
-/// Takes a call out of the line when its caller leaves.
-pub(super) struct InLine<'a> {
+/// Removes a call from the queue when dropped, unless the call has started.
+pub(super) struct QueueGuard<'a> {
     pub(super) gate: &'a Gate,
     pub(super) place: Option<QueuePosition>,
 }
 
-impl InLine<'_> {
+impl QueueGuard<'_> {
+    /// Moves the call from the queue to the running calls.
     pub(super) fn start(&mut self) {
         if let Some(place) = self.place.take() {
             self.gate.state.lock().admission.start(place);
@@ -28,7 +29,7 @@
     }
 }
 
-impl Drop for InLine<'_> {
+impl Drop for QueueGuard<'_> {
     fn drop(&mut self) {
         let Some(place) = self.place.take() else {
             return;
--- a/crates/edge/src/gate/records/tests.rs
+++ b/crates/edge/src/gate/records/tests.rs
@@ -22,11 +22,11 @@
     records.end(key, answered());
 }
 
-/// A gate runs a thousand payments a second, and all of a burst expire while it
-/// is quiet. The next payment's caller waits for what the gate does in between:
-/// letting go of the whole burst at once, it would wait milliseconds.
+/// Guards against removing all records of a burst at once. After a burst of a
+/// thousand payments a second and a quiet period, all of them have expired, and the
+/// next payment would wait milliseconds for their removal.
 #[test]
-fn a_burst_that_expired_is_let_go_a_few_at_a_time() {
+fn an_expired_burst_is_removed_a_few_records_at_a_time() {
     let mut records = Records::default();
     for key in 0..5_000 {
         run(&mut records, key, Millis(key as u64 / 5));
@@ -35,38 +35,42 @@
     for key in 5_000..6_000 {
         let before = records.len();
         run(&mut records, key, ALL_EXPIRED);
-        let let_go = before + 1 - records.len();
-        assert!(let_go <= MOST_LET_GO, "{let_go} at once");
+        let removed = before + 1 - records.len();
+        assert!(
+            removed <= MAX_EXPIRED_PER_CALL,
+            "{removed} records removed by one call"
+        );
     }
-    assert_eq!(records.len(), 1_000, "the burst is forgotten");
+    assert_eq!(records.len(), 1_000, "the records of the burst are removed");
 }
 
-/// Each call lets go of more than it adds, so what has expired goes away while
-/// calls come, however their deadlines lie.
+/// Guards against a growing number of expired records. Each call removes more
+/// records than it adds, whatever the order of their deadlines.
 #[test]
-fn what_has_expired_does_not_pile_up() {
+fn expired_records_do_not_accumulate() {
     let mut records = Records::default();
-    let mut most = 0;
+    let mut max_records = 0;
     for key in 0..50_000_u128 {
         let at = Millis(key as u64);
         let deadline = Millis(if key.is_multiple_of(2) { 250 } else { 6_000 });
         assert!(records.start(CallKey(key), at + deadline, at));
         records.end(CallKey(key), answered());
-        most = most.max(records.len());
+        max_records = max_records.max(records.len());
     }
-    // One call in a millisecond: half of them are kept for 5.25 s, half for 11 s.
-    assert!(most <= 8_130, "{most}");
+    // At one call per millisecond, half of the records are kept for 5.25 s and half
+    // for 11 s.
+    assert!(max_records <= 8_130, "{max_records}");
 }
 
 #[test]
-fn a_record_is_kept_until_its_entry_can_no_longer_ask() {
+fn a_record_is_kept_until_its_entry_can_no_longer_query_it() {
     let mut records = Records::default();
     run(&mut records, 1, Millis::ZERO);
-    let last = DEADLINE + KEPT_AFTER_DEADLINE_MS;
+    let last = DEADLINE + RECORD_RETENTION_MS;
     run(&mut records, 2, Millis(last.0 - 1));
     let sink: Arc<EventSink> = Arc::new(Box::new(|_| {}));
-    let fencing = records.fence(CallKey(1), &sink, Millis(last.0 - 1));
-    assert!(matches!(fencing, Fencing::Ended(_)), "{fencing:?}");
+    let result = records.fence(CallKey(1), &sink, Millis(last.0 - 1));
+    assert!(matches!(result, FenceResult::Ended(_)), "{result:?}");
     run(&mut records, 3, last);
     assert_eq!(records.len(), 2);
 }
