--- a/crates/edge/src/feed.rs
+++ b/crates/edge/src/feed.rs
@@ -1,7 +1,7 @@
-//! The change feed: what a node that reads the source tells nodes that do not.
+//! The change feed, by which nodes that read the source publish changes to other nodes.
 //!
-//! A reader's control thread appends to its [`ChangeFeed`]; the link server
-//! answers subscriptions from it. The other side is [`Subscriptions`].
+//! A reader's control thread appends changes to its [`ChangeFeed`], from which the link
+//! server serves subscriptions. [`Subscriptions`] is the subscriber's side.
 
 mod change_log;
 mod links;
@@ -18,34 +18,35 @@
 use crate::source::{Change, Fact};
 use change_log::ChangeLog;
 
-#[cfg(test)]
-pub(crate) use links::{Coming, FeedWords};
 pub(crate) use links::{FeedLinks, TcpFeedLinks};
+#[cfg(test)]
+pub(crate) use links::{FeedStream, LinkFuture};
 pub use subscriptions::{FeedEvent, Subscriptions};
 
 #[cfg(test)]
 mod tests;
 
-/// A larger change is told by its name alone. A reader tells some 48 subscribers: so much
-/// to each is 0.3 s of a line of 10 Mbit/s.
+/// Largest encoded change. For a larger configuration only the version is published. A
+/// reader has about 48 subscribers, so a change of this size takes 0.3 s on a link of 10
+/// Mbit/s.
 ///
-/// Failure answered: readers tell a configuration of thousands of routes, their lines are
-/// full for seconds, and each departure that comes after it waits behind it.
-const MAX_TOLD_BYTES: usize = 8 * 1024;
+/// A configuration of thousands of routes would occupy the readers' links for seconds and
+/// delay the removals of targets that are published after it.
+const MAX_CHANGE_BYTES: usize = 8 * 1024;
 
-/// Whether a node's feed can be subscribed to.
+/// Whether a node's feed accepts subscribers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Standing {
-    /// The node is no reader.
+pub enum FeedStatus {
+    /// The node is neither a reader nor a reserve.
     #[default]
     Closed,
-    /// It reads.
+    /// The node accepts subscribers, and its last read succeeded.
     Open,
-    /// It would read, but its last read failed.
-    Troubled,
+    /// The node accepts subscribers, but its last read failed.
+    Unhealthy,
 }
 
-/// Recent changes, for subscribers.
+/// Recent changes for subscribers.
 #[derive(Debug)]
 pub struct ChangeFeed {
     clock: ProcessClock,
@@ -56,29 +57,30 @@
 
 #[derive(Debug, Default)]
 struct State {
-    standing: Standing,
-    /// Everything up to this revision is known.
+    status: FeedStatus,
+    /// Revision up to which all changes are known.
     revision: u64,
-    /// That was all that the source had published by then.
+    /// Time as of which the known changes are all that the source has published.
     as_of: Millis,
     log: ChangeLog,
 }
 
-/// What is new to one subscriber.
+/// Changes that are new to a subscriber.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct FeedPart {
-    /// Encoded changes in their order.
+pub struct FeedUpdate {
+    /// Encoded changes in the order of their revisions.
     pub changes: Vec<Bytes>,
-    /// Everything up to this revision is known.
+    /// Revision up to which all changes are known.
     pub revision: u64,
-    /// The reader's own last read failed.
-    pub is_troubled: bool,
-    /// So long ago this was all that the source had published.
+    /// Whether the reader's own last read of the source failed.
+    pub last_read_failed: bool,
+    /// Time since the known changes were confirmed to be all that the source has
+    /// published.
     pub age_ms: Millis,
 }
 
 impl ChangeFeed {
-    /// A closed feed of a node that knows nothing.
+    /// Creates a closed feed without changes.
     #[must_use]
     pub fn new(clock: ProcessClock, waits: Waits) -> Self {
         let (changed, _) = watch::channel(());
@@ -90,10 +92,10 @@
         }
     }
 
-    /// Adds changes, after which everything up to `revision` is known.
+    /// Appends changes, after which all changes up to `revision` are known.
     ///
-    /// Subscribers are woken only by what is new. Readers hear each other: woken
-    /// by each word of the other, two of them would answer each other for ever.
+    /// Only a new revision wakes subscribers. Readers subscribe to each other; if every
+    /// update woke them, two readers would exchange updates endlessly.
     pub fn append(&self, changes: &[Change], revision: u64) {
         let mut state = self.state.lock();
         if revision <= state.revision {
@@ -107,81 +109,85 @@
         self.wake();
     }
 
-    /// This node's own read has shown that all is known that was published by then.
+    /// Records that this node's own read confirmed the known state as of `as_of`.
     ///
-    /// Subscribers hear of it at once: told a while later, they would take what they know
-    /// for older than it is, and all of them would read for themselves.
+    /// Subscribers are notified immediately. If they were notified later, they would
+    /// consider their state older than it is and all read the source themselves.
     pub fn renew(&self, as_of: Millis) {
         self.note_as_of(as_of);
         self.wake();
     }
 
-    /// Another node has told so. Subscribers hear of it when they are told again.
+    /// Records that another node confirmed the known state as of `as_of`. Subscribers
+    /// receive it with their next update.
     pub fn note_as_of(&self, as_of: Millis) {
         let mut state = self.state.lock();
         state.as_of = as_of.max(state.as_of);
     }
 
-    /// Opens or closes the feed.
-    pub fn set_standing(&self, standing: Standing) {
+    /// Sets whether the feed accepts subscribers, and wakes them if that changed.
+    pub fn set_status(&self, status: FeedStatus) {
         let mut state = self.state.lock();
-        if state.standing == standing {
+        if state.status == status {
             return;
         }
-        state.standing = standing;
+        state.status = status;
         drop(state);
         self.wake();
     }
 
-    /// What is new to a subscriber who knows everything up to `revision`;
-    /// `None` when this node cannot tell.
+    /// Returns the changes for a subscriber that knows everything up to `revision`, or
+    /// `None` if this node cannot provide them.
     #[must_use]
-    pub fn after(&self, revision: u64) -> Option<FeedPart> {
+    pub fn update_after(&self, revision: u64) -> Option<FeedUpdate> {
         let state = self.state.lock();
-        if state.standing == Standing::Closed {
+        if state.status == FeedStatus::Closed {
             return None;
         }
-        Some(FeedPart {
+        Some(FeedUpdate {
             changes: state.log.after(revision)?,
             revision: state.revision,
-            is_troubled: state.standing == Standing::Troubled,
+            last_read_failed: state.status == FeedStatus::Unhealthy,
             age_ms: self.clock.now().since(state.as_of),
         })
     }
 
-    /// Tells when [`Self::after`] may have something new.
+    /// Returns a receiver that is notified when [`Self::update_after`] may return
+    /// something new.
     #[must_use]
     pub fn subscribe(&self) -> watch::Receiver<()> {
         self.changed.subscribe()
     }
 
-    /// Tells a subscriber who knows everything up to `known` what changes, until nobody
-    /// listens or this node can tell no more.
-    pub(crate) async fn tell(&self, known: u64, subscriber: &UnboundedSender<ToEntry>) {
+    /// Sends updates to a subscriber that knows everything up to `known`. Returns when
+    /// the subscriber is gone or this node can no longer provide updates.
+    pub(crate) async fn serve(&self, known: u64, subscriber: &UnboundedSender<ToEntry>) {
         let mut known = known;
         let mut changed = self.subscribe();
         loop {
             changed.mark_unchanged();
-            let Some(part) = self.after(known) else {
-                // A link that has ended needs no answer.
+            let Some(update) = self.update_after(known) else {
+                // The send fails only if the link has closed, and then no reply is
+                // needed.
                 let _ = subscriber.send(ToEntry::FeedUnavailable);
                 return;
             };
-            known = known.max(part.revision);
-            for change in part.changes {
+            known = known.max(update.revision);
+            for change in update.changes {
                 let _ = subscriber.send(ToEntry::Change(change));
             }
             let progress = ToEntry::Progress {
-                revision: part.revision,
-                last_read_failed: part.is_troubled,
-                age_ms: part.age_ms,
+                revision: update.revision,
+                last_read_failed: update.last_read_failed,
+                age_ms: update.age_ms,
             };
             if subscriber.send(progress).is_err() {
                 return;
             }
-            // Whether the wait ends by a change or by its time makes no difference.
-            let again = self.waits.publish_interval_ms().to_duration();
-            let _ = tokio::time::timeout(again, changed.changed()).await;
+            // An update is sent after a change and after each interval, so the result is
+            // irrelevant.
+            let resend_interval = self.waits.publish_interval_ms().to_duration();
+            let _ = tokio::time::timeout(resend_interval, changed.changed()).await;
         }
     }
 
@@ -195,26 +201,28 @@
         match encode(change) {
             Ok(encoded) => self.log.append(change, encoded),
             Err(error) => {
-                log::error!("a change cannot be written for other nodes: {error}");
-                // Nobody may be told that everything is known without it.
-                self.log.lose(change.revision);
+                log::error!("a change cannot be encoded for subscribers: {error}");
+                // Subscribers must not consider this revision known, as they lack the
+                // change.
+                self.log.note_lost(change.revision);
             }
         }
     }
 }
 
-/// What subscribers are told of a change.
+/// Encodes a change for subscribers. A configuration that is too large is replaced by its
+/// version.
 fn encode(change: &Change) -> postcard::Result<Bytes> {
     let encoded = postcard::to_stdvec(change)?;
     let Fact::Routes(routes) = &change.fact else {
         return Ok(encoded.into());
     };
-    if encoded.len() <= MAX_TOLD_BYTES {
+    if encoded.len() <= MAX_CHANGE_BYTES {
         return Ok(encoded.into());
     }
-    let named = Change {
+    let reference = Change {
         revision: change.revision,
         fact: Fact::LargeRoutes(routes.version()),
     };
-    postcard::to_stdvec(&named).map(Bytes::from)
+    postcard::to_stdvec(&reference).map(Bytes::from)
 }
--- a/crates/edge/src/following.rs
+++ b/crates/edge/src/following.rs
@@ -1,5 +1,6 @@
-//! Follows the platform's facts for as long as the process lives, on the control
-//! thread: reads the source, or hears nodes that do.
+//! Keeps this node's directory in sync with the platform, on the control thread and for
+//! as long as the process runs. A node either reads the source itself or subscribes to
+//! nodes that do.
 
 mod bootstrap;
 mod hearing;
@@ -15,40 +16,41 @@
 use rand::RngExt;
 
 use crate::directory::DirectoryWriter;
-use crate::feed::{ChangeFeed, FeedLinks, Standing, Subscriptions, TcpFeedLinks};
+use crate::feed::{ChangeFeed, FeedLinks, FeedStatus, Subscriptions, TcpFeedLinks};
 use crate::prelude::*;
 use crate::source::{SharedSource, SourceFault};
-use hearing::{while_hearing, with_expiry};
-use knowledge::{Knowledge, OwnReads};
-use large_routes::LargeRoutes;
+use hearing::{with_expiry, with_updates};
+use knowledge::{KnownState, OwnReads};
+use large_routes::LargeRoutesReader;
 
 #[cfg(test)]
 mod tests;
 
-/// A watch that is to be answered at once.
-const AT_ONCE_MS: Millis = Millis(1);
-/// The first gathering of a node that has just started; each further one takes twice as
-/// long, up to the usual. VMs that start together do so within some tenths of a second.
-const FIRST_GATHER_MS: Millis = Millis(200);
-/// Doublings after which no more are counted.
-const MOST_GATHERINGS: u32 = 10;
-/// The same of pauses after failed reads.
-const MOST_DOUBLINGS: u32 = 4;
+/// Timeout of a watch that the source has to answer immediately.
+const MIN_WATCH_MS: Millis = Millis(1);
+/// Debounce interval after the first changes that a node receives. It doubles with each
+/// further batch, up to the usual interval. VMs that start together register within a few
+/// tenths of a second of each other.
+const FIRST_DEBOUNCE_MS: Millis = Millis(200);
+/// Number of doublings after which the debounce interval is no longer doubled.
+const MAX_DEBOUNCE_DOUBLINGS: u32 = 10;
+/// Number of failed reads in a row after which the pause is no longer doubled.
+const MAX_PAUSE_DOUBLINGS: u32 = 4;
 
-/// What following needs to know of its node.
+/// Settings of [`follow`].
 #[derive(Clone, Debug)]
 pub struct FollowSettings {
-    /// This VM's address.
+    /// Address of this VM.
     pub own_ip: IpAddr,
-    /// Where it stands.
+    /// Data centre of this VM.
     pub data_centre: DataCentre,
-    /// Where the gates of all VMs listen.
+    /// Port on which the gates of all VMs listen.
     pub gate_port: u16,
-    /// Within this a change must be in force.
+    /// Time within which a change must be in force on every node.
     pub in_force_ms: Millis,
 }
 
-/// Follows a source; never returns.
+/// Follows a source and never returns.
 pub async fn follow(
     source: SharedSource,
     directory: DirectoryWriter,
@@ -61,7 +63,7 @@
     follow_over(Arc::new(links), source, directory, feed, settings).await;
 }
 
-/// The same over links of any kind.
+/// Like [`follow`], over any kind of links to other nodes.
 async fn follow_over(
     links: Arc<dyn FeedLinks>,
     source: SharedSource,
@@ -72,51 +74,52 @@
     let waits = Waits::new(settings.in_force_ms);
     let clock = directory.clock();
     let subscriptions = Subscriptions::new(links, waits, clock);
-    let large_routes = LargeRoutes::start(Arc::clone(&source), waits, subscriptions.beside());
-    let mut following = Following {
+    let large_routes =
+        LargeRoutesReader::start(Arc::clone(&source), waits, subscriptions.event_sender());
+    let mut sync = DirectorySync {
         source,
-        knowledge: Knowledge::new(directory, feed, large_routes, settings.own_ip, waits),
+        known: KnownState::new(directory, feed, large_routes, settings.own_ip, waits),
         subscriptions,
         waits,
         role: Role::Alone,
         settings,
         failures: 0,
-        gatherings: 0,
+        debounces: 0,
     };
-    let is_told = following.bootstrap().await;
-    log::info!(is_told; "bootstrap complete");
-    if !is_told {
-        following.read_all().await;
+    let is_synced = sync.bootstrap().await;
+    log::info!(is_told = is_synced; "bootstrap complete");
+    if !is_synced {
+        sync.read_all().await;
     }
     loop {
-        following.keep_up().await;
-        following.read_all().await;
+        sync.follow_changes().await;
+        sync.read_all().await;
     }
 }
 
-struct Following {
+struct DirectorySync {
     source: SharedSource,
     waits: Waits,
-    knowledge: Knowledge,
+    known: KnownState,
     subscriptions: Subscriptions,
     role: Role,
     settings: FollowSettings,
-    /// Reads that failed in a row.
+    /// Consecutive failed reads.
     failures: u32,
-    /// Times that this node gathered changes since its start.
-    gatherings: u32,
+    /// Debounced batches since this node started, up to [`MAX_DEBOUNCE_DOUBLINGS`].
+    debounces: u32,
 }
 
-impl Following {
-    /// Reads everything, as often as it takes.
+impl DirectorySync {
+    /// Reads the complete listing, retrying until a read succeeds.
     async fn read_all(&mut self) {
         loop {
             match self.source.read_all(self.waits.idle_timeout_ms()).await {
                 Ok(listing) => {
                     let age_ms = listing.age_ms;
                     self.note_success();
-                    self.knowledge.replace(listing);
-                    self.knowledge.renew(age_ms);
+                    self.known.apply_listing(listing);
+                    self.known.renew(age_ms);
                     return;
                 }
                 Err(fault) => self.pause_after(&fault).await,
@@ -124,14 +127,15 @@
         }
     }
 
-    /// Follows changes until everything has to be read anew.
-    async fn keep_up(&mut self) {
+    /// Applies changes until a gap requires the complete listing to be read again.
+    async fn follow_changes(&mut self) {
         loop {
-            self.settle_role();
-            if self.is_told() {
-                self.hear().await;
-                if !self.is_told() && self.role.is_follower() {
-                    // Not in step with all others who heard the same readers.
+            self.update_role();
+            if self.is_fed_by_readers() {
+                self.apply_next_update().await;
+                if !self.is_fed_by_readers() && self.role.is_follower() {
+                    // A random delay keeps the subscribers of the same readers from
+                    // reading all at once.
                     self.pause(self.waits.lost_readers_delay_ms()).await;
                 }
                 continue;
@@ -141,13 +145,13 @@
                 continue;
             }
             match self.watch().await {
-                Ok(()) if self.knowledge.take_held() => {
-                    log::info!("the source is reached; what had lapsed meanwhile is read anew");
+                Ok(()) if self.known.take_deferred_removals() => {
+                    log::info!("the source is reachable again; reading the complete listing");
                     return;
                 }
                 Ok(()) => {}
                 Err(SourceFault::HistoryGone) => {
-                    log::info!("the source dropped its history; everything is read anew");
+                    log::info!("the source dropped its history; reading the complete listing");
                     return;
                 }
                 Err(fault) => self.pause_after(&fault).await,
@@ -155,43 +159,44 @@
         }
     }
 
-    /// Whether this node is told enough to leave reading to others.
+    /// Whether updates from readers are current enough that this node need not read the
+    /// source.
     ///
-    /// One sound reader is enough: its loss, or its silence, shows by the age of what is
-    /// known here. Asking for two, a fleet of which a third is turned away by the source
-    /// makes a call of each node at each change.
-    fn is_told(&self) -> bool {
-        self.subscriptions.sound() > 0
-            && self.knowledge.own_reads() == OwnReads::Good
-            && self.knowledge.age_ms() < self.oldest_told_ms()
+    /// One healthy reader is sufficient: if it fails or falls silent, the age of the
+    /// known state shows it. If two were required and the source rejected a third of a
+    /// fleet, every node would call the source at each change.
+    fn is_fed_by_readers(&self) -> bool {
+        self.subscriptions.healthy_readers() > 0
+            && self.known.own_reads() == OwnReads::Good
+            && self.known.age_ms() < self.max_age_ms()
     }
 
-    /// Whether probing a source that all subscribed readers report as unreachable is left
-    /// to these readers and to the reserves.
+    /// Whether only readers and reserves probe the source while all subscribed readers
+    /// report it as unreachable.
     ///
     /// Readers publish as soon as one of them reaches the source. Reserves cover a source
-    /// that rejects only the readers. Probed by every node, a source that recovers would
+    /// that rejects only the readers. If every node probed, a source that recovers would
     /// receive hundreds of calls a second.
     fn defers_probing(&self) -> bool {
         self.role.is_follower()
             && !self.role.is_reserve()
             && self.subscriptions.all_unhealthy()
-            && self.knowledge.own_reads() == OwnReads::Good
-            && self.knowledge.age_ms() < self.waits.max_outage_ms()
+            && self.known.own_reads() == OwnReads::Good
+            && self.known.age_ms() < self.waits.max_outage_ms()
     }
 
     /// Applies what unhealthy readers publish until one of them recovers.
     async fn await_recovery(&mut self) {
-        if self.knowledge.age_ms() >= self.oldest_told_ms() {
+        if self.known.age_ms() >= self.max_age_ms() {
             // Entries may expire during an outage although their targets are alive.
-            self.knowledge.note_trouble();
+            self.known.note_entries_may_expire();
         }
-        let hearing = tokio::time::sleep(self.waits.publish_interval_ms().to_duration());
-        while_hearing(hearing, &mut self.knowledge, &mut self.subscriptions).await;
+        let delay = tokio::time::sleep(self.waits.publish_interval_ms().to_duration());
+        with_updates(delay, &mut self.known, &mut self.subscriptions).await;
     }
 
-    /// Age of what is known at which this node asks the source itself.
-    fn oldest_told_ms(&self) -> Millis {
+    /// Age of the known state from which on this node reads the source itself.
+    fn max_age_ms(&self) -> Millis {
         match &self.role {
             Role::Follower {
                 is_reserve: true, ..
@@ -202,146 +207,148 @@
         }
     }
 
-    /// Watches the source once and takes what came.
+    /// Watches the source once and applies the changes that it returns.
     async fn watch(&mut self) -> Result<(), SourceFault> {
-        let (after, wait_ms) = (self.knowledge.revision(), self.watch_wait_ms());
-        let watching = self
+        let (after, wait_ms) = (self.known.revision(), self.watch_wait_ms());
+        let changes = self
             .source
             .watch(after, wait_ms, self.waits.idle_timeout_ms());
-        let batch = while_hearing(watching, &mut self.knowledge, &mut self.subscriptions).await?;
+        let batch = with_updates(changes, &mut self.known, &mut self.subscriptions).await?;
         self.note_success();
-        let gathers = !batch.changes.is_empty() && !self.knowledge.has_held();
-        self.knowledge.take(batch.changes, batch.revision);
-        self.knowledge.renew(batch.age_ms);
-        if gathers {
-            // Whoever learns of its readers subscribes while it gathers. After it,
-            // each node of a fleet that starts would fetch the next change itself.
-            self.settle_role();
-            let gathering = tokio::time::sleep(self.next_gathering().to_duration());
-            while_hearing(gathering, &mut self.knowledge, &mut self.subscriptions).await;
+        let has_new_changes = !batch.changes.is_empty() && !self.known.has_deferred_removals();
+        self.known.apply_new(batch.changes, batch.revision);
+        self.known.renew(batch.age_ms);
+        if has_new_changes {
+            // Subscribes before the debounce interval if the changes reveal this node's
+            // readers. Otherwise each node of a starting fleet would fetch the next
+            // change itself after it.
+            self.update_role();
+            let debounce = tokio::time::sleep(self.next_debounce().to_duration());
+            with_updates(debounce, &mut self.known, &mut self.subscriptions).await;
         }
         Ok(())
     }
 
-    /// How long the next watch waits: until what is known has to be renewed.
+    /// Timeout of the next watch: the time until the known state has to be renewed.
     ///
-    /// After changes were gathered, this is what is left of the time. A watch of the
-    /// whole time, lost, would hide for both together what changed meanwhile.
+    /// After a debounce interval this is the remainder of the time. If a watch of the
+    /// full time were lost, changes would stay unknown for the debounce interval and the
+    /// watch together.
     fn watch_wait_ms(&self) -> Millis {
-        match self.knowledge.own_reads() {
-            OwnReads::Doubtful | OwnReads::Failed => AT_ONCE_MS,
+        match self.known.own_reads() {
+            OwnReads::Doubtful | OwnReads::Failed => MIN_WATCH_MS,
             OwnReads::Good => {
-                let left_ms = self
-                    .waits
-                    .refresh_interval_ms()
-                    .minus(self.knowledge.age_ms());
-                left_ms.max(AT_ONCE_MS)
+                let remaining_ms = self.waits.refresh_interval_ms().minus(self.known.age_ms());
+                remaining_ms.max(MIN_WATCH_MS)
             }
         }
     }
 
-    /// Takes what a reader tells next, or nothing when what is known grows too old.
-    async fn hear(&mut self) {
-        let left_ms = self.oldest_told_ms().minus(self.knowledge.age_ms());
-        let next = tokio::time::timeout(left_ms.to_duration(), self.subscriptions.next());
-        match with_expiry(next, &mut self.knowledge).await {
-            Ok(event) => self.knowledge.hear(event),
+    /// Applies the next event from a reader, or returns when the known state becomes too
+    /// old.
+    async fn apply_next_update(&mut self) {
+        let remaining_ms = self.max_age_ms().minus(self.known.age_ms());
+        let next = tokio::time::timeout(remaining_ms.to_duration(), self.subscriptions.next());
+        match with_expiry(next, &mut self.known).await {
+            Ok(event) => self.known.apply_event(event),
             Err(_) => {
-                let known_ms = self.knowledge.age_ms().0;
-                log::info!(known_ms; "what readers tell is too old");
+                let known_ms = self.known.age_ms().0;
+                log::info!(known_ms; "updates from readers are too old");
             }
         }
-        self.subscriptions.note_known(self.knowledge.revision());
+        self.subscriptions.set_known_revision(self.known.revision());
     }
 
-    /// How long to gather changes now.
+    /// Returns the debounce interval for the changes that were just received.
     ///
-    /// Failure answered: all VMs lose power and come back. A node that is among the
-    /// first reads a list on which most targets are still those of before, and new ones
-    /// are added tenths of a second later. With a whole gathering at once it went on for
-    /// more than a second to refuse callers for want of targets, though all were there.
-    /// A node that hears readers learns of them meanwhile.
-    fn next_gathering(&mut self) -> Millis {
-        // Changes that come close together are fetched by one call.
-        let usual = self.waits.refresh_interval_ms();
+    /// The interval starts short: when all VMs restart after a power loss, the first
+    /// nodes read a listing that mostly names targets from before the outage, and new
+    /// targets register tenths of a second later. With the full interval from the start,
+    /// these nodes rejected callers for more than a second for lack of targets although
+    /// all targets were running. Followers always use the full interval because they
+    /// receive updates from readers in the meantime.
+    fn next_debounce(&mut self) -> Millis {
+        // One call fetches all changes of one interval.
+        let full_interval = self.waits.refresh_interval_ms();
         if self.role.is_follower() {
-            return usual;
+            return full_interval;
         }
-        let rising = Millis(FIRST_GATHER_MS.0 << self.gatherings);
-        self.gatherings = (self.gatherings + 1).min(MOST_GATHERINGS);
-        rising.min(usual)
+        let doubled = Millis(FIRST_DEBOUNCE_MS.0 << self.debounces);
+        self.debounces = (self.debounces + 1).min(MAX_DEBOUNCE_DOUBLINGS);
+        doubled.min(full_interval)
     }
 
-    /// Draws the consequences of the targets that are known now.
-    fn settle_role(&mut self) {
-        self.subscriptions.note_known(self.knowledge.revision());
-        if !self.knowledge.take_members_changed() {
+    /// Updates the role, subscriptions and feed status after the set of targets has
+    /// changed.
+    fn update_role(&mut self) {
+        self.subscriptions.set_known_revision(self.known.revision());
+        if !self.known.take_members_changed() {
             return;
         }
         let settings = &self.settings;
-        let members = self.knowledge.members();
+        let members = self.known.members();
         let role = readers::role(&members, settings.own_ip, &settings.data_centre);
         if role == self.role {
             return;
         }
         let name: &str = (&role).into();
-        let heard: Vec<String> = role.readers().iter().map(ToString::to_string).collect();
-        log::info!(role = name, readers = heard.join(" "); "this node's part in reading the source");
-        self.subscriptions.keep_to(&role.subscriptions());
+        let reader_ips: Vec<String> = role.readers().iter().map(ToString::to_string).collect();
+        log::info!(role = name, readers = reader_ips.join(" "); "role of this node in reading the source");
+        self.subscriptions.set_readers(&role.subscriptions());
         self.role = role;
-        self.settle_standing();
+        self.update_feed_status();
     }
 
-    /// Tells subscribers whether this node reads.
-    fn settle_standing(&self) {
-        let standing = match (self.role.accepts_subscribers(), self.failures) {
-            (false, _) => Standing::Closed,
-            (true, 0) => Standing::Open,
-            (true, _) => Standing::Troubled,
+    /// Publishes whether this node is a reader and whether its reads succeed.
+    fn update_feed_status(&self) {
+        let status = match (self.role.accepts_subscribers(), self.failures) {
+            (false, _) => FeedStatus::Closed,
+            (true, 0) => FeedStatus::Open,
+            (true, _) => FeedStatus::Unhealthy,
         };
-        self.knowledge.feed().set_standing(standing);
+        self.known.feed().set_status(status);
     }
 
     fn note_success(&mut self) {
-        self.knowledge.note_good_read();
+        self.known.note_good_read();
         if self.failures == 0 {
             return;
         }
         log::info!(
-            "the source answers again after {} failed reads",
+            "the source responds again after {} failed reads",
             self.failures
         );
         self.failures = 0;
-        self.settle_standing();
+        self.update_feed_status();
     }
 
-    /// Waits longer after each failure, and never in step with other nodes.
+    /// Pauses after a failed read, with exponential backoff and jitter.
     async fn pause_after(&mut self, fault: &SourceFault) {
-        self.knowledge.note_failed_read();
+        self.known.note_failed_read();
         if self.failures == 0 {
-            let known_ms = self.knowledge.age_ms().0;
-            let revision = self.knowledge.revision();
-            log::warn!(known_ms, revision; "the source is lost: {fault}");
+            let known_ms = self.known.age_ms().0;
+            let revision = self.known.revision();
+            log::warn!(known_ms, revision; "reading the source failed: {fault}");
         }
         let longest_ms = match self.role.is_follower() || self.role.is_led() {
             true => self.waits.follower_max_backoff_ms(),
             false => self.waits.max_backoff_ms(),
         };
         let doubled_ms =
-            Millis(self.waits.initial_backoff_ms().0 << self.failures.min(MOST_DOUBLINGS));
+            Millis(self.waits.initial_backoff_ms().0 << self.failures.min(MAX_PAUSE_DOUBLINGS));
         self.failures += 1;
-        self.settle_standing();
+        self.update_feed_status();
         self.pause(doubled_ms.min(longest_ms)).await;
     }
 
-    /// Waits for half of a span or more, drawn at random.
-    async fn pause(&mut self, most: Millis) {
-        let pausing = tokio::time::sleep(jittered(most));
-        while_hearing(pausing, &mut self.knowledge, &mut self.subscriptions).await;
+    /// Pauses for a random time between half of `max_ms` and `max_ms`.
+    async fn pause(&mut self, max_ms: Millis) {
+        let delay = tokio::time::sleep(jittered(max_ms));
+        with_updates(delay, &mut self.known, &mut self.subscriptions).await;
     }
 }
 
-/// Half of a span or more, drawn at random.
-fn jittered(most: Millis) -> Duration {
-    Millis(rand::rng().random_range(most.0 / 2..=most.0)).to_duration()
+/// Returns a random duration between half of `max_ms` and `max_ms`.
+fn jittered(max_ms: Millis) -> Duration {
+    Millis(rand::rng().random_range(max_ms.0 / 2..=max_ms.0)).to_duration()
 }
--- a/crates/edge/src/following/large_routes.rs
+++ b/crates/edge/src/following/large_routes.rs
@@ -1,4 +1,4 @@
-//! Reads configurations that are too large to be told from node to node.
+//! Reads configurations that are too large for the change feed.
 
 use hornbeamhitch_dispatch::waits::Waits;
 use rand::RngExt;
@@ -8,28 +8,28 @@
 use crate::prelude::*;
 use crate::source::SharedSource;
 
-/// Reads the configuration when one is known to be there, beside everything else: it may
-/// take a second of a thin line, and departures are heard meanwhile.
+/// Reads a large configuration in a task of its own. A read may take a second on a slow
+/// link, and the node applies removals of targets in the meantime.
 #[derive(Debug)]
-pub(super) struct LargeRoutes {
-    /// The newest version that is known to be there.
+pub(super) struct LargeRoutesReader {
+    /// Newest version that has been requested.
     wanted: watch::Sender<u64>,
 }
 
-impl LargeRoutes {
-    /// Reads what is wanted from now on, and puts it in beside what readers tell.
+impl LargeRoutesReader {
+    /// Starts the task. It sends each configuration that it reads to `events`.
     pub(super) fn start(
         source: SharedSource,
         waits: Waits,
-        read: mpsc::UnboundedSender<FeedEvent>,
+        events: mpsc::UnboundedSender<FeedEvent>,
     ) -> Self {
-        let (wanted, wants) = watch::channel(0);
-        tokio::spawn(read_wanted(source, waits, wants, read));
+        let (wanted, wanted_versions) = watch::channel(0);
+        tokio::spawn(read_wanted(source, waits, wanted_versions, events));
         Self { wanted }
     }
 
-    /// A configuration of this version is there.
-    pub(super) fn want(&self, version: u64) {
+    /// Requests a configuration of at least this version.
+    pub(super) fn request(&self, version: u64) {
         self.wanted.send_if_modified(|wanted| {
             let is_newer = version > *wanted;
             *wanted = version.max(*wanted);
@@ -41,33 +41,38 @@
 async fn read_wanted(
     source: SharedSource,
     waits: Waits,
-    mut wants: watch::Receiver<u64>,
-    read: mpsc::UnboundedSender<FeedEvent>,
+    mut wanted_versions: watch::Receiver<u64>,
+    events: mpsc::UnboundedSender<FeedEvent>,
 ) {
     let mut known = 0;
-    // The sender lives as long as the node follows its source.
-    while let Ok(wanted) = wants.wait_for(|wanted| *wanted > known).await.map(|at| *at) {
-        // All who were told turn to the source in this moment.
+    // The sender is dropped when the node stops following its source.
+    while let Ok(wanted) = wanted_versions
+        .wait_for(|wanted| *wanted > known)
+        .await
+        .map(|at| *at)
+    {
+        // All nodes that received the change read the source now, so their reads are
+        // spread out.
         pause_up_to(waits.initial_backoff_ms()).await;
         match source.read_routes(waits.idle_timeout_ms()).await {
             Ok(Some(routes)) => {
                 known = routes.version().max(known);
-                log::info!(version = routes.version(), wanted; "a large configuration is read");
-                if read.send(FeedEvent::Read(routes)).is_err() {
+                log::info!(version = routes.version(), wanted; "read a large configuration");
+                if events.send(FeedEvent::RoutesRead(routes)).is_err() {
                     return;
                 }
             }
-            // Another one will be told of; this cannot be used.
+            // This configuration cannot be used, so the task waits for the next version.
             Ok(None) => known = wanted,
             Err(fault) => {
-                log::warn!(wanted; "a large configuration cannot be read: {fault}");
+                log::warn!(wanted; "reading a large configuration failed: {fault}");
                 pause_up_to(waits.max_backoff_ms()).await;
             }
         }
     }
 }
 
-async fn pause_up_to(most: Millis) {
-    let pause = Millis(rand::rng().random_range(0..=most.0));
+async fn pause_up_to(max_ms: Millis) {
+    let pause = Millis(rand::rng().random_range(0..=max_ms.0));
     tokio::time::sleep(pause.to_duration()).await;
 }
--- a/crates/edge/src/link/client.rs
+++ b/crates/edge/src/link/client.rs
@@ -226,7 +226,7 @@
             unresponsive: AtomicBool::new(false),
             request_sent: tokio::sync::Notify::new(),
         });
-        let (known, updates) = suspicion.follow();
+        let (known, updates) = suspicion.subscribe();
         for notice in known {
             link.push(ToGate::Suspect(notice));
         }
@@ -353,7 +353,7 @@
     fn handle(&self, frame: ToEntry) {
         match frame {
             ToEntry::Hello { .. } | ToEntry::Pong => {}
-            ToEntry::Suspect(notice) => self.suspicion.hear(&notice),
+            ToEntry::Suspect(notice) => self.suspicion.merge_notice(&notice),
             ToEntry::WantsFacts => {
                 if let Some(encoded) = self.directory.load().to_facts() {
                     self.push(ToGate::Facts(encoded));
--- a/crates/edge/tests/all/support/source.rs
+++ b/crates/edge/tests/all/support/source.rs
@@ -1,4 +1,4 @@
-//! A source of facts that counts who reads it.
+//! A source of published facts that counts its reads and injects faults.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -6,31 +6,31 @@
 use std::time::Duration;
 
 use hornbeamhitch_edge::prelude::*;
-use hornbeamhitch_edge::source::{Change, Changes, Fact, Listing, Reading, Source, SourceFault};
+use hornbeamhitch_edge::source::{Change, Changes, Fact, Listing, ReadFuture, Source, SourceFault};
 use parking_lot::Mutex;
 use tokio::sync::watch;
 use tokio::time::Instant;
 
-/// How the source treats one reader.
+/// How the source treats the calls of one node.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Mood {
+pub enum SourceMode {
     /// It answers.
     #[default]
-    Calm,
-    /// It never answers, nor fails.
+    Normal,
+    /// It neither answers nor fails.
     Silent,
-    /// It fails at once.
+    /// It fails immediately.
     Failing,
-    /// It loses the calls that it has in hand and those that it takes, and answers
-    /// none of them, also later.
-    Losing,
-    /// It loses watches, and answers everything else.
-    LosingWatches,
-    /// Calls hang, and nobody gives them up: their node does not get to it.
+    /// It never answers the calls in progress and those that it accepts, not even in a
+    /// later mode.
+    DroppingCalls,
+    /// It drops watches, and answers all other calls.
+    DroppingWatches,
+    /// Calls hang, and their node does not time them out.
     Hanging,
 }
 
-/// What is published, to be shared by nodes.
+/// The published state, shared by nodes.
 #[derive(Clone, Debug)]
 pub struct Published {
     state: Arc<Mutex<State>>,
@@ -40,11 +40,11 @@
 #[derive(Debug, Default)]
 struct State {
     revision: u64,
-    /// Watches from before this revision are told that the history is gone.
-    forgotten: u64,
+    /// Watches from before this revision fail because the history is gone.
+    dropped_to: u64,
     history: Vec<Change>,
-    /// Every change there was, and when.
-    written: Vec<(Instant, Fact)>,
+    /// All changes with their times.
+    log: Vec<(Instant, Fact)>,
     members: BTreeMap<TargetId, Member>,
     routes: Option<RouteSet>,
 }
@@ -74,21 +74,21 @@
         self.changed.send_replace(());
     }
 
-    /// Drops the history: watches from before are told so.
-    pub fn forget(&self) {
+    /// Drops the history, so that watches from before fail.
+    pub fn drop_history(&self) {
         let mut state = self.state.lock();
-        state.forgotten = state.revision;
+        state.dropped_to = state.revision;
         state.history.clear();
     }
 
-    /// Publishes changes that no watch sees, as the history is dropped.
-    pub fn put_unseen(&self, facts: Vec<Fact>) {
+    /// Publishes changes that no watch sees because the history is dropped.
+    pub fn put_and_drop_history(&self, facts: Vec<Fact>) {
         let mut state = self.state.lock();
         for fact in facts {
             state.put(fact);
         }
         drop(state);
-        self.forget();
+        self.drop_history();
         self.changed.send_replace(());
     }
 
@@ -96,14 +96,14 @@
         self.put(version_fact(version));
     }
 
-    /// One node's way to it.
+    /// Returns a source by which one node reads the published state.
     pub fn source(&self) -> TestSource {
         TestSource {
             published: self.clone(),
-            mood: watch::channel(Mood::Calm).0.into(),
+            mode: watch::channel(SourceMode::Normal).0.into(),
             calls: Arc::default(),
             last_wait_ms: Arc::default(),
-            reads_of_routes: Arc::default(),
+            route_reads: Arc::default(),
             listings: Arc::default(),
             stale_reads: Arc::default(),
             replica_lag: Arc::new(Mutex::new(REPLICA_LAG)),
@@ -113,19 +113,19 @@
 
 pub fn version_fact(version: u64) -> Fact {
     let mut routes = RouteSet::new(version, CallerLimits::default());
-    // Targets of services that the configuration does not name are no targets.
+    // Targets are ignored if the configuration does not name their service.
     routes.set_health_path(ServiceName::new("s"), "/health");
     Fact::Routes(routes)
 }
 
-/// A replica of the source is so far behind, where a test says nothing else.
+/// Default lag of the source's replica.
 const REPLICA_LAG: Duration = Duration::from_secs(1);
 
 impl State {
-    /// What a replica that is behind knows.
+    /// Returns the listing of a replica with this lag.
     fn stale_listing(&self, lag: Duration) -> Listing {
         let mut replica = Self::default();
-        for (at, fact) in &self.written {
+        for (at, fact) in &self.log {
             if at.elapsed() >= lag {
                 replica.put(fact.clone());
             }
@@ -145,46 +145,46 @@
     fn put(&mut self, fact: Fact) {
         match &fact {
             Fact::Routes(routes) => self.routes = Some(routes.clone()),
-            Fact::LargeRoutes(_) => panic!("only nodes tell each other so"),
+            Fact::LargeRoutes(_) => panic!("the platform publishes no such change"),
             Fact::Listed(member) => {
                 self.members.insert(member.id.clone(), member.clone());
             }
-            Fact::Left(id) => {
+            Fact::Removed(id) => {
                 self.members.remove(id);
             }
         }
-        self.written.push((Instant::now(), fact.clone()));
+        self.log.push((Instant::now(), fact.clone()));
         self.revision += 1;
         let revision = self.revision;
         self.history.push(Change { revision, fact });
     }
 }
 
-/// One node's way to what is published.
+/// The source by which one node reads the published state.
 #[derive(Clone, Debug)]
 pub struct TestSource {
     published: Published,
-    mood: Arc<watch::Sender<Mood>>,
+    mode: Arc<watch::Sender<SourceMode>>,
     calls: Arc<AtomicU64>,
-    /// How long the last watch was to wait.
+    /// Timeout of the last watch.
     last_wait_ms: Arc<AtomicU64>,
-    reads_of_routes: Arc<AtomicU64>,
+    route_reads: Arc<AtomicU64>,
     listings: Arc<AtomicU64>,
     stale_reads: Arc<AtomicU64>,
     replica_lag: Arc<Mutex<Duration>>,
 }
 
 impl TestSource {
-    pub fn set_mood(&self, mood: Mood) {
-        self.mood.send_if_modified(|known| {
-            let is_new = *known != mood;
-            *known = mood;
+    pub fn set_mode(&self, mode: SourceMode) {
+        self.mode.send_if_modified(|known| {
+            let is_new = *known != mode;
+            *known = mode;
             is_new
         });
     }
 
-    /// How far its replica is behind.
-    #[allow(dead_code, reason = "tests with sockets take the usual lag")]
+    /// Sets the lag of the source's replica.
+    #[allow(dead_code, reason = "tests with sockets use the default lag")]
     pub fn set_replica_lag(&self, lag: Duration) {
         *self.replica_lag.lock() = lag;
     }
@@ -193,75 +193,74 @@
         self.calls.load(Ordering::Relaxed)
     }
 
-    /// How often everything was read.
+    /// Number of reads of the complete listing.
     pub fn listings(&self) -> u64 {
         self.listings.load(Ordering::Relaxed)
     }
 
-    /// How often everything was read from a replica; [`Self::calls`] leaves these out.
-    #[allow(dead_code, reason = "tests with sockets count whole calls alone")]
+    /// Number of reads from a replica, which [`Self::calls`] does not include.
+    #[allow(dead_code, reason = "tests with sockets count only current reads")]
     pub fn stale_reads(&self) -> u64 {
         self.stale_reads.load(Ordering::Relaxed)
     }
 
-    /// How often the configuration alone was read.
-    pub fn reads_of_routes(&self) -> u64 {
-        self.reads_of_routes.load(Ordering::Relaxed)
+    /// Number of reads of only the configuration.
+    pub fn route_reads(&self) -> u64 {
+        self.route_reads.load(Ordering::Relaxed)
     }
 
     pub fn last_wait_ms(&self) -> Millis {
         Millis(self.last_wait_ms.load(Ordering::Relaxed))
     }
 
-    /// Ends at once unless the source is silent.
-    async fn answers(&self) -> Result<(), SourceFault> {
-        let mut mood = self.mood.subscribe();
-        let speaks = mood.wait_for(|mood| *mood != Mood::Silent).await;
-        match *speaks.expect("this struct holds a sender") {
-            Mood::Failing => Err(SourceFault::Failed("refused".to_owned())),
+    /// Returns immediately unless the source is silent.
+    async fn until_responsive(&self) -> Result<(), SourceFault> {
+        let mut mode = self.mode.subscribe();
+        let answering = mode.wait_for(|mode| *mode != SourceMode::Silent).await;
+        match *answering.expect("this struct holds a sender") {
+            SourceMode::Failing => Err(SourceFault::Failed("refused".to_owned())),
             _ => Ok(()),
         }
     }
 
-    /// Ends when the source loses a call that it has in hand.
-    async fn lost(&self, is_watch: bool) {
-        let mut mood = self.mood.subscribe();
-        let loses = |mood: &Mood| match mood {
-            Mood::Losing | Mood::Hanging => true,
-            Mood::LosingWatches => is_watch,
-            Mood::Calm | Mood::Silent | Mood::Failing => false,
+    /// Returns when the source drops a call in progress.
+    async fn until_call_dropped(&self, is_watch: bool) {
+        let mut mode = self.mode.subscribe();
+        let drops = |mode: &SourceMode| match mode {
+            SourceMode::DroppingCalls | SourceMode::Hanging => true,
+            SourceMode::DroppingWatches => is_watch,
+            SourceMode::Normal | SourceMode::Silent | SourceMode::Failing => false,
         };
-        let lost = mood.wait_for(loses).await;
-        drop(lost.expect("this struct holds a sender"));
+        let dropped = mode.wait_for(drops).await;
+        drop(dropped.expect("this struct holds a sender"));
     }
 
-    /// Counts a call, and makes of it what a client does: lost, it ends with a fault once
-    /// it should long have been answered.
-    async fn unless_lost<T>(
+    /// Counts a call, and runs it like a client: a dropped call fails after its timeout.
+    async fn run_call<T>(
         &self,
         count: &AtomicU64,
         is_watch: bool,
-        limit_ms: Millis,
-        answered: impl Future<Output = Result<T, SourceFault>>,
+        timeout_ms: Millis,
+        response: impl Future<Output = Result<T, SourceFault>>,
     ) -> Result<T, SourceFault> {
         count.fetch_add(1, Ordering::Relaxed);
         let started = tokio::time::Instant::now();
         tokio::select! {
             biased;
-            () = self.lost(is_watch) => {
-                tokio::time::sleep_until(started + limit_ms.to_duration()).await;
-                let mut mood = self.mood.subscribe();
-                let given_up = mood.wait_for(|mood| *mood != Mood::Hanging).await;
-                drop(given_up.expect("this struct holds a sender"));
+            () = self.until_call_dropped(is_watch) => {
+                tokio::time::sleep_until(started + timeout_ms.to_duration()).await;
+                let mut mode = self.mode.subscribe();
+                let released = mode.wait_for(|mode| *mode != SourceMode::Hanging).await;
+                drop(released.expect("this struct holds a sender"));
                 Err(SourceFault::Failed("no answer in time".to_owned()))
             }
-            answered = answered => answered,
+            response = response => response,
         }
     }
 
     fn after(&self, revision: u64) -> Result<Changes, SourceFault> {
         let state = self.published.state.lock();
-        if revision < state.forgotten {
+        if revision < state.dropped_to {
             return Err(SourceFault::HistoryGone);
         }
         let new = state
@@ -277,42 +276,47 @@
 }
 
 impl Source for TestSource {
-    fn read_all(&self, silence_ms: Millis) -> Reading<'_, Listing> {
+    fn read_all(&self, idle_timeout_ms: Millis) -> ReadFuture<'_, Listing> {
         self.listings.fetch_add(1, Ordering::Relaxed);
-        Box::pin(self.unless_lost(&self.calls, false, silence_ms, async {
-            self.answers().await?;
+        Box::pin(self.run_call(&self.calls, false, idle_timeout_ms, async {
+            self.until_responsive().await?;
             Ok(self.published.state.lock().listing())
         }))
     }
 
-    fn read_stale(&self, silence_ms: Millis) -> Reading<'_, Listing> {
+    fn read_stale(&self, idle_timeout_ms: Millis) -> ReadFuture<'_, Listing> {
         Box::pin(
-            self.unless_lost(&self.stale_reads, false, silence_ms, async {
-                self.answers().await?;
+            self.run_call(&self.stale_reads, false, idle_timeout_ms, async {
+                self.until_responsive().await?;
                 let lag = *self.replica_lag.lock();
                 Ok(self.published.state.lock().stale_listing(lag))
             }),
         )
     }
 
-    fn watch(&self, after: u64, wait_ms: Millis, silence_ms: Millis) -> Reading<'_, Changes> {
+    fn watch(
+        &self,
+        after: u64,
+        wait_ms: Millis,
+        idle_timeout_ms: Millis,
+    ) -> ReadFuture<'_, Changes> {
         self.last_wait_ms.store(wait_ms.0, Ordering::Relaxed);
         Box::pin(
-            self.unless_lost(&self.calls, true, wait_ms + silence_ms, async move {
-                self.answers().await?;
+            self.run_call(&self.calls, true, wait_ms + idle_timeout_ms, async move {
+                self.until_responsive().await?;
                 let mut changed = self.published.changed.subscribe();
-                let mut mood = self.mood.subscribe();
+                let mut mode = self.mode.subscribe();
                 let waiting = async {
                     loop {
                         changed.mark_unchanged();
-                        self.answers().await?;
+                        self.until_responsive().await?;
                         let changes = self.after(after)?;
                         if !changes.changes.is_empty() {
                             return Ok(changes);
                         }
                         tokio::select! {
                             _ = changed.changed() => {}
-                            _ = mood.changed() => {}
+                            _ = mode.changed() => {}
                         }
                     }
                 };
@@ -325,18 +329,18 @@
     fn read_target<'a>(
         &'a self,
         id: &'a TargetId,
-        silence_ms: Millis,
-    ) -> Reading<'a, Option<Member>> {
-        Box::pin(self.unless_lost(&self.calls, false, silence_ms, async {
-            self.answers().await?;
+        idle_timeout_ms: Millis,
+    ) -> ReadFuture<'a, Option<Member>> {
+        Box::pin(self.run_call(&self.calls, false, idle_timeout_ms, async {
+            self.until_responsive().await?;
             Ok(self.published.state.lock().members.get(id).cloned())
         }))
     }
 
-    fn read_routes(&self, silence_ms: Millis) -> Reading<'_, Option<RouteSet>> {
-        self.reads_of_routes.fetch_add(1, Ordering::Relaxed);
-        Box::pin(self.unless_lost(&self.calls, false, silence_ms, async {
-            self.answers().await?;
+    fn read_routes(&self, idle_timeout_ms: Millis) -> ReadFuture<'_, Option<RouteSet>> {
+        self.route_reads.fetch_add(1, Ordering::Relaxed);
+        Box::pin(self.run_call(&self.calls, false, idle_timeout_ms, async {
+            self.until_responsive().await?;
             Ok(self.published.state.lock().routes.clone())
         }))
     }
