--- a/crates/edge/src/following.rs
+++ b/crates/edge/src/following.rs
@@ -3,9 +3,9 @@
 //! nodes that do.
 
 mod bootstrap;
-mod hearing;
 mod knowledge;
 mod large_routes;
+mod updates;
 
 use std::net::IpAddr;
 use std::sync::Arc;
@@ -19,9 +19,9 @@
 use crate::feed::{ChangeFeed, FeedLinks, FeedStatus, Subscriptions, TcpFeedLinks};
 use crate::prelude::*;
 use crate::source::{SharedSource, SourceFault};
-use hearing::{with_expiry, with_updates};
 use knowledge::{KnownState, OwnReads};
 use large_routes::LargeRoutesReader;
+use updates::{with_expiry, with_updates};
 
 #[cfg(test)]
 mod tests;
--- a/crates/edge/src/following/tests.rs
+++ b/crates/edge/src/following/tests.rs
@@ -97,24 +97,25 @@
                 let start_ms = 5_000 + step * 90;
                 // A long fault lets the pauses after failed reads reach their maximum.
                 let duration_ms = if step % 2 == 0 { 1_700 } else { 5_000 };
-                let first_at = FaultWindow {
+                let first_fault = FaultWindow {
                     fault: first,
                     start_ms,
                     duration_ms,
                 };
-                let second_at = FaultWindow {
+                let second_fault = FaultWindow {
                     fault: second,
                     start_ms: start_ms + duration_ms - 1_700 + step * 290,
                     duration_ms: 900,
                 };
-                pairs.push(vec![first_at, second_at]);
+                pairs.push(vec![first_fault, second_fault]);
             }
         }
     }
     run_all(&pairs);
 }
 
-/// The second fault starts from 1.7 s before to 0.9 s after the end of the first one.
+/// Number of start times of the second fault, from 1.7 s before to 0.9 s after the end of
+/// the first one.
 const SECOND_FAULT_STEPS: u64 = 10;
 
 /// Combines three overlapping faults of up to two seconds each. The cases are random, but
