--- a/tests/all/at_most_once.rs
+++ b/tests/all/at_most_once.rs
@@ -56,7 +56,7 @@
 /// Time of a run behind which others wait.
 const LONG_RUN_US: u64 = 1_500_000;
 /// A deadline that a test lets pass.
-const SHORT_MS: u64 = 500;
+const SHORT_DEADLINE_MS: u64 = 500;
 
 fn cashiers(count: usize) -> Vec<Member> {
     let mut members = Vec::new();
@@ -125,11 +125,11 @@
 /// Fails when an answer denies a run that may have been, or claims one.
 fn assert_uncertain(answer: &WholeAnswer) {
     let certainty = certainty_of(answer);
-    let is_honest = matches!(
+    let is_uncertain = matches!(
         certainty,
         Certainty::Unknown | Certainty::NotYet | Certainty::TicketDead
     );
-    assert!(is_honest, "{:?} is {certainty:?}", code_of(answer));
+    assert!(is_uncertain, "{:?} is {certainty:?}", code_of(answer));
 }
 
 /// Fails unless an answer is the stored one of the payment's run.
--- a/tests/all/at_most_once/callers.rs
+++ b/tests/all/at_most_once/callers.rs
@@ -13,7 +13,7 @@
 /// not the whole body, so nothing runs; the caller sends the whole payment
 /// again through another entry, as it is told to, and that runs once.
 #[tokio::test]
-async fn a_caller_cut_within_its_upload_has_run_nothing() -> Result<()> {
+async fn a_connection_lost_during_the_upload_runs_nothing() -> Result<()> {
     let deployment = deployment(3).await?;
     let payment = payment(&deployment, Call::charge("cut-upload")).await?;
     let entries = other_entries(&deployment, &payment);
@@ -51,7 +51,7 @@
 /// slot, so before the run. The gate has it whole and keeps it; the resend
 /// through another entry joins the waiting call instead of adding a second.
 #[tokio::test]
-async fn a_caller_cut_before_the_run_joins_its_own_waiting_call() -> Result<()> {
+async fn a_resend_before_the_run_joins_the_queued_call() -> Result<()> {
     let deployment = Deployment::start(ONE_SLOT_TEXT, cashiers(3)).await?;
     let holder = payment_at(&deployment, "cashier-3", long_charge("holder")).await?;
     let held = payment_at(&deployment, "cashier-3", Call::charge("held")).await?;
@@ -76,7 +76,7 @@
 /// The caller's connection breaks while the target runs its payment. The run
 /// goes on; the resend through another entry joins it and gets its answer.
 #[tokio::test]
-async fn a_caller_cut_during_the_run_joins_it() -> Result<()> {
+async fn a_resend_during_the_run_joins_it() -> Result<()> {
     let deployment = deployment(3).await?;
     let payment = payment(&deployment, slow_charge("cut-run")).await?;
     let entries = other_entries(&deployment, &payment);
@@ -96,7 +96,7 @@
 /// The caller's connection breaks after the run, while the target holds its
 /// answer back. The record waits for that answer, and the resend gets it.
 #[tokio::test]
-async fn a_caller_cut_after_the_run_gets_the_answer_of_that_run() -> Result<()> {
+async fn a_resend_after_the_run_gets_its_answer() -> Result<()> {
     let deployment = deployment(3).await?;
     let call = Call::charge("cut-answer").with("standin-delay-ms", 300);
     let payment = payment(&deployment, call).await?;
@@ -115,7 +115,7 @@
 /// three entries. One send starts the run, the others join it or replay it,
 /// and all get the same bytes.
 #[tokio::test]
-async fn ten_sends_at_once_are_one_run_with_one_answer() -> Result<()> {
+async fn ten_concurrent_sends_cause_one_run_with_one_answer() -> Result<()> {
     let deployment = deployment(3).await?;
     let call = Call::charge("ten").with("standin-service-us", 100_000);
     let payment = payment(&deployment, call).await?;
@@ -137,7 +137,7 @@
 /// with the first one's answer would be wrong, running would be a second run:
 /// it is refused, during the first run and after it.
 #[tokio::test]
-async fn another_body_under_a_used_ticket_is_refused() -> Result<()> {
+async fn another_body_under_a_used_ticket_is_rejected() -> Result<()> {
     let deployment = deployment(3).await?;
     let payment = payment(&deployment, slow_charge("reused")).await?;
     let mut other = payment.clone();
--- a/tests/all/at_most_once/kills.rs
+++ b/tests/all/at_most_once/kills.rs
@@ -13,7 +13,7 @@
 /// The entry is killed during the run, so the caller's connection breaks. The
 /// gate runs on; another entry finds the same record by the same ticket.
 #[tokio::test]
-async fn a_killed_entry_costs_no_second_run() -> Result<()> {
+async fn a_killed_entry_causes_no_second_run() -> Result<()> {
     let mut deployment = deployment(3).await?;
     let payment = payment(&deployment, slow_charge("entry-killed")).await?;
     let entries = other_entries(&deployment, &payment);
@@ -32,13 +32,13 @@
 /// sent. A new life on the same address knows no records and so must never run
 /// an old life's ticket: the ticket is dead, and a new one runs once.
 #[tokio::test]
-async fn a_gate_killed_before_the_run_leaves_a_dead_ticket() -> Result<()> {
+async fn a_gate_killed_before_the_run_invalidates_the_ticket() -> Result<()> {
     let mut deployment = deployment(3).await?;
     let payment = payment(&deployment, Call::charge("killed-before")).await?;
     let gate = payment.gate().to_owned();
     let entry = deployment.entry(&other_entries(&deployment, &payment)[0]);
     deployment.fleet.kill(&gate)?;
-    let answer = payment.within_ms(SHORT_MS).send(entry).await?;
+    let answer = payment.within_ms(SHORT_DEADLINE_MS).send(entry).await?;
     assert_uncertain(&answer);
 
     deployment.fleet.restart(&gate)?;
@@ -99,7 +99,7 @@
     assert_eq!(code_of(&answer), Some(ResultCode::Answered));
 
     deployment.fleet.kill(&gate)?;
-    assert_uncertain(&payment.within_ms(SHORT_MS).send(entry).await?);
+    assert_uncertain(&payment.within_ms(SHORT_DEADLINE_MS).send(entry).await?);
     deployment.fleet.restart(&gate)?;
     deployment.fleet.wait_ready(&gate).await?;
     for vm in deployment.fleet.names() {
@@ -113,7 +113,7 @@
 /// is not known, so every resend, through any entry, before and after the
 /// return, is told the same "unknown", and nothing runs again.
 #[tokio::test]
-async fn a_target_that_crashes_during_the_run_breaks_it_for_good() -> Result<()> {
+async fn a_target_crash_during_the_run_makes_the_outcome_unknown() -> Result<()> {
     let deployment = deployment(3).await?;
     let payment = payment(&deployment, slow_charge("target-crash")).await?;
     let entries = other_entries(&deployment, &payment);
@@ -149,7 +149,7 @@
 /// may take a new ticket on the strength of it, so the old one must stay dead
 /// when the target is back.
 #[tokio::test]
-async fn a_payment_refused_by_a_dead_target_never_runs_later() -> Result<()> {
+async fn a_payment_rejected_because_the_target_is_down_never_runs_later() -> Result<()> {
     let deployment = deployment(2).await?;
     let entry = deployment.entry("cashier-1");
     let target = deployment.target("cashier-2");
@@ -183,10 +183,10 @@
 /// one. It writes tickets for the old life and sends them to the new, which
 /// refuses them: its own records cannot know what the old life ran.
 #[tokio::test]
-async fn a_new_life_on_the_same_address_runs_no_ticket_of_the_old() -> Result<()> {
+async fn a_new_incarnation_at_the_same_address_runs_no_old_ticket() -> Result<()> {
     let mut deployment = deployment(2).await?;
     let far = FarEntry::start(TEXT, &deployment, &["cashier-2"]).await?;
-    far.hear_gates().await?;
+    far.wait_for_gate_reports().await?;
     let payment = Payment::ticketed(far.addr(), Call::charge("old-life")).await?;
     assert_eq!(payment.gate(), "cashier-2");
     deployment.fleet.restart("cashier-2")?;
--- a/tests/all/at_most_once/partitions.rs
+++ b/tests/all/at_most_once/partitions.rs
@@ -12,7 +12,7 @@
 /// was given away. Neither makes the payment run at a gate that the ticket does
 /// not name; an entry with the right list runs it once.
 #[tokio::test]
-async fn entries_with_stale_vm_lists_run_nothing_elsewhere() -> Result<()> {
+async fn entries_with_stale_vm_lists_run_nothing_at_other_gates() -> Result<()> {
     let deployment = deployment(2).await?;
     let payment = payment_at(&deployment, "cashier-2", Call::charge("lists")).await?;
     let listed = deployment.fleet.vm_entries();
@@ -21,20 +21,20 @@
         peer: first.peer,
         ..second
     };
-    let (lacking, mistaken) = tokio::try_join!(
+    let (without_gate, with_wrong_address) = tokio::try_join!(
         FarEntry::with_list(TEXT, vec![first]),
         FarEntry::with_list(TEXT, vec![moved]),
     )?;
 
-    let answer = payment.send(lacking.addr()).await?;
+    let answer = payment.send(without_gate.addr()).await?;
     assert_eq!(code_of(&answer), Some(ResultCode::GateGone));
-    let answer = payment.send(mistaken.addr()).await?;
+    let answer = payment.send(with_wrong_address.addr()).await?;
     assert_eq!(code_of(&answer), Some(ResultCode::WrongGate));
     assert_eq!(payment.runs(&deployment).len(), 0);
 
     let answer = payment.send(deployment.entry("cashier-1")).await?;
     assert_eq!(code_of(&answer), Some(ResultCode::Answered));
-    let answer = payment.send(mistaken.addr()).await?;
+    let answer = payment.send(with_wrong_address.addr()).await?;
     assert_eq!(certainty_of(&answer), Certainty::TicketDead);
     assert_ran_once(&deployment, &payment);
     Ok(())
@@ -50,7 +50,10 @@
     let payment = payment_at(&deployment, "cashier-2", Call::charge("lost")).await?;
     let relay = far.relay("cashier-2");
     relay.hold_answers(true);
-    let answer = payment.within_ms(SHORT_MS).send(far.addr()).await?;
+    let answer = payment
+        .within_ms(SHORT_DEADLINE_MS)
+        .send(far.addr())
+        .await?;
     assert_eq!(code_of(&answer), Some(ResultCode::GateLost));
     payment.wait_ended(&deployment).await?;
 
@@ -65,7 +68,7 @@
 /// can be had. The entry asks the gate, which lets it join the run: the caller
 /// notices nothing, and nothing runs twice.
 #[tokio::test]
-async fn a_stream_cut_during_the_run_is_taken_up_again() -> Result<()> {
+async fn a_connection_lost_during_the_run_is_recovered() -> Result<()> {
     let deployment = deployment(2).await?;
     let far = FarEntry::start(TEXT, &deployment, &["cashier-2"]).await?;
     let payment = payment_at(&deployment, "cashier-2", slow_charge("stream-cut")).await?;
@@ -93,7 +96,10 @@
     relay.refuse(true);
     relay.cut();
     assert_eq!(code_of(&first.await??), Some(ResultCode::GateLost));
-    let answer = payment.within_ms(SHORT_MS).send(far.addr()).await?;
+    let answer = payment
+        .within_ms(SHORT_DEADLINE_MS)
+        .send(far.addr())
+        .await?;
     assert_uncertain(&answer);
 
     relay.refuse(false);
@@ -108,7 +114,7 @@
 /// key and fences it, so "not run" is told. Then the late packets arrive, whole
 /// and within the deadline, and the fence stops them.
 #[tokio::test]
-async fn a_payment_that_comes_late_is_stopped_by_the_fence() -> Result<()> {
+async fn a_late_payment_is_rejected_by_the_fence() -> Result<()> {
     let deployment = deployment(2).await?;
     let far = FarEntry::start(TEXT, &deployment, &["cashier-2"]).await?;
     let payment = payment_at(&deployment, "cashier-2", Call::charge("late-packet")).await?;
@@ -116,15 +122,15 @@
     let relay = far.relay("cashier-2");
     relay.hold_requests(true);
     let first = payment.begin(far.addr());
-    let kept = |_: &Deployment| relay.keeps(&payment.call.body);
+    let kept = |_: &Deployment| relay.holds(&payment.call.body);
     deployment
         .wait_until("the payment is underway", kept)
         .await?;
-    relay.strand();
+    relay.reset_entry_side();
     let answer = first.await??;
     assert_eq!(code_of(&answer), Some(ResultCode::Fenced));
 
-    relay.deliver_stranded();
+    relay.deliver_held();
     let fenced = format!("\"code\":{}", ResultCode::Fenced.number());
     let refused = |_: &Deployment| relay.has_answered_late(fenced.as_bytes());
     deployment
@@ -138,24 +144,24 @@
 /// entry from asking: the caller is told "unknown", and no fence was raised.
 /// The deadline itself, in the gate's own clock, keeps it from starting.
 #[tokio::test]
-async fn a_payment_that_comes_after_its_deadline_is_not_started() -> Result<()> {
+async fn a_payment_that_arrives_after_its_deadline_is_not_started() -> Result<()> {
     let deployment = deployment(2).await?;
     let far = FarEntry::start(TEXT, &deployment, &["cashier-2"]).await?;
-    far.hear_gates().await?;
+    far.wait_for_gate_reports().await?;
     let payment = payment_at(&deployment, "cashier-2", Call::charge("too-late")).await?;
     let relay = far.relay("cashier-2");
     relay.hold_requests(true);
-    let first = payment.within_ms(SHORT_MS).begin(far.addr());
-    let kept = |_: &Deployment| relay.keeps(&payment.call.body);
+    let first = payment.within_ms(SHORT_DEADLINE_MS).begin(far.addr());
+    let kept = |_: &Deployment| relay.holds(&payment.call.body);
     deployment
         .wait_until("the payment is underway", kept)
         .await?;
     relay.refuse(true);
-    relay.strand();
+    relay.reset_entry_side();
     let answer = first.await??;
     assert_eq!(code_of(&answer), Some(ResultCode::GateLost));
 
-    relay.deliver_stranded();
+    relay.deliver_held();
     let late = format!("\"code\":{}", ResultCode::DeadlineTooShort.number());
     let refused = |_: &Deployment| relay.has_answered_late(late.as_bytes());
     deployment
--- a/tests/all/at_most_once/pauses.rs
+++ b/tests/all/at_most_once/pauses.rs
@@ -13,7 +13,7 @@
 /// clock, whether or not the withdrawal behind the request has come. Later calls
 /// on the same connections prove that the old request has been read by then.
 #[tokio::test]
-async fn a_gate_that_wakes_late_starts_nothing_that_was_given_up() -> Result<()> {
+async fn a_gate_that_resumes_late_starts_no_abandoned_call() -> Result<()> {
     let mut deployment = deployment(2).await?;
     let entry = deployment.entry("cashier-1");
     // From the answer the entry knows the gate's clock.
@@ -22,7 +22,7 @@
     assert_eq!(certainty_of(&answer), Certainty::Answered);
     let late = payment_at(&deployment, "cashier-2", Call::charge("late")).await?;
     pause(&mut deployment, "cashier-2").await?;
-    let answer = late.within_ms(SHORT_MS).send(entry).await?;
+    let answer = late.within_ms(SHORT_DEADLINE_MS).send(entry).await?;
     deployment.fleet.resume("cashier-2")?;
     assert_eq!(code_of(&answer), Some(ResultCode::GateLost));
 
@@ -50,7 +50,7 @@
 /// On waking a slot is free, but the deadline is checked at the start itself:
 /// the payment is refused and fenced, and "not run" stays true ever after.
 #[tokio::test]
-async fn a_gate_that_wakes_late_starts_nothing_past_its_deadline() -> Result<()> {
+async fn a_gate_that_resumes_late_starts_nothing_past_its_deadline() -> Result<()> {
     let mut deployment = Deployment::start(ONE_SLOT_TEXT, cashiers(2)).await?;
     let holder = payment_at(&deployment, "cashier-2", long_charge("holder")).await?;
     let held = payment_at(&deployment, "cashier-2", Call::charge("held")).await?;
@@ -86,7 +86,7 @@
 /// hears nothing and sends again through another entry, which joins the run;
 /// the first entry wakes and passes the same answer on.
 #[tokio::test]
-async fn an_entry_paused_during_the_run_costs_no_second_run() -> Result<()> {
+async fn an_entry_paused_during_the_run_causes_no_second_run() -> Result<()> {
     let mut deployment = deployment(3).await?;
     let payment = payment(&deployment, slow_charge("entry-paused")).await?;
     let entries = other_entries(&deployment, &payment);
@@ -106,7 +106,7 @@
 /// entry wakes, still believing that the payment is new, and sends it on; the
 /// gate's record answers for it.
 #[tokio::test]
-async fn an_entry_that_wakes_with_a_done_payment_runs_it_no_more() -> Result<()> {
+async fn an_entry_that_resumes_with_a_finished_payment_does_not_rerun_it() -> Result<()> {
     let mut deployment = deployment(3).await?;
     let payment = payment(&deployment, Call::charge("entry-late")).await?;
     let entries = other_entries(&deployment, &payment);
--- a/tests/all/at_most_once/records.rs
+++ b/tests/all/at_most_once/records.rs
@@ -10,7 +10,7 @@
 /// forgotten payment could run again: so it answers "not yet" and runs nothing.
 /// When there is room, the same ticket runs, once.
 #[tokio::test]
-async fn full_records_refuse_rather_than_forget() -> Result<()> {
+async fn full_records_reject_payments_instead_of_evicting() -> Result<()> {
     let roomy = TEXT.replace("\"connections\"", "\"max_records\": 100, \"connections\"");
     let tight = TEXT.replace("\"connections\"", "\"max_records\": 2, \"connections\"");
     let deployment = Deployment::start(&tight, cashiers(2)).await?;
@@ -48,7 +48,7 @@
 /// A payment ran, its ticket expired, and its record was forgotten. A late
 /// duplicate of it must not look like a new payment: the ticket is dead.
 #[tokio::test]
-async fn a_duplicate_after_the_record_was_forgotten_runs_nothing() -> Result<()> {
+async fn a_duplicate_after_the_record_expired_runs_nothing() -> Result<()> {
     let brief = TEXT.replace(
         "\"connections\"",
         "\"ticket_ttl_ms\": 3000, \"connections\"",
@@ -72,7 +72,7 @@
 /// resend of the very same payment is not read whole, so its gate cannot tell
 /// whether it is the one that ran: it must not be told "not run".
 #[tokio::test]
-async fn a_payment_that_ran_is_not_denied_for_its_size() -> Result<()> {
+async fn an_executed_payment_is_not_reported_as_not_run_for_its_size() -> Result<()> {
     let large = TEXT.replace(
         "\"connections\"",
         "\"max_request_bytes\": 2000, \"connections\"",
--- a/tests/all/command_line.rs
+++ b/tests/all/command_line.rs
@@ -47,7 +47,7 @@
 }
 
 /// Runs `status` or `where` with a time limit that a busy machine keeps.
-fn ask(arguments: &[&str]) -> Run {
+fn run_with_long_timeout(arguments: &[&str]) -> Run {
     run(&[arguments, &["--timeout-ms", "30000"]].concat())
 }
 
@@ -168,7 +168,7 @@
 }
 
 #[test]
-fn an_unknown_service_is_a_wrong_argument() {
+fn an_unknown_service_is_a_usage_error() {
     let run = run(&["explain", BANGKOK, "casheer"]);
     assert_eq!(run.exit, USAGE);
     assert!(run.err.contains("did you mean \"cashier\"?"), "{}", run.err);
@@ -333,7 +333,7 @@
         "age_ms": 5_000,
     });
     let node = FakeNode::answering(&refusing);
-    let run = ask(&["status", "--node", &node.address()]);
+    let run = run_with_long_timeout(&["status", "--node", &node.address()]);
     assert_eq!(run.exit, OK, "{}", run.err);
     assert_snapshot!("status", run.out);
 }
@@ -342,7 +342,7 @@
 fn a_status_passes_through_json_unchanged() {
     let sent = status("vm-9", 12, "live");
     let node = FakeNode::answering(&sent);
-    let shown = ask(&["status", "--json", "--node", &node.address()]);
+    let shown = run_with_long_timeout(&["status", "--json", "--node", &node.address()]);
     assert_eq!(shown.exit, OK, "{}", shown.err);
     assert_eq!(shown.json()["nodes"][0]["status"], sent);
 }
@@ -415,7 +415,7 @@
 }
 
 #[test]
-fn nodes_are_asked_side_by_side() {
+fn nodes_are_queried_concurrently() {
     // Neither node answers before both were asked. Asked one after the other,
     // the first would stay silent until its time limit.
     let status_of = |vm| status(vm, 12, "live");
@@ -445,7 +445,7 @@
         "-n",
         &other.address(),
     ];
-    let shown = ask(&arguments);
+    let shown = run_with_long_timeout(&arguments);
     assert_eq!(shown.exit, OK, "{}", shown.err);
     assert_snapshot!("where_agree", shown.out);
 }
@@ -454,26 +454,26 @@
 fn where_names_the_targets_that_nodes_see_differently() {
     let one = FakeNode::answering(&status("vm-8", 12, "live"));
     let other = FakeNode::answering(&status("vm-9", 12, "leaving"));
-    let mut blind = status("vm-7", 12, "live");
-    blind["services"][0]["targets"] = json!([]);
-    let blind = FakeNode::answering(&blind);
-    let nodes = [one.address(), other.address(), blind.address()];
+    let mut without_targets = status("vm-7", 12, "live");
+    without_targets["services"][0]["targets"] = json!([]);
+    let without_targets = FakeNode::answering(&without_targets);
+    let nodes = [one.address(), other.address(), without_targets.address()];
     let arguments = [
         "where", "ledger", "-n", &nodes[0], "-n", &nodes[1], "-n", &nodes[2],
     ];
-    let shown = ask(&arguments);
+    let shown = run_with_long_timeout(&arguments);
     assert_eq!(shown.exit, FOUND);
     assert_snapshot!("where_disagree", shown.out);
 
-    let as_json = ask(&[&arguments[..], &["--json"]].concat()).json();
+    let as_json = run_with_long_timeout(&[&arguments[..], &["--json"]].concat()).json();
     assert_eq!(as_json["agree"], false);
     assert_eq!(as_json["disagreements"][1]["target"], "vm-2");
 }
 
 #[test]
-fn a_service_that_no_node_holds_is_found_wrong() {
+fn a_service_unknown_to_all_nodes_is_reported() {
     let node = FakeNode::answering(&status("vm-8", 12, "live"));
-    let shown = ask(&["where", "layouts", "-n", &node.address()]);
+    let shown = run_with_long_timeout(&["where", "layouts", "-n", &node.address()]);
     assert_eq!(shown.exit, FOUND);
     assert_eq!(
         shown.out,
@@ -481,7 +481,10 @@
     );
 
     let closed = FakeNode::closed();
-    assert_eq!(ask(&["where", "layouts", "-n", &closed]).exit, UNREACHABLE);
+    assert_eq!(
+        run_with_long_timeout(&["where", "layouts", "-n", &closed]).exit,
+        UNREACHABLE
+    );
 }
 
 #[test]
--- a/tests/all/command_line/real_nodes.rs
+++ b/tests/all/command_line/real_nodes.rs
@@ -2,7 +2,7 @@
 
 use eyre::Result;
 
-use super::{FOUND, OK, UNREACHABLE, ask, run};
+use super::{FOUND, OK, UNREACHABLE, run, run_with_long_timeout};
 use crate::support::{CASHIER_TEXT, Deployment, Member};
 
 fn members() -> Vec<Member> {
@@ -32,11 +32,11 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn running_nodes_are_asked_for_their_status_and_targets() -> Result<()> {
+async fn status_and_targets_of_running_nodes_are_shown() -> Result<()> {
     let deployment = Deployment::start(CASHIER_TEXT, members()).await?;
     let nodes = node_arguments(&deployment)?;
 
-    let status = ask(&with(&["status"], &nodes));
+    let status = run_with_long_timeout(&with(&["status"], &nodes));
     assert_eq!(status.exit, OK, "{}{}", status.out, status.err);
     for vm in ["cashier-1", "cashier-2"] {
         let line = format!("\n{vm}  cashier");
@@ -56,16 +56,18 @@
     // to one of the nodes for a moment.
     let agreeing = with(&["where", "cashier"], &nodes);
     deployment
-        .wait_until("the nodes agree", |_| ask(&agreeing).exit == OK)
+        .wait_until("the nodes agree", |_| {
+            run_with_long_timeout(&agreeing).exit == OK
+        })
         .await?;
 
-    let unknown = ask(&with(&["where", "ledger"], &nodes));
+    let unknown = run_with_long_timeout(&with(&["where", "ledger"], &nodes));
     assert_eq!(unknown.exit, FOUND, "{}", unknown.out);
     Ok(())
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_paused_node_is_named_and_the_other_still_shown() -> Result<()> {
+async fn a_paused_node_is_named_and_the_other_is_still_shown() -> Result<()> {
     // One node's process stands still, its port still accepts connections.
     // The operator waits for the time limit and then sees the other node's
     // status, and which node was silent.
--- a/tests/all/configuration.rs
+++ b/tests/all/configuration.rs
@@ -22,7 +22,7 @@
 use crate::support::{Deployment, Member};
 
 /// "Within seconds".
-const SECONDS: Duration = Duration::from_secs(5);
+const MAX_DELAY: Duration = Duration::from_secs(5);
 /// Checks of a large text that may pass in a row before it is in force.
 const LARGE_CHECKS: u32 = 8;
 const DATA_CENTRES: [&str; 3] = ["a", "b", "c"];
@@ -96,8 +96,8 @@
         "in force on 14 nodes: median {:?}, all {times:?}",
         times[times.len() / 2]
     );
-    assert!(times.iter().all(|time| *time < SECONDS), "{times:?}");
-    deployment.assert_never_back()
+    assert!(times.iter().all(|time| *time < MAX_DELAY), "{times:?}");
+    deployment.assert_versions_never_decrease()
 }
 
 /// Shows an older text to all readers.
@@ -113,7 +113,7 @@
 }
 
 #[tokio::test]
-async fn an_older_version_never_comes_back_and_a_new_node_asks_its_peers() -> Result<()> {
+async fn an_older_version_never_returns_and_a_new_node_queries_its_peers() -> Result<()> {
     // The platform falls back to version 1, and one node after the other is
     // killed and starts anew, holding nothing. Its first question goes to its
     // peers, so version 1 is in force on no node for a moment; a VM that was
@@ -144,21 +144,21 @@
     assert_eq!(deployment.versions_in_force("cashier-9")?, [newest]);
     for vm in &vms {
         let versions = deployment.versions_in_force(vm)?;
-        let lives: Vec<&u64> = versions.iter().filter(|known| **known == newest).collect();
-        assert_eq!(lives.len(), 2, "{vm}: {versions:?}");
+        let starts: Vec<&u64> = versions.iter().filter(|known| **known == newest).collect();
+        assert_eq!(starts.len(), 2, "{vm}: {versions:?}");
     }
-    deployment.assert_never_back()
+    deployment.assert_versions_never_decrease()
 }
 
 #[tokio::test]
-async fn a_paused_node_wakes_and_goes_up_without_passing_on_what_it_held() -> Result<()> {
+async fn a_resumed_node_catches_up_without_spreading_its_old_version() -> Result<()> {
     // A node, and with it half of the readers of its data centre, is stopped
     // in the middle of its work. Two edits pass. It wakes with version 1 in
     // force, tells its peers so, and is told better by them.
     let mut deployment = start(5).await?;
     let vms = deployment.fleet.names();
-    let sleeper = vms[0].clone();
-    deployment.fleet.pause(&sleeper)?;
+    let paused = vms[0].clone();
+    deployment.fleet.pause(&paused)?;
     let awake: Vec<String> = vms[1..].to_vec();
     for deadline_ms in [12_000, 13_000] {
         let changed_at = Instant::now();
@@ -166,14 +166,14 @@
         let took = deployment
             .wait_in_force(&awake, version, changed_at)
             .await?;
-        assert!(took < SECONDS, "{took:?} beside a paused node");
+        assert!(took < MAX_DELAY, "{took:?} beside a paused node");
     }
     let woken_at = Instant::now();
-    deployment.fleet.resume(&sleeper)?;
+    deployment.fleet.resume(&paused)?;
     let took = deployment.wait_in_force(&vms, 3, woken_at).await?;
     println!("a woken node has the newest text in force after {took:?}");
-    assert!(took < SECONDS, "{took:?}");
-    deployment.assert_never_back()
+    assert!(took < MAX_DELAY, "{took:?}");
+    deployment.assert_versions_never_decrease()
 }
 
 #[tokio::test]
@@ -207,14 +207,14 @@
     far.platform.set_vms(all)?;
     let took = far.wait_in_force(&far_vms, 9, healed_at).await?;
     println!("the far side of a partition goes up {took:?} after it heals");
-    assert!(took < SECONDS, "{took:?}");
+    assert!(took < MAX_DELAY, "{took:?}");
     near.wait_in_force(&near_vms, 9, healed_at).await?;
-    near.assert_never_back()?;
-    far.assert_never_back()
+    near.assert_versions_never_decrease()?;
+    far.assert_versions_never_decrease()
 }
 
 #[tokio::test]
-async fn a_text_with_a_fault_is_refused_whole_and_its_reason_is_seen_everywhere() -> Result<()> {
+async fn a_faulty_text_is_rejected_whole_and_its_reason_is_shown_everywhere() -> Result<()> {
     // The operator's edit changes two things and has a mistake in a third.
     // Nothing of it comes into force; every node's status names the version,
     // the line and the reason. The next good text comes into force as usual.
@@ -247,14 +247,14 @@
     let changed_at = Instant::now();
     let version = deployment.platform.set_text(&good)?;
     let took = deployment.wait_in_force(&vms, version, changed_at).await?;
-    assert!(took < SECONDS, "{took:?}");
+    assert!(took < MAX_DELAY, "{took:?}");
     for vm in &vms {
         assert!(
             !deployment.versions_in_force(vm)?.contains(&refused),
             "{vm}"
         );
     }
-    deployment.assert_never_back()
+    deployment.assert_versions_never_decrease()
 }
 
 /// Almost a megabyte: as many services as fit.
@@ -291,7 +291,7 @@
         hornbeamhitch_text::check(&large).is_ok(),
         "the text has faults"
     );
-    let bound = SECONDS + LARGE_CHECKS * check_at.elapsed();
+    let bound = MAX_DELAY + LARGE_CHECKS * check_at.elapsed();
     let changed_at = Instant::now();
     let version = deployment.platform.set_text(&large)?;
     let took = deployment.wait_in_force(&vms, version, changed_at).await?;
@@ -301,11 +301,11 @@
     );
     assert!(took < bound, "{took:?}, {bound:?} allowed");
     assert_serving(&deployment, &vms, "large").await?;
-    deployment.assert_never_back()
+    deployment.assert_versions_never_decrease()
 }
 
 #[tokio::test]
-async fn two_edits_in_quick_succession_end_with_the_later_one_everywhere() -> Result<()> {
+async fn two_quick_edits_end_with_the_later_one_everywhere() -> Result<()> {
     // Two operators publish at almost the same moment. Some readers see the
     // first text and some only the second; announcements of both cross each
     // other. Every node ends with the second, whatever it saw before.
@@ -321,7 +321,7 @@
         ensure!(newest == first + 1, "versions go up by one");
         let took = deployment.wait_in_force(&vms, newest, changed_at).await?;
         println!("two edits {} ms apart: {took:?}", round * 3);
-        assert!(took < SECONDS, "{took:?}");
+        assert!(took < MAX_DELAY, "{took:?}");
     }
     for vm in &vms {
         assert_eq!(
@@ -330,11 +330,11 @@
             "{vm}"
         );
     }
-    deployment.assert_never_back()
+    deployment.assert_versions_never_decrease()
 }
 
 #[tokio::test]
-async fn an_edit_under_load_costs_no_call() -> Result<()> {
+async fn an_edit_under_load_fails_no_call() -> Result<()> {
     // Limits and deadlines change under running calls, thrice; each call ends
     // by the rules under which it began.
     let deployment = start(3).await?;
@@ -348,5 +348,5 @@
     }
     let served = traffic.stop().await?;
     assert!(served.failures.is_empty(), "{:#?}", served.failures);
-    deployment.assert_never_back()
+    deployment.assert_versions_never_decrease()
 }
--- a/tests/all/configuration/platform.rs
+++ b/tests/all/configuration/platform.rs
@@ -8,14 +8,14 @@
 use tokio::task::JoinSet;
 
 use super::*;
-use crate::support::PATIENCE;
+use crate::support::WAIT_TIMEOUT;
 
 /// Nodes of each data centre that read the platform.
 const READERS: u64 = 2;
 
 /// Waits until a node that reads the platform says this of it.
 async fn wait_platform(deployment: &Deployment, state: PlatformState) -> Result<()> {
-    let give_up = Instant::now() + PATIENCE;
+    let give_up = Instant::now() + WAIT_TIMEOUT;
     loop {
         for vm in deployment.fleet.names() {
             if deployment.status(&vm).await?.platform.state == state {
@@ -30,7 +30,7 @@
 }
 
 /// What the platform and the nodes say of reading, for a wait that was in vain.
-async fn reading_now(deployment: &Deployment) -> String {
+async fn describe_reads(deployment: &Deployment) -> String {
     let mut lines = format!("{:#?}", deployment.platform.counts());
     for vm in deployment.fleet.names() {
         let said = match deployment.status(&vm).await {
@@ -52,17 +52,17 @@
     let is_settled = |deployment: &Deployment| deployment.platform.counts().waiting == 2 * readers;
     let settled = deployment.wait_until("two readers a data centre", is_settled);
     if let Err(error) = settled.await {
-        return Err(error.wrap_err(reading_now(&deployment).await));
+        return Err(error.wrap_err(describe_reads(&deployment).await));
     }
     deployment.platform.reset_counts();
     for edit in 0..edits {
         let changed_at = Instant::now();
         let version = deployment.platform.set_text(&text(12_000 + edit))?;
         let took = deployment.wait_in_force(&vms, version, changed_at).await?;
-        assert!(took < SECONDS, "{nodes} nodes: {took:?}");
+        assert!(took < MAX_DELAY, "{nodes} nodes: {took:?}");
         let watching = deployment.wait_until("readers watch again", is_settled);
         if let Err(error) = watching.await {
-            return Err(error.wrap_err(reading_now(&deployment).await));
+            return Err(error.wrap_err(describe_reads(&deployment).await));
         }
     }
     let counts = deployment.platform.counts();
@@ -71,7 +71,7 @@
 }
 
 #[tokio::test]
-async fn reads_of_the_platform_follow_data_centres_and_not_nodes() -> Result<()> {
+async fn platform_reads_scale_with_data_centres_and_not_with_nodes() -> Result<()> {
     // The platform counts every read, a waiting watch as one. In each data
     // centre two nodes read, so that six nodes and fourteen cost it the same:
     // one read of the text by each reader for each edit.
@@ -89,7 +89,7 @@
 }
 
 #[tokio::test]
-async fn an_edit_while_the_platform_is_down_comes_into_force_after_it() -> Result<()> {
+async fn an_edit_during_a_platform_outage_comes_into_force_after_it() -> Result<()> {
     // The platform's port closes. Callers notice nothing: nodes serve on with
     // what is in force. An operator edits meanwhile; once the port is open
     // again, readers that tried at growing intervals find the edit.
@@ -106,12 +106,12 @@
     deployment.platform.up().await;
     let took = deployment.wait_in_force(&vms, version, up_at).await?;
     println!("in force {took:?} after the platform is back");
-    assert!(took < SECONDS, "{took:?}");
-    deployment.assert_never_back()
+    assert!(took < MAX_DELAY, "{took:?}");
+    deployment.assert_versions_never_decrease()
 }
 
 #[tokio::test]
-async fn a_stale_platform_holds_up_edits_and_nothing_else() -> Result<()> {
+async fn a_stale_platform_delays_edits_and_nothing_else() -> Result<()> {
     // The platform answers, but shows what it had before; its watches hang.
     // Nodes serve on; the edit comes into force as soon as it is shown.
     let deployment = start(5).await?;
@@ -126,18 +126,18 @@
     deployment.platform.up().await;
     let took = deployment.wait_in_force(&vms, version, shown_at).await?;
     println!("in force {took:?} after the platform shows it");
-    assert!(took < SECONDS, "{took:?}");
-    deployment.assert_never_back()
+    assert!(took < MAX_DELAY, "{took:?}");
+    deployment.assert_versions_never_decrease()
 }
 
 /// Readers of the platform beside the nodes, so many that it refuses some.
-struct Crowd {
+struct ExternalReaders {
     stop: Arc<AtomicBool>,
     reads: Arc<AtomicU64>,
     readers: JoinSet<()>,
 }
 
-impl Crowd {
+impl ExternalReaders {
     const READERS: usize = 24;
 
     fn start(deployment: &Deployment) -> Self {
@@ -170,13 +170,13 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn a_platform_that_refuses_readers_holds_up_edits_and_nothing_else() -> Result<()> {
+async fn a_platform_that_rejects_readers_delays_edits_and_nothing_else() -> Result<()> {
     // Others read the platform beyond its limit, and it answers `429` to
     // everybody, the nodes included. Calls are served on; when the crowd has
     // gone, the edit comes into force.
     let deployment = start(5).await?;
     let vms = deployment.fleet.names();
-    let crowd = Crowd::start(&deployment);
+    let external_readers = ExternalReaders::start(&deployment);
     let refuses = |deployment: &Deployment| deployment.platform.counts().refused > 0;
     deployment
         .wait_until("the platform refuses", refuses)
@@ -188,7 +188,7 @@
         lines.any(|line| line.contains("the platform answered 429"))
     };
     let mut edits = 2;
-    let give_up = Instant::now() + PATIENCE;
+    let give_up = Instant::now() + WAIT_TIMEOUT;
     while !is_refused(&deployment) {
         ensure!(Instant::now() < give_up, "no node was refused");
         edits += 1;
@@ -198,10 +198,10 @@
     assert_serving(&deployment, &vms, "refused").await?;
     let last = deployment.platform.set_text(&text(19_000))?;
     let refused = deployment.platform.counts().refused;
-    let reads = crowd.leave().await;
+    let reads = external_readers.leave().await;
     let left_at = Instant::now();
     let took = deployment.wait_in_force(&vms, last, left_at).await?;
     println!("{reads} reads of others, {refused} refused; in force {took:?} after they left");
-    assert!(took < SECONDS, "{took:?}");
-    deployment.assert_never_back()
+    assert!(took < MAX_DELAY, "{took:?}");
+    deployment.assert_versions_never_decrease()
 }
--- a/tests/all/crash_request.rs
+++ b/tests/all/crash_request.rs
@@ -46,9 +46,9 @@
 /// crashes in all it is refused everywhere, at once, with a time to come back;
 /// lookups of others go on being answered, those in flight in a crash included.
 #[tokio::test]
-async fn a_request_that_crashes_targets_ends_after_two_crashes() -> Result<()> {
+async fn a_request_that_crashes_targets_is_rejected_after_two_crashes() -> Result<()> {
     let deployment = Arc::new(Deployment::start(CASHIER_TEXT, members()).await?);
-    let innocents = tokio::spawn(look_up_throughout(Arc::clone(&deployment)));
+    let other_lookups = tokio::spawn(send_other_lookups(Arc::clone(&deployment)));
     let caller = Caller::new();
     let entries = deployment.fleet.entries();
     let mut codes = Vec::new();
@@ -69,7 +69,7 @@
     let crashed = crashes(&deployment);
     assert!((1..=MAX_CRASHES).contains(&crashed), "{crashed} crashes");
 
-    let (answered, failed) = innocents.await?;
+    let (answered, failed) = other_lookups.await?;
     println!("crashes {crashed}, innocents answered {answered}, failed {failed:?}");
     assert!(failed.is_empty(), "{failed:?}");
     assert!(answered > 0);
@@ -77,7 +77,7 @@
 }
 
 /// Ten callers look things up, each its own thing, while targets go down.
-async fn look_up_throughout(deployment: Arc<Deployment>) -> (usize, Vec<String>) {
+async fn send_other_lookups(deployment: Arc<Deployment>) -> (usize, Vec<String>) {
     const CALLERS: usize = 10;
     const ROUNDS: usize = 20;
     let mut running = Vec::new();
@@ -91,7 +91,7 @@
                 let call = Call::price(&format!("innocent-{number}-{round}"));
                 let call = call.with(headers::SERVICE_US, 15_000);
                 let entry = entries[(number + round) % entries.len()];
-                let answer = ask_until_answered(&caller, entry, &call).await;
+                let answer = send_until_answered(&caller, entry, &call).await;
                 if !answer {
                     failed.push(call.nonce.clone());
                 }
@@ -108,7 +108,7 @@
 
 /// An idempotent call is sent again when its answer says to come back, a few
 /// times as the contract allows.
-async fn ask_until_answered(caller: &Caller, entry: std::net::SocketAddr, call: &Call) -> bool {
+async fn send_until_answered(caller: &Caller, entry: std::net::SocketAddr, call: &Call) -> bool {
     const TRIES: usize = 6;
     for _ in 0..TRIES {
         let Ok(answer) = caller.send(entry, call).await else {
@@ -163,6 +163,6 @@
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
     };
-    tokio::time::timeout(crate::support::PATIENCE, back).await?;
+    tokio::time::timeout(crate::support::WAIT_TIMEOUT, back).await?;
     Ok(())
 }
--- a/tests/all/deployments.rs
+++ b/tests/all/deployments.rs
@@ -7,7 +7,7 @@
 use crate::support::{CASHIER_TEXT, Deployment, Member};
 
 const HIGH_VERSION: u64 = 50;
-const NOTICED: &str = "another deployment";
+const FOREIGN_DATAGRAM_LOG: &str = "another deployment";
 
 async fn start(name: &str, vm: &str, version: u64) -> Result<Deployment> {
     let members = vec![Member::new(vm, "cashier")];
@@ -28,21 +28,24 @@
 
 /// The VM list of `own` names the address of a node of another deployment, which
 /// is greeted for it some times.
-async fn list_a_stranger(own: &Deployment, other: &Deployment, vm: &str) -> Result<()> {
-    let stranger = other.fleet.addresses(vm)?;
+async fn list_foreign_node(own: &Deployment, other: &Deployment, vm: &str) -> Result<()> {
+    let foreign_node = other.fleet.addresses(vm)?;
     let mut listed = own.fleet.vm_entries();
     listed.push(VmEntry {
         vm: "cashier-2".to_owned(),
         data_centre: "a".to_owned(),
         service: "cashier".to_owned(),
         state: VmState::Live,
-        peer: stranger.peer,
-        control: stranger.control,
+        peer: foreign_node.peer,
+        control: foreign_node.control,
     });
     own.platform.set_vms(listed)?;
     let noticed = |_: &Deployment| {
         let logs = other.fleet.logs(vm).unwrap_or_default();
-        logs.iter().filter(|line| line.contains(NOTICED)).count() >= 3
+        logs.iter()
+            .filter(|line| line.contains(FOREIGN_DATAGRAM_LOG))
+            .count()
+            >= 3
     };
     own.wait_until("the stranger hears three greetings", noticed)
         .await
@@ -53,19 +56,19 @@
 /// has a far higher version; taken over, it could never be taken back. Both
 /// must go on with their own text and their own members.
 #[tokio::test]
-async fn a_fleet_that_lists_an_address_of_another_keeps_its_own_text() -> Result<()> {
+async fn a_fleet_that_lists_a_foreign_address_keeps_its_own_text() -> Result<()> {
     let other = start("insurers", "izplacila-1", HIGH_VERSION).await?;
     let own = start("print-office", "cashier-1", 1).await?;
-    list_a_stranger(&own, &other, "izplacila-1").await?;
+    list_foreign_node(&own, &other, "izplacila-1").await?;
 
     assert_eq!(in_force(&own, "cashier-1").await?, Some(ConfigVersion(1)));
     let expected = Some(ConfigVersion(HIGH_VERSION));
     assert_eq!(in_force(&other, "izplacila-1").await?, expected);
     let heard = other.status("izplacila-1").await?;
     for service in &heard.services {
-        let strangers = service.targets.iter();
-        let strangers = strangers.filter(|target| target.vm.as_str() == "cashier-1");
-        assert_eq!(strangers.count(), 0, "{service:?}");
+        let foreign_targets = service.targets.iter();
+        let foreign_targets = foreign_targets.filter(|target| target.vm.as_str() == "cashier-1");
+        assert_eq!(foreign_targets.count(), 0, "{service:?}");
     }
     Ok(())
 }
@@ -79,7 +82,7 @@
     let members = || vec![Member::new("cashier-1", "cashier")];
     let other = Deployment::start(CASHIER_TEXT, members()).await?;
     let own = Deployment::start(CASHIER_TEXT, members()).await?;
-    list_a_stranger(&own, &other, "cashier-1").await?;
+    list_foreign_node(&own, &other, "cashier-1").await?;
 
     for deployment in [&own, &other] {
         assert!(!deployment.status("cashier-1").await?.superseded);
--- a/tests/all/frozen_peer.rs
+++ b/tests/all/frozen_peer.rs
@@ -10,14 +10,14 @@
 
 /// Well below the drain timeout of 30 s, after which the node would give up
 /// with status 4.
-const ENDS_WITHIN: Duration = Duration::from_secs(20);
+const EXIT_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// Operators replace a VM while another VM is paused by its host. The paused
 /// node holds an HTTP/2 connection to the leaving one and answers no pings. A
 /// graceful end that waits for that answer lasts until the drain timeout and
 /// reports work in flight although there is none.
 #[tokio::test]
-async fn a_node_ends_while_a_peer_with_an_open_connection_is_frozen() -> Result<()> {
+async fn a_node_shuts_down_while_a_connected_peer_is_frozen() -> Result<()> {
     let members = vec![
         Member::new("cashier-1", "cashier"),
         Member::new("cashier-2", "cashier"),
@@ -41,7 +41,10 @@
 
     deployment.fleet.pause("cashier-2")?;
     deployment.fleet.terminate("cashier-1")?;
-    let status = deployment.fleet.wait_exit("cashier-1", ENDS_WITHIN).await?;
+    let status = deployment
+        .fleet
+        .wait_exit("cashier-1", EXIT_TIMEOUT)
+        .await?;
     assert_eq!(status.code(), Some(0));
     deployment.fleet.resume("cashier-2")?;
     Ok(())
--- a/tests/all/leaving.rs
+++ b/tests/all/leaving.rs
@@ -22,7 +22,7 @@
 use crate::support::pause::pause_in;
 use crate::support::payment::{Payment, Sending};
 use crate::support::traffic::Traffic;
-use crate::support::{Deployment, Member, PATIENCE};
+use crate::support::{Deployment, Member, WAIT_TIMEOUT};
 
 const TEXT: &str = r#"{
   "deployment": "test",
@@ -42,16 +42,16 @@
   },
 }"#;
 
-const LEAVER: &str = "cashier-3";
+const LEAVING_VM: &str = "cashier-3";
 const DESK: &str = "desk-1";
 const CALLERS: usize = 6;
 /// "After a few seconds", generously.
-const FEW_SECONDS: Millis = Millis::from_secs(5);
+const MAX_DELAY: Millis = Millis::from_secs(5);
 /// A target without a new run for this long, while others run, gets none.
-const QUIET: Millis = Millis(1_500);
+const QUIET_PERIOD: Millis = Millis(1_500);
 /// Runs at the other targets in that time.
 const RUNS_ELSEWHERE: usize = 100;
-const EXIT: Duration = Duration::from_secs(20);
+const EXIT_TIMEOUT: Duration = Duration::from_secs(20);
 /// How often the gate announces that it leaves.
 const ANNOUNCEMENTS: u64 = 3;
 /// More bytes than the kernel keeps for a socket whose reader is asleep.
@@ -102,7 +102,7 @@
 fn starts_elsewhere(deployment: &Deployment, since: Millis) -> usize {
     let mut count = 0;
     for (vm, target) in &deployment.targets {
-        if vm == LEAVER {
+        if vm == LEAVING_VM {
             continue;
         }
         count += starts_since(target, since);
@@ -124,8 +124,8 @@
     how: &str,
 ) -> Result<Millis> {
     let is_quiet = |deployment: &Deployment| {
-        let last = last_start(deployment, LEAVER).max(event_at);
-        let is_long = wall_clock().since(last) >= QUIET;
+        let last = last_start(deployment, LEAVING_VM).max(event_at);
+        let is_long = wall_clock().since(last) >= QUIET_PERIOD;
         is_long && starts_elsewhere(deployment, last) >= RUNS_ELSEWHERE
     };
     deployment
@@ -133,27 +133,27 @@
         .await?;
     let served = traffic.stop().await?;
     assert!(served.failures.is_empty(), "{how}: {:#?}", served.failures);
-    let took = last_start(deployment, LEAVER).since(event_at);
+    let took = last_start(deployment, LEAVING_VM).since(event_at);
     println!(
         "leaving by {how}: last new run {took} after the event; {} calls answered, {} refusals on the way",
         served.answered, served.refusals
     );
     assert!(
-        took <= FEW_SECONDS,
+        took <= MAX_DELAY,
         "{how}: a run began {took} after the event"
     );
     Ok(took)
 }
 
 async fn wait_leaving(deployment: &Deployment, leaving: bool) -> Result<()> {
-    let turned = deployment.wait_status(LEAVER, "leaves, or no longer", |status| {
+    let turned = deployment.wait_status(LEAVING_VM, "leaves, or no longer", |status| {
         status.leaving == leaving
     });
     turned.await.map(drop)
 }
 
 #[tokio::test]
-async fn a_target_that_drains_gets_no_new_work_and_comes_back_after_it() -> Result<()> {
+async fn a_draining_target_gets_no_new_work_until_the_drain_ends() -> Result<()> {
     // Callers see nothing: all their calls are answered by the other targets.
     // The target puts `draining` on an answer; its gate refuses from that
     // moment and tells those that lately sent to it. When the drain ends, the
@@ -162,12 +162,12 @@
     let traffic = start_traffic(&deployment).await?;
     let event_at = wall_clock();
     deployment
-        .target(LEAVER)
+        .target(LEAVING_VM)
         .change_mood(|mood| mood.draining = true);
     time_to_last_start(&deployment, traffic, event_at, "the target's drain").await?;
 
     deployment
-        .target(LEAVER)
+        .target(LEAVING_VM)
         .change_mood(|mood| mood.draining = false);
     let ended_at = wall_clock();
     wait_leaving(&deployment, false).await?;
@@ -175,10 +175,10 @@
         "a drain's end is seen after {}",
         wall_clock().since(ended_at)
     );
-    let before = deployment.target(LEAVER).all_runs().len();
+    let before = deployment.target(LEAVING_VM).all_runs().len();
     let traffic = Traffic::start(&[deployment.entry("cashier-1")], CALLERS);
     let is_back =
-        |deployment: &Deployment| deployment.target(LEAVER).all_runs().len() >= before + 20;
+        |deployment: &Deployment| deployment.target(LEAVING_VM).all_runs().len() >= before + 20;
     deployment.wait_until("it gets work again", is_back).await?;
     let served = traffic.stop().await?;
     assert!(served.failures.is_empty(), "{:#?}", served.failures);
@@ -186,14 +186,14 @@
 }
 
 #[tokio::test]
-async fn a_target_that_drains_while_idle_is_known_by_its_health_alone() -> Result<()> {
+async fn an_idle_draining_target_is_detected_by_its_health() -> Result<()> {
     // No call is under way that could carry the word. The target says `503`
     // and `draining` at its health endpoint, which its gate asks of a silent
     // target; the first calls after that find the gate refusing, and the
     // target runs none of them.
     let deployment = start().await?;
     deployment
-        .target(LEAVER)
+        .target(LEAVING_VM)
         .change_mood(|mood| mood.draining = true);
     let event_at = wall_clock();
     wait_leaving(&deployment, true).await?;
@@ -205,45 +205,49 @@
     traffic.wait_answered(150).await?;
     let served = traffic.stop().await?;
     assert!(served.failures.is_empty(), "{:#?}", served.failures);
-    assert_eq!(deployment.target(LEAVER).all_runs().len(), 0);
+    assert_eq!(deployment.target(LEAVING_VM).all_runs().len(), 0);
 
     deployment
-        .target(LEAVER)
+        .target(LEAVING_VM)
         .change_mood(|mood| mood.draining = false);
     wait_leaving(&deployment, false).await
 }
 
 #[tokio::test]
-async fn a_vm_that_the_list_calls_leaving_gets_no_new_work() -> Result<()> {
+async fn a_vm_listed_as_leaving_gets_no_new_work() -> Result<()> {
     // Callers see nothing. The platform's list turns the VM to `leaving`; a
     // reader of each data centre sees it and passes it on, node to node. The
     // process itself is not told to end, and goes on with what it has.
     let deployment = start().await?;
     let traffic = start_traffic(&deployment).await?;
     let event_at = wall_clock();
-    deployment.platform.set_vm_state(LEAVER, VmState::Leaving)?;
+    deployment
+        .platform
+        .set_vm_state(LEAVING_VM, VmState::Leaving)?;
     time_to_last_start(&deployment, traffic, event_at, "the VM list").await?;
     Ok(())
 }
 
 #[tokio::test]
-async fn a_node_that_is_told_to_end_gets_no_new_work_while_the_list_lags() -> Result<()> {
+async fn a_terminated_node_gets_no_new_work_while_the_list_lags() -> Result<()> {
     // Callers see nothing. The node gets SIGTERM and says so itself; the list,
     // a minute late, calls it live all the while, also when it has long ended.
     let mut deployment = start().await?;
     deployment.platform.lag_vm_list(60_000).await;
-    deployment.platform.set_vm_state(LEAVER, VmState::Leaving)?;
+    deployment
+        .platform
+        .set_vm_state(LEAVING_VM, VmState::Leaving)?;
     let traffic = start_traffic(&deployment).await?;
     let event_at = wall_clock();
-    deployment.fleet.terminate(LEAVER)?;
+    deployment.fleet.terminate(LEAVING_VM)?;
     time_to_last_start(&deployment, traffic, event_at, "SIGTERM, a lagging list").await?;
-    let status = deployment.fleet.wait_exit(LEAVER, EXIT).await?;
+    let status = deployment.fleet.wait_exit(LEAVING_VM, EXIT_TIMEOUT).await?;
     assert_eq!(status.code(), Some(0));
     Ok(())
 }
 
 #[tokio::test]
-async fn leaving_is_known_while_the_platform_is_down_or_stale() -> Result<()> {
+async fn leaving_is_announced_while_the_platform_is_down_or_stale() -> Result<()> {
     // Callers see nothing. One target drains while the platform serves what
     // it had before; then, with the platform's port closed, the node of
     // another gets SIGTERM. Both words go from node to node.
@@ -252,20 +256,20 @@
     let traffic = start_traffic(&deployment).await?;
     let event_at = wall_clock();
     deployment
-        .target(LEAVER)
+        .target(LEAVING_VM)
         .change_mood(|mood| mood.draining = true);
     time_to_last_start(&deployment, traffic, event_at, "drain, platform stale").await?;
     deployment
-        .target(LEAVER)
+        .target(LEAVING_VM)
         .change_mood(|mood| mood.draining = false);
     wait_leaving(&deployment, false).await?;
 
     deployment.platform.down().await;
     let traffic = start_traffic(&deployment).await?;
     let event_at = wall_clock();
-    deployment.fleet.terminate(LEAVER)?;
+    deployment.fleet.terminate(LEAVING_VM)?;
     time_to_last_start(&deployment, traffic, event_at, "SIGTERM, platform down").await?;
-    let status = deployment.fleet.wait_exit(LEAVER, EXIT).await?;
+    let status = deployment.fleet.wait_exit(LEAVING_VM, EXIT_TIMEOUT).await?;
     assert_eq!(status.code(), Some(0));
     Ok(())
 }
@@ -303,7 +307,7 @@
 }
 
 /// The target that an entry sends most to.
-fn favourite(deployment: &Deployment) -> String {
+fn most_used_target(deployment: &Deployment) -> String {
     let mut cashiers = deployment.targets.iter();
     let first = cashiers.next().expect("there are targets");
     let mut best = (first.1.all_runs().len(), first.0);
@@ -315,13 +319,13 @@
 
 /// A way of leaving.
 #[derive(Clone, Copy, Debug)]
-enum Way {
+enum LeavingCause {
     Drain,
     List,
     Terminate,
 }
 
-impl Way {
+impl LeavingCause {
     async fn begin(self, deployment: &mut Deployment, vm: &str) -> Result<()> {
         match self {
             Self::Drain => deployment
@@ -340,34 +344,34 @@
 /// The entry reads a platform of its own, which calls everyone live, and other
 /// nodes do not know it; only those to which it sends work announce to it that
 /// they leave. It is paused, and its socket full, while they do.
-async fn refused_by_the_gate(way: Way) -> Result<()> {
+async fn check_refusal_by_the_gate(cause: LeavingCause) -> Result<()> {
     let mut deployment = start().await?;
     let mut far = FarEntry::with_list(TEXT, deployment.fleet.vm_entries()).await?;
     send_some(far.addr(), "before").await?;
-    let leaver = favourite(&deployment);
-    let held = hold_open(&deployment, &leaver).await?;
+    let leaving_vm = most_used_target(&deployment);
+    let held = begin_long_call(&deployment, &leaving_vm).await?;
 
     let far_vm = far.fleet.names().remove(0);
     let control = far.fleet.addresses(&far_vm)?.control;
-    let lost_before = deafen(&mut far.fleet, &far_vm).await?;
-    way.begin(&mut deployment, &leaver).await?;
-    wait_lost(control, lost_before + ANNOUNCEMENTS).await?;
+    let dropped_before = pause_with_full_socket(&mut far.fleet, &far_vm).await?;
+    cause.begin(&mut deployment, &leaving_vm).await?;
+    wait_dropped(control, dropped_before + ANNOUNCEMENTS).await?;
     far.fleet.resume(&far_vm)?;
 
-    let runs = deployment.target(&leaver).all_runs().len();
-    let refused = deployment.status(&leaver).await?.gate.refused;
+    let runs = deployment.target(&leaving_vm).all_runs().len();
+    let refused = deployment.status(&leaving_vm).await?.gate.refused;
     send_some(far.addr(), "after").await?;
-    let after = deployment.target(&leaver).all_runs().len();
-    assert_eq!(after, runs, "{way:?}: new runs although the VM leaves");
-    let refusals = deployment.status(&leaver).await?.gate.refused - refused;
-    println!("{way:?}, announcements lost: {refusals} refusals by the gate");
-    assert!(refusals > 0, "{way:?}: the entry sent nothing there");
+    let after = deployment.target(&leaving_vm).all_runs().len();
+    assert_eq!(after, runs, "{cause:?}: new runs although the VM leaves");
+    let refusals = deployment.status(&leaving_vm).await?.gate.refused - refused;
+    println!("{cause:?}, announcements lost: {refusals} refusals by the gate");
+    assert!(refusals > 0, "{cause:?}: the entry sent nothing there");
     held.abort();
     Ok(())
 }
 
 /// A call that keeps the leaver's node from ending before the test has.
-async fn hold_open(deployment: &Deployment, vm: &str) -> Result<Sending> {
+async fn begin_long_call(deployment: &Deployment, vm: &str) -> Result<Sending> {
     let entry = deployment.entry(vm);
     let call = Call::price("held")
         .with(headers::SERVICE_US, 60_000_000)
@@ -380,28 +384,28 @@
 }
 
 #[tokio::test]
-async fn the_gate_of_a_draining_target_refuses_who_missed_every_announcement() -> Result<()> {
+async fn a_draining_gate_rejects_entries_that_missed_every_announcement() -> Result<()> {
     // The entry has heard nothing and sends to the leaving gate as before. The
     // gate has the last word: it refuses, "not run", and the entry goes to
     // another one. Callers see only answers, the target no run.
-    refused_by_the_gate(Way::Drain).await
+    check_refusal_by_the_gate(LeavingCause::Drain).await
 }
 
 #[tokio::test]
-async fn the_gate_of_a_listed_leaver_refuses_who_missed_every_announcement() -> Result<()> {
+async fn a_gate_listed_as_leaving_rejects_entries_that_missed_every_announcement() -> Result<()> {
     // As above, but only the platform's list says that the VM is leaving, and
     // not the list that the entry reads.
-    refused_by_the_gate(Way::List).await
+    check_refusal_by_the_gate(LeavingCause::List).await
 }
 
 #[tokio::test]
-async fn the_gate_of_an_ending_node_refuses_who_missed_every_announcement() -> Result<()> {
+async fn a_terminating_gate_rejects_entries_that_missed_every_announcement() -> Result<()> {
     // As above, but the node was told to end and has not yet ended.
-    refused_by_the_gate(Way::Terminate).await
+    check_refusal_by_the_gate(LeavingCause::Terminate).await
 }
 
 #[tokio::test]
-async fn an_entry_that_slept_through_the_announcements_sends_no_run_there() -> Result<()> {
+async fn an_entry_paused_during_the_announcements_causes_no_run_there() -> Result<()> {
     // The entry is paused, and its socket full, while the target that it
     // prefers begins to drain: every announcement to it is lost. It wakes,
     // still believes the target live, and sends; the gate refuses, the target
@@ -409,17 +413,19 @@
     let mut deployment = start_with_desk().await?;
     let entry = deployment.entry(DESK);
     send_some(entry, "before").await?;
-    let leaver = favourite(&deployment);
+    let leaving_vm = most_used_target(&deployment);
     let control = deployment.fleet.addresses(DESK)?.control;
-    let lost_before = deafen(&mut deployment.fleet, DESK).await?;
-    Way::Drain.begin(&mut deployment, &leaver).await?;
-    let runs = deployment.target(&leaver).all_runs().len();
-    wait_lost(control, lost_before + ANNOUNCEMENTS).await?;
-    let refused = deployment.status(&leaver).await?.gate.refused;
+    let dropped_before = pause_with_full_socket(&mut deployment.fleet, DESK).await?;
+    LeavingCause::Drain
+        .begin(&mut deployment, &leaving_vm)
+        .await?;
+    let runs = deployment.target(&leaving_vm).all_runs().len();
+    wait_dropped(control, dropped_before + ANNOUNCEMENTS).await?;
+    let refused = deployment.status(&leaving_vm).await?.gate.refused;
     deployment.fleet.resume(DESK)?;
     send_some(entry, "after").await?;
-    assert_eq!(deployment.target(&leaver).all_runs().len(), runs);
-    let refusals = deployment.status(&leaver).await?.gate.refused - refused;
+    assert_eq!(deployment.target(&leaving_vm).all_runs().len(), runs);
+    let refusals = deployment.status(&leaving_vm).await?.gate.refused - refused;
     println!("an entry that slept: {refusals} refusals by the gate");
     Ok(())
 }
@@ -427,17 +433,17 @@
 /// Pauses a node and sees to it that it hears nothing: every thread has stopped,
 /// and its socket is so full that it drops what comes. Returns how many datagrams
 /// were dropped by then.
-async fn deafen(fleet: &mut Fleet, vm: &str) -> Result<u64> {
+async fn pause_with_full_socket(fleet: &mut Fleet, vm: &str) -> Result<u64> {
     pause_in(fleet, vm).await?;
     let control = fleet.addresses(vm)?.control;
-    let lost_while_awake = lost_datagrams(control)?;
-    flood(control)?;
-    wait_lost(control, lost_while_awake + 1).await?;
-    lost_datagrams(control)
+    let dropped_while_running = dropped_datagrams(control)?;
+    fill_socket(control)?;
+    wait_dropped(control, dropped_while_running + 1).await?;
+    dropped_datagrams(control)
 }
 
 /// Fills the socket of a paused process, the last gaps with small datagrams.
-fn flood(control: SocketAddr) -> Result<()> {
+fn fill_socket(control: SocketAddr) -> Result<()> {
     let socket = UdpSocket::bind(crate::support::loopback())?;
     for size_bytes in [FLOOD_BYTES, 1] {
         for _ in 0..FLOOD_DATAGRAMS {
@@ -448,7 +454,7 @@
 }
 
 /// Datagrams that the kernel dropped because a socket was full.
-fn lost_datagrams(control: SocketAddr) -> Result<u64> {
+fn dropped_datagrams(control: SocketAddr) -> Result<u64> {
     let table = std::fs::read_to_string("/proc/net/udp")?;
     let port = format!(":{:04X}", control.port());
     for line in table.lines().skip(1) {
@@ -456,15 +462,15 @@
         if !fields.get(1).is_some_and(|local| local.ends_with(&port)) {
             continue;
         }
-        let lost = fields.last().ok_or_else(|| eyre!("no count of drops"))?;
-        return Ok(lost.parse()?);
+        let dropped = fields.last().ok_or_else(|| eyre!("no count of drops"))?;
+        return Ok(dropped.parse()?);
     }
     Err(eyre!("{control} is no socket of this machine"))
 }
 
-async fn wait_lost(control: SocketAddr, lost: u64) -> Result<()> {
-    let give_up = std::time::Instant::now() + PATIENCE;
-    while lost_datagrams(control)? < lost {
+async fn wait_dropped(control: SocketAddr, dropped: u64) -> Result<()> {
+    let give_up = std::time::Instant::now() + WAIT_TIMEOUT;
+    while dropped_datagrams(control)? < dropped {
         eyre::ensure!(std::time::Instant::now() < give_up, "nothing was lost");
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
--- a/tests/all/measuring.rs
+++ b/tests/all/measuring.rs
@@ -16,9 +16,9 @@
 use hornbeamhitch_wire::control::{Datagram, DatagramBody};
 
 use crate::support::caller::{Call, Caller};
-use crate::support::probe_counter::{Conduct, ProbeCounter};
+use crate::support::probe_counter::{ConnectionBehaviour, ProbeCounter};
 use crate::support::traffic::Traffic;
-use crate::support::{Deployment, Member, PATIENCE, loopback};
+use crate::support::{Deployment, Member, WAIT_TIMEOUT, loopback};
 
 const PROBES_PER_S: f64 = 0.25;
 const PROBE_BURST: u64 = 1;
@@ -48,7 +48,7 @@
 }
 
 /// One node in front of one target.
-struct LoneNode {
+struct SingleNode {
     platform: PlatformStandin,
     fleet: Fleet,
     started_at: Instant,
@@ -56,7 +56,7 @@
 
 const VM: &str = "cashier-1";
 
-impl LoneNode {
+impl SingleNode {
     async fn start(target: SocketAddr, others: Vec<VmEntry>) -> Result<Self> {
         let platform = PlatformStandin::start(loopback()).await?;
         platform.set_text(&text(1_000))?;
@@ -87,7 +87,7 @@
     }
 
     /// Waits for the end of the window that began with the node.
-    async fn watch_window(&self) {
+    async fn wait_for_window_end(&self) {
         tokio::time::sleep_until((self.started_at + WINDOW).into()).await;
     }
 
@@ -110,15 +110,15 @@
         ..TargetConfig::default()
     })
     .await?;
-    let node = LoneNode::start(target.addr(), Vec::new()).await?;
-    node.watch_window().await;
+    let node = SingleNode::start(target.addr(), Vec::new()).await?;
+    node.wait_for_window_end().await;
     let counts = target.counts();
     node.assert_within(counts.health_probes + counts.load_probes, what);
     Ok(())
 }
 
 #[tokio::test]
-async fn a_silent_or_draining_or_ill_target_is_asked_no_more_than_the_budget_says() -> Result<()> {
+async fn probes_of_an_idle_draining_or_unhealthy_target_stay_within_the_budget() -> Result<()> {
     // No calls come, so that only probes can tell how the target is. It is
     // well, drains, says that it is ill, or fails each request; the node would
     // like to look four times a second and may look once in four.
@@ -148,34 +148,34 @@
 }
 
 /// Counts every connection, which is the least that a probe costs.
-async fn probes_by_connection(conduct: Conduct) -> Result<()> {
-    let target = ProbeCounter::start(conduct).await?;
-    let node = LoneNode::start(target.addr(), Vec::new()).await?;
-    node.watch_window().await;
-    node.assert_within(target.connections(), &format!("{conduct:?}"));
+async fn probes_by_connection(behaviour: ConnectionBehaviour) -> Result<()> {
+    let target = ProbeCounter::start(behaviour).await?;
+    let node = SingleNode::start(target.addr(), Vec::new()).await?;
+    node.wait_for_window_end().await;
+    node.assert_within(target.connections(), &format!("{behaviour:?}"));
     Ok(())
 }
 
 #[tokio::test]
-async fn a_target_that_times_out_or_flaps_is_asked_no_more_than_the_budget_says() -> Result<()> {
+async fn probes_of_an_unresponsive_or_flapping_target_stay_within_the_budget() -> Result<()> {
     // The target never answers, or hangs up on the question, or closes each
     // connection at once. A probe that failed costs the same token as any
     // other, and none is repeated for it.
     tokio::try_join!(
-        probes_by_connection(Conduct::Silent),
-        probes_by_connection(Conduct::HangUp),
-        probes_by_connection(Conduct::Flap),
+        probes_by_connection(ConnectionBehaviour::Silent),
+        probes_by_connection(ConnectionBehaviour::HangUp),
+        probes_by_connection(ConnectionBehaviour::Flap),
     )
     .map(drop)
 }
 
 #[tokio::test]
-async fn a_target_that_vanishes_and_returns_is_asked_no_more_than_the_budget_says() -> Result<()> {
+async fn probes_of_a_restarting_target_stay_within_the_budget() -> Result<()> {
     // The target's port closes and opens again every few hundred milliseconds,
     // and edits of the text come in between. Neither its return nor a new
     // policy fills the bucket anew.
     let target = TargetStandin::start(TargetConfig::default()).await?;
-    let node = LoneNode::start(target.addr(), Vec::new()).await?;
+    let node = SingleNode::start(target.addr(), Vec::new()).await?;
     let mut edits = 0;
     while node.started_at.elapsed() < WINDOW {
         target.close().await;
@@ -194,12 +194,12 @@
 }
 
 #[tokio::test]
-async fn runs_that_break_add_no_probes_beyond_the_budget() -> Result<()> {
+async fn failed_runs_add_no_probes_beyond_the_budget() -> Result<()> {
     // The target cuts the connection of each run, and callers go on calling.
     // It is asked for its health no more often for that, and whether it still
     // listens is asked by connections that the next calls use.
-    let target = ProbeCounter::start(Conduct::BreakRuns).await?;
-    let node = LoneNode::start(target.addr(), Vec::new()).await?;
+    let target = ProbeCounter::start(ConnectionBehaviour::BreakRuns).await?;
+    let node = SingleNode::start(target.addr(), Vec::new()).await?;
     let (caller, entry) = (Caller::new(), node.entry()?);
     let mut calls = 0;
     while node.started_at.elapsed() < WINDOW {
@@ -221,7 +221,7 @@
 }
 
 #[tokio::test]
-async fn calls_bring_the_news_so_that_a_busy_target_costs_no_probes() -> Result<()> {
+async fn a_busy_target_is_measured_by_its_calls_instead_of_probes() -> Result<()> {
     // Three nodes, callers at all of them. Load and health ride on answers;
     // each target is measured by its own gate alone, however many call it.
     let started_at = Instant::now();
@@ -284,7 +284,7 @@
 }
 
 #[tokio::test]
-async fn gates_that_are_never_heard_are_probed_no_more_than_the_budget_says() -> Result<()> {
+async fn probes_of_unresponsive_gates_stay_within_the_budget() -> Result<()> {
     // The list names four gates that are gone without a word. Callers use the
     // service, so the entry would like to know how they are, and asks again
     // and again; all of them together are asked within one budget.
@@ -296,7 +296,7 @@
         listed.push(gate.listed(number)?);
         gates.push(gate);
     }
-    let node = LoneNode::start(target.addr(), listed).await?;
+    let node = SingleNode::start(target.addr(), listed).await?;
     let caller = Caller::new();
     let (mut number, mut probes, mut others) = (0, 0, 0);
     // The window begins with the first probe. How soon that comes depends on how
@@ -315,7 +315,7 @@
         if probes > 0 {
             window_end.get_or_insert_with(|| Instant::now() + WINDOW);
         }
-        ensure!(node.started_at.elapsed() < PATIENCE, "no probe came");
+        ensure!(node.started_at.elapsed() < WAIT_TIMEOUT, "no probe came");
     }
     println!("four silent gates: {probes} probes, {others} other datagrams, {number} calls");
     node.assert_within(probes, "silent gates");
--- a/tests/all/not_run.rs
+++ b/tests/all/not_run.rs
@@ -42,10 +42,10 @@
 /// Callers at the same time; more than all slots and queues hold.
 const CALLERS: u64 = 24;
 /// A caller that gets no answer for this long hangs up.
-const CALLER_PATIENCE: Duration = Duration::from_millis(800);
+const CALLER_TIMEOUT: Duration = Duration::from_millis(800);
 /// Answers between two strikes.
-const ANSWERS_BETWEEN: u64 = 60;
-const DRAINED_WITHIN: Duration = Duration::from_secs(20);
+const ANSWERS_BETWEEN_FAILURES: u64 = 60;
+const DRAIN_TIMEOUT: Duration = Duration::from_secs(20);
 
 fn members() -> Vec<Member> {
     let mut members = Vec::new();
@@ -61,37 +61,42 @@
 
 /// What callers were told of one ticket, or of one lookup.
 #[derive(Debug, Default)]
-struct Told {
+struct ReceivedAnswers {
     certainties: Vec<Certainty>,
     /// Sends that ended without an answer.
-    hung_up: u32,
+    unanswered_sends: u32,
 }
 
 /// Everything that callers were told, by key.
 #[derive(Debug, Default)]
-struct Book {
-    payments: Mutex<BTreeMap<String, Told>>,
-    lookups: Mutex<BTreeMap<String, Told>>,
+struct AnswerLog {
+    payments: Mutex<BTreeMap<String, ReceivedAnswers>>,
+    lookups: Mutex<BTreeMap<String, ReceivedAnswers>>,
     answers: AtomicU64,
     stop: AtomicBool,
 }
 
-impl Book {
-    fn note(&self, told: &Mutex<BTreeMap<String, Told>>, key: &str, answer: Option<&WholeAnswer>) {
-        let mut told = told.lock().expect("no holder of this lock panics");
-        let told = told.entry(key.to_owned()).or_default();
+impl AnswerLog {
+    fn record(
+        &self,
+        received: &Mutex<BTreeMap<String, ReceivedAnswers>>,
+        key: &str,
+        answer: Option<&WholeAnswer>,
+    ) {
+        let mut received = received.lock().expect("no holder of this lock panics");
+        let received = received.entry(key.to_owned()).or_default();
         let Some(answer) = answer else {
-            told.hung_up += 1;
+            received.unanswered_sends += 1;
             return;
         };
-        told.certainties.push(certainty_of(answer));
+        received.certainties.push(certainty_of(answer));
         assert_own_code(answer);
         self.answers.fetch_add(1, Ordering::Relaxed);
     }
 
     async fn wait_answers(&self, more: u64) -> Result<()> {
         let wanted = self.answers.load(Ordering::Relaxed) + more;
-        let give_up = tokio::time::Instant::now() + crate::support::PATIENCE;
+        let give_up = tokio::time::Instant::now() + crate::support::WAIT_TIMEOUT;
         while self.answers.load(Ordering::Relaxed) < wanted {
             ensure!(tokio::time::Instant::now() < give_up, "callers are stuck");
             tokio::time::sleep(Duration::from_millis(5)).await;
@@ -119,9 +124,9 @@
 }
 
 /// Numbers that differ by seed and are the same on every run.
-struct Draw(u64);
+struct PseudoRandom(u64);
 
-impl Draw {
+impl PseudoRandom {
     fn below(&mut self, bound: u64) -> u64 {
         self.0 = self
             .0
@@ -133,101 +138,116 @@
 
 /// One caller: payments and lookups one after the other, each payment sent up
 /// to three times under its ticket, also when it was told "not run" for good.
-async fn pay_and_look(entries: Vec<SocketAddr>, seed: u64, book: Arc<Book>) {
-    let mut draw = Draw(seed);
+async fn send_payments_and_lookups(
+    entries: Vec<SocketAddr>,
+    seed: u64,
+    answer_log: Arc<AnswerLog>,
+) {
+    let mut random = PseudoRandom(seed);
     let mut number = 0;
-    while !book.stop.load(Ordering::Relaxed) {
+    while !answer_log.stop.load(Ordering::Relaxed) {
         number += 1;
-        let entry = entries[draw.below(entries.len() as u64) as usize];
+        let entry = entries[random.below(entries.len() as u64) as usize];
         let nonce = format!("{seed}-{number}");
-        let deadline_ms = 40 + draw.below(300);
-        let service_us = 5_000 + draw.below(40_000);
-        if draw.below(4) == 0 {
+        let deadline_ms = 40 + random.below(300);
+        let service_us = 5_000 + random.below(40_000);
+        if random.below(4) == 0 {
             let call = Call::price(&nonce)
                 .with("hitch-deadline-ms", deadline_ms)
                 .with("standin-service-us", service_us);
             let caller = Caller::new();
-            let sent = tokio::time::timeout(CALLER_PATIENCE, caller.send(entry, &call)).await;
+            let sent = tokio::time::timeout(CALLER_TIMEOUT, caller.send(entry, &call)).await;
             let answer = sent.ok().and_then(Result::ok);
-            book.note(&book.lookups, &nonce, answer.as_ref());
+            answer_log.record(&answer_log.lookups, &nonce, answer.as_ref());
             continue;
         }
         let call = Call::charge(&nonce).with("standin-service-us", service_us);
         let ticketed = Payment::ticketed(entry, call);
-        let ticketed = tokio::time::timeout(CALLER_PATIENCE, ticketed).await;
+        let ticketed = tokio::time::timeout(CALLER_TIMEOUT, ticketed).await;
         let Ok(Ok(payment)) = ticketed else {
             continue;
         };
         let payment = payment.within_ms(deadline_ms);
         let key = payment.ticket.key.to_string();
-        for _ in 0..=draw.below(3) {
-            let entry = entries[draw.below(entries.len() as u64) as usize];
-            let sent = tokio::time::timeout(CALLER_PATIENCE, payment.send(entry)).await;
+        for _ in 0..=random.below(3) {
+            let entry = entries[random.below(entries.len() as u64) as usize];
+            let sent = tokio::time::timeout(CALLER_TIMEOUT, payment.send(entry)).await;
             let answer = sent.ok().and_then(Result::ok);
-            book.note(&book.payments, &key, answer.as_ref());
+            answer_log.record(&answer_log.payments, &key, answer.as_ref());
         }
     }
 }
 
 /// Strikes in turn, each only once callers have got answers in between, and
 /// heals each strike before the next.
-async fn strike_all(deployment: &mut Deployment, book: &Book) -> Result<()> {
-    book.wait_answers(ANSWERS_BETWEEN).await?;
+async fn inject_failures(deployment: &mut Deployment, answer_log: &AnswerLog) -> Result<()> {
+    answer_log.wait_answers(ANSWERS_BETWEEN_FAILURES).await?;
     deployment
         .target("cashier-1")
         .change_mood(|mood| mood.shed = true);
-    book.wait_answers(ANSWERS_BETWEEN).await?;
+    answer_log.wait_answers(ANSWERS_BETWEEN_FAILURES).await?;
     deployment
         .target("cashier-1")
         .change_mood(|mood| mood.shed = false);
 
     pause(deployment, "cashier-2").await?;
-    book.wait_answers(ANSWERS_BETWEEN).await?;
+    answer_log.wait_answers(ANSWERS_BETWEEN_FAILURES).await?;
     deployment.fleet.resume("cashier-2")?;
 
     deployment.target("cashier-3").crash().await;
     deployment.target("cashier-1").cut_next(Cut::Half, 3);
     deployment.target("cashier-2").cut_next(Cut::Reset, 3);
-    book.wait_answers(ANSWERS_BETWEEN).await?;
+    answer_log.wait_answers(ANSWERS_BETWEEN_FAILURES).await?;
 
     deployment.fleet.kill("cashier-3")?;
-    book.wait_answers(ANSWERS_BETWEEN).await?;
+    answer_log.wait_answers(ANSWERS_BETWEEN_FAILURES).await?;
     deployment.fleet.start("cashier-3")?;
     deployment.fleet.wait_ready("cashier-3").await?;
 
     pause(deployment, "cashier-3").await?;
     deployment.target("cashier-1").close().await;
-    book.wait_answers(ANSWERS_BETWEEN).await?;
+    answer_log.wait_answers(ANSWERS_BETWEEN_FAILURES).await?;
     deployment.target("cashier-1").reopen().await;
     deployment.fleet.resume("cashier-3")?;
 
     deployment.fleet.terminate("cashier-1")?;
-    book.wait_answers(ANSWERS_BETWEEN).await
+    answer_log.wait_answers(ANSWERS_BETWEEN_FAILURES).await
 }
 
 /// Holds what callers were told against what ran.
-fn reconcile(deployment: &Deployment, book: &Book) -> BTreeMap<&'static str, usize> {
+fn reconcile(deployment: &Deployment, answer_log: &AnswerLog) -> BTreeMap<&'static str, usize> {
     let mut tally: BTreeMap<&'static str, usize> = BTreeMap::new();
-    for (key, told) in &*book.payments.lock().expect("no holder of this lock panics") {
+    for (key, received) in &*answer_log
+        .payments
+        .lock()
+        .expect("no holder of this lock panics")
+    {
         let runs = deployment.runs_of(key).len();
-        for certainty in &told.certainties {
+        for certainty in &received.certainties {
             *tally.entry(certainty.into()).or_default() += 1;
             let is_true = match certainty {
                 Certainty::NotRun => runs == 0,
                 Certainty::Answered => runs == 1,
                 _ => runs <= 1,
             };
-            assert!(is_true, "{certainty:?} but {runs} runs of {key}: {told:?}");
+            assert!(
+                is_true,
+                "{certainty:?} but {runs} runs of {key}: {received:?}"
+            );
         }
         let never_ran =
-            |told: &Certainty| matches!(told, Certainty::NotYet | Certainty::TicketDead);
-        if told.hung_up == 0 && told.certainties.iter().all(never_ran) {
-            assert_eq!(runs, 0, "all sends of {key} did not run: {told:?}");
+            |received: &Certainty| matches!(received, Certainty::NotYet | Certainty::TicketDead);
+        if received.unanswered_sends == 0 && received.certainties.iter().all(never_ran) {
+            assert_eq!(runs, 0, "all sends of {key} did not run: {received:?}");
         }
     }
-    for (nonce, told) in &*book.lookups.lock().expect("no holder of this lock panics") {
+    for (nonce, received) in &*answer_log
+        .lookups
+        .lock()
+        .expect("no holder of this lock panics")
+    {
         let runs = deployment.runs_of(nonce).len();
-        for certainty in &told.certainties {
+        for certainty in &received.certainties {
             *tally.entry(certainty.into()).or_default() += 1;
             let is_true = *certainty != Certainty::NotRun || runs == 0;
             assert!(is_true, "{certainty:?} but {runs} runs of {nonce}");
@@ -241,23 +261,27 @@
 /// answer is noted; callers also resend what was refused for good. When all
 /// nodes have ended, no ticket that was ever told "not run" has run.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn no_ticket_that_was_told_not_run_ever_runs() -> Result<()> {
+async fn no_ticket_reported_as_not_run_ever_runs() -> Result<()> {
     let mut deployment = Deployment::start(TEXT, members()).await?;
-    let book = Arc::new(Book::default());
+    let answer_log = Arc::new(AnswerLog::default());
     let mut callers = JoinSet::new();
     for seed in 0..CALLERS {
         let entries = deployment.fleet.entries();
-        callers.spawn(pay_and_look(entries, seed, Arc::clone(&book)));
+        callers.spawn(send_payments_and_lookups(
+            entries,
+            seed,
+            Arc::clone(&answer_log),
+        ));
     }
-    let struck = strike_all(&mut deployment, &book).await;
-    book.stop.store(true, Ordering::Relaxed);
+    let injected = inject_failures(&mut deployment, &answer_log).await;
+    answer_log.stop.store(true, Ordering::Relaxed);
     while let Some(ended) = callers.join_next().await {
         ended?;
     }
-    struck?;
-    deployment.fleet.stop_all(DRAINED_WITHIN).await?;
+    injected?;
+    deployment.fleet.stop_all(DRAIN_TIMEOUT).await?;
 
-    let tally = reconcile(&deployment, &book);
+    let tally = reconcile(&deployment, &answer_log);
     println!("answers by certainty: {tally:?}");
     assert_at_most_once(&deployment);
     for certainty in [Certainty::Answered, Certainty::NotRun, Certainty::Unknown] {
@@ -311,7 +335,7 @@
     deployment.fleet.start("cashier-3")?;
     let outcome = load.await??;
     deployment.fleet.wait_ready("cashier-3").await?;
-    deployment.fleet.stop_all(DRAINED_WITHIN).await?;
+    deployment.fleet.stop_all(DRAIN_TIMEOUT).await?;
 
     let mut runs: Vec<RunRecord> = Vec::new();
     for target in deployment.targets.values() {
--- a/tests/all/plot.rs
+++ b/tests/all/plot.rs
@@ -25,12 +25,12 @@
     )
 }
 
-fn picture(name: &str) -> PathBuf {
+fn svg_path(name: &str) -> PathBuf {
     std::env::temp_dir().join(format!("hitch-plot-{name}-{}.svg", std::process::id()))
 }
 
 /// A log of four seconds, the third without a line.
-fn day(name: &str) -> PathBuf {
+fn sample_log(name: &str) -> PathBuf {
     let lines = [
         line(1_000, "shop", 1000, 200, 7),
         line(1_100, "till", 1000, 200, 9),
@@ -45,9 +45,9 @@
 
 #[test]
 fn outcomes_and_latencies_are_drawn() {
-    let out = picture("all");
+    let out = svg_path("all");
     let out_text = out.to_str().expect("a path in UTF-8");
-    let (exit, text, _) = plot(&["--out", out_text], &day("plot-all"));
+    let (exit, text, _) = plot(&["--out", out_text], &sample_log("plot-all"));
     assert_eq!(exit, 0);
     assert!(text.contains("5 calls in 4 steps of 1000 ms"), "{text}");
     assert!(text.contains("1 lines were no log of a node"), "{text}");
@@ -72,10 +72,10 @@
 
 #[test]
 fn one_service_can_be_drawn_alone() {
-    let out = picture("till");
+    let out = svg_path("till");
     let out_text = out.to_str().expect("a path in UTF-8");
     let arguments = ["--out", out_text, "--service", "till", "--step-ms", "100"];
-    let (exit, text, _) = plot(&arguments, &day("plot-till"));
+    let (exit, text, _) = plot(&arguments, &sample_log("plot-till"));
     assert_eq!(exit, 0);
     assert!(text.contains("1 calls in 1 steps of 100 ms"), "{text}");
 }
@@ -83,8 +83,8 @@
 /// A line with a wrong clock is among the others. The command says that the
 /// picture would be too long, and writes none.
 #[test]
-fn a_picture_too_long_is_refused() {
-    let out = picture("long");
+fn a_time_range_with_too_many_steps_is_rejected() {
+    let out = svg_path("long");
     let out_text = out.to_str().expect("a path in UTF-8");
     let early = line(1, "shop", 1000, 200, 7);
     let late = line(1_800_000_000_000, "shop", 1000, 200, 7);
@@ -99,8 +99,8 @@
 }
 
 #[test]
-fn logs_without_a_call_are_told() {
-    let out = picture("none");
+fn logs_without_calls_are_reported() {
+    let out = svg_path("none");
     let out_text = out.to_str().expect("a path in UTF-8");
     let log = log_file("plot-none", &["{}"]);
     let (exit, text, _) = plot(&["--out", out_text], &log);
--- a/tests/all/routed.rs
+++ b/tests/all/routed.rs
@@ -10,7 +10,7 @@
 use hornbeamhitch_standins::platform::VmState;
 use hornbeamhitch_standins::raw_caller::{RawAnswer, RawCaller};
 
-use crate::support::{Deployment, Member, PATIENCE};
+use crate::support::{Deployment, Member, WAIT_TIMEOUT};
 
 const ROUTED: &str = env!("CARGO_BIN_EXE_hornbeamhitch-routed");
 /// Every call that these tests start ends within this time.
@@ -103,7 +103,7 @@
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
     };
-    let waited = tokio::time::timeout(PATIENCE, waiting).await;
+    let waited = tokio::time::timeout(WAIT_TIMEOUT, waiting).await;
     ensure!(waited.is_ok(), "timed out waiting until {what}");
     Ok(())
 }
@@ -192,7 +192,7 @@
     let mut nodes = RoutedNodes::start(&["layouts"]).await?;
     let fleet = &mut nodes.0.fleet;
     fleet.terminate("vm-0")?;
-    let status = fleet.wait_exit("vm-0", PATIENCE).await?;
+    let status = fleet.wait_exit("vm-0", WAIT_TIMEOUT).await?;
     assert!(status.success(), "{status}");
     Ok(())
 }
--- a/tests/all/shutdown.rs
+++ b/tests/all/shutdown.rs
@@ -49,7 +49,7 @@
 const RUN_US: u64 = 2_200_000;
 /// Far more than sockets and windows hold on the way.
 const LARGE_BYTES: usize = 48 * 1024 * 1024;
-const EXIT: Duration = Duration::from_secs(25);
+const EXIT_TIMEOUT: Duration = Duration::from_secs(25);
 
 fn member(vm: &str, service: &str) -> Member {
     Member::new(vm, service).with(|target| target.slots = 20)
@@ -126,7 +126,7 @@
 }
 
 #[tokio::test]
-async fn calls_in_flight_at_an_entry_that_ends_are_answered_whole() -> Result<()> {
+async fn calls_in_flight_at_a_terminating_entry_are_answered_whole() -> Result<()> {
     // Callers hold connections to the entry when it gets SIGTERM. It goes on
     // to serve them, ends each connection after its answer, takes no more
     // connections, and ends with status 0 once the last byte is out.
@@ -141,13 +141,13 @@
     let answer = Caller::new().send(entry, &late).await?;
     assert!(late.is_answered_by(&answer), "a leaving entry still serves");
     in_flight.all_answered(&deployment, event_at).await?;
-    let status = deployment.fleet.wait_exit(ENTRY, EXIT).await?;
+    let status = deployment.fleet.wait_exit(ENTRY, EXIT_TIMEOUT).await?;
     assert_eq!(status.code(), Some(0));
     Ok(())
 }
 
 #[tokio::test]
-async fn calls_in_flight_at_a_gate_that_ends_are_answered_whole() -> Result<()> {
+async fn calls_in_flight_at_a_terminating_gate_are_answered_whole() -> Result<()> {
     // The only gate of the service gets SIGTERM. What it has let in runs to
     // its end and is answered whole through the entry; a new call is told
     // that it did not run.
@@ -163,13 +163,13 @@
     assert_eq!(certainty_of(&answer), Certainty::NotRun);
     assert!(deployment.runs_of(&late.nonce).is_empty());
     in_flight.all_answered(&deployment, event_at).await?;
-    let status = deployment.fleet.wait_exit(GATE, EXIT).await?;
+    let status = deployment.fleet.wait_exit(GATE, EXIT_TIMEOUT).await?;
     assert_eq!(status.code(), Some(0));
     Ok(())
 }
 
 #[tokio::test]
-async fn a_run_that_calls_on_late_is_answered_although_its_node_ends() -> Result<()> {
+async fn a_late_nested_call_is_served_while_its_node_terminates() -> Result<()> {
     // A payment has run for two seconds when its target calls on through its
     // own node, which has been leaving all the while. The node must still
     // take that call in, or the payment, already half done, fails at its end.
@@ -192,13 +192,13 @@
     assert_eq!(answer.status.as_u16(), 200, "{:?}", answer.headers);
     assert!(call.is_answered_by(&answer));
     assert_eq!(deployment.runs_of("calls-on+").len(), 1);
-    let status = deployment.fleet.wait_exit(&gate, EXIT).await?;
+    let status = deployment.fleet.wait_exit(&gate, EXIT_TIMEOUT).await?;
     assert_eq!(status.code(), Some(0));
     Ok(())
 }
 
 #[tokio::test]
-async fn a_target_that_drains_and_restarts_under_load_costs_no_call() -> Result<()> {
+async fn a_target_drain_and_restart_under_load_fails_no_call() -> Result<()> {
     // The target asks for draining, finishes what it has, closes its port and
     // comes back. Its node stays. Callers see only answers.
     let members = vec![
@@ -245,7 +245,7 @@
 }
 
 #[tokio::test]
-async fn a_call_that_never_ends_holds_a_node_no_longer_than_its_drain_timeout() -> Result<()> {
+async fn an_endless_call_delays_a_shutdown_no_longer_than_the_drain_timeout() -> Result<()> {
     // The caller of a run without an end sees its connection break: nothing
     // that looks like an answer. The node ends with status 4, so that whoever
     // replaces it knows that something was cut off.
@@ -273,20 +273,20 @@
         .with(headers::SERVICE_US, 60_000_000)
         .with(header::DEADLINE_MS, 100_000);
     let sending = begin(entry, call);
-    let give_up = Instant::now() + EXIT;
+    let give_up = Instant::now() + EXIT_TIMEOUT;
     while target.all_runs().is_empty() {
         ensure!(Instant::now() < give_up, "the call never ran");
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
-    let told_at = Instant::now();
+    let terminated_at = Instant::now();
     fleet.terminate(GATE)?;
-    let status = fleet.wait_exit(GATE, EXIT).await?;
+    let status = fleet.wait_exit(GATE, EXIT_TIMEOUT).await?;
     println!(
         "a call without an end: the node ended after {:?}",
-        told_at.elapsed()
+        terminated_at.elapsed()
     );
     assert_eq!(status.code(), Some(DRAIN_TIMED_OUT));
-    assert!(told_at.elapsed() >= Duration::from_millis(DRAIN_TIMEOUT_MS));
+    assert!(terminated_at.elapsed() >= Duration::from_millis(DRAIN_TIMEOUT_MS));
     if let Ok(answer) = sending.await? {
         assert!(!answer.status.is_success(), "{answer:?}");
     }
@@ -361,7 +361,7 @@
         deployment.fleet.terminate(vm)?;
     }
     for vm in &wave {
-        let status = deployment.fleet.wait_exit(vm, EXIT).await?;
+        let status = deployment.fleet.wait_exit(vm, EXIT_TIMEOUT).await?;
         assert_eq!(status.code(), Some(0), "{vm}");
         deployment.fleet.start(vm)?;
     }
@@ -398,8 +398,8 @@
     let (stop, stopped) = tokio::sync::watch::channel(false);
     let loading = keep_loading(deployment.fleet.entries(), stopped);
     let began_at = Instant::now();
-    let under_load = |deployment: &Deployment| all_runs(deployment).len() >= 100;
-    deployment.wait_until("load runs", under_load).await?;
+    let is_under_load = |deployment: &Deployment| all_runs(deployment).len() >= 100;
+    deployment.wait_until("load runs", is_under_load).await?;
     let mut restarted = 0;
     for number in 1..=5 {
         restarted += restart_wave(&mut deployment, number).await?;
--- a/tests/all/support.rs
+++ b/tests/all/support.rs
@@ -30,7 +30,7 @@
 /// The program under test.
 const NODE: &str = env!("CARGO_BIN_EXE_hornbeamhitch-node");
 /// Bound on every wait; reached only when something is broken.
-pub const PATIENCE: Duration = Duration::from_secs(30);
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 const POLL: Duration = Duration::from_millis(10);
 
 /// The usual text of tests: one service with both kinds of calls.
@@ -186,7 +186,7 @@
         what: &str,
         fits: impl Fn(&NodeStatus) -> bool,
     ) -> Result<NodeStatus> {
-        let give_up = Instant::now() + PATIENCE;
+        let give_up = Instant::now() + WAIT_TIMEOUT;
         let mut last = None;
         while Instant::now() < give_up {
             if let Ok(status) = self.status(vm).await {
@@ -224,7 +224,7 @@
 
     /// Waits until something that the test can see comes true.
     pub async fn wait_until(&self, what: &str, holds: impl Fn(&Self) -> bool) -> Result<()> {
-        let give_up = Instant::now() + PATIENCE;
+        let give_up = Instant::now() + WAIT_TIMEOUT;
         while Instant::now() < give_up {
             if holds(self) {
                 return Ok(());
--- a/tests/all/support/caller.rs
+++ b/tests/all/support/caller.rs
@@ -14,7 +14,7 @@
 use http_body_util::Full;
 
 /// Bound on one request; reached only when something is broken.
-const REQUEST_PATIENCE: Duration = Duration::from_secs(30);
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// One call that a test makes.
 #[derive(Clone, Debug)]
@@ -137,7 +137,7 @@
     ) -> Result<WholeAnswer, SendFault> {
         let request = call.request(entry, path);
         let request = request.expect("a test's request is well formed");
-        self.client.send(request, REQUEST_PATIENCE).await
+        self.client.send(request, REQUEST_TIMEOUT).await
     }
 
     /// Asks for a ticketed URL for a non-idempotent call.
--- a/tests/all/support/far_entry.rs
+++ b/tests/all/support/far_entry.rs
@@ -18,7 +18,7 @@
 
 use super::caller::{Call, Caller};
 use super::relay::Relay;
-use super::{Deployment, NODE, PATIENCE, POLL, loopback};
+use super::{Deployment, NODE, POLL, WAIT_TIMEOUT, loopback};
 
 const VM: &str = "far-desk";
 /// A service without calls of its own, so that the entry is nobody's gate.
@@ -94,10 +94,10 @@
 
     /// Makes the entry hear of its gates, by lookups whose answers carry their
     /// reports, until it can reckon with them.
-    pub async fn hear_gates(&self) -> Result<()> {
+    pub async fn wait_for_gate_reports(&self) -> Result<()> {
         let operators = self.fleet.addresses(VM)?.operators;
         let client = HttpClient::new(HttpVersion::Http1);
-        let give_up = Instant::now() + PATIENCE;
+        let give_up = Instant::now() + WAIT_TIMEOUT;
         while Instant::now() < give_up {
             let _ = Caller::new().send(self.addr(), &Call::price("hear")).await;
             let status: NodeStatus = client.get(operators, STATUS_PATH).await?.json()?;
--- a/tests/all/support/in_force.rs
+++ b/tests/all/support/in_force.rs
@@ -4,10 +4,10 @@
 
 use eyre::{Result, bail};
 
-use super::{Deployment, PATIENCE};
+use super::{Deployment, WAIT_TIMEOUT};
 
 /// Pause between two looks at all nodes.
-const LOOK: Duration = Duration::from_millis(5);
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 impl Deployment {
     /// Waits until a version is in force on all these nodes; gives the time
@@ -19,7 +19,7 @@
         changed_at: Instant,
     ) -> Result<Duration> {
         let mut waiting: Vec<&String> = vms.iter().collect();
-        while changed_at.elapsed() < PATIENCE {
+        while changed_at.elapsed() < WAIT_TIMEOUT {
             let mut behind = Vec::new();
             for vm in waiting {
                 if self.in_force(vm).await != Some(version) {
@@ -30,7 +30,7 @@
                 return Ok(changed_at.elapsed());
             }
             waiting = behind;
-            tokio::time::sleep(LOOK).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
         bail!("version {version} never came into force on {waiting:?}")
     }
@@ -58,7 +58,7 @@
     }
 
     /// Fails when an older version came into force after a newer one.
-    pub fn assert_never_back(&self) -> Result<()> {
+    pub fn assert_versions_never_decrease(&self) -> Result<()> {
         for vm in self.fleet.names() {
             let versions = self.versions_in_force(&vm)?;
             assert!(!versions.is_empty(), "{vm} has logged no version");
--- a/tests/all/support/pause.rs
+++ b/tests/all/support/pause.rs
@@ -6,7 +6,7 @@
 use eyre::{Result, bail};
 use hornbeamhitch_standins::fleet::Fleet;
 
-use super::{Deployment, PATIENCE, POLL};
+use super::{Deployment, POLL, WAIT_TIMEOUT};
 
 /// Pauses a node and waits until every one of its threads has stopped.
 ///
@@ -20,7 +20,7 @@
 pub async fn pause_in(fleet: &mut Fleet, vm: &str) -> Result<()> {
     fleet.pause(vm)?;
     let process = fleet.process_id(vm)?;
-    let give_up = Instant::now() + PATIENCE;
+    let give_up = Instant::now() + WAIT_TIMEOUT;
     while Instant::now() < give_up {
         if has_stopped(process)? {
             return Ok(());
--- a/tests/all/support/payment.rs
+++ b/tests/all/support/payment.rs
@@ -100,7 +100,7 @@
     /// Sends it again, as the documentation allows, until the answer is one
     /// that no resend can change.
     pub async fn settle(&self, entry: SocketAddr) -> Result<WholeAnswer> {
-        let give_up = std::time::Instant::now() + super::PATIENCE;
+        let give_up = std::time::Instant::now() + super::WAIT_TIMEOUT;
         loop {
             let answer = self.send(entry).await.map_err(|fault| eyre!("{fault}"))?;
             let certainty = certainty_of(&answer);
--- a/tests/all/support/probe_counter.rs
+++ b/tests/all/support/probe_counter.rs
@@ -17,7 +17,7 @@
 
 /// What becomes of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Conduct {
+pub enum ConnectionBehaviour {
     /// Requests are read and never answered.
     Silent,
     /// The connection is closed once a request has come.
@@ -44,11 +44,11 @@
 
 impl ProbeCounter {
     /// Listens, and treats every connection alike.
-    pub async fn start(conduct: Conduct) -> Result<Self> {
+    pub async fn start(behaviour: ConnectionBehaviour) -> Result<Self> {
         let listener = TcpListener::bind(loopback()).await?;
         let addr = listener.local_addr()?;
         let counts = Arc::new(Counts::default());
-        let accepting = tokio::spawn(accept(listener, conduct, Arc::clone(&counts)));
+        let accepting = tokio::spawn(accept(listener, behaviour, Arc::clone(&counts)));
         Ok(Self {
             addr,
             counts,
@@ -83,16 +83,20 @@
     }
 }
 
-async fn accept(listener: TcpListener, conduct: Conduct, counts: Arc<Counts>) {
+async fn accept(listener: TcpListener, behaviour: ConnectionBehaviour, counts: Arc<Counts>) {
     while let Ok((stream, _)) = listener.accept().await {
         counts.connections.fetch_add(1, Ordering::Relaxed);
-        if conduct != Conduct::Flap {
-            tokio::spawn(serve(stream, conduct, Arc::clone(&counts)));
+        if behaviour != ConnectionBehaviour::Flap {
+            tokio::spawn(serve(stream, behaviour, Arc::clone(&counts)));
         }
     }
 }
 
-async fn serve(mut stream: TcpStream, conduct: Conduct, counts: Arc<Counts>) -> Result<()> {
+async fn serve(
+    mut stream: TcpStream,
+    behaviour: ConnectionBehaviour,
+    counts: Arc<Counts>,
+) -> Result<()> {
     let mut received = Vec::new();
     while stream.read_buf(&mut received).await? > 0 {
         if !received
@@ -109,9 +113,9 @@
         };
         counter.fetch_add(1, Ordering::Relaxed);
         received.clear();
-        match conduct {
-            Conduct::Silent => {}
-            Conduct::BreakRuns if is_probe => {
+        match behaviour {
+            ConnectionBehaviour::Silent => {}
+            ConnectionBehaviour::BreakRuns if is_probe => {
                 let answer = b"HTTP/1.1 200 OK\r\ncontent-length: 0\r\n\r\n";
                 stream.write_all(answer).await?;
             }
--- a/tests/all/support/relay.rs
+++ b/tests/all/support/relay.rs
@@ -16,7 +16,7 @@
 
 /// What the relay does now.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-struct Rule {
+struct RelayState {
     /// Bytes towards the gate are kept back.
     hold_requests: bool,
     /// Bytes towards the entry are kept back.
@@ -26,20 +26,20 @@
     /// Connections of earlier cuts are reset on both sides.
     cuts: u64,
     /// Connections of earlier strandings are reset towards the entry only.
-    strandings: u64,
+    entry_side_resets: u64,
     /// What stranded connections kept back reaches the gate.
-    deliver_stranded: bool,
+    deliver_held: bool,
 }
 
 struct Shared {
     gate: SocketAddr,
-    rule: watch::Sender<Rule>,
+    state: watch::Sender<RelayState>,
     /// Bytes that may still go to the entry before a cut.
     answer_budget: Mutex<Option<usize>>,
     /// What the gate has sent on stranded connections.
     late_answers: Mutex<Vec<u8>>,
     /// Bytes kept back towards the gate, one buffer a connection.
-    kept: Mutex<Vec<Arc<Mutex<Vec<u8>>>>>,
+    held: Mutex<Vec<Arc<Mutex<Vec<u8>>>>>,
 }
 
 /// How a connection through the relay ends.
@@ -49,7 +49,7 @@
     /// Reset on both sides.
     Cut,
     /// Reset towards the entry; what is kept back still reaches the gate.
-    Stranded,
+    EntrySideReset,
 }
 
 /// A running relay; it ends when this value is dropped.
@@ -66,10 +66,10 @@
         let addr = listener.local_addr()?;
         let shared = Arc::new(Shared {
             gate,
-            rule: watch::Sender::new(Rule::default()),
+            state: watch::Sender::new(RelayState::default()),
             answer_budget: Mutex::new(None),
             late_answers: Mutex::default(),
-            kept: Mutex::default(),
+            held: Mutex::default(),
         });
         let accepting = tokio::spawn(accept(listener, Arc::clone(&shared)));
         Ok(Self {
@@ -87,42 +87,42 @@
     /// Keeps back, or passes on again, what entries send.
     pub fn hold_requests(&self, hold: bool) {
         self.shared
-            .rule
-            .send_modify(|rule| rule.hold_requests = hold);
+            .state
+            .send_modify(|state| state.hold_requests = hold);
     }
 
     /// Keeps back, or passes on again, what the gate sends.
     pub fn hold_answers(&self, hold: bool) {
         self.shared
-            .rule
-            .send_modify(|rule| rule.hold_answers = hold);
+            .state
+            .send_modify(|state| state.hold_answers = hold);
     }
 
     /// Resets all connections; new ones go through.
     pub fn cut(&self) {
-        self.shared.rule.send_modify(|rule| rule.cuts += 1);
+        self.shared.state.send_modify(|state| state.cuts += 1);
     }
 
     /// Resets, or lets through, every new connection.
     pub fn refuse(&self, refuse: bool) {
-        self.shared.rule.send_modify(|rule| rule.refuse = refuse);
+        self.shared.state.send_modify(|state| state.refuse = refuse);
     }
 
     /// Resets all connections towards the entries only. What was kept back of
-    /// them stays in the network until [`Self::deliver_stranded`]; new ones
+    /// them stays in the network until [`Self::deliver_held`]; new ones
     /// keep back nothing.
-    pub fn strand(&self) {
-        self.shared.rule.send_modify(|rule| {
-            rule.hold_requests = false;
-            rule.strandings += 1;
+    pub fn reset_entry_side(&self) {
+        self.shared.state.send_modify(|state| {
+            state.hold_requests = false;
+            state.entry_side_resets += 1;
         });
     }
 
     /// Brings what was stranded to the gate, late and without a sender.
-    pub fn deliver_stranded(&self) {
+    pub fn deliver_held(&self) {
         self.shared
-            .rule
-            .send_modify(|rule| rule.deliver_stranded = true);
+            .state
+            .send_modify(|state| state.deliver_held = true);
     }
 
     /// Cuts all connections once this many more bytes went to entries.
@@ -132,13 +132,13 @@
 
     /// Whether connections were cut.
     pub fn has_cut(&self) -> bool {
-        self.shared.rule.borrow().cuts > 0
+        self.shared.state.borrow().cuts > 0
     }
 
     /// Whether a part of a request is kept back.
-    pub fn keeps(&self, part: &[u8]) -> bool {
-        for kept in lock(&self.shared.kept).iter() {
-            if contains(&lock(kept), part) {
+    pub fn holds(&self, part: &[u8]) -> bool {
+        for held in lock(&self.shared.held).iter() {
+            if contains(&lock(held), part) {
                 return true;
             }
         }
@@ -161,7 +161,7 @@
 
 async fn accept(listener: TcpListener, shared: Arc<Shared>) {
     while let Ok((entry, _)) = listener.accept().await {
-        if shared.rule.borrow().refuse {
+        if shared.state.borrow().refuse {
             let _ = entry.set_zero_linger();
             continue;
         }
@@ -170,25 +170,25 @@
 }
 
 async fn relay(mut entry: TcpStream, shared: Arc<Shared>) {
-    let mut rule = shared.rule.subscribe();
-    let at_start = *rule.borrow_and_update();
+    let mut state = shared.state.subscribe();
+    let at_start = *state.borrow_and_update();
     let Ok(mut gate) = TcpStream::connect(shared.gate).await else {
         let _ = entry.set_zero_linger();
         return;
     };
     let _ = entry.set_nodelay(true);
     let _ = gate.set_nodelay(true);
-    let kept = Arc::new(Mutex::new(Vec::new()));
-    lock(&shared.kept).push(Arc::clone(&kept));
+    let held = Arc::new(Mutex::new(Vec::new()));
+    lock(&shared.held).push(Arc::clone(&held));
     let end = {
         let (entry_reads, entry_writes) = entry.split();
         let (gate_reads, gate_writes) = gate.split();
         tokio::select! {
             // An order to end comes before what it also lets through.
             biased;
-            end = ordered_end(rule, at_start) => end,
-            end = pass_requests(entry_reads, gate_writes, &kept, &shared) => end,
-            end = pass_answers(gate_reads, entry_writes, &shared) => end,
+            end = wait_for_reset(state, at_start) => end,
+            end = forward_requests(entry_reads, gate_writes, &held, &shared) => end,
+            end = forward_answers(gate_reads, entry_writes, &shared) => end,
         }
     };
     match end {
@@ -197,40 +197,40 @@
             let _ = entry.set_zero_linger();
             let _ = gate.set_zero_linger();
         }
-        End::Stranded => {
+        End::EntrySideReset => {
             let _ = entry.set_zero_linger();
             drop(entry);
-            deliver_late(gate, &kept, &shared).await;
+            deliver_late(gate, &held, &shared).await;
         }
     }
 }
 
-async fn ordered_end(mut rule: watch::Receiver<Rule>, at_start: Rule) -> End {
+async fn wait_for_reset(mut state: watch::Receiver<RelayState>, at_start: RelayState) -> End {
     loop {
-        let now = *rule.borrow_and_update();
+        let now = *state.borrow_and_update();
         if now.cuts != at_start.cuts {
             return End::Cut;
         }
-        if now.strandings != at_start.strandings {
-            return End::Stranded;
+        if now.entry_side_resets != at_start.entry_side_resets {
+            return End::EntrySideReset;
         }
-        if rule.changed().await.is_err() {
+        if state.changed().await.is_err() {
             return End::Cut;
         }
     }
 }
 
-async fn pass_requests(
+async fn forward_requests(
     mut from: impl AsyncRead + Unpin,
     mut to: impl AsyncWrite + Unpin,
-    kept: &Mutex<Vec<u8>>,
+    held: &Mutex<Vec<u8>>,
     shared: &Shared,
 ) -> End {
-    let mut rule = shared.rule.subscribe();
+    let mut state = shared.state.subscribe();
     let mut chunk = vec![0; CHUNK_BYTES];
     loop {
-        if !rule.borrow_and_update().hold_requests {
-            let bytes = std::mem::take(&mut *lock(kept));
+        if !state.borrow_and_update().hold_requests {
+            let bytes = std::mem::take(&mut *lock(held));
             if to.write_all(&bytes).await.is_err() {
                 return End::Closed;
             }
@@ -238,51 +238,51 @@
         tokio::select! {
             read = from.read(&mut chunk) => match read {
                 Ok(0) | Err(_) => return End::Closed,
-                Ok(count) => lock(kept).extend_from_slice(&chunk[..count]),
+                Ok(count) => lock(held).extend_from_slice(&chunk[..count]),
             },
-            _ = rule.changed() => {}
+            _ = state.changed() => {}
         }
     }
 }
 
-async fn pass_answers(
+async fn forward_answers(
     mut from: impl AsyncRead + Unpin,
     mut to: impl AsyncWrite + Unpin,
     shared: &Shared,
 ) -> End {
-    let mut rule = shared.rule.subscribe();
+    let mut state = shared.state.subscribe();
     let mut chunk = vec![0; CHUNK_BYTES];
-    let mut kept = Vec::new();
+    let mut held = Vec::new();
     loop {
-        if !rule.borrow_and_update().hold_answers {
-            let allowed_bytes = shared.spend_answer_budget(kept.len());
-            if to.write_all(&kept[..allowed_bytes]).await.is_err() {
+        if !state.borrow_and_update().hold_answers {
+            let allowed_bytes = shared.spend_answer_budget(held.len());
+            if to.write_all(&held[..allowed_bytes]).await.is_err() {
                 return End::Closed;
             }
-            if allowed_bytes < kept.len() {
-                shared.rule.send_modify(|rule| rule.cuts += 1);
+            if allowed_bytes < held.len() {
+                shared.state.send_modify(|state| state.cuts += 1);
                 return End::Cut;
             }
-            kept.clear();
+            held.clear();
         }
         tokio::select! {
             read = from.read(&mut chunk) => match read {
                 Ok(0) | Err(_) => return End::Closed,
-                Ok(count) => kept.extend_from_slice(&chunk[..count]),
+                Ok(count) => held.extend_from_slice(&chunk[..count]),
             },
-            _ = rule.changed() => {}
+            _ = state.changed() => {}
         }
     }
 }
 
 /// Plays a network that brings packets late, long after their sender has
 /// given up.
-async fn deliver_late(mut gate: TcpStream, kept: &Mutex<Vec<u8>>, shared: &Shared) {
-    let mut rule = shared.rule.subscribe();
-    if rule.wait_for(|rule| rule.deliver_stranded).await.is_err() {
+async fn deliver_late(mut gate: TcpStream, held: &Mutex<Vec<u8>>, shared: &Shared) {
+    let mut state = shared.state.subscribe();
+    if state.wait_for(|state| state.deliver_held).await.is_err() {
         return;
     }
-    let bytes = std::mem::take(&mut *lock(kept));
+    let bytes = std::mem::take(&mut *lock(held));
     if gate.write_all(&bytes).await.is_err() {
         return;
     }
--- a/tests/all/support/traffic.rs
+++ b/tests/all/support/traffic.rs
@@ -12,10 +12,10 @@
 use tokio::task::JoinSet;
 
 use super::caller::{Call, Caller, certainty_of, code_of};
-use super::{PATIENCE, POLL};
+use super::{POLL, WAIT_TIMEOUT};
 
 /// Pause of a caller between two calls.
-const PAUSE: Duration = Duration::from_millis(8);
+const CALL_INTERVAL: Duration = Duration::from_millis(8);
 /// Sends of one call, redirects included, before it counts as failed.
 const MAX_SENDS: u32 = 20;
 /// Numbers the callers of this process, so that nonces never repeat.
@@ -53,7 +53,7 @@
         for _ in 0..callers {
             let number = NEXT_CALLER.fetch_add(1, Ordering::Relaxed);
             let shared = Arc::clone(&shared);
-            tasks.spawn(keep_calling(number, entries.to_vec(), shared));
+            tasks.spawn(run_caller(number, entries.to_vec(), shared));
         }
         Self {
             shared,
@@ -64,7 +64,7 @@
     /// Waits until this many more calls were answered.
     pub async fn wait_answered(&self, more: u64) -> Result<()> {
         let wanted = self.shared.answered.load(Ordering::Relaxed) + more;
-        let give_up = Instant::now() + PATIENCE;
+        let give_up = Instant::now() + WAIT_TIMEOUT;
         while self.shared.answered.load(Ordering::Relaxed) < wanted {
             ensure!(Instant::now() < give_up, "callers get no answers");
             tokio::time::sleep(POLL).await;
@@ -87,7 +87,7 @@
     }
 }
 
-async fn keep_calling(number: u64, entries: Vec<SocketAddr>, shared: Arc<Shared>) -> Vec<String> {
+async fn run_caller(number: u64, entries: Vec<SocketAddr>, shared: Arc<Shared>) -> Vec<String> {
     let caller = Caller::new();
     let mut failures = Vec::new();
     let mut turn = usize::try_from(number).unwrap_or(0);
@@ -99,20 +99,20 @@
             0 => Call::charge(&nonce),
             _ => Call::price(&nonce),
         };
-        match pursue(&caller, entry, &call, &shared).await {
+        match send_until_answered(&caller, entry, &call, &shared).await {
             Ok(()) => shared.answered.fetch_add(1, Ordering::Relaxed),
             Err(failure) => {
                 failures.push(format!("{nonce} at {entry}: {failure}"));
                 0
             }
         };
-        tokio::time::sleep(PAUSE).await;
+        tokio::time::sleep(CALL_INTERVAL).await;
     }
     failures
 }
 
 /// Sends a call until it is answered, as the contract allows.
-async fn pursue(
+async fn send_until_answered(
     caller: &Caller,
     entry: SocketAddr,
     call: &Call,
--- a/tests/all/thin_path.rs
+++ b/tests/all/thin_path.rs
@@ -15,7 +15,7 @@
 }
 
 #[tokio::test]
-async fn a_lookup_goes_through_any_entry_and_comes_back_whole() -> Result<()> {
+async fn a_lookup_through_any_entry_is_answered_whole() -> Result<()> {
     let deployment = Deployment::start(CASHIER_TEXT, members()).await?;
     let caller = Caller::new();
     for vm in deployment.fleet.names() {
@@ -28,7 +28,7 @@
 }
 
 #[tokio::test]
-async fn a_payment_is_sent_to_its_ticketed_url_and_runs_once() -> Result<()> {
+async fn a_payment_is_redirected_to_its_ticketed_url_and_runs_once() -> Result<()> {
     let deployment = Deployment::start(CASHIER_TEXT, members()).await?;
     let caller = Caller::new();
     let call = Call::charge("payment-1");
--- a/tests/all/trace.rs
+++ b/tests/all/trace.rs
@@ -27,7 +27,7 @@
 /// A payment ended as "nobody can tell". The entry's line names the gate, and
 /// the gate's line says how the run ended; the story has both in their order.
 #[test]
-fn a_story_is_told_in_order_from_several_logs() {
+fn a_trace_merges_several_logs_in_order() {
     let entry = log_file("entry", &[OTHER, ENTRY, "not json"]);
     let gate = log_file("gate", &[GATE]);
     let (exit, text) = trace(&["r1"], &[&entry, &gate]);
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn what_is_missing_is_named() {
+fn missing_log_lines_are_named() {
     let entry = log_file("only-entry", &[ENTRY]);
     let (_, text) = trace(&["r1"], &[&entry]);
     assert!(text.contains("no line of the gate of i-2"), "{text}");
@@ -57,10 +57,10 @@
 }
 
 #[test]
-fn a_story_can_be_had_as_json() {
+fn a_trace_can_be_written_as_json() {
     let gate = log_file("json", &[GATE, ENTRY]);
     let (_, text) = trace(&["--json", "r1"], &[&gate]);
-    let story: serde_json::Value = serde_json::from_str(&text).expect("one JSON value");
-    assert_eq!(story["steps"][0]["fields"]["end"], "broken");
-    assert_eq!(story["steps"][1]["fields"]["code"], 2102);
+    let trace: serde_json::Value = serde_json::from_str(&text).expect("one JSON value");
+    assert_eq!(trace["steps"][0]["fields"]["end"], "broken");
+    assert_eq!(trace["steps"][1]["fields"]["code"], 2102);
 }
--- a/tests/all/uploads.rs
+++ b/tests/all/uploads.rs
@@ -13,17 +13,18 @@
 use crate::support::payment::Payment;
 use crate::support::{CASHIER_TEXT, Deployment, Member};
 
-const SILENCE_MS: u64 = 300;
+const IDLE_TIMEOUT_MS: u64 = 300;
 const BUFFERED_BYTES: u64 = 1 << 20;
 /// Well below the deadline of the silent call, after which it would end anyway.
-const CUT_WITHIN: Duration = Duration::from_secs(10);
+const CUT_TIMEOUT: Duration = Duration::from_secs(10);
 const DEADLINE_MS: u64 = 60_000;
 
 async fn start(service_us: u64) -> Result<Deployment> {
     let member = Member::new("cashier-1", "cashier").with(|target| {
         target.service_time = ServiceTime::Fixed { us: service_us };
     });
-    let limits = json!({ "body_timeout_ms": SILENCE_MS, "buffered_bodies_bytes": BUFFERED_BYTES });
+    let limits =
+        json!({ "body_timeout_ms": IDLE_TIMEOUT_MS, "buffered_bodies_bytes": BUFFERED_BYTES });
     let mut deployment = Deployment::prepare_with(vec![member], |config| {
         config.more_settings.insert("limits".to_owned(), limits);
     })
@@ -37,7 +38,7 @@
 /// even a reset. Its call must not hold the node's memory for a minute; nothing
 /// has run, and the same ticket still runs the whole upload.
 #[tokio::test]
-async fn an_upload_that_falls_silent_is_cut_and_has_not_run() -> Result<()> {
+async fn a_stalled_upload_is_cut_and_has_not_run() -> Result<()> {
     let deployment = start(0).await?;
     let entry = deployment.entry("cashier-1");
     let payment = Payment::ticketed(entry, Call::charge("silent")).await?;
@@ -51,10 +52,10 @@
     stream.write_all(head.as_bytes()).await?;
     let mut answer = Vec::new();
     let reading = stream.read_to_end(&mut answer);
-    let _ = tokio::time::timeout(CUT_WITHIN, reading).await?;
+    let _ = tokio::time::timeout(CUT_TIMEOUT, reading).await?;
     let cut_after = started_at.elapsed();
     println!("cut after {} ms", cut_after.as_millis());
-    assert!(cut_after >= Duration::from_millis(SILENCE_MS));
+    assert!(cut_after >= Duration::from_millis(IDLE_TIMEOUT_MS));
     assert!(payment.runs(&deployment).is_empty());
 
     let whole = payment.settle(entry).await?;
@@ -69,7 +70,7 @@
 /// memory for them is used up, a further one is told "not yet": nothing is
 /// fenced, and the same ticket runs once there is room again.
 #[tokio::test]
-async fn uploads_beyond_the_memory_for_them_wait_outside() -> Result<()> {
+async fn uploads_beyond_the_memory_limit_are_rejected_for_now() -> Result<()> {
     let large = vec![7_u8; 700 << 10];
     let deployment = start(1_500_000).await?;
     let entry = deployment.entry("cashier-1");
--- a/tests/all/whole_answers.rs
+++ b/tests/all/whole_answers.rs
@@ -21,7 +21,7 @@
 use crate::support::far_entry::FarEntry;
 use crate::support::payment::{Payment, assert_at_most_once};
 use crate::support::raw_target::{RawAnswer, RawTarget};
-use crate::support::{Deployment, Member, PATIENCE};
+use crate::support::{Deployment, Member, WAIT_TIMEOUT};
 
 /// Every failed call may be retried, so that budgets play no part here.
 const TEXT: &str = r#"{
@@ -47,7 +47,7 @@
 /// Below what an entry buffers and a record stores.
 const SMALL_BYTES: usize = 40_000;
 /// Between two tries of a call that met a failure.
-const PAUSE: Duration = Duration::from_millis(10);
+const RETRY_INTERVAL: Duration = Duration::from_millis(10);
 const CUTS: [Cut; 5] = [
     Cut::Half,
     Cut::HalfReset,
@@ -105,7 +105,7 @@
 /// and it answers late. The next calls over the same nodes, some of them at the
 /// very same time, must not be given those late answers.
 #[tokio::test]
-async fn late_answers_reach_nobody_else() -> Result<()> {
+async fn late_answers_reach_no_other_caller() -> Result<()> {
     let deployment = deployment(1).await?;
     let entry = deployment.entry("cashier-1");
     let caller = std::sync::Arc::new(Caller::over_http2());
@@ -143,7 +143,7 @@
 /// seen. The entry has it whole in hand before it passes it on, so it tries
 /// again, and the caller gets the whole answer and notices nothing.
 #[tokio::test]
-async fn a_small_cut_answer_of_a_lookup_is_retried_to_a_whole_one() -> Result<()> {
+async fn a_small_truncated_lookup_answer_is_retried() -> Result<()> {
     let deployment = deployment(3).await?;
     for cut in CUTS {
         let call = Call::price(&format!("retried-{cut}"))
@@ -163,7 +163,7 @@
 /// whole one, so the caller is told of the failure, in a whole answer of the
 /// system's own.
 #[tokio::test]
-async fn a_small_answer_that_is_always_cut_is_a_visible_failure() -> Result<()> {
+async fn a_small_answer_that_is_always_truncated_is_a_visible_failure() -> Result<()> {
     let deployment = deployment(3).await?;
     for cut in CUTS {
         let call = Call::price(&format!("always-{cut}"))
@@ -195,7 +195,7 @@
 /// caller's connection or stream breaks: it never sees the end of a body that
 /// has no end.
 #[tokio::test]
-async fn a_large_cut_answer_breaks_visibly() -> Result<()> {
+async fn a_large_truncated_answer_breaks_the_connection() -> Result<()> {
     let deployment = deployment(3).await?;
     let entry = deployment.entry("cashier-1");
     for caller in [Caller::new(), Caller::over_http2()] {
@@ -220,7 +220,7 @@
 /// large answer in chunks and cuts it. The caller must not be left with a short
 /// body that looks whole.
 #[tokio::test]
-async fn a_caller_of_http_1_0_is_not_given_a_short_body_as_whole() -> Result<()> {
+async fn an_http_1_0_caller_gets_no_truncated_body_that_looks_complete() -> Result<()> {
     let deployment = deployment(1).await?;
     let request = format!(
         "GET /cashier/price/old HTTP/1.0\r\nstandin-nonce: old\r\nstandin-cut: {}\r\n\
@@ -247,7 +247,7 @@
 /// its answer: the outcome is "unknown" for good, and it is not run again for
 /// the sake of an answer.
 #[tokio::test]
-async fn a_cut_answer_of_a_payment_is_unknown_for_good() -> Result<()> {
+async fn a_truncated_payment_answer_stays_unknown() -> Result<()> {
     let deployment = deployment(3).await?;
     let entry = deployment.entry("cashier-1");
     for cut in CUTS {
@@ -268,7 +268,7 @@
 /// by then, so its connection breaks. The payment's answer was too large to be
 /// kept, and the same ticket says so.
 #[tokio::test]
-async fn a_large_answer_cut_between_nodes_breaks_visibly() -> Result<()> {
+async fn a_large_answer_cut_between_nodes_breaks_the_connection() -> Result<()> {
     let deployment = deployment(1).await?;
     let far = FarEntry::start(TEXT, &deployment, &["cashier-1"]).await?;
     let relay = far.relay("cashier-1");
@@ -277,7 +277,7 @@
         relay.cut_after_answering(LARGE_BYTES / 4);
         let broken = caller.send(far.addr(), &call).await;
         assert_eq!(broken.map(|answer| answer.status), Err(SendFault::Broken));
-        wait_whole(&caller, far.addr(), &call).await?;
+        send_until_whole(&caller, far.addr(), &call).await?;
     }
 
     let call = Call::charge("paid").with("standin-answer-bytes", LARGE_BYTES);
@@ -295,8 +295,8 @@
 /// Sends a lookup until it is answered. The cut took all connections, and the
 /// next attempt may still meet one of them; that is told as a failure, and
 /// never by a body that is not whole.
-async fn wait_whole(caller: &Caller, entry: SocketAddr, call: &Call) -> Result<()> {
-    let give_up = Instant::now() + PATIENCE;
+async fn send_until_whole(caller: &Caller, entry: SocketAddr, call: &Call) -> Result<()> {
+    let give_up = Instant::now() + WAIT_TIMEOUT;
     while Instant::now() < give_up {
         let answer = caller.send(entry, call).await?;
         if code_of(&answer) == Some(ResultCode::Answered) {
@@ -304,7 +304,7 @@
             return Ok(());
         }
         assert!(answer.status.is_server_error(), "{answer:?}");
-        tokio::time::sleep(PAUSE).await;
+        tokio::time::sleep(RETRY_INTERVAL).await;
     }
     bail!("never answered")
 }
@@ -313,7 +313,7 @@
 /// A lookup is tried again elsewhere; a payment's answer is fetched again from
 /// its record. Both callers get the whole answer.
 #[tokio::test]
-async fn a_small_answer_cut_between_nodes_is_made_whole() -> Result<()> {
+async fn a_small_answer_cut_between_nodes_is_recovered() -> Result<()> {
     let deployment = deployment(2).await?;
     let far = FarEntry::start(TEXT, &deployment, &["cashier-1", "cashier-2"]).await?;
     let relay = far.relay("cashier-1");
@@ -348,7 +348,7 @@
 }
 
 /// A deployment of one node beside a raw target.
-async fn beside(target: &RawTarget) -> Result<Deployment> {
+async fn start_with_raw_target(target: &RawTarget) -> Result<Deployment> {
     let mut deployment = Deployment::prepare(Vec::new()).await?;
     deployment.fleet.add(NodeSpec {
         vm: "cashier-1".to_owned(),
@@ -365,13 +365,13 @@
 /// body. A whole answer of that kind would look the same, so none is passed on:
 /// the caller sees a failure, of lookups and of payments.
 #[tokio::test]
-async fn an_answer_ended_by_a_close_is_not_taken_for_whole() -> Result<()> {
+async fn an_answer_delimited_by_a_close_is_not_passed_on() -> Result<()> {
     let target = RawTarget::start(|_| RawAnswer {
         bytes: b"HTTP/1.1 200 OK\r\ncontent-type: text/plain\r\n\r\nhalf of".to_vec(),
         close: true,
     })
     .await?;
-    let deployment = beside(&target).await?;
+    let deployment = start_with_raw_target(&target).await?;
     let entry = deployment.entry("cashier-1");
     let answer = Caller::new().send(entry, &Call::price("closed")).await?;
     assert_eq!(certainty_of(&answer), Certainty::Unknown);
@@ -399,7 +399,7 @@
         close: false,
     })
     .await?;
-    let deployment = beside(&target).await?;
+    let deployment = start_with_raw_target(&target).await?;
     let entry = deployment.entry("cashier-1");
     let caller = Caller::new();
     for number in 0..50 {
