--- a/tests/all/at_most_once.rs
+++ b/tests/all/at_most_once.rs
@@ -1,7 +1,7 @@
 //! Payments run at most once, whatever fails.
 //!
-//! Every failure is brought about in exact order: a test waits until a journal
-//! or a node's status shows the event, and then strikes.
+//! Each test causes its failure at a defined point: it first waits until a journal
+//! or a node's status shows the preceding event.
 
 mod callers;
 mod kills;
@@ -18,7 +18,8 @@
 use crate::support::payment::{Payment, assert_at_most_once};
 use crate::support::{Deployment, Member};
 
-/// The service of payments, and one without calls for an entry far away.
+/// The service that runs payments, and the service `desk` without calls for a
+/// [`FarEntry`](crate::support::far_entry::FarEntry).
 const TEXT: &str = r#"{
   "deployment": "test",
   "services": {
@@ -35,7 +36,7 @@
   },
 }"#;
 
-/// Each target runs one call at a time.
+/// A text with which each target runs one call at a time.
 const ONE_SLOT_TEXT: &str = r#"{
   "deployment": "test",
   "services": {
@@ -51,11 +52,12 @@
   },
 }"#;
 
-/// Time of a run during which a test strikes; long enough for a busy machine.
+/// Run time of a call during which a test causes a failure. It is long enough for
+/// a busy machine.
 const RUN_US: u64 = 400_000;
-/// Time of a run behind which others wait.
+/// Run time of a call while others wait in the queue.
 const LONG_RUN_US: u64 = 1_500_000;
-/// A deadline that a test lets pass.
+/// Deadline that passes during a test.
 const SHORT_DEADLINE_MS: u64 = 500;
 
 fn cashiers(count: usize) -> Vec<Member> {
@@ -70,19 +72,19 @@
     Deployment::start(TEXT, cashiers(count)).await
 }
 
-/// A payment whose run takes a while.
+/// A payment that runs for [`RUN_US`].
 fn slow_charge(nonce: &str) -> Call {
     Call::charge(nonce).with("standin-service-us", RUN_US)
 }
 
-/// A payment that holds a slot while others wait.
+/// A payment that occupies a slot while others wait.
 fn long_charge(nonce: &str) -> Call {
     Call::charge(nonce)
         .with("standin-service-us", LONG_RUN_US)
         .with("hitch-deadline-ms", 20_000)
 }
 
-/// A ticketed payment, fetched from the first entry.
+/// A payment with a ticket from the first entry.
 async fn payment(deployment: &Deployment, call: Call) -> Result<Payment> {
     Payment::ticketed(deployment.entry("cashier-1"), call).await
 }
@@ -100,7 +102,7 @@
     eyre::bail!("no key of 200 belongs to {gate}")
 }
 
-/// Entries that are not the payment's gate.
+/// Names of all nodes other than the payment's gate.
 fn other_entries(deployment: &Deployment, payment: &Payment) -> Vec<String> {
     let mut names = deployment.fleet.names();
     names.retain(|vm| vm != payment.gate());
@@ -122,7 +124,8 @@
     deployment.wait_status(entry, &what, fits).await.map(drop)
 }
 
-/// Fails when an answer denies a run that may have been, or claims one.
+/// Fails if an answer states that the call ran or that it did not run, although
+/// neither is certain.
 fn assert_uncertain(answer: &WholeAnswer) {
     let certainty = certainty_of(answer);
     let is_uncertain = matches!(
@@ -132,13 +135,13 @@
     assert!(is_uncertain, "{:?} is {certainty:?}", code_of(answer));
 }
 
-/// Fails unless an answer is the stored one of the payment's run.
+/// Fails unless the answer is the stored answer of the payment's run.
 fn assert_replayed(payment: &Payment, answer: &WholeAnswer) {
     assert_eq!(code_of(answer), Some(ResultCode::Replayed));
     assert!(payment.call.is_answered_by(answer), "{:?}", answer.body);
 }
 
-/// Fails unless the payment ran once and no other ran twice.
+/// Fails unless the payment ran exactly once and no other ran twice.
 fn assert_ran_once(deployment: &Deployment, payment: &Payment) {
     assert_eq!(payment.runs(deployment).len(), 1);
     assert_at_most_once(deployment);
--- a/tests/all/at_most_once/callers.rs
+++ b/tests/all/at_most_once/callers.rs
@@ -1,4 +1,4 @@
-//! Callers that leave, or send the same payment more than once.
+//! Callers that disconnect, or send the same payment more than once.
 
 use eyre::Result;
 use hornbeamhitch_standins::target::RunEnd;
@@ -9,9 +9,9 @@
 
 use super::*;
 
-/// The caller's connection breaks in the middle of its upload. The gate has
-/// not the whole body, so nothing runs; the caller sends the whole payment
-/// again through another entry, as it is told to, and that runs once.
+/// The caller's connection breaks in the middle of its upload. The gate does not
+/// have the whole body, so nothing runs. The caller sends the whole payment again
+/// through another entry, as the contract requires, and it runs once.
 #[tokio::test]
 async fn a_connection_lost_during_the_upload_runs_nothing() -> Result<()> {
     let deployment = deployment(3).await?;
@@ -32,8 +32,8 @@
     wait_in_flight(&deployment, &entries[0], payment.gate(), 0).await?;
     assert_eq!(payment.runs(&deployment).len(), 0);
 
-    // The entry may have asked the gate before it noticed that its caller has
-    // left. Then the key is fenced, and a new ticket is due.
+    // The entry may have sent the call to the gate before it noticed that its
+    // caller disconnected. Then the key is fenced, and the caller needs a new ticket.
     let entry = deployment.entry(&entries[1]);
     let mut answer = payment.settle(entry).await?;
     if certainty_of(&answer) == Certainty::NotRun {
@@ -47,9 +47,9 @@
     Ok(())
 }
 
-/// The caller's connection breaks while its payment waits in the gate for a
-/// slot, so before the run. The gate has it whole and keeps it; the resend
-/// through another entry joins the waiting call instead of adding a second.
+/// The caller's connection breaks before the run, while its payment waits in the
+/// gate for a slot. The gate has the whole payment and keeps it queued. The resend
+/// through another entry joins the queued call instead of adding a second one.
 #[tokio::test]
 async fn a_resend_before_the_run_joins_the_queued_call() -> Result<()> {
     let deployment = Deployment::start(ONE_SLOT_TEXT, cashiers(3)).await?;
@@ -61,7 +61,7 @@
     let cut = held.begin(deployment.entry("cashier-1"));
     let queued = |status: &NodeStatus| status.gate.queued == 1;
     deployment
-        .wait_status("cashier-3", "one waits", queued)
+        .wait_status("cashier-3", "one call is queued", queued)
         .await?;
     cut.abort();
     let answer = held.settle(deployment.entry("cashier-2")).await?;
@@ -74,7 +74,7 @@
 }
 
 /// The caller's connection breaks while the target runs its payment. The run
-/// goes on; the resend through another entry joins it and gets its answer.
+/// continues; the resend through another entry joins it and gets its answer.
 #[tokio::test]
 async fn a_resend_during_the_run_joins_it() -> Result<()> {
     let deployment = deployment(3).await?;
@@ -93,8 +93,8 @@
     Ok(())
 }
 
-/// The caller's connection breaks after the run, while the target holds its
-/// answer back. The record waits for that answer, and the resend gets it.
+/// The caller's connection breaks after the run, while the target delays its
+/// answer. The record waits for that answer, and the resend gets it.
 #[tokio::test]
 async fn a_resend_after_the_run_gets_its_answer() -> Result<()> {
     let deployment = deployment(3).await?;
@@ -111,8 +111,8 @@
     Ok(())
 }
 
-/// An impatient caller sends one ticketed payment ten times at once, through
-/// three entries. One send starts the run, the others join it or replay it,
+/// A caller sends one ticketed payment ten times concurrently, through three
+/// entries. One send starts the run, the others join it or get the stored answer,
 /// and all get the same bytes.
 #[tokio::test]
 async fn ten_concurrent_sends_cause_one_run_with_one_answer() -> Result<()> {
@@ -133,9 +133,9 @@
     Ok(())
 }
 
-/// A caller sends another amount under a ticket that has been used. Answering
-/// with the first one's answer would be wrong, running would be a second run:
-/// it is refused, during the first run and after it.
+/// A caller sends another amount under a ticket that was already used. The answer
+/// of the first payment would be wrong, and running the call would be a second run.
+/// It is therefore rejected, both during the first run and after it.
 #[tokio::test]
 async fn another_body_under_a_used_ticket_is_rejected() -> Result<()> {
     let deployment = deployment(3).await?;
--- a/tests/all/at_most_once/kills.rs
+++ b/tests/all/at_most_once/kills.rs
@@ -1,4 +1,4 @@
-//! Processes and targets that are killed, and new lives in their places.
+//! Nodes and targets that are killed, and their new incarnations.
 
 use std::time::Duration;
 
@@ -10,8 +10,8 @@
 use super::*;
 use crate::support::far_entry::FarEntry;
 
-/// The entry is killed during the run, so the caller's connection breaks. The
-/// gate runs on; another entry finds the same record by the same ticket.
+/// The entry is killed during the run, so the caller's connection breaks. The run
+/// continues at the gate; the same ticket leads another entry to the same record.
 #[tokio::test]
 async fn a_killed_entry_causes_no_second_run() -> Result<()> {
     let mut deployment = deployment(3).await?;
@@ -28,9 +28,10 @@
     Ok(())
 }
 
-/// The gate is killed before the payment is sent: "not yet", since nothing was
-/// sent. A new life on the same address knows no records and so must never run
-/// an old life's ticket: the ticket is dead, and a new one runs once.
+/// The gate is killed before the payment is sent: the answer is "not yet", since
+/// nothing was sent. A new incarnation at the same address has no records, so it
+/// must never run a ticket of the previous one: that ticket is dead, and a new
+/// ticket runs once.
 #[tokio::test]
 async fn a_gate_killed_before_the_run_invalidates_the_ticket() -> Result<()> {
     let mut deployment = deployment(3).await?;
@@ -49,7 +50,8 @@
     }
     assert_eq!(payment.runs(&deployment).len(), 0);
 
-    // Every send was answered "not yet" or "ticket dead": a new ticket is due.
+    // Every send was answered "not yet" or "ticket dead", so the caller may get a
+    // new ticket.
     let renewed = Payment::ticketed(entry, payment.call.clone()).await?;
     let answer = renewed.settle(entry).await?;
     assert_eq!(code_of(&answer), Some(ResultCode::Answered));
@@ -58,9 +60,9 @@
     Ok(())
 }
 
-/// The gate is killed during the run: the caller is told "unknown", and stays
-/// told nothing better, before and after a new life takes the gate's address.
-/// Nobody left knows of the run, so nobody may deny it or run it again.
+/// The gate is killed during the run: the answer is "unknown", and no later answer
+/// is more certain, before and after a new incarnation starts at the gate's address.
+/// No process knows of the run any more, so none may deny it or run it again.
 #[tokio::test]
 async fn a_gate_killed_during_the_run_makes_the_outcome_unknown() -> Result<()> {
     let mut deployment = deployment(3).await?;
@@ -86,9 +88,9 @@
     Ok(())
 }
 
-/// The gate is killed after the run and its answer. Records die with it; a
-/// resend is told that the ticket is dead or the gate away, never "not run",
-/// and the next life on the address runs nothing of it.
+/// The gate is killed after the run and its answer, and its records are lost. The
+/// answer to a resend is that the ticket is dead or the gate unreachable, never "not
+/// run", and the next incarnation at the address does not run the payment.
 #[tokio::test]
 async fn a_gate_killed_after_the_run_never_denies_it() -> Result<()> {
     let mut deployment = deployment(3).await?;
@@ -109,9 +111,9 @@
     Ok(())
 }
 
-/// The target crashes during the run and comes back. Whether the money moved
-/// is not known, so every resend, through any entry, before and after the
-/// return, is told the same "unknown", and nothing runs again.
+/// The target crashes during the run and restarts. Whether the payment took effect
+/// is unknown, so every resend, through any entry, before and after the restart, gets
+/// the same answer "unknown", and nothing runs again.
 #[tokio::test]
 async fn a_target_crash_during_the_run_makes_the_outcome_unknown() -> Result<()> {
     let deployment = deployment(3).await?;
@@ -145,9 +147,9 @@
     Ok(())
 }
 
-/// The target is down when the payment arrives: "not run" at once. The caller
-/// may take a new ticket on the strength of it, so the old one must stay dead
-/// when the target is back.
+/// The target is down when the payment arrives: the answer is "not run" without
+/// delay. The caller may then get a new ticket, so the old one must stay dead after
+/// the target is back.
 #[tokio::test]
 async fn a_payment_rejected_because_the_target_is_down_never_runs_later() -> Result<()> {
     let deployment = deployment(2).await?;
@@ -160,8 +162,8 @@
         let call = Call::charge(&format!("target-down-{tries}"));
         let payment = payment_at(&deployment, "cashier-2", call).await?;
         let answer = payment.send(entry).await?;
-        // A kept connection of whose end the gate has not heard yet breaks
-        // under the payment; it is the last of its kind.
+        // The gate may send the payment on an idle connection whose end it has not
+        // noticed yet. At most one payment fails in this way.
         if code_of(&answer) != Some(ResultCode::RunBroken) {
             break (payment, answer);
         }
@@ -178,10 +180,10 @@
     Ok(())
 }
 
-/// A gate is replaced by a new life on the same address, and an entry that is
-/// cut off from all announcements still holds the old life for the present
-/// one. It writes tickets for the old life and sends them to the new, which
-/// refuses them: its own records cannot know what the old life ran.
+/// A gate is replaced by a new incarnation at the same address. An entry that gets
+/// no announcements still takes the old incarnation for the current one. It issues
+/// tickets for the old incarnation and sends them to the new one, which rejects them:
+/// its records do not show what the old one ran.
 #[tokio::test]
 async fn a_new_incarnation_at_the_same_address_runs_no_old_ticket() -> Result<()> {
     let mut deployment = deployment(2).await?;
--- a/tests/all/at_most_once/partitions.rs
+++ b/tests/all/at_most_once/partitions.rs
@@ -1,4 +1,4 @@
-//! Connections that break or hold back, and lists that differ.
+//! Connections that break or stall, and VM lists that differ.
 
 use eyre::Result;
 use hornbeamhitch_standins::platform::VmEntry;
@@ -7,10 +7,10 @@
 use super::*;
 use crate::support::far_entry::FarEntry;
 
-/// Two entries with different VM lists: one does not know the ticket's VM, the
-/// other believes it at the address of another VM's gate, as when an address
-/// was given away. Neither makes the payment run at a gate that the ticket does
-/// not name; an entry with the right list runs it once.
+/// Two entries have stale VM lists: one lacks the ticket's VM, the other has it at
+/// the address of another VM's gate, as after an address was reassigned. Neither
+/// makes the payment run at a gate that the ticket does not name. An entry with the
+/// current list runs it once.
 #[tokio::test]
 async fn entries_with_stale_vm_lists_run_nothing_at_other_gates() -> Result<()> {
     let deployment = deployment(2).await?;
@@ -40,9 +40,9 @@
     Ok(())
 }
 
-/// A partition lets the payment through to the gate and nothing back. It runs;
-/// the caller is told "unknown" at its deadline. Once the partition heals, the
-/// same ticket brings the answer of that run.
+/// A one-way partition forwards the payment to the gate and drops its answer. The
+/// payment runs, and the caller gets "unknown" at its deadline. Once the partition
+/// heals, the same ticket returns the answer of that run.
 #[tokio::test]
 async fn an_answer_lost_in_a_partition_is_fetched_later() -> Result<()> {
     let deployment = deployment(2).await?;
@@ -64,9 +64,9 @@
     Ok(())
 }
 
-/// The connection between entry and gate breaks during the run, and a new one
-/// can be had. The entry asks the gate, which lets it join the run: the caller
-/// notices nothing, and nothing runs twice.
+/// The connection between entry and gate breaks during the run, and a new one can
+/// be opened. The entry sends the call again, and the gate lets it join the run: the
+/// caller notices nothing, and nothing runs twice.
 #[tokio::test]
 async fn a_connection_lost_during_the_run_is_recovered() -> Result<()> {
     let deployment = deployment(2).await?;
@@ -82,9 +82,9 @@
     Ok(())
 }
 
-/// A partition begins during the run and outlasts the entry's patience: the
-/// caller is told "unknown", a resend meanwhile "not yet", and after the
-/// partition the same ticket brings the answer.
+/// A partition begins during the run and lasts longer than the entry waits: the
+/// caller gets "unknown", a resend during the partition gets "not yet", and after the
+/// partition the same ticket returns the answer.
 #[tokio::test]
 async fn a_partition_during_the_run_is_unknown_until_it_heals() -> Result<()> {
     let deployment = deployment(2).await?;
@@ -109,10 +109,10 @@
     Ok(())
 }
 
-/// The payment is on its way when its connection breaks, and its packets come
-/// late. The entry asks the gate on a new connection; the gate has not seen the
-/// key and fences it, so "not run" is told. Then the late packets arrive, whole
-/// and within the deadline, and the fence stops them.
+/// The connection breaks while the payment is in transit, and its packets arrive
+/// late. The entry queries the gate on a new connection; the gate has not seen the
+/// key and fences it, so the answer is "not run". Then the late packets arrive,
+/// complete and within the deadline, and the fence rejects the payment.
 #[tokio::test]
 async fn a_late_payment_is_rejected_by_the_fence() -> Result<()> {
     let deployment = deployment(2).await?;
@@ -140,9 +140,9 @@
     Ok(())
 }
 
-/// The payment's packets come after its deadline, and the partition stops the
-/// entry from asking: the caller is told "unknown", and no fence was raised.
-/// The deadline itself, in the gate's own clock, keeps it from starting.
+/// The payment's packets arrive after its deadline, and a partition keeps the entry
+/// from querying the gate: the caller gets "unknown", and the key is not fenced. The
+/// gate compares the deadline with its own clock and does not start the payment.
 #[tokio::test]
 async fn a_payment_that_arrives_after_its_deadline_is_not_started() -> Result<()> {
     let deployment = deployment(2).await?;
--- a/tests/all/at_most_once/pauses.rs
+++ b/tests/all/at_most_once/pauses.rs
@@ -1,4 +1,4 @@
-//! Processes that stand still and wake.
+//! Processes that are paused and resumed.
 
 use eyre::Result;
 use hornbeamhitch_types::prelude::*;
@@ -7,16 +7,16 @@
 use super::*;
 use crate::support::pause::pause;
 
-/// The gate is paused when the payment is sent, and wakes when its caller has
-/// long given up: the request lies in its socket. The caller is told "unknown";
-/// the gate starts nothing on waking, since the deadline has passed in its own
-/// clock, whether or not the withdrawal behind the request has come. Later calls
-/// on the same connections prove that the old request has been read by then.
+/// The gate is paused when the payment is sent, so the request waits in its socket.
+/// The gate resumes after the caller has given up and got "unknown". It does not start
+/// the payment, since the deadline has passed by its own clock, whether or not the
+/// cancellation that follows the request has arrived. Later calls on the same
+/// connections prove that the gate has read the old request by then.
 #[tokio::test]
 async fn a_gate_that_resumes_late_starts_no_abandoned_call() -> Result<()> {
     let mut deployment = deployment(2).await?;
     let entry = deployment.entry("cashier-1");
-    // From the answer the entry knows the gate's clock.
+    // The answer gives the entry the gate's clock.
     let before = payment_at(&deployment, "cashier-2", Call::charge("before")).await?;
     let answer = before.settle(entry).await?;
     assert_eq!(certainty_of(&answer), Certainty::Answered);
@@ -26,7 +26,7 @@
     deployment.fleet.resume("cashier-2")?;
     assert_eq!(code_of(&answer), Some(ResultCode::GateLost));
 
-    // An entry has two connections to a gate and takes them in turn.
+    // An entry has two connections to a gate and alternates between them.
     for number in 0..4 {
         let call = Call::charge(&format!("after-{number}"));
         let after = payment_at(&deployment, "cashier-2", call).await?;
@@ -34,7 +34,7 @@
         assert_eq!(certainty_of(&answer), Certainty::Answered);
     }
     assert_eq!(late.runs(&deployment).len(), 0);
-    // It was refused and fenced, or withdrawn before it was read whole.
+    // It was rejected and fenced, or cancelled before it was read completely.
     let answer = late.settle(entry).await?;
     let runs = match certainty_of(&answer) {
         Certainty::NotRun => 0,
@@ -46,9 +46,9 @@
     Ok(())
 }
 
-/// The gate is paused with a payment in its queue, past that one's deadline.
-/// On waking a slot is free, but the deadline is checked at the start itself:
-/// the payment is refused and fenced, and "not run" stays true ever after.
+/// The gate is paused with a payment in its queue until after the payment's
+/// deadline. When the gate resumes, a slot is free, but it checks the deadline again
+/// before the start: the payment is rejected and fenced, and "not run" stays true.
 #[tokio::test]
 async fn a_gate_that_resumes_late_starts_nothing_past_its_deadline() -> Result<()> {
     let mut deployment = Deployment::start(ONE_SLOT_TEXT, cashiers(2)).await?;
@@ -60,11 +60,11 @@
     let second = held.within_ms(1_000).begin(entry);
     let queued = |status: &NodeStatus| status.gate.queued == 1;
     deployment
-        .wait_status("cashier-2", "one waits", queued)
+        .wait_status("cashier-2", "one call is queued", queued)
         .await?;
 
     pause(&mut deployment, "cashier-2").await?;
-    // Nothing came from the gate, or "still running" just before the pause.
+    // The gate sent nothing, or "still running" just before the pause.
     let answer = second.await??;
     let certainty = certainty_of(&answer);
     assert!(
@@ -82,9 +82,9 @@
     Ok(())
 }
 
-/// The entry is paused while the gate runs its caller's payment. The caller
-/// hears nothing and sends again through another entry, which joins the run;
-/// the first entry wakes and passes the same answer on.
+/// The entry is paused while the gate runs its caller's payment. The caller gets no
+/// answer and sends again through another entry, which joins the run. The first entry
+/// resumes and passes the same answer on.
 #[tokio::test]
 async fn an_entry_paused_during_the_run_causes_no_second_run() -> Result<()> {
     let mut deployment = deployment(3).await?;
@@ -101,10 +101,10 @@
     Ok(())
 }
 
-/// The entry is paused before it has read the payment, which then lies in its
-/// socket. The caller sends it through another entry, where it runs. The first
-/// entry wakes, still believing that the payment is new, and sends it on; the
-/// gate's record answers for it.
+/// The entry is paused before it reads the payment, which then waits in its socket.
+/// The caller sends the payment through another entry, where it runs. The first entry
+/// resumes, does not know that the payment ran, and forwards it; the gate answers from
+/// its record.
 #[tokio::test]
 async fn an_entry_that_resumes_with_a_finished_payment_does_not_rerun_it() -> Result<()> {
     let mut deployment = deployment(3).await?;
--- a/tests/all/at_most_once/records.rs
+++ b/tests/all/at_most_once/records.rs
@@ -1,4 +1,4 @@
-//! Records that are full or forgotten, and edits under them.
+//! Full and expired records, and edits of the limits that apply to them.
 
 use eyre::Result;
 use hornbeamhitch_types::prelude::*;
@@ -6,9 +6,9 @@
 
 use super::*;
 
-/// A gate's records are full. To run more it would have to forget one, and a
-/// forgotten payment could run again: so it answers "not yet" and runs nothing.
-/// When there is room, the same ticket runs, once.
+/// A gate's records are full. To run another payment it would have to evict a
+/// record, and the evicted payment could then run again, so it answers "not yet" and
+/// runs nothing. Once there is room, the same ticket runs, once.
 #[tokio::test]
 async fn full_records_reject_payments_instead_of_evicting() -> Result<()> {
     let roomy = TEXT.replace("\"connections\"", "\"max_records\": 100, \"connections\"");
@@ -40,13 +40,15 @@
     let version = ConfigVersion(deployment.platform.set_text(text)?);
     for vm in deployment.fleet.names() {
         let in_force = |status: &NodeStatus| status.config.in_force == Some(version);
-        deployment.wait_status(&vm, "the text", in_force).await?;
+        deployment
+            .wait_status(&vm, "has the text in force", in_force)
+            .await?;
     }
     Ok(())
 }
 
-/// A payment ran, its ticket expired, and its record was forgotten. A late
-/// duplicate of it must not look like a new payment: the ticket is dead.
+/// A payment ran, its ticket expired, and its record was removed. A late duplicate
+/// must not be taken for a new payment: the ticket has expired.
 #[tokio::test]
 async fn a_duplicate_after_the_record_expired_runs_nothing() -> Result<()> {
     let brief = TEXT.replace(
@@ -60,7 +62,7 @@
     assert_eq!(code_of(&answer), Some(ResultCode::Answered));
     let forgotten = |status: &NodeStatus| status.gate.records == 0;
     deployment
-        .wait_status("cashier-2", "no records", forgotten)
+        .wait_status("cashier-2", "has no records", forgotten)
         .await?;
     let answer = payment.send(entry).await?;
     assert_eq!(code_of(&answer), Some(ResultCode::TicketExpired));
@@ -68,9 +70,9 @@
     Ok(())
 }
 
-/// A payment ran, and then an edit of the text made its body too large. A
-/// resend of the very same payment is not read whole, so its gate cannot tell
-/// whether it is the one that ran: it must not be told "not run".
+/// A payment ran, and then an edit of the text lowered the size limit below its
+/// body. The gate does not read the whole body of a resend, so it cannot tell whether
+/// this is the payment that ran: the answer must not be "not run".
 #[tokio::test]
 async fn an_executed_payment_is_not_reported_as_not_run_for_its_size() -> Result<()> {
     let large = TEXT.replace(
--- a/tests/all/main.rs
+++ b/tests/all/main.rs
@@ -1,4 +1,4 @@
-//! Tests on the real programs, as processes against in-process stand-ins.
+//! Tests that run the real programs as processes against in-process stand-ins.
 
 mod at_most_once;
 mod command_line;
--- a/tests/all/support.rs
+++ b/tests/all/support.rs
@@ -1,8 +1,8 @@
 //! A deployment of node processes, stand-in targets and a stand-in platform.
 //!
-//! Nodes are processes, because the failures to be shown are those of
-//! processes; stand-ins live in the test's own process, so that their counts
-//! and journals can be read without a detour.
+//! Nodes run as processes, because the tests check failures of processes. The
+//! stand-ins run inside the test process, so that a test can read their counts
+//! and journals directly.
 
 pub mod caller;
 pub mod far_entry;
@@ -29,11 +29,11 @@
 
 /// The program under test.
 const NODE: &str = env!("CARGO_BIN_EXE_hornbeamhitch-node");
-/// Bound on every wait; reached only when something is broken.
+/// Timeout of every wait; it expires only when something is broken.
 pub const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 const POLL: Duration = Duration::from_millis(10);
 
-/// The usual text of tests: one service with both kinds of calls.
+/// The configuration text of most tests: one service with both kinds of calls.
 pub const CASHIER_TEXT: &str = r#"{
   // Small limits, so that tests reach them.
   "deployment": "test",
@@ -49,20 +49,20 @@
   },
 }"#;
 
-/// One target to be, with its node.
+/// Description of a target and its node, before they are started.
 pub struct Member {
-    /// VM of both.
+    /// VM on which both run.
     pub vm: String,
-    /// The service.
+    /// Service of the target.
     pub service: String,
-    /// The data centre.
+    /// Data centre of the VM.
     pub data_centre: String,
-    /// How the target behaves.
+    /// Configuration of the stand-in target.
     pub target: TargetConfig,
 }
 
 impl Member {
-    /// A member of a service in the first data centre, with a quick target.
+    /// Creates a member in data centre `a` whose target has the default configuration.
     pub fn new(vm: &str, service: &str) -> Self {
         Self {
             vm: vm.to_owned(),
@@ -75,24 +75,24 @@
         }
     }
 
-    /// Puts the member into another data centre.
+    /// Sets the data centre of the member.
     pub fn in_data_centre(mut self, data_centre: &str) -> Self {
         self.data_centre = data_centre.to_owned();
         self
     }
 
-    /// Changes how the target behaves.
+    /// Changes the configuration of the target.
     pub fn with(mut self, change: impl FnOnce(&mut TargetConfig)) -> Self {
         change(&mut self.target);
         self
     }
 }
 
-/// Everything that runs for one test. Dropping it ends the nodes.
+/// The platform, targets and nodes of one test. Dropping it kills the nodes.
 pub struct Deployment {
-    /// The platform.
+    /// The stand-in platform.
     pub platform: PlatformStandin,
-    /// Targets by VM.
+    /// Stand-in targets by VM.
     pub targets: BTreeMap<String, TargetStandin>,
     /// Node processes.
     pub fleet: Fleet,
@@ -100,8 +100,8 @@
 }
 
 impl Deployment {
-    /// Starts everything and waits until each node has the text in force and
-    /// knows every member.
+    /// Starts platform, targets and nodes, and waits until each node has the text
+    /// in force and has a load report of every member of its service.
     pub async fn start(text: &str, members: Vec<Member>) -> Result<Self> {
         let mut deployment = Self::prepare(members).await?;
         deployment.platform.set_text(text)?;
@@ -109,12 +109,13 @@
         Ok(deployment)
     }
 
-    /// Starts platform and targets; nodes are added but not started.
+    /// Starts the platform and the targets, and adds the nodes without starting
+    /// them.
     pub async fn prepare(members: Vec<Member>) -> Result<Self> {
         Self::prepare_with(members, |_| ()).await
     }
 
-    /// The same, with changed settings of all nodes.
+    /// Like [`Self::prepare`], with changed settings for all nodes.
     pub async fn prepare_with(
         members: Vec<Member>,
         change: impl FnOnce(&mut FleetConfig),
@@ -143,7 +144,8 @@
         })
     }
 
-    /// Starts all nodes and waits until each knows every member.
+    /// Starts all nodes and waits until each has a load report of every member of
+    /// its service.
     pub async fn start_nodes(&mut self) -> Result<()> {
         let platform = &self.platform;
         let publish = async |vms| platform.set_vms(vms).map(drop);
@@ -154,7 +156,7 @@
         Ok(())
     }
 
-    /// Waits until a node has heard from every member of its own service.
+    /// Waits until a node has a load report of every member of its own service.
     pub async fn wait_for_peers(&self, vm: &str) -> Result<()> {
         let service = self.status(vm).await?.service;
         let expected = self.fleet.vm_entries();
@@ -162,7 +164,7 @@
             .iter()
             .filter(|entry| entry.service == service.as_str());
         let expected = expected.count();
-        self.wait_status(vm, "hears its peers", |status| {
+        self.wait_status(vm, "has load reports of its peers", |status| {
             let Some(own) = status.services.iter().find(|known| known.name == service) else {
                 return false;
             };
@@ -173,13 +175,17 @@
         .map(drop)
     }
 
-    /// A node's status as operators see it.
+    /// Reads a node's status from its operators' address.
     pub async fn status(&self, vm: &str) -> Result<NodeStatus> {
         let operators = self.fleet.addresses(vm)?.operators;
         self.client.get(operators, "/v1/status").await?.json()
     }
 
-    /// Waits until a node's status fits.
+    /// Waits until a node's status satisfies a condition.
+    ///
+    /// # Errors
+    ///
+    /// Fails after [`WAIT_TIMEOUT`], with `what` and the last status that was read.
     pub async fn wait_status(
         &self,
         vm: &str,
@@ -200,20 +206,20 @@
         bail!("{vm} never reached: {what}; last seen {last:#?}")
     }
 
-    /// Where callers reach a node.
+    /// Address at which a node accepts callers.
     pub fn entry(&self, vm: &str) -> SocketAddr {
         let addresses = self.fleet.addresses(vm);
         addresses.expect("the test names its own nodes").callers
     }
 
-    /// A target's stand-in.
+    /// Stand-in target of a VM.
     pub fn target(&self, vm: &str) -> &TargetStandin {
         self.targets
             .get(vm)
             .expect("the test names its own targets")
     }
 
-    /// Runs of one caller's call, by its nonce, over all targets.
+    /// Runs with this nonce, or under this key, at all targets.
     pub fn runs_of(&self, nonce: &str) -> Vec<RunRecord> {
         let mut runs = Vec::new();
         for target in self.targets.values() {
@@ -222,7 +228,11 @@
         runs
     }
 
-    /// Waits until something that the test can see comes true.
+    /// Waits until a condition on the deployment holds.
+    ///
+    /// # Errors
+    ///
+    /// Fails with `what` after [`WAIT_TIMEOUT`].
     pub async fn wait_until(&self, what: &str, holds: impl Fn(&Self) -> bool) -> Result<()> {
         let give_up = Instant::now() + WAIT_TIMEOUT;
         while Instant::now() < give_up {
@@ -235,7 +245,7 @@
     }
 }
 
-/// A free port of this machine.
+/// The loopback address with port 0, at which the kernel picks a free port.
 pub fn loopback() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 0))
 }
--- a/tests/all/support/caller.rs
+++ b/tests/all/support/caller.rs
@@ -1,4 +1,4 @@
-//! A caller that keeps to the documented contract, one request at a time.
+//! A caller that follows the documented contract and sends one request at a time.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -13,26 +13,26 @@
 use http::{HeaderMap, HeaderValue, Method, Request};
 use http_body_util::Full;
 
-/// Bound on one request; reached only when something is broken.
+/// Timeout of one request; it expires only when something is broken.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// One call that a test makes.
+/// A call of a test.
 #[derive(Clone, Debug)]
 pub struct Call {
     /// HTTP method.
     pub method: Method,
-    /// Path with the service in front.
+    /// Path that begins with the service's name.
     pub path: String,
-    /// Names the call; the answer is derived from it.
+    /// Identifies the call. The expected answer is derived from it.
     pub nonce: String,
-    /// Body.
+    /// Request body.
     pub body: Bytes,
-    /// Further headers.
+    /// Additional headers.
     pub headers: HeaderMap,
 }
 
 impl Call {
-    /// A payment of the test's usual service.
+    /// A payment at the service `cashier`.
     pub fn charge(nonce: &str) -> Self {
         Self {
             method: Method::POST,
@@ -43,7 +43,7 @@
         }
     }
 
-    /// A lookup of the test's usual service.
+    /// A lookup at the service `cashier`.
     pub fn price(nonce: &str) -> Self {
         Self {
             method: Method::GET,
@@ -61,7 +61,7 @@
         self
     }
 
-    /// Gives the call another body.
+    /// Sets the body.
     pub fn with_body(mut self, body: impl Into<Bytes>) -> Self {
         self.body = body.into();
         self
@@ -78,18 +78,18 @@
         Ok(request)
     }
 
-    /// The path as the target sees it.
+    /// Path that the target receives.
     fn target_path(&self) -> &str {
         let rest = &self.path[1..];
         rest.find('/').map_or("/", |at| &rest[at..])
     }
 
-    /// Whether an answer is the whole right one for this call.
+    /// Whether an answer has the complete and correct body for this call.
     pub fn is_answered_by(&self, answer: &WholeAnswer) -> bool {
         digest(&answer.body) == digest(&self.expected_body())
     }
 
-    /// The one right body of the answer.
+    /// Body of the correct answer.
     pub fn expected_body(&self) -> Bytes {
         let answer_bytes = self.headers.get(headers::ANSWER_BYTES);
         let answer_bytes = answer_bytes.and_then(|value| value.to_str().ok()?.parse().ok());
@@ -109,26 +109,26 @@
 }
 
 impl Caller {
-    /// A caller over HTTP/1.1.
+    /// Creates a caller that uses HTTP/1.1.
     pub fn new() -> Self {
         Self {
             client: HttpClient::new(HttpVersion::Http1),
         }
     }
 
-    /// A caller whose requests share one HTTP/2 connection an entry.
+    /// Creates a caller whose requests share one HTTP/2 connection per entry.
     pub fn over_http2() -> Self {
         Self {
             client: HttpClient::new(HttpVersion::Http2),
         }
     }
 
-    /// Sends a call as it is, without following anything.
+    /// Sends a call without following redirects.
     pub async fn send(&self, entry: SocketAddr, call: &Call) -> Result<WholeAnswer, SendFault> {
         self.send_to(entry, call, &call.path).await
     }
 
-    /// Sends a call under a ticketed URL.
+    /// Sends a call to another path, such as its ticketed path.
     pub async fn send_to(
         &self,
         entry: SocketAddr,
@@ -140,7 +140,7 @@
         self.client.send(request, REQUEST_TIMEOUT).await
     }
 
-    /// Asks for a ticketed URL for a non-idempotent call.
+    /// Requests the ticketed path for a non-idempotent call.
     pub async fn ticketed_path(&self, entry: SocketAddr, call: &Call) -> Result<String> {
         let answer = match self.send(entry, call).await {
             Ok(answer) => answer,
@@ -161,13 +161,17 @@
     ResultCode::from_number(number.parse().ok()?)
 }
 
-/// What an answer makes certain.
+/// Certainty that an answer states about the run of its call.
 pub fn certainty_of(answer: &WholeAnswer) -> Certainty {
     let code = code_of(answer);
     let code = code.unwrap_or_else(|| panic!("no code: {} {:?}", answer.status, answer.headers));
     let said = answer.headers.get(header::CERTAINTY);
     let said = said.and_then(|value| value.to_str().ok());
     let expected: &'static str = code.certainty().into();
-    assert_eq!(said, Some(expected), "the certainty goes with its code");
+    assert_eq!(
+        said,
+        Some(expected),
+        "the certainty header matches the code"
+    );
     code.certainty()
 }
--- a/tests/all/support/far_entry.rs
+++ b/tests/all/support/far_entry.rs
@@ -1,8 +1,9 @@
-//! An entry on the far side of a bad network.
+//! An entry that reaches gates over a faulty network.
 //!
-//! It reads a platform of its own, whose VM list names relays in place of
-//! gates, and a control address where nobody listens. So it hears of gates only
-//! what their answers say, and every byte to them passes a relay.
+//! It reads its own platform, whose VM list has the addresses of relays instead
+//! of those of the gates, and a control address at which no process listens. It
+//! therefore learns about gates only from their answers, and all traffic to them
+//! passes through a relay.
 
 use std::collections::BTreeMap;
 use std::net::{SocketAddr, UdpSocket};
@@ -21,23 +22,23 @@
 use super::{Deployment, NODE, POLL, WAIT_TIMEOUT, loopback};
 
 const VM: &str = "far-desk";
-/// A service without calls of its own, so that the entry is nobody's gate.
+/// A service without calls, so that the entry's node serves no call as a gate.
 const SERVICE: &str = "desk";
 
-/// A far entry; dropping it ends its node.
+/// A running far entry. Dropping it kills its node.
 pub struct FarEntry {
-    /// Its process, alone in a fleet.
+    /// Fleet whose only process is the entry's node.
     pub fleet: Fleet,
     _platform: PlatformStandin,
     relays: BTreeMap<String, Relay>,
     _target: TargetStandin,
-    /// Keeps the silent control address from being given to another process.
+    /// Reserves the unanswered control address, so that no other process gets it.
     _silent: UdpSocket,
 }
 
 impl FarEntry {
-    /// Starts an entry that reaches the named gates through relays and knows
-    /// no others. The text must have the service `desk` depend on theirs.
+    /// Starts an entry that reaches the named gates through relays and knows no
+    /// other gates. In the text, the service `desk` must depend on their service.
     pub async fn start(text: &str, deployment: &Deployment, gates: &[&str]) -> Result<Self> {
         let mut relays = BTreeMap::new();
         let mut listed = Vec::new();
@@ -55,7 +56,7 @@
         Ok(far)
     }
 
-    /// Starts an entry that knows the VMs of a list of the test's making.
+    /// Starts an entry that knows exactly the listed VMs and itself.
     pub async fn with_list(text: &str, listed: Vec<VmEntry>) -> Result<Self> {
         let platform = PlatformStandin::start(loopback()).await?;
         platform.set_text(text)?;
@@ -86,14 +87,14 @@
         })
     }
 
-    /// Where callers reach it.
+    /// Address at which it accepts callers.
     pub fn addr(&self) -> SocketAddr {
         let addresses = self.fleet.addresses(VM);
         addresses.expect("the entry was added at the start").callers
     }
 
-    /// Makes the entry hear of its gates, by lookups whose answers carry their
-    /// reports, until it can reckon with them.
+    /// Sends lookups, whose answers carry load reports, until the entry has a load
+    /// report of each of its gates.
     pub async fn wait_for_gate_reports(&self) -> Result<()> {
         let operators = self.fleet.addresses(VM)?.operators;
         let client = HttpClient::new(HttpVersion::Http1);
@@ -109,10 +110,10 @@
             }
             tokio::time::sleep(POLL).await;
         }
-        bail!("the far entry never heard of its gates")
+        bail!("the far entry got no load reports of its gates")
     }
 
-    /// The relay before a gate.
+    /// Relay in front of a gate.
     pub fn relay(&self, gate: &str) -> &Relay {
         let relay = self.relays.get(gate);
         relay.expect("the test names its own gates")
--- a/tests/all/support/in_force.rs
+++ b/tests/all/support/in_force.rs
@@ -1,4 +1,4 @@
-//! Which configuration is in force where, and which ones were before.
+//! Checks of the configuration versions that are and were in force on nodes.
 
 use std::time::{Duration, Instant};
 
@@ -6,11 +6,11 @@
 
 use super::{Deployment, WAIT_TIMEOUT};
 
-/// Pause between two looks at all nodes.
+/// Time between two polls of all nodes.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 impl Deployment {
-    /// Waits until a version is in force on all these nodes; gives the time
+    /// Waits until a version is in force on all these nodes. Returns the time
     /// since `changed_at`.
     pub async fn wait_in_force(
         &self,
@@ -35,14 +35,15 @@
         bail!("version {version} never came into force on {waiting:?}")
     }
 
-    /// The version in force on a node; `None` also when it gives no answer.
+    /// The version in force on a node, or `None` if there is none or the node does
+    /// not answer.
     pub async fn in_force(&self, vm: &str) -> Option<u64> {
         let status = self.status(vm).await.ok()?;
         Some(status.config.in_force?.0)
     }
 
-    /// Every version that came into force on a node, in order, over all its
-    /// lives, as its log has them.
+    /// All versions that came into force on a node, in order, across all its
+    /// incarnations. They are read from its log.
     pub fn versions_in_force(&self, vm: &str) -> Result<Vec<u64>> {
         let mut versions = Vec::new();
         for line in self.fleet.logs(vm)? {
@@ -57,7 +58,7 @@
         Ok(versions)
     }
 
-    /// Fails when an older version came into force after a newer one.
+    /// Fails if on any node an older version came into force after a newer one.
     pub fn assert_versions_never_decrease(&self) -> Result<()> {
         for vm in self.fleet.names() {
             let versions = self.versions_in_force(&vm)?;
--- a/tests/all/support/pause.rs
+++ b/tests/all/support/pause.rs
@@ -1,4 +1,4 @@
-//! Pausing a node, and knowing that it stands still.
+//! Pauses a node and waits until it has stopped.
 
 use std::path::Path;
 use std::time::Instant;
@@ -10,13 +10,13 @@
 
 /// Pauses a node and waits until every one of its threads has stopped.
 ///
-/// A stop signal is only queued when its sender goes on: on a busy machine the
-/// process may still answer a request or two.
+/// `kill` returns before the stop signal takes effect, so on a busy machine the
+/// process may still answer a few requests.
 pub async fn pause(deployment: &mut Deployment, vm: &str) -> Result<()> {
     pause_in(&mut deployment.fleet, vm).await
 }
 
-/// The same for a node of any fleet.
+/// Like [`pause`], for a node of any fleet.
 pub async fn pause_in(fleet: &mut Fleet, vm: &str) -> Result<()> {
     fleet.pause(vm)?;
     let process = fleet.process_id(vm)?;
@@ -33,7 +33,7 @@
 fn has_stopped(process: u32) -> Result<bool> {
     for task in Path::new(&format!("/proc/{process}/task")).read_dir()? {
         let stat = std::fs::read_to_string(task?.path().join("stat"))?;
-        // The state stands behind the name, which is in parentheses.
+        // The state follows the process name, which is in parentheses.
         let Some((_, rest)) = stat.rsplit_once(") ") else {
             return Ok(false);
         };
--- a/tests/all/support/payment.rs
+++ b/tests/all/support/payment.rs
@@ -1,4 +1,4 @@
-//! A payment under its ticket, and what the journals say of it.
+//! A payment under its ticket, and checks of its runs in the targets' journals.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -14,15 +14,15 @@
 use super::Deployment;
 use super::caller::{Call, Caller, certainty_of, code_of};
 
-/// A send that goes on by itself.
+/// A send that runs in its own task.
 pub type Sending = JoinHandle<Result<WholeAnswer, SendFault>>;
 
-/// A call that was given a ticket.
+/// A call with its ticket.
 #[derive(Clone, Debug)]
 pub struct Payment {
     /// The call.
     pub call: Call,
-    /// Its ticketed path, good at every entry.
+    /// Ticketed path of the call, which every entry accepts.
     pub path: String,
     /// The ticket in that path.
     pub ticket: Ticket,
@@ -42,19 +42,19 @@
         })
     }
 
-    /// The only VM whose target may run it.
+    /// VM of the only target that may run the payment.
     pub fn gate(&self) -> &str {
         self.ticket.gate.as_str()
     }
 
-    /// The same payment with another time limit.
+    /// The same payment with another deadline.
     pub fn within_ms(&self, deadline_ms: u64) -> Self {
         let mut limited = self.clone();
         limited.call = limited.call.with(header::DEADLINE_MS, deadline_ms);
         limited
     }
 
-    /// The same payment under the ticket that came with an answer.
+    /// The same payment under the next ticket that an answer contains.
     pub fn renewed(&self, answer: &WholeAnswer) -> Result<Self> {
         let next = answer.headers.get(header::NEXT_TICKET);
         let next = next.ok_or_else(|| eyre!("no next ticket"))?.to_str()?;
@@ -66,29 +66,29 @@
         })
     }
 
-    /// Sends it over a connection of its own.
+    /// Sends the payment over its own connection.
     pub async fn send(&self, entry: SocketAddr) -> Result<WholeAnswer, SendFault> {
         Caller::new().send_to(entry, &self.call, &self.path).await
     }
 
-    /// Begins to send it; aborting cuts the caller's connection.
+    /// Starts to send the payment. Aborting the task closes the caller's connection.
     pub fn begin(&self, entry: SocketAddr) -> Sending {
         let payment = self.clone();
         tokio::spawn(async move { payment.send(entry).await })
     }
 
-    /// Runs under this ticket's key on any target.
+    /// Runs under this ticket's key at all targets.
     pub fn runs(&self, deployment: &Deployment) -> Vec<RunRecord> {
         deployment.runs_of(&self.ticket.key.to_string())
     }
 
-    /// Waits until a target has begun to run it.
+    /// Waits until a target has started the payment.
     pub async fn wait_started(&self, deployment: &Deployment) -> Result<()> {
         let started = |deployment: &Deployment| !self.runs(deployment).is_empty();
         deployment.wait_until("the run starts", started).await
     }
 
-    /// Waits until its one run has ended in the target.
+    /// Waits until the first run of the payment has ended in its target.
     pub async fn wait_ended(&self, deployment: &Deployment) -> Result<()> {
         let ended = |deployment: &Deployment| {
             let runs = self.runs(deployment);
@@ -97,8 +97,8 @@
         deployment.wait_until("the run ends", ended).await
     }
 
-    /// Sends it again, as the documentation allows, until the answer is one
-    /// that no resend can change.
+    /// Sends the payment again, as the documentation allows, until it gets an answer
+    /// that no further send can change.
     pub async fn settle(&self, entry: SocketAddr) -> Result<WholeAnswer> {
         let give_up = std::time::Instant::now() + super::WAIT_TIMEOUT;
         loop {
@@ -117,7 +117,7 @@
     }
 }
 
-/// Runs by `hitch-key` over all targets.
+/// Number of runs by `hitch-key` at all targets.
 pub fn runs_by_key(deployment: &Deployment) -> BTreeMap<String, usize> {
     let mut counts = BTreeMap::new();
     for target in deployment.targets.values() {
@@ -131,7 +131,7 @@
     counts
 }
 
-/// Fails when a key ran twice, or a payment ran without a key.
+/// Fails if a key ran more than once or a payment ran without a key.
 pub fn assert_at_most_once(deployment: &Deployment) {
     for (key, runs) in runs_by_key(deployment) {
         assert_eq!(runs, 1, "key {key} ran {runs} times");
--- a/tests/all/support/probe_counter.rs
+++ b/tests/all/support/probe_counter.rs
@@ -1,4 +1,4 @@
-//! A target that counts what reaches it, and answers as badly as it is told.
+//! A faulty target that counts the connections and requests that reach it.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -15,16 +15,16 @@
 const HEALTH: &[u8] = b"GET /.health ";
 const LOAD: &[u8] = b"GET /.load ";
 
-/// What becomes of a connection.
+/// How the target treats its connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectionBehaviour {
-    /// Requests are read and never answered.
+    /// It reads requests and never answers them.
     Silent,
-    /// The connection is closed once a request has come.
+    /// It closes the connection after the first request.
     HangUp,
-    /// The connection is closed at once.
+    /// It closes the connection immediately.
     Flap,
-    /// Health is answered well; the connection is closed once a call has come.
+    /// It answers probes with status 200 and closes the connection on a call.
     BreakRuns,
 }
 
@@ -35,7 +35,7 @@
     calls: AtomicU64,
 }
 
-/// A running counter; it ends when this value is dropped.
+/// A running target. It stops accepting connections when it is dropped.
 pub struct ProbeCounter {
     addr: SocketAddr,
     counts: Arc<Counts>,
@@ -43,7 +43,7 @@
 }
 
 impl ProbeCounter {
-    /// Listens, and treats every connection alike.
+    /// Starts a target that treats every connection in the same way.
     pub async fn start(behaviour: ConnectionBehaviour) -> Result<Self> {
         let listener = TcpListener::bind(loopback()).await?;
         let addr = listener.local_addr()?;
@@ -56,22 +56,22 @@
         })
     }
 
-    /// Where it listens.
+    /// Address at which it listens.
     pub fn addr(&self) -> SocketAddr {
         self.addr
     }
 
-    /// Connections that it accepted.
+    /// Number of accepted connections.
     pub fn connections(&self) -> u64 {
         self.counts.connections.load(Ordering::Relaxed)
     }
 
-    /// Requests to `/.health` and `/.load`.
+    /// Number of requests to `/.health` and `/.load`.
     pub fn probes(&self) -> u64 {
         self.counts.probes.load(Ordering::Relaxed)
     }
 
-    /// All other requests.
+    /// Number of all other requests.
     pub fn calls(&self) -> u64 {
         self.counts.calls.load(Ordering::Relaxed)
     }
--- a/tests/all/support/raw_target.rs
+++ b/tests/all/support/raw_target.rs
@@ -1,5 +1,5 @@
-//! A target that writes its answers byte by byte, for those that no HTTP
-//! library would write.
+//! A target that answers with raw bytes, for answers that no HTTP library would
+//! write.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -11,25 +11,26 @@
 
 use super::loopback;
 
-/// What is written in answer to one request.
+/// The answer to one request.
 pub struct RawAnswer {
-    /// The bytes as they go out, head included.
+    /// Bytes that are sent, including the head.
     pub bytes: Vec<u8>,
-    /// Closes the connection behind them.
+    /// Whether the connection is closed after them.
     pub close: bool,
 }
 
 type Script = dyn Fn(&str) -> RawAnswer + Send + Sync;
 
-/// A running raw target; it ends when this value is dropped.
+/// A running raw target. It stops accepting connections when it is dropped.
 pub struct RawTarget {
-    /// Where it listens.
+    /// Address at which it listens.
     pub addr: SocketAddr,
     accepting: AbortHandle,
 }
 
 impl RawTarget {
-    /// Answers each request by its path; health checks are answered well.
+    /// Answers each request with what `script` returns for its path. Health checks
+    /// are always answered with status 200.
     pub async fn start(script: impl Fn(&str) -> RawAnswer + Send + Sync + 'static) -> Result<Self> {
         let listener = TcpListener::bind(loopback()).await?;
         let addr = listener.local_addr()?;
@@ -72,7 +73,8 @@
     Ok(())
 }
 
-/// Reads one request to its end; returns its path.
+/// Reads one whole request and returns its path, or `None` at the end of the
+/// connection.
 async fn read_request(stream: &mut BufReader<TcpStream>) -> Result<Option<String>> {
     let mut path = None;
     let mut body_bytes = 0;
--- a/tests/all/support/relay.rs
+++ b/tests/all/support/relay.rs
@@ -1,5 +1,6 @@
-//! A TCP relay that stands between an entry and a gate, and can hold, cut and
-//! strand what goes through it, as a bad network does.
+//! A TCP relay between an entry and a gate. It can hold back bytes, reset
+//! connections and deliver requests after their sender is gone, as a faulty network
+//! does.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard};
@@ -14,31 +15,33 @@
 
 const CHUNK_BYTES: usize = 16 * 1024;
 
-/// What the relay does now.
+/// Current behaviour of the relay.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 struct RelayState {
-    /// Bytes towards the gate are kept back.
+    /// Whether bytes from the entry to the gate are held back.
     hold_requests: bool,
-    /// Bytes towards the entry are kept back.
+    /// Whether bytes from the gate to the entry are held back.
     hold_answers: bool,
-    /// New connections are reset.
+    /// Whether new connections are reset.
     refuse: bool,
-    /// Connections of earlier cuts are reset on both sides.
+    /// Number of cuts so far. A cut resets the existing connections on both sides.
     cuts: u64,
-    /// Connections of earlier strandings are reset towards the entry only.
+    /// Number of times that existing connections were reset on the entry side only.
     entry_side_resets: u64,
-    /// What stranded connections kept back reaches the gate.
+    /// Whether held bytes of connections that were reset on the entry side are
+    /// delivered to the gate.
     deliver_held: bool,
 }
 
 struct Shared {
     gate: SocketAddr,
     state: watch::Sender<RelayState>,
-    /// Bytes that may still go to the entry before a cut.
+    /// Number of bytes that may still go to entries before the relay cuts all
+    /// connections. `None` is no limit.
     answer_budget: Mutex<Option<usize>>,
-    /// What the gate has sent on stranded connections.
+    /// Bytes that the gate sent on connections whose entry side was reset.
     late_answers: Mutex<Vec<u8>>,
-    /// Bytes kept back towards the gate, one buffer a connection.
+    /// Held bytes towards the gate, with one buffer per connection.
     held: Mutex<Vec<Arc<Mutex<Vec<u8>>>>>,
 }
 
@@ -48,11 +51,11 @@
     Closed,
     /// Reset on both sides.
     Cut,
-    /// Reset towards the entry; what is kept back still reaches the gate.
+    /// Reset on the entry side. Held bytes may still be delivered to the gate.
     EntrySideReset,
 }
 
-/// A running relay; it ends when this value is dropped.
+/// A running relay. Dropping it resets all its connections.
 pub struct Relay {
     addr: SocketAddr,
     shared: Arc<Shared>,
@@ -60,7 +63,7 @@
 }
 
 impl Relay {
-    /// Relays to the gate at `gate` until told otherwise.
+    /// Starts a relay that forwards every connection to the gate at `gate`.
     pub async fn start(gate: SocketAddr) -> Result<Self> {
         let listener = TcpListener::bind(loopback()).await?;
         let addr = listener.local_addr()?;
@@ -79,38 +82,38 @@
         })
     }
 
-    /// Where entries connect.
+    /// Address to which entries connect.
     pub fn addr(&self) -> SocketAddr {
         self.addr
     }
 
-    /// Keeps back, or passes on again, what entries send.
+    /// Starts or stops holding back the bytes that entries send.
     pub fn hold_requests(&self, hold: bool) {
         self.shared
             .state
             .send_modify(|state| state.hold_requests = hold);
     }
 
-    /// Keeps back, or passes on again, what the gate sends.
+    /// Starts or stops holding back the bytes that the gate sends.
     pub fn hold_answers(&self, hold: bool) {
         self.shared
             .state
             .send_modify(|state| state.hold_answers = hold);
     }
 
-    /// Resets all connections; new ones go through.
+    /// Resets all existing connections. New connections are forwarded.
     pub fn cut(&self) {
         self.shared.state.send_modify(|state| state.cuts += 1);
     }
 
-    /// Resets, or lets through, every new connection.
+    /// Starts or stops resetting new connections.
     pub fn refuse(&self, refuse: bool) {
         self.shared.state.send_modify(|state| state.refuse = refuse);
     }
 
-    /// Resets all connections towards the entries only. What was kept back of
-    /// them stays in the network until [`Self::deliver_held`]; new ones
-    /// keep back nothing.
+    /// Resets all existing connections on the entry side only. Their held bytes
+    /// remain in the relay until [`Self::deliver_held`]. Requests on new connections
+    /// are not held back.
     pub fn reset_entry_side(&self) {
         self.shared.state.send_modify(|state| {
             state.hold_requests = false;
@@ -118,24 +121,25 @@
         });
     }
 
-    /// Brings what was stranded to the gate, late and without a sender.
+    /// Delivers the bytes that [`Self::reset_entry_side`] left in the relay to the
+    /// gate, after their sender is gone.
     pub fn deliver_held(&self) {
         self.shared
             .state
             .send_modify(|state| state.deliver_held = true);
     }
 
-    /// Cuts all connections once this many more bytes went to entries.
+    /// Cuts all connections once `budget_bytes` further bytes went to entries.
     pub fn cut_after_answering(&self, budget_bytes: usize) {
         *lock(&self.shared.answer_budget) = Some(budget_bytes);
     }
 
-    /// Whether connections were cut.
+    /// Whether the relay has cut connections.
     pub fn has_cut(&self) -> bool {
         self.shared.state.borrow().cuts > 0
     }
 
-    /// Whether a part of a request is kept back.
+    /// Whether the held bytes of a request contain `part`.
     pub fn holds(&self, part: &[u8]) -> bool {
         for held in lock(&self.shared.held).iter() {
             if contains(&lock(held), part) {
@@ -145,7 +149,7 @@
         false
     }
 
-    /// Whether the gate has answered to what came late with these bytes.
+    /// Whether the gate's answers to late requests contain `part`.
     pub fn has_answered_late(&self, part: &[u8]) -> bool {
         contains(&lock(&self.shared.late_answers), part)
     }
@@ -184,7 +188,7 @@
         let (entry_reads, entry_writes) = entry.split();
         let (gate_reads, gate_writes) = gate.split();
         tokio::select! {
-            // An order to end comes before what it also lets through.
+            // A reset takes effect before bytes that the same change releases.
             biased;
             end = wait_for_reset(state, at_start) => end,
             end = forward_requests(entry_reads, gate_writes, &held, &shared) => end,
@@ -275,8 +279,8 @@
     }
 }
 
-/// Plays a network that brings packets late, long after their sender has
-/// given up.
+/// Delivers held bytes late, as a network does that delays packets until after
+/// their sender has given up.
 async fn deliver_late(mut gate: TcpStream, held: &Mutex<Vec<u8>>, shared: &Shared) {
     let mut state = shared.state.subscribe();
     if state.wait_for(|state| state.deliver_held).await.is_err() {
@@ -296,7 +300,8 @@
 }
 
 impl Shared {
-    /// How many of these bytes may go to the entry.
+    /// Returns how many of `wanted_bytes` may go to the entry, and subtracts them
+    /// from the budget.
     fn spend_answer_budget(&self, wanted_bytes: usize) -> usize {
         let mut budget = lock(&self.answer_budget);
         let Some(left_bytes) = *budget else {
--- a/tests/all/support/slow_answer.rs
+++ b/tests/all/support/slow_answer.rs
@@ -1,4 +1,4 @@
-//! An answer that its caller reads slowly.
+//! A caller that reads its answer slowly.
 
 use std::net::SocketAddr;
 
@@ -12,7 +12,7 @@
 
 use super::caller::Call;
 
-/// An answer of which the head and a first part of the body have come.
+/// An answer whose head and first part of the body have been read.
 pub struct SlowAnswer {
     body: Incoming,
     received: Vec<u8>,
@@ -20,8 +20,8 @@
 }
 
 impl SlowAnswer {
-    /// Sends a lookup over a connection of its own and reads no more than the
-    /// first part of the answer; the rest stays with the senders.
+    /// Sends a lookup over its own connection and reads only the first part of the
+    /// answer. The rest stays in the buffers of the senders.
     pub async fn begin(entry: SocketAddr, call: &Call) -> Result<Self> {
         let stream = TcpStream::connect(entry).await?;
         let (mut sender, connection) =
@@ -45,12 +45,16 @@
         Ok(slow)
     }
 
-    /// Whether the rest of the body is still to come.
+    /// Whether a part of the body is still unread.
     pub fn is_partial(&self) -> bool {
         self.received.len() < self.expected.len()
     }
 
-    /// Reads to the end; fails unless it is the whole right answer.
+    /// Reads the rest of the body.
+    ///
+    /// # Errors
+    ///
+    /// Fails unless the body is complete and correct.
     pub async fn finish(mut self) -> Result<()> {
         while self.read_part().await? {}
         ensure!(
--- a/tests/all/support/traffic.rs
+++ b/tests/all/support/traffic.rs
@@ -1,4 +1,5 @@
-//! Callers that keep on calling, by the contract, until they are told to stop.
+//! Callers that send calls, as the documented contract requires, until they are
+//! stopped.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -14,14 +15,14 @@
 use super::caller::{Call, Caller, certainty_of, code_of};
 use super::{POLL, WAIT_TIMEOUT};
 
-/// Pause of a caller between two calls.
+/// Time that a caller waits between two calls.
 const CALL_INTERVAL: Duration = Duration::from_millis(8);
-/// Sends of one call, redirects included, before it counts as failed.
+/// Number of sends, including redirects, after which a call counts as failed.
 const MAX_SENDS: u32 = 20;
-/// Numbers the callers of this process, so that nonces never repeat.
+/// Number of the next caller in this process, which keeps nonces unique.
 static NEXT_CALLER: AtomicU64 = AtomicU64::new(0);
 
-/// Callers at work. Dropping it stops them.
+/// Running callers. Dropping it aborts them.
 pub struct Traffic {
     shared: Arc<Shared>,
     callers: JoinSet<Vec<String>>,
@@ -34,19 +35,19 @@
     refusals: AtomicU64,
 }
 
-/// What became of all calls.
+/// Outcome of all calls.
 pub struct Served {
-    /// Calls that got their own whole answer.
+    /// Number of calls that got their own complete answer.
     pub answered: u64,
-    /// Answers that told a caller to come again.
+    /// Number of answers that asked a caller to retry later.
     pub refusals: u64,
-    /// One line for each call without an answer, or with a wrong one.
+    /// One line for each call without an answer or with a wrong one.
     pub failures: Vec<String>,
 }
 
 impl Traffic {
-    /// Starts callers of the service `cashier`, each with one call at a time:
-    /// lookups and payments in turn.
+    /// Starts callers of the service `cashier`. Each of them sends lookups and
+    /// payments alternately, one at a time.
     pub fn start(entries: &[SocketAddr], callers: usize) -> Self {
         let shared = Arc::new(Shared::default());
         let mut tasks = JoinSet::new();
@@ -61,7 +62,7 @@
         }
     }
 
-    /// Waits until this many more calls were answered.
+    /// Waits until `more` further calls are answered.
     pub async fn wait_answered(&self, more: u64) -> Result<()> {
         let wanted = self.shared.answered.load(Ordering::Relaxed) + more;
         let give_up = Instant::now() + WAIT_TIMEOUT;
@@ -72,7 +73,8 @@
         Ok(())
     }
 
-    /// Lets each caller finish its call.
+    /// Stops the callers after their current calls and returns the outcome of all
+    /// calls.
     pub async fn stop(mut self) -> Result<Served> {
         self.shared.stop.store(true, Ordering::Relaxed);
         let mut failures = Vec::new();
@@ -111,7 +113,7 @@
     failures
 }
 
-/// Sends a call until it is answered, as the contract allows.
+/// Sends a call until it is answered, as the documented contract allows.
 async fn send_until_answered(
     caller: &Caller,
     entry: SocketAddr,
@@ -142,8 +144,8 @@
     Err(format!("given up after {codes:?}"))
 }
 
-/// Where a call goes that has certainly not run: under the ticket that came
-/// with the answer, or for a new one.
+/// Path for the next send of a call that certainly did not run: it contains the
+/// ticket of the answer if there is one, else the entry issues a new ticket.
 fn next_path(call: &Call, answer: &WholeAnswer) -> String {
     match text_of(answer, header::NEXT_TICKET).as_str() {
         "" => call.path.clone(),
--- a/tests/all/trace.rs
+++ b/tests/all/trace.rs
@@ -1,4 +1,4 @@
-//! `hornbeamhitch trace`, run as an operator runs it.
+//! Runs `hornbeamhitch trace` as an operator does.
 
 use std::path::PathBuf;
 use std::process::Command;
@@ -24,8 +24,8 @@
     (output.status.code().expect("an exit status"), text)
 }
 
-/// A payment ended as "nobody can tell". The entry's line names the gate, and
-/// the gate's line says how the run ended; the story has both in their order.
+/// The outcome of a payment is unknown. The entry's line names the gate, and the
+/// gate's line states how the run ended; the trace shows both in order of time.
 #[test]
 fn a_trace_merges_several_logs_in_order() {
     let entry = log_file("entry", &[OTHER, ENTRY, "not json"]);
