--- a/tests/all/at_most_once/partitions.rs
+++ b/tests/all/at_most_once/partitions.rs
@@ -40,8 +40,8 @@
     Ok(())
 }
 
-/// A one-way partition forwards the payment to the gate and drops its answer. The
-/// payment runs, and the caller gets "unknown" at its deadline. Once the partition
+/// A one-way partition lets the payment through to the gate and holds back its answer.
+/// The payment runs, and the caller gets "unknown" at its deadline. Once the partition
 /// heals, the same ticket returns the answer of that run.
 #[tokio::test]
 async fn an_answer_lost_in_a_partition_is_fetched_later() -> Result<()> {
--- a/tests/all/command_line.rs
+++ b/tests/all/command_line.rs
@@ -1,4 +1,4 @@
-//! The operators' command line, run as an operator runs it.
+//! Runs the operators' command line as an operator does.
 
 mod fake_node;
 mod real_nodes;
@@ -19,7 +19,7 @@
 const USAGE: i32 = 2;
 const UNREACHABLE: i32 = 3;
 
-/// What a run printed and how it ended.
+/// Output and exit status of a run.
 struct Run {
     exit: i32,
     out: String,
@@ -32,7 +32,7 @@
     }
 }
 
-/// Runs the real program in the root of the repository.
+/// Runs the program in the root of the repository.
 fn run(arguments: &[&str]) -> Run {
     let output: Output = Command::new(env!("CARGO_BIN_EXE_hornbeamhitch"))
         .args(arguments)
@@ -46,12 +46,12 @@
     }
 }
 
-/// Runs `status` or `where` with a time limit that a busy machine keeps.
+/// Runs `status` or `where` with a timeout that is long enough for a busy machine.
 fn run_with_long_timeout(arguments: &[&str]) -> Run {
     run(&[arguments, &["--timeout-ms", "30000"]].concat())
 }
 
-/// A text in a file of its own.
+/// A temporary file with a configuration text.
 struct TextFile(PathBuf);
 
 impl TextFile {
@@ -253,7 +253,7 @@
     }
 }
 
-/// The status of a node that sees two targets of the ledger.
+/// Status of a node that knows two targets of the service `ledger`.
 fn status(vm: &str, version: u64, state_of_second: &str) -> Value {
     json!({
         "vm": vm,
@@ -372,10 +372,10 @@
 
 #[test]
 fn one_failing_node_does_not_hide_the_others() {
-    // Of four nodes one answers, one refuses connections, one accepts the
-    // connection and stays silent, one answers nonsense. The operator sees
-    // the one that answers and a reason for each of the others; the silent
-    // one costs no more than the time limit.
+    // Of four nodes one answers, one refuses connections, one accepts the connection
+    // and never answers, and one sends an invalid answer. The operator sees the status
+    // of the first and a reason for each of the others. The unresponsive node delays
+    // the command no longer than the timeout.
     let answering = FakeNode::answering(&status("vm-9", 12, "live"));
     let silent = FakeNode::silent();
     let nonsense = FakeNode::answering(&json!({ "vm": 1 }));
@@ -416,8 +416,8 @@
 
 #[test]
 fn nodes_are_queried_concurrently() {
-    // Neither node answers before both were asked. Asked one after the other,
-    // the first would stay silent until its time limit.
+    // No node answers before both have a request. If the command queried them one
+    // after the other, the request to the first would time out.
     let status_of = |vm| status(vm, 12, "live");
     let nodes = FakeNode::answering_together(&[status_of("vm-8"), status_of("vm-9")]);
     let (one, other) = (nodes[0].address(), nodes[1].address());
--- a/tests/all/command_line/fake_node.rs
+++ b/tests/all/command_line/fake_node.rs
@@ -1,4 +1,4 @@
-//! A node's operators' address that answers with a canned status.
+//! A fake operators' address of a node that answers with a fixed status.
 
 use std::io::{BufRead, BufReader, Write};
 use std::net::{TcpListener, TcpStream};
@@ -7,18 +7,18 @@
 
 use serde_json::Value;
 
-/// Listens on a port of the kernel's choice until the test ends.
+/// A fake node. It listens on a port chosen by the kernel until the test ends.
 pub(super) struct FakeNode {
     listener: TcpListener,
 }
 
 impl FakeNode {
-    /// Answers each request at once.
+    /// Starts a node that answers each request immediately.
     pub(super) fn answering(status: &Value) -> Self {
         Self::serving(status, None)
     }
 
-    /// Nodes of which none answers before all were asked.
+    /// Starts nodes that answer only once each of them has a request.
     pub(super) fn answering_together(statuses: &[Value]) -> Vec<Self> {
         let barrier = Arc::new(Barrier::new(statuses.len()));
         let mut nodes = Vec::new();
@@ -28,14 +28,14 @@
         nodes
     }
 
-    /// Accepts connections, in the kernel's backlog, and never answers.
+    /// Starts a node that never answers. The kernel's backlog accepts connections.
     pub(super) fn silent() -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port is free");
         Self { listener }
     }
 
-    /// An address at which nobody listens. The port lies below those that the
-    /// kernel hands out, so that no other test can come to listen there.
+    /// An address at which no process listens. The port is below those that the kernel
+    /// assigns, so that no other test can listen there.
     pub(super) fn closed() -> String {
         "http://127.0.0.1:1".to_owned()
     }
@@ -52,7 +52,7 @@
             .try_clone()
             .expect("the listener can be shared");
         let body = status.to_string();
-        // The thread ends with the test's process.
+        // The thread ends with the test process.
         thread::spawn(move || {
             for stream in listener.incoming() {
                 let Ok(stream) = stream else {
--- a/tests/all/command_line/real_nodes.rs
+++ b/tests/all/command_line/real_nodes.rs
@@ -1,4 +1,4 @@
-//! The command line against nodes that run.
+//! Runs the command line against real nodes.
 
 use eyre::Result;
 
@@ -12,7 +12,7 @@
     ]
 }
 
-/// `--node` for each node of a deployment.
+/// A `--node` argument for each node of a deployment.
 fn node_arguments(deployment: &Deployment) -> Result<Vec<String>> {
     let mut arguments = Vec::new();
     for vm in deployment.fleet.names() {
@@ -68,9 +68,8 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_paused_node_is_named_and_the_other_is_still_shown() -> Result<()> {
-    // One node's process stands still, its port still accepts connections.
-    // The operator waits for the time limit and then sees the other node's
-    // status, and which node was silent.
+    // One node is paused, and its port still accepts connections. After the timeout
+    // the operator sees the other node's status and which node did not answer.
     let mut deployment = Deployment::start(CASHIER_TEXT, members()).await?;
     let nodes = node_arguments(&deployment)?;
     deployment.fleet.pause("cashier-2")?;
--- a/tests/all/configuration.rs
+++ b/tests/all/configuration.rs
@@ -1,9 +1,9 @@
-//! A configuration that was accepted is in force everywhere within seconds,
-//! and never gives way to an older one.
+//! An accepted configuration is in force on all nodes within seconds, and an older
+//! one never replaces it.
 //!
-//! What was in force is read from the nodes' logs, which name each version as
-//! it comes into force; the times are from the edit until every node's status
-//! shows it.
+//! The tests read past versions from the nodes' logs, which name each version as it
+//! comes into force. Measured times are from the edit until every node's status shows
+//! the version.
 
 mod platform;
 
@@ -21,13 +21,13 @@
 use crate::support::traffic::Traffic;
 use crate::support::{Deployment, Member};
 
-/// "Within seconds".
+/// Longest allowed time until a version is in force on all nodes.
 const MAX_DELAY: Duration = Duration::from_secs(5);
-/// Checks of a large text that may pass in a row before it is in force.
+/// Extra time for a large text, as a multiple of the time that one check of it takes.
 const LARGE_CHECKS: u32 = 8;
 const DATA_CENTRES: [&str; 3] = ["a", "b", "c"];
 
-/// A text whose versions differ in the deadline.
+/// A text in which only the deadline varies.
 fn text(deadline_ms: u64) -> String {
     format!(
         r#"{{
@@ -44,7 +44,7 @@
     )
 }
 
-/// Cashiers, spread over three data centres.
+/// Cashiers that are spread over three data centres.
 fn members(count: usize) -> Vec<Member> {
     let mut members = Vec::new();
     for index in 0..count {
@@ -58,7 +58,7 @@
     Deployment::start(&text(10_000), members(count)).await
 }
 
-/// A lookup through each of the nodes is answered.
+/// Fails unless a lookup through each of the nodes is answered.
 async fn assert_serving(deployment: &Deployment, vms: &[String], when: &str) -> Result<()> {
     for vm in vms {
         let call = Call::price(&format!("{when}-{vm}"));
@@ -70,9 +70,9 @@
 
 #[tokio::test]
 async fn an_edit_is_in_force_on_fourteen_nodes_within_seconds() -> Result<()> {
-    // The operator edits the text of the print office six times, each as soon
-    // as the last is in force everywhere. Readers hear it by their watch, and
-    // all others node to node.
+    // The operator edits the Bangkok example six times, each time as soon as the last
+    // edit is in force on all nodes. Readers learn of an edit by their watch, and all
+    // other nodes learn of it from peers.
     let mut members = Vec::new();
     for spec in bangkok::deployment().targets() {
         let member = Member::new(&spec.vm, &spec.service);
@@ -100,7 +100,7 @@
     deployment.assert_versions_never_decrease()
 }
 
-/// Shows an older text to all readers.
+/// Makes the platform serve an older text to all readers.
 async fn serve_older(deployment: &Deployment, version: u64, text: &str) {
     let old = OldValues {
         text: Some(OldText {
@@ -114,10 +114,10 @@
 
 #[tokio::test]
 async fn an_older_version_never_returns_and_a_new_node_queries_its_peers() -> Result<()> {
-    // The platform falls back to version 1, and one node after the other is
-    // killed and starts anew, holding nothing. Its first question goes to its
-    // peers, so version 1 is in force on no node for a moment; a VM that was
-    // never there before does the same.
+    // The platform serves version 1 again, and the nodes are killed and restarted one
+    // after the other, each without any state. A node first queries its peers, so
+    // version 1 never comes into force on any node. A VM that is new to the fleet does
+    // the same.
     let mut deployment = start(4).await?;
     let vms = deployment.fleet.names();
     let newest = deployment.platform.set_text_version(&text(12_000), 7)?;
@@ -152,9 +152,9 @@
 
 #[tokio::test]
 async fn a_resumed_node_catches_up_without_spreading_its_old_version() -> Result<()> {
-    // A node, and with it half of the readers of its data centre, is stopped
-    // in the middle of its work. Two edits pass. It wakes with version 1 in
-    // force, tells its peers so, and is told better by them.
+    // A node, which is one of two readers of its data centre, is paused during two
+    // edits. It resumes with version 1 in force, announces that version to its peers,
+    // and gets the newest one from them.
     let mut deployment = start(5).await?;
     let vms = deployment.fleet.names();
     let paused = vms[0].clone();
@@ -171,17 +171,17 @@
     let woken_at = Instant::now();
     deployment.fleet.resume(&paused)?;
     let took = deployment.wait_in_force(&vms, 3, woken_at).await?;
-    println!("a woken node has the newest text in force after {took:?}");
+    println!("a resumed node has the newest text in force after {took:?}");
     assert!(took < MAX_DELAY, "{took:?}");
     deployment.assert_versions_never_decrease()
 }
 
 #[tokio::test]
 async fn a_partition_that_heals_ends_with_the_newer_text_on_both_sides() -> Result<()> {
-    // Each side has a platform, a text and members of its own and serves. The
-    // far side's platform is stale and stays so, even after the sides hear of
-    // each other. Then the far side goes up by what the near side says, and
-    // the near side never takes the far one's older text.
+    // Each side has its own platform, text and members, and serves calls. The far
+    // side's platform is stale and remains so after the sides can reach each other.
+    // Then the far side gets the newer text from the near side, and the near side
+    // never applies the far side's older text.
     let near = Deployment::prepare(members(3)).await?;
     let far_members = vec![
         Member::new("far-1", "cashier").in_data_centre("a"),
@@ -206,7 +206,7 @@
     near.platform.set_vms(all.clone())?;
     far.platform.set_vms(all)?;
     let took = far.wait_in_force(&far_vms, 9, healed_at).await?;
-    println!("the far side of a partition goes up {took:?} after it heals");
+    println!("the far side of a partition has the newer text {took:?} after it heals");
     assert!(took < MAX_DELAY, "{took:?}");
     near.wait_in_force(&near_vms, 9, healed_at).await?;
     near.assert_versions_never_decrease()?;
@@ -215,9 +215,9 @@
 
 #[tokio::test]
 async fn a_faulty_text_is_rejected_whole_and_its_reason_is_shown_everywhere() -> Result<()> {
-    // The operator's edit changes two things and has a mistake in a third.
-    // Nothing of it comes into force; every node's status names the version,
-    // the line and the reason. The next good text comes into force as usual.
+    // An edit of the operator has a valid change and a mistake. Nothing of it comes
+    // into force; every node's status names the version, the line and the reason. The
+    // next valid text comes into force as usual.
     let deployment = start(5).await?;
     let vms = deployment.fleet.names();
     let good = text(12_000);
@@ -230,7 +230,7 @@
         + 1;
     let refused = deployment.platform.set_text(&bad)?;
     for vm in &vms {
-        let status = deployment.wait_status(vm, "refuses the text", |status| {
+        let status = deployment.wait_status(vm, "rejects the text", |status| {
             let known = status.config.refused.as_ref();
             known.is_some_and(|known| known.version.0 == refused)
         });
@@ -257,7 +257,7 @@
     deployment.assert_versions_never_decrease()
 }
 
-/// Almost a megabyte: as many services as fit.
+/// A text of almost a megabyte, filled up with services.
 fn large_text(deadline_ms: u64) -> String {
     const LARGE_BYTES: usize = 960_000;
     let mut large = text(deadline_ms);
@@ -280,12 +280,12 @@
 
 #[tokio::test]
 async fn a_text_of_a_megabyte_is_in_force_within_seconds() -> Result<()> {
-    // The operator's text grows to nearly the platform's limit. Readers fetch
-    // it whole, check it and pass on to each node the parts that concern it.
+    // The text grows to nearly the platform's size limit. Readers fetch the whole
+    // text, check it and send each node the parts that it needs.
     let deployment = start(6).await?;
     let vms = deployment.fleet.names();
     let large = large_text(12_000);
-    // The machine's own speed now, with this build, is the yardstick.
+    // The bound depends on how fast this build checks the text on this machine.
     let check_at = Instant::now();
     ensure!(
         hornbeamhitch_text::check(&large).is_ok(),
@@ -306,16 +306,16 @@
 
 #[tokio::test]
 async fn two_quick_edits_end_with_the_later_one_everywhere() -> Result<()> {
-    // Two operators publish at almost the same moment. Some readers see the
-    // first text and some only the second; announcements of both cross each
-    // other. Every node ends with the second, whatever it saw before.
+    // Two operators publish at almost the same time. Some readers read the first text
+    // and some only the second, and announcements of both cross. Every node ends with
+    // the second text, whatever it read before.
     let deployment = start(6).await?;
     let vms = deployment.fleet.names();
     let mut newest = 1;
     for round in 0..5 {
         let changed_at = Instant::now();
         let first = deployment.platform.set_text(&text(12_000 + round))?;
-        // From none to enough for the first to be on its way.
+        // From no delay to one in which the first text starts to spread.
         tokio::time::sleep(Duration::from_millis(round * 3)).await;
         newest = deployment.platform.set_text(&text(13_000 + round))?;
         ensure!(newest == first + 1, "versions go up by one");
@@ -335,8 +335,8 @@
 
 #[tokio::test]
 async fn an_edit_under_load_fails_no_call() -> Result<()> {
-    // Limits and deadlines change under running calls, thrice; each call ends
-    // by the rules under which it began.
+    // The deadline changes three times while calls run. Each call ends under the
+    // configuration under which it began.
     let deployment = start(3).await?;
     let vms = deployment.fleet.names();
     let traffic = Traffic::start(&deployment.fleet.entries(), 6);
--- a/tests/all/configuration/platform.rs
+++ b/tests/all/configuration/platform.rs
@@ -1,4 +1,4 @@
-//! Reads of the platform: how many there are, and what its outages hold up.
+//! The number of platform reads, and the effects of platform outages.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -10,10 +10,10 @@
 use super::*;
 use crate::support::WAIT_TIMEOUT;
 
-/// Nodes of each data centre that read the platform.
+/// Number of nodes in each data centre that read the platform.
 const READERS: u64 = 2;
 
-/// Waits until a node that reads the platform says this of it.
+/// Waits until the status of some node shows this state of the platform.
 async fn wait_platform(deployment: &Deployment, state: PlatformState) -> Result<()> {
     let give_up = Instant::now() + WAIT_TIMEOUT;
     loop {
@@ -29,7 +29,8 @@
     }
 }
 
-/// What the platform and the nodes say of reading, for a wait that was in vain.
+/// Describes the platform's read counts and each node's view of the platform, for the
+/// error of a failed wait.
 async fn describe_reads(deployment: &Deployment) -> String {
     let mut lines = format!("{:#?}", deployment.platform.counts());
     for vm in deployment.fleet.names() {
@@ -42,15 +43,15 @@
     lines
 }
 
-/// Reads in a window of edits, once the rota has settled.
+/// Counts the platform reads of some edits, once the choice of readers is stable.
 async fn count_reads(nodes: usize, edits: u64) -> Result<u64> {
     let deployment = start(nodes).await?;
     let vms = deployment.fleet.names();
     let readers = READERS * DATA_CENTRES.len() as u64;
-    // Two watches a reader. At a cold start there are more of them, until the
-    // nodes of a data centre have heard of each other.
+    // Each reader has two watches. At a cold start there are more readers, until the
+    // nodes of a data centre know each other.
     let is_settled = |deployment: &Deployment| deployment.platform.counts().waiting == 2 * readers;
-    let settled = deployment.wait_until("two readers a data centre", is_settled);
+    let settled = deployment.wait_until("two readers per data centre", is_settled);
     if let Err(error) = settled.await {
         return Err(error.wrap_err(describe_reads(&deployment).await));
     }
@@ -72,16 +73,17 @@
 
 #[tokio::test]
 async fn platform_reads_scale_with_data_centres_and_not_with_nodes() -> Result<()> {
-    // The platform counts every read, a waiting watch as one. In each data
-    // centre two nodes read, so that six nodes and fourteen cost it the same:
-    // one read of the text by each reader for each edit.
+    // The platform counts every read, and a waiting watch as one. Two nodes in each
+    // data centre read, so six nodes cause as many reads as fourteen: one read of the
+    // text per reader and edit.
     const EDITS: u64 = 10;
     let (six, fourteen) = tokio::join!(count_reads(6, EDITS), count_reads(14, EDITS));
     let (six, fourteen) = (six?, fourteen?);
     println!("platform reads for {EDITS} edits: {six} by 6 nodes, {fourteen} by 14");
     let readers = READERS * DATA_CENTRES.len() as u64;
-    // Readers change when a node is not heard for long on a busy machine; the
-    // newcomer reads once more. Fourteen readers would be far above this.
+    // On a busy machine a reader may be replaced because its peers got no heartbeat
+    // for too long, and the new reader reads once more. Fourteen readers would be far
+    // above this bound.
     let bound = readers * EDITS * 14 / 10;
     assert!(six <= bound, "{six} reads, above {bound}");
     assert!(fourteen <= bound, "{fourteen} reads, above {bound}");
@@ -90,9 +92,9 @@
 
 #[tokio::test]
 async fn an_edit_during_a_platform_outage_comes_into_force_after_it() -> Result<()> {
-    // The platform's port closes. Callers notice nothing: nodes serve on with
-    // what is in force. An operator edits meanwhile; once the port is open
-    // again, readers that tried at growing intervals find the edit.
+    // The platform's port closes. Callers notice nothing: nodes continue to serve with
+    // the version in force. An operator edits the text during the outage; once the port
+    // is open again, readers, which retry with increasing backoff, read the edit.
     let deployment = start(5).await?;
     let vms = deployment.fleet.names();
     deployment.platform.down().await;
@@ -112,8 +114,8 @@
 
 #[tokio::test]
 async fn a_stale_platform_delays_edits_and_nothing_else() -> Result<()> {
-    // The platform answers, but shows what it had before; its watches hang.
-    // Nodes serve on; the edit comes into force as soon as it is shown.
+    // The platform answers with stale values, and its watches hang. Nodes continue to
+    // serve; the edit comes into force as soon as the platform serves it.
     let deployment = start(5).await?;
     let vms = deployment.fleet.names();
     deployment.platform.stale().await;
@@ -125,12 +127,12 @@
     let shown_at = Instant::now();
     deployment.platform.up().await;
     let took = deployment.wait_in_force(&vms, version, shown_at).await?;
-    println!("in force {took:?} after the platform shows it");
+    println!("in force {took:?} after the platform serves it");
     assert!(took < MAX_DELAY, "{took:?}");
     deployment.assert_versions_never_decrease()
 }
 
-/// Readers of the platform beside the nodes, so many that it refuses some.
+/// Other readers of the platform, so many that it rejects some reads.
 struct ExternalReaders {
     stop: Arc<AtomicBool>,
     reads: Arc<AtomicU64>,
@@ -171,15 +173,15 @@
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn a_platform_that_rejects_readers_delays_edits_and_nothing_else() -> Result<()> {
-    // Others read the platform beyond its limit, and it answers `429` to
-    // everybody, the nodes included. Calls are served on; when the crowd has
-    // gone, the edit comes into force.
+    // Other readers exceed the platform's limit, and it answers `429` to all readers,
+    // including the nodes. Nodes continue to serve; once the other readers have
+    // stopped, the edit comes into force.
     let deployment = start(5).await?;
     let vms = deployment.fleet.names();
     let external_readers = ExternalReaders::start(&deployment);
     let refuses = |deployment: &Deployment| deployment.platform.counts().refused > 0;
     deployment
-        .wait_until("the platform refuses", refuses)
+        .wait_until("the platform rejects reads", refuses)
         .await?;
     deployment.platform.set_text(&text(12_000))?;
     let is_refused = |deployment: &Deployment| {
@@ -190,7 +192,10 @@
     let mut edits = 2;
     let give_up = Instant::now() + WAIT_TIMEOUT;
     while !is_refused(&deployment) {
-        ensure!(Instant::now() < give_up, "no node was refused");
+        ensure!(
+            Instant::now() < give_up,
+            "the platform rejected no read of a node"
+        );
         edits += 1;
         deployment.platform.set_text(&text(12_000 + edits))?;
         tokio::time::sleep(Duration::from_millis(50)).await;
@@ -201,7 +206,7 @@
     let reads = external_readers.leave().await;
     let left_at = Instant::now();
     let took = deployment.wait_in_force(&vms, last, left_at).await?;
-    println!("{reads} reads of others, {refused} refused; in force {took:?} after they left");
+    println!("{reads} reads of others, {refused} rejected; in force {took:?} after they stopped");
     assert!(took < MAX_DELAY, "{took:?}");
     deployment.assert_versions_never_decrease()
 }
--- a/tests/all/crash_request.rs
+++ b/tests/all/crash_request.rs
@@ -1,4 +1,4 @@
-//! Requests that crash each target that runs them, and targets that fail fast.
+//! Requests that crash every target that runs them, and targets that fail fast.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,7 +11,8 @@
 use crate::support::caller::{Call, Caller, code_of};
 use crate::support::{CASHIER_TEXT, Deployment, Member};
 
-/// One crash shows the request, a second one while it runs alone convicts it.
+/// The first crash makes the request a suspect. A second crash while the request
+/// runs alone proves that it is the cause.
 const MAX_CRASHES: u64 = 2;
 const SENDS: usize = 8;
 
@@ -41,10 +42,10 @@
     call
 }
 
-/// A caller's lookup crashes each target that runs it; the caller sends it
-/// again as soon as it has an answer, through every entry in turn. After two
-/// crashes in all it is refused everywhere, at once, with a time to come back;
-/// lookups of others go on being answered, those in flight in a crash included.
+/// A caller's lookup crashes every target that runs it. The caller sends it again as
+/// soon as it has an answer, alternating between the entries. After two crashes in
+/// total, every entry rejects it at once with a `Retry-After`. Other lookups are still
+/// answered, including those in flight during a crash.
 #[tokio::test]
 async fn a_request_that_crashes_targets_is_rejected_after_two_crashes() -> Result<()> {
     let deployment = Arc::new(Deployment::start(CASHIER_TEXT, members()).await?);
@@ -70,13 +71,14 @@
     assert!((1..=MAX_CRASHES).contains(&crashed), "{crashed} crashes");
 
     let (answered, failed) = other_lookups.await?;
-    println!("crashes {crashed}, innocents answered {answered}, failed {failed:?}");
+    println!("crashes {crashed}, other lookups answered {answered}, failed {failed:?}");
     assert!(failed.is_empty(), "{failed:?}");
     assert!(answered > 0);
     Ok(())
 }
 
-/// Ten callers look things up, each its own thing, while targets go down.
+/// Sends different lookups from ten callers while targets crash. Returns the number
+/// of answered lookups and the nonces of the failed ones.
 async fn send_other_lookups(deployment: Arc<Deployment>) -> (usize, Vec<String>) {
     const CALLERS: usize = 10;
     const ROUNDS: usize = 20;
@@ -106,8 +108,8 @@
     (CALLERS * ROUNDS - failed.len(), failed)
 }
 
-/// An idempotent call is sent again when its answer says to come back, a few
-/// times as the contract allows.
+/// Sends an idempotent call until it is answered, up to six times, and waits as long
+/// as each rejection asks for. Returns whether the answer is correct.
 async fn send_until_answered(caller: &Caller, entry: std::net::SocketAddr, call: &Call) -> bool {
     const TRIES: usize = 6;
     for _ in 0..TRIES {
@@ -124,9 +126,9 @@
     false
 }
 
-/// One of three targets answers every call with 500 at once. After a few calls
-/// it is ejected and takes next to nothing, and callers see no error; when it
-/// is well again, single trials bring it back.
+/// One of three targets answers every call with 500 immediately. After a few calls it
+/// is ejected and gets hardly any, and callers see no error. Once it is healthy again,
+/// half-open probes end the ejection.
 #[tokio::test]
 async fn a_target_that_fails_fast_takes_next_to_no_calls_and_comes_back() -> Result<()> {
     const CALLS: usize = 300;
@@ -154,7 +156,8 @@
     let before = failing.all_runs().len();
     let mut sent = 0;
     let back = async {
-        // A trial, then its full share: more than trials alone would bring.
+        // 20 runs are more than half-open probes alone would cause, so the target
+        // gets its full share again.
         while failing.all_runs().len() < before + 20 {
             sent += 1;
             let _ = caller
--- a/tests/all/deployments.rs
+++ b/tests/all/deployments.rs
@@ -1,4 +1,4 @@
-//! Nodes of two deployments that can reach one another.
+//! Nodes of two deployments that can reach each other.
 
 use eyre::Result;
 use hornbeamhitch_standins::platform::{VmEntry, VmState};
@@ -26,8 +26,8 @@
     Ok(deployment.status(vm).await?.config.in_force)
 }
 
-/// The VM list of `own` names the address of a node of another deployment, which
-/// is greeted for it some times.
+/// Adds the address of another deployment's node to the VM list of `own`, and waits
+/// until that node has logged three datagrams from `own`.
 async fn list_foreign_node(own: &Deployment, other: &Deployment, vm: &str) -> Result<()> {
     let foreign_node = other.fleet.addresses(vm)?;
     let mut listed = own.fleet.vm_entries();
@@ -47,14 +47,14 @@
             .count()
             >= 3
     };
-    own.wait_until("the stranger hears three greetings", noticed)
+    own.wait_until("the foreign node logs three datagrams", noticed)
         .await
 }
 
-/// A VM's address passes from one deployment to another while a lagging list
-/// still names it. Its old fleet greets the stranger there. The stranger's text
-/// has a far higher version; taken over, it could never be taken back. Both
-/// must go on with their own text and their own members.
+/// A VM's address is reassigned to another deployment while a lagging list still has
+/// it, and nodes of the old deployment send datagrams to the foreign node there. The
+/// foreign text has a far higher version, so a fleet that applied it could never
+/// return to its own text. Both fleets must keep their own text and members.
 #[tokio::test]
 async fn a_fleet_that_lists_a_foreign_address_keeps_its_own_text() -> Result<()> {
     let other = start("insurers", "izplacila-1", HIGH_VERSION).await?;
@@ -73,10 +73,11 @@
     Ok(())
 }
 
-/// Two tests run on one machine, each with a fleet of its own. A port that one has
-/// given back becomes the other's, whose node is greeted there under its own VM's
-/// name by an older life of it. It must go on with its own text and take work: a
-/// node that believed the greeting would stop, as one that a later life replaced.
+/// Two tests run on one machine, each with its own fleet. A port that one fleet
+/// released is reused by the other, whose node then gets datagrams from a node with
+/// its own VM name and another incarnation. It must keep its own text and accept work:
+/// a node that trusted these datagrams would stop, as if a later incarnation had
+/// replaced it.
 #[tokio::test]
 async fn fleets_of_two_tests_ignore_one_another() -> Result<()> {
     let members = || vec![Member::new("cashier-1", "cashier")];
--- a/tests/all/frozen_peer.rs
+++ b/tests/all/frozen_peer.rs
@@ -1,4 +1,4 @@
-//! A peer that is frozen must not hold up another node's graceful end.
+//! A frozen peer must not delay the graceful shutdown of another node.
 
 use std::time::Duration;
 
@@ -8,14 +8,14 @@
 use crate::support::caller::{Call, Caller, code_of};
 use crate::support::{CASHIER_TEXT, Deployment, Member};
 
-/// Well below the drain timeout of 30 s, after which the node would give up
-/// with status 4.
+/// Well below the drain timeout of 30 s, after which the node would exit with
+/// status 4.
 const EXIT_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Operators replace a VM while another VM is paused by its host. The paused
-/// node holds an HTTP/2 connection to the leaving one and answers no pings. A
-/// graceful end that waits for that answer lasts until the drain timeout and
-/// reports work in flight although there is none.
+/// A node gets SIGTERM while another VM is paused by its host. The paused node has an
+/// HTTP/2 connection to the terminating one and answers no pings. A graceful shutdown
+/// that waits for such an answer lasts until the drain timeout and reports work in
+/// flight although there is none.
 #[tokio::test]
 async fn a_node_shuts_down_while_a_connected_peer_is_frozen() -> Result<()> {
     let members = vec![
@@ -24,7 +24,7 @@
     ];
     let mut deployment = Deployment::start(CASHIER_TEXT, members).await?;
     let caller = Caller::new();
-    // Sent through the second node until its calls have reached the first.
+    // Calls go through the second node until one of them reaches the first.
     let entry = deployment.entry("cashier-2");
     for round in 0..200 {
         let call = Call::price(&format!("lookup-{round}"));
--- a/tests/all/leaving.rs
+++ b/tests/all/leaving.rs
@@ -1,9 +1,9 @@
 //! A target that is leaving gets no new work after a few seconds.
 //!
-//! Three words can say that it leaves: its own (a header, or its health), the
-//! platform's VM list, and its node's end. Each is brought about under load;
-//! the time to the start of the last run at the target is taken from the
-//! target's journal.
+//! There are three causes of leaving: the target reports that it drains (by a
+//! header or its health), the platform's VM list says so, or its node terminates.
+//! Each test triggers one under load and reads the time until the start of the last
+//! run at the target from the target's journal.
 
 use std::net::{SocketAddr, UdpSocket};
 use std::time::Duration;
@@ -30,14 +30,15 @@
     "cashier": {
       "slots": 12,
       "deadline_ms": 5000,
-      // A drain's end is seen soon; the budget itself is proved elsewhere.
+      // A high probe rate, to detect the end of a drain soon. Other tests check
+      // the budget itself.
       "budgets": { "probes_per_s": 20, "probe_burst": 5, "hedge_share": 0 },
       "calls": [
         { "name": "charge", "match": "POST /charge", "idempotent": false, "class": "payment" },
         { "name": "price", "match": "GET /price", "idempotent": true },
       ],
     },
-    // The service of entries that are nobody's gate.
+    // Nodes of this service are entries that serve no call as gates.
     "desk": { "depends_on": ["cashier"] },
   },
 }"#;
@@ -45,16 +46,16 @@
 const LEAVING_VM: &str = "cashier-3";
 const DESK: &str = "desk-1";
 const CALLERS: usize = 6;
-/// "After a few seconds", generously.
+/// Longest allowed time until the last new run. It leaves room for a busy machine.
 const MAX_DELAY: Millis = Millis::from_secs(5);
-/// A target without a new run for this long, while others run, gets none.
+/// A target that starts no run for this long, while others do, gets no more work.
 const QUIET_PERIOD: Millis = Millis(1_500);
-/// Runs at the other targets in that time.
+/// Least number of runs at the other targets in that time.
 const RUNS_ELSEWHERE: usize = 100;
 const EXIT_TIMEOUT: Duration = Duration::from_secs(20);
-/// How often the gate announces that it leaves.
+/// Number of times that a gate announces to an entry that it is leaving.
 const ANNOUNCEMENTS: u64 = 3;
-/// More bytes than the kernel keeps for a socket whose reader is asleep.
+/// Number of datagrams that exceeds the receive buffer of a paused process.
 const FLOOD_DATAGRAMS: usize = 1_000;
 const FLOOD_BYTES: usize = 1_000;
 
@@ -71,14 +72,15 @@
     Deployment::start(TEXT, cashiers()).await
 }
 
-/// With an entry that is as far from each cashier.
+/// Starts the deployment with an entry at the same distance from each cashier.
 async fn start_with_desk() -> Result<Deployment> {
     let mut members = cashiers();
     members.push(Member::new(DESK, "desk").in_data_centre("d"));
     Deployment::start(TEXT, members).await
 }
 
-/// Traffic through the nodes that stay.
+/// Starts traffic through the nodes that keep running, and waits until every target
+/// runs calls.
 async fn start_traffic(deployment: &Deployment) -> Result<Traffic> {
     let entries = [deployment.entry("cashier-1"), deployment.entry("cashier-2")];
     let began_at = wall_clock();
@@ -115,8 +117,8 @@
     runs.iter().filter(|run| run.started_at_ms > since).count()
 }
 
-/// Waits until the leaver gets nothing while others do, ends the traffic and
-/// gives the time from the event to the last start of a run.
+/// Waits until the leaving target gets no more work while others do, and stops the
+/// traffic. Returns the time from the event to the last start of a run.
 async fn time_to_last_start(
     deployment: &Deployment,
     traffic: Traffic,
@@ -129,7 +131,7 @@
         is_long && starts_elsewhere(deployment, last) >= RUNS_ELSEWHERE
     };
     deployment
-        .wait_until("the leaver gets no more", is_quiet)
+        .wait_until("the leaving target gets no more work", is_quiet)
         .await?;
     let served = traffic.stop().await?;
     assert!(served.failures.is_empty(), "{how}: {:#?}", served.failures);
@@ -146,18 +148,19 @@
 }
 
 async fn wait_leaving(deployment: &Deployment, leaving: bool) -> Result<()> {
-    let turned = deployment.wait_status(LEAVING_VM, "leaves, or no longer", |status| {
-        status.leaving == leaving
-    });
+    let turned =
+        deployment.wait_status(LEAVING_VM, "reports the expected leaving state", |status| {
+            status.leaving == leaving
+        });
     turned.await.map(drop)
 }
 
 #[tokio::test]
 async fn a_draining_target_gets_no_new_work_until_the_drain_ends() -> Result<()> {
-    // Callers see nothing: all their calls are answered by the other targets.
-    // The target puts `draining` on an answer; its gate refuses from that
-    // moment and tells those that lately sent to it. When the drain ends, the
-    // health endpoint says so, and the target gets its share again.
+    // Callers notice nothing: the other targets answer all their calls. The target
+    // sets `draining` on an answer; from then on its gate rejects calls and notifies
+    // the entries that recently sent to it. The health endpoint reports the end of
+    // the drain, and the target gets its share of the calls again.
     let deployment = start().await?;
     let traffic = start_traffic(&deployment).await?;
     let event_at = wall_clock();
@@ -179,7 +182,9 @@
     let traffic = Traffic::start(&[deployment.entry("cashier-1")], CALLERS);
     let is_back =
         |deployment: &Deployment| deployment.target(LEAVING_VM).all_runs().len() >= before + 20;
-    deployment.wait_until("it gets work again", is_back).await?;
+    deployment
+        .wait_until("the target gets work again", is_back)
+        .await?;
     let served = traffic.stop().await?;
     assert!(served.failures.is_empty(), "{:#?}", served.failures);
     Ok(())
@@ -187,10 +192,10 @@
 
 #[tokio::test]
 async fn an_idle_draining_target_is_detected_by_its_health() -> Result<()> {
-    // No call is under way that could carry the word. The target says `503`
-    // and `draining` at its health endpoint, which its gate asks of a silent
-    // target; the first calls after that find the gate refusing, and the
-    // target runs none of them.
+    // No call is in flight whose answer could report the drain. The target answers
+    // `503` and `draining` at its health endpoint, which its gate polls while the
+    // target is idle. The gate rejects the first calls after that, and the target
+    // runs none of them.
     let deployment = start().await?;
     deployment
         .target(LEAVING_VM)
@@ -215,9 +220,9 @@
 
 #[tokio::test]
 async fn a_vm_listed_as_leaving_gets_no_new_work() -> Result<()> {
-    // Callers see nothing. The platform's list turns the VM to `leaving`; a
-    // reader of each data centre sees it and passes it on, node to node. The
-    // process itself is not told to end, and goes on with what it has.
+    // Callers notice nothing. The platform's list changes the VM to `leaving`. A
+    // reader in each data centre reads it and passes it on to the other nodes. The
+    // node's process gets no signal and finishes its work.
     let deployment = start().await?;
     let traffic = start_traffic(&deployment).await?;
     let event_at = wall_clock();
@@ -230,8 +235,8 @@
 
 #[tokio::test]
 async fn a_terminated_node_gets_no_new_work_while_the_list_lags() -> Result<()> {
-    // Callers see nothing. The node gets SIGTERM and says so itself; the list,
-    // a minute late, calls it live all the while, also when it has long ended.
+    // Callers notice nothing. The node gets SIGTERM and announces that it is leaving.
+    // The list lags by a minute and has the VM as live, even after the node exited.
     let mut deployment = start().await?;
     deployment.platform.lag_vm_list(60_000).await;
     deployment
@@ -248,9 +253,9 @@
 
 #[tokio::test]
 async fn leaving_is_announced_while_the_platform_is_down_or_stale() -> Result<()> {
-    // Callers see nothing. One target drains while the platform serves what
-    // it had before; then, with the platform's port closed, the node of
-    // another gets SIGTERM. Both words go from node to node.
+    // Callers notice nothing. First a target drains while the platform serves stale
+    // values; then, while the platform's port is closed, its node gets SIGTERM. Both
+    // times the nodes inform one another.
     let mut deployment = start().await?;
     deployment.platform.stale().await;
     let traffic = start_traffic(&deployment).await?;
@@ -274,8 +279,8 @@
     Ok(())
 }
 
-/// Sends lookups and payments through an entry, one after the other, and fails
-/// when one of them is not answered.
+/// Sends lookups and payments through an entry, one at a time, and fails if one of
+/// them is not answered.
 async fn send_some(entry: SocketAddr, name: &str) -> Result<()> {
     for number in 0..30 {
         let call = Call::price(&format!("{name}-{number}"));
@@ -291,7 +296,7 @@
     Ok(())
 }
 
-/// Pays with a new ticket after each certain "not run".
+/// Sends a payment, and again with a new ticket after each answer "not run".
 async fn pay(entry: SocketAddr, call: Call) -> Result<WholeAnswer> {
     let mut last = None;
     for _ in 0..5 {
@@ -306,7 +311,7 @@
     last.ok_or_else(|| eyre!("nothing was sent"))
 }
 
-/// The target that an entry sends most to.
+/// VM of the target with the most runs.
 fn most_used_target(deployment: &Deployment) -> String {
     let mut cashiers = deployment.targets.iter();
     let first = cashiers.next().expect("there are targets");
@@ -317,7 +322,7 @@
     best.1.clone()
 }
 
-/// A way of leaving.
+/// Cause by which a VM leaves.
 #[derive(Clone, Copy, Debug)]
 enum LeavingCause {
     Drain,
@@ -339,11 +344,12 @@
     }
 }
 
-/// Brings about a leaving of which an entry hears nothing.
+/// Makes a VM leave without the knowledge of an entry, and checks that the gate
+/// rejects the entry's calls.
 ///
-/// The entry reads a platform of its own, which calls everyone live, and other
-/// nodes do not know it; only those to which it sends work announce to it that
-/// they leave. It is paused, and its socket full, while they do.
+/// The entry reads its own platform, which lists every VM as live, and other nodes do
+/// not know it. Only gates to which it sends work announce to it that they are
+/// leaving, and it is paused with a full socket while they do.
 async fn check_refusal_by_the_gate(cause: LeavingCause) -> Result<()> {
     let mut deployment = start().await?;
     let mut far = FarEntry::with_list(TEXT, deployment.fleet.vm_entries()).await?;
@@ -370,7 +376,7 @@
     Ok(())
 }
 
-/// A call that keeps the leaver's node from ending before the test has.
+/// Starts a call that keeps the leaving node running until the test ends.
 async fn begin_long_call(deployment: &Deployment, vm: &str) -> Result<Sending> {
     let entry = deployment.entry(vm);
     let call = Call::price("held")
@@ -385,31 +391,31 @@
 
 #[tokio::test]
 async fn a_draining_gate_rejects_entries_that_missed_every_announcement() -> Result<()> {
-    // The entry has heard nothing and sends to the leaving gate as before. The
-    // gate has the last word: it refuses, "not run", and the entry goes to
-    // another one. Callers see only answers, the target no run.
+    // The entry got no announcement and sends to the leaving gate as before. The gate
+    // rejects the call as "not run", and the entry retries at another gate. Every call
+    // is answered, and the leaving target runs none.
     check_refusal_by_the_gate(LeavingCause::Drain).await
 }
 
 #[tokio::test]
 async fn a_gate_listed_as_leaving_rejects_entries_that_missed_every_announcement() -> Result<()> {
-    // As above, but only the platform's list says that the VM is leaving, and
-    // not the list that the entry reads.
+    // As above, but only the platform's list has the VM as leaving, and the entry
+    // reads another list.
     check_refusal_by_the_gate(LeavingCause::List).await
 }
 
 #[tokio::test]
 async fn a_terminating_gate_rejects_entries_that_missed_every_announcement() -> Result<()> {
-    // As above, but the node was told to end and has not yet ended.
+    // As above, but the node got SIGTERM and has not exited yet.
     check_refusal_by_the_gate(LeavingCause::Terminate).await
 }
 
 #[tokio::test]
 async fn an_entry_paused_during_the_announcements_causes_no_run_there() -> Result<()> {
-    // The entry is paused, and its socket full, while the target that it
-    // prefers begins to drain: every announcement to it is lost. It wakes,
-    // still believes the target live, and sends; the gate refuses, the target
-    // runs nothing, and callers get their answers from others.
+    // The entry is paused with a full socket while the target that it uses most
+    // begins to drain, so every announcement to it is lost. It resumes, still takes
+    // the target for live and sends calls; the gate rejects them, the target runs
+    // nothing, and other targets answer the callers.
     let mut deployment = start_with_desk().await?;
     let entry = deployment.entry(DESK);
     send_some(entry, "before").await?;
@@ -426,13 +432,13 @@
     send_some(entry, "after").await?;
     assert_eq!(deployment.target(&leaving_vm).all_runs().len(), runs);
     let refusals = deployment.status(&leaving_vm).await?.gate.refused - refused;
-    println!("an entry that slept: {refusals} refusals by the gate");
+    println!("paused entry: {refusals} refusals by the gate");
     Ok(())
 }
 
-/// Pauses a node and sees to it that it hears nothing: every thread has stopped,
-/// and its socket is so full that it drops what comes. Returns how many datagrams
-/// were dropped by then.
+/// Pauses a node and fills its control socket. When this returns, every thread has
+/// stopped, and the kernel drops further datagrams. Returns the number of datagrams
+/// dropped so far.
 async fn pause_with_full_socket(fleet: &mut Fleet, vm: &str) -> Result<u64> {
     pause_in(fleet, vm).await?;
     let control = fleet.addresses(vm)?.control;
@@ -442,7 +448,8 @@
     dropped_datagrams(control)
 }
 
-/// Fills the socket of a paused process, the last gaps with small datagrams.
+/// Fills the socket of a paused process: first with large datagrams, then the rest
+/// of the buffer with small ones.
 fn fill_socket(control: SocketAddr) -> Result<()> {
     let socket = UdpSocket::bind(crate::support::loopback())?;
     for size_bytes in [FLOOD_BYTES, 1] {
@@ -453,7 +460,7 @@
     Ok(())
 }
 
-/// Datagrams that the kernel dropped because a socket was full.
+/// Number of datagrams that the kernel dropped because a socket was full.
 fn dropped_datagrams(control: SocketAddr) -> Result<u64> {
     let table = std::fs::read_to_string("/proc/net/udp")?;
     let port = format!(":{:04X}", control.port());
@@ -465,13 +472,16 @@
         let dropped = fields.last().ok_or_else(|| eyre!("no count of drops"))?;
         return Ok(dropped.parse()?);
     }
-    Err(eyre!("{control} is no socket of this machine"))
+    Err(eyre!("{control} is not a socket of this machine"))
 }
 
 async fn wait_dropped(control: SocketAddr, dropped: u64) -> Result<()> {
     let give_up = std::time::Instant::now() + WAIT_TIMEOUT;
     while dropped_datagrams(control)? < dropped {
-        eyre::ensure!(std::time::Instant::now() < give_up, "nothing was lost");
+        eyre::ensure!(
+            std::time::Instant::now() < give_up,
+            "too few datagrams were dropped"
+        );
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
     Ok(())
--- a/tests/all/measuring.rs
+++ b/tests/all/measuring.rs
@@ -1,8 +1,8 @@
-//! The work spent on measuring targets stays within the budget of the text.
+//! The number of probes of targets stays within the budget of the text.
 //!
-//! The budget is a token bucket: over any time no more than its burst and its
-//! rate times that time. Whatever a target does, the count is the target's own
-//! or that of a socket in its place, never the node's word.
+//! The budget is a token bucket: in any period it allows at most its burst plus its
+//! rate times the length of the period. The tests count probes at the target, or at a
+//! socket in its place, and never rely on the node's own counters.
 
 use std::net::{SocketAddr, UdpSocket};
 use std::path::Path;
@@ -22,7 +22,7 @@
 
 const PROBES_PER_S: f64 = 0.25;
 const PROBE_BURST: u64 = 1;
-/// Long enough for a node without a budget to spend twice as much.
+/// Period in which a node without a budget would send at least twice as many probes.
 const WINDOW: Duration = Duration::from_secs(4);
 
 fn text(deadline_ms: u64) -> String {
@@ -42,12 +42,12 @@
     )
 }
 
-/// What the budget allows within a time.
+/// Number of probes that the budget allows within a period.
 fn allowed(within: Duration) -> u64 {
     PROBE_BURST + (PROBES_PER_S * within.as_secs_f64()) as u64
 }
 
-/// One node in front of one target.
+/// A fleet with one node in front of one target.
 struct SingleNode {
     platform: PlatformStandin,
     fleet: Fleet,
@@ -86,7 +86,7 @@
         Ok(self.fleet.addresses(VM)?.callers)
     }
 
-    /// Waits for the end of the window that began with the node.
+    /// Waits until the end of the window that began with the start of the node.
     async fn wait_for_window_end(&self) {
         tokio::time::sleep_until((self.started_at + WINDOW).into()).await;
     }
@@ -103,7 +103,7 @@
     }
 }
 
-/// A stand-in in one mood, without calls.
+/// Counts probes of a stand-in with this behaviour, without calls.
 async fn probes_in_mood(what: &str, mood: Mood) -> Result<()> {
     let target = TargetStandin::start(TargetConfig {
         mood,
@@ -119,9 +119,10 @@
 
 #[tokio::test]
 async fn probes_of_an_idle_draining_or_unhealthy_target_stay_within_the_budget() -> Result<()> {
-    // No calls come, so that only probes can tell how the target is. It is
-    // well, drains, says that it is ill, or fails each request; the node would
-    // like to look four times a second and may look once in four.
+    // There are no calls, so only probes can show the target's health. The target is
+    // healthy, drains, reports itself unhealthy, or fails each request. Without the
+    // budget the node would probe four times a second; the budget allows one probe in
+    // four seconds.
     let idle = probes_in_mood("idle", Mood::default());
     let draining = probes_in_mood(
         "draining",
@@ -147,7 +148,7 @@
     tokio::try_join!(idle, draining, ill, failing).map(drop)
 }
 
-/// Counts every connection, which is the least that a probe costs.
+/// Counts every connection, since a probe needs at least one.
 async fn probes_by_connection(behaviour: ConnectionBehaviour) -> Result<()> {
     let target = ProbeCounter::start(behaviour).await?;
     let node = SingleNode::start(target.addr(), Vec::new()).await?;
@@ -158,9 +159,9 @@
 
 #[tokio::test]
 async fn probes_of_an_unresponsive_or_flapping_target_stay_within_the_budget() -> Result<()> {
-    // The target never answers, or hangs up on the question, or closes each
-    // connection at once. A probe that failed costs the same token as any
-    // other, and none is repeated for it.
+    // The target never answers, closes the connection after the request, or closes
+    // each connection immediately. A failed probe costs one token like any other and
+    // is not retried.
     tokio::try_join!(
         probes_by_connection(ConnectionBehaviour::Silent),
         probes_by_connection(ConnectionBehaviour::HangUp),
@@ -171,9 +172,9 @@
 
 #[tokio::test]
 async fn probes_of_a_restarting_target_stay_within_the_budget() -> Result<()> {
-    // The target's port closes and opens again every few hundred milliseconds,
-    // and edits of the text come in between. Neither its return nor a new
-    // policy fills the bucket anew.
+    // The target's port closes and reopens every few hundred milliseconds, and the
+    // text is edited in between. Neither a restart nor a new policy refills the
+    // bucket.
     let target = TargetStandin::start(TargetConfig::default()).await?;
     let node = SingleNode::start(target.addr(), Vec::new()).await?;
     let mut edits = 0;
@@ -195,9 +196,9 @@
 
 #[tokio::test]
 async fn failed_runs_add_no_probes_beyond_the_budget() -> Result<()> {
-    // The target cuts the connection of each run, and callers go on calling.
-    // It is asked for its health no more often for that, and whether it still
-    // listens is asked by connections that the next calls use.
+    // The target closes the connection of each run, and callers continue to call. The
+    // node does not probe its health more often because of that, and it checks whether
+    // the target still listens with connections that the next calls use.
     let target = ProbeCounter::start(ConnectionBehaviour::BreakRuns).await?;
     let node = SingleNode::start(target.addr(), Vec::new()).await?;
     let (caller, entry) = (Caller::new(), node.entry()?);
@@ -210,7 +211,7 @@
     }
     assert!(target.calls() > 0, "no call reached the target");
     node.assert_within(target.probes(), "broken runs");
-    // One may be kept for the next call when the window ends.
+    // One connection may be ready for the next call when the window ends.
     let bare = target.connections().saturating_sub(target.calls() + 1);
     println!(
         "{calls} calls, {} broken runs, {bare} connections for neither a call nor the next",
@@ -222,8 +223,8 @@
 
 #[tokio::test]
 async fn a_busy_target_is_measured_by_its_calls_instead_of_probes() -> Result<()> {
-    // Three nodes, callers at all of them. Load and health ride on answers;
-    // each target is measured by its own gate alone, however many call it.
+    // Three nodes serve callers. Answers report load and health, and only a target's
+    // own gate measures it, however many entries call it.
     let started_at = Instant::now();
     let members = (1..=3).map(|number| Member::new(&format!("cashier-{number}"), "cashier"));
     let deployment = Deployment::start(&text(5_000), members.collect()).await?;
@@ -243,7 +244,7 @@
     Ok(())
 }
 
-/// A listed gate of which nothing is ever heard; it counts probes.
+/// A listed gate that never sends anything. It counts the probes that it gets.
 struct SilentGate {
     socket: UdpSocket,
 }
@@ -267,7 +268,7 @@
         })
     }
 
-    /// Probes among what has come, and the other datagrams.
+    /// Counts the received probes and the other datagrams.
     fn count(&self, deployment: &str) -> (u64, u64) {
         let (mut probes, mut others) = (0, 0);
         let mut buffer = [0; 4_096];
@@ -285,9 +286,9 @@
 
 #[tokio::test]
 async fn probes_of_unresponsive_gates_stay_within_the_budget() -> Result<()> {
-    // The list names four gates that are gone without a word. Callers use the
-    // service, so the entry would like to know how they are, and asks again
-    // and again; all of them together are asked within one budget.
+    // The list has four gates that are gone without notice. Callers use the service,
+    // so the entry probes these gates repeatedly; one budget covers the probes of all
+    // of them.
     let target = TargetStandin::start(TargetConfig::default()).await?;
     let mut gates = Vec::new();
     let mut listed = Vec::new();
@@ -299,8 +300,8 @@
     let node = SingleNode::start(target.addr(), listed).await?;
     let caller = Caller::new();
     let (mut number, mut probes, mut others) = (0, 0, 0);
-    // The window begins with the first probe. How soon that comes depends on how
-    // fast the node starts and its calls are answered.
+    // The window begins with the first probe, because the time until then depends on
+    // how fast the node starts and answers calls.
     let mut window_end = None;
     while window_end.is_none_or(|end| Instant::now() < end) {
         number += 1;
--- a/tests/all/not_run.rs
+++ b/tests/all/not_run.rs
@@ -1,8 +1,8 @@
-//! "Not run" is true, under every failure at once.
+//! The answer "not run" is true under a combination of failures.
 //!
-//! Each answer that a caller gets is written down with its certainty and its
-//! ticket. When all nodes have ended, so that nothing can start any more, the
-//! journals of the targets are held against what callers were told.
+//! The tests record each answer with its certainty and its ticket. When all nodes have
+//! exited, so that nothing can start any more, they compare the targets' journals with
+//! the answers.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -22,7 +22,7 @@
 use crate::support::payment::{Payment, assert_at_most_once};
 use crate::support::{Deployment, Member};
 
-/// Few slots and a short queue, so that overload comes early.
+/// A text with few slots and a short queue, so that overload occurs early.
 const TEXT: &str = r#"{
   "deployment": "test",
   "services": {
@@ -39,11 +39,11 @@
   },
 }"#;
 
-/// Callers at the same time; more than all slots and queues hold.
+/// Number of concurrent callers. It exceeds the capacity of all slots and queues.
 const CALLERS: u64 = 24;
-/// A caller that gets no answer for this long hangs up.
+/// Time after which a caller closes its connection if it got no answer.
 const CALLER_TIMEOUT: Duration = Duration::from_millis(800);
-/// Answers between two strikes.
+/// Number of answers between two failures.
 const ANSWERS_BETWEEN_FAILURES: u64 = 60;
 const DRAIN_TIMEOUT: Duration = Duration::from_secs(20);
 
@@ -59,15 +59,15 @@
     members
 }
 
-/// What callers were told of one ticket, or of one lookup.
+/// Answers to the sends of one ticket or one lookup.
 #[derive(Debug, Default)]
 struct ReceivedAnswers {
     certainties: Vec<Certainty>,
-    /// Sends that ended without an answer.
+    /// Number of sends that ended without an answer.
     unanswered_sends: u32,
 }
 
-/// Everything that callers were told, by key.
+/// All answers that callers got, by key.
 #[derive(Debug, Default)]
 struct AnswerLog {
     payments: Mutex<BTreeMap<String, ReceivedAnswers>>,
@@ -98,15 +98,18 @@
         let wanted = self.answers.load(Ordering::Relaxed) + more;
         let give_up = tokio::time::Instant::now() + crate::support::WAIT_TIMEOUT;
         while self.answers.load(Ordering::Relaxed) < wanted {
-            ensure!(tokio::time::Instant::now() < give_up, "callers are stuck");
+            ensure!(
+                tokio::time::Instant::now() < give_up,
+                "callers get no answers"
+            );
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
         Ok(())
     }
 }
 
-/// Fails when an answer of the system says one thing in its code and another in
-/// its body, or hides "unknown" behind a code of certainty or a success.
+/// Fails if the code and the body of a node's own answer contradict each other, or if
+/// an answer "unknown" has a success status or a code for a certain outcome.
 fn assert_own_code(answer: &WholeAnswer) {
     let code = code_of(answer).expect("every answer has a code");
     if code.certainty() == Certainty::Answered {
@@ -123,7 +126,7 @@
     }
 }
 
-/// Numbers that differ by seed and are the same on every run.
+/// Pseudo-random numbers that depend only on the seed.
 struct PseudoRandom(u64);
 
 impl PseudoRandom {
@@ -136,8 +139,8 @@
     }
 }
 
-/// One caller: payments and lookups one after the other, each payment sent up
-/// to three times under its ticket, also when it was told "not run" for good.
+/// Sends payments and lookups one after the other. Each payment is sent up to three
+/// times under its ticket, even after a final answer "not run".
 async fn send_payments_and_lookups(
     entries: Vec<SocketAddr>,
     seed: u64,
@@ -178,8 +181,8 @@
     }
 }
 
-/// Strikes in turn, each only once callers have got answers in between, and
-/// heals each strike before the next.
+/// Injects failures one after the other, with some answers in between, and ends each
+/// failure before the next.
 async fn inject_failures(deployment: &mut Deployment, answer_log: &AnswerLog) -> Result<()> {
     answer_log.wait_answers(ANSWERS_BETWEEN_FAILURES).await?;
     deployment
@@ -214,7 +217,7 @@
     answer_log.wait_answers(ANSWERS_BETWEEN_FAILURES).await
 }
 
-/// Holds what callers were told against what ran.
+/// Compares the answers with the runs. Returns the number of answers by certainty.
 fn reconcile(deployment: &Deployment, answer_log: &AnswerLog) -> BTreeMap<&'static str, usize> {
     let mut tally: BTreeMap<&'static str, usize> = BTreeMap::new();
     for (key, received) in &*answer_log
@@ -238,7 +241,10 @@
         let never_ran =
             |received: &Certainty| matches!(received, Certainty::NotYet | Certainty::TicketDead);
         if received.unanswered_sends == 0 && received.certainties.iter().all(never_ran) {
-            assert_eq!(runs, 0, "all sends of {key} did not run: {received:?}");
+            assert_eq!(
+                runs, 0,
+                "the answers exclude a run of {key}: {received:?}"
+            );
         }
     }
     for (nonce, received) in &*answer_log
@@ -256,10 +262,10 @@
     tally
 }
 
-/// Callers overload three small targets, and meanwhile targets shed, crash, cut
-/// and close, and gates are paused, killed, replaced and shut down. Every
-/// answer is noted; callers also resend what was refused for good. When all
-/// nodes have ended, no ticket that was ever told "not run" has run.
+/// Callers overload three small targets. Meanwhile targets shed load, crash, truncate
+/// answers and close their ports, and nodes are paused, killed, restarted and shut
+/// down. Callers also resend payments with a final rejection. When all nodes have
+/// exited, no ticket that was ever answered "not run" has run.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn no_ticket_reported_as_not_run_ever_runs() -> Result<()> {
     let mut deployment = Deployment::start(TEXT, members()).await?;
@@ -291,9 +297,9 @@
     Ok(())
 }
 
-/// The load tool's callers, who keep to the documentation in every step, send
-/// payments and lookups through failures. Its own reconciliation finds nothing
-/// lost, run twice, denied or mixed up.
+/// The load tool's callers, which follow the documentation exactly, send payments and
+/// lookups during failures. The tool's reconciliation finds no call that was lost, ran
+/// twice, was wrongly reported as not run, or got another call's answer.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn documented_callers_reconcile_under_failures() -> Result<()> {
     let mut deployment = Deployment::start(TEXT, members()).await?;
@@ -314,10 +320,11 @@
         ..LoadPlan::default()
     };
     let load = tokio::spawn(load::run(plan));
-    // On a machine too busy for all calls the load ends before the last strike.
+    // On a machine too busy for all calls, the load ends before the last failure.
     let is_over = || load.is_finished();
     wait_calls(&deployment, 60, is_over).await?;
-    // In the middle of a payment, so that there is something to deny.
+    // The target crashes in the middle of a payment, which must not be reported as
+    // "not run".
     let is_paying = |deployment: &Deployment| {
         let runs = deployment.target("cashier-1").all_runs();
         let is_payment = |run: &RunRecord| run.end == RunEnd::Running && run.marks.key.is_some();
@@ -363,7 +370,7 @@
     }
 }
 
-/// Waits until targets have seen this many further calls, or none will come.
+/// Waits until targets got `more` further calls, or the load is over.
 async fn wait_calls(deployment: &Deployment, more: u64, is_over: impl Fn() -> bool) -> Result<()> {
     let seen = |deployment: &Deployment| {
         let counts = deployment.targets.values().map(|target| target.counts());
@@ -371,5 +378,5 @@
     };
     let wanted = seen(deployment) + more;
     let reached = |deployment: &Deployment| is_over() || seen(deployment) >= wanted;
-    deployment.wait_until("targets see calls", reached).await
+    deployment.wait_until("targets get calls", reached).await
 }
--- a/tests/all/plot.rs
+++ b/tests/all/plot.rs
@@ -1,4 +1,4 @@
-//! `hornbeamhitch plot`, run as an operator runs it.
+//! Runs `hornbeamhitch plot` as an operator does.
 
 use std::path::{Path, PathBuf};
 use std::process::Command;
@@ -29,7 +29,7 @@
     std::env::temp_dir().join(format!("hitch-plot-{name}-{}.svg", std::process::id()))
 }
 
-/// A log of four seconds, the third without a line.
+/// Writes a log of four seconds that has no line in the third second.
 fn sample_log(name: &str) -> PathBuf {
     let lines = [
         line(1_000, "shop", 1000, 200, 7),
@@ -80,8 +80,8 @@
     assert!(text.contains("1 calls in 1 steps of 100 ms"), "{text}");
 }
 
-/// A line with a wrong clock is among the others. The command says that the
-/// picture would be too long, and writes none.
+/// A line with a wrong time makes the plot too long. The command suggests a larger step
+/// and writes no file.
 #[test]
 fn a_time_range_with_too_many_steps_is_rejected() {
     let out = svg_path("long");
--- a/tests/all/shutdown.rs
+++ b/tests/all/shutdown.rs
@@ -1,8 +1,8 @@
-//! A graceful shutdown of any part cuts off nothing.
+//! A graceful shutdown of a node or a target cuts off no call.
 //!
-//! Calls are in flight when SIGTERM comes, and outlast the time for which the
-//! node still listens: slow lookups, payments under tickets, a large answer
-//! that its caller reads slowly, and a run that calls on.
+//! The calls in flight at SIGTERM last longer than the node accepts connections:
+//! slow lookups, payments under tickets, a large answer that its caller reads
+//! slowly, and a run that makes a nested call.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -38,16 +38,17 @@
         { "name": "price", "match": "GET /price", "idempotent": true },
       ],
     },
-    // Its node is the entry.
+    // The node of this service is the entry.
     "desk": { "depends_on": ["cashier"] },
   },
 }"#;
 
 const ENTRY: &str = "desk-1";
 const GATE: &str = "cashier-1";
-/// Longer than a leaving node listens.
+/// Run time that is longer than a draining node accepts connections.
 const RUN_US: u64 = 2_200_000;
-/// Far more than sockets and windows hold on the way.
+/// Size of an answer that far exceeds the socket buffers and flow-control windows
+/// on its way.
 const LARGE_BYTES: usize = 48 * 1024 * 1024;
 const EXIT_TIMEOUT: Duration = Duration::from_secs(25);
 
@@ -55,15 +56,15 @@
     Member::new(vm, service).with(|target| target.slots = 20)
 }
 
-/// Calls under way.
+/// Calls in flight.
 struct InFlight {
     sends: Vec<(Call, Sending)>,
     large: SlowAnswer,
 }
 
 impl InFlight {
-    /// Begins three slow lookups, three slow payments and a large answer, and
-    /// waits until all of them run.
+    /// Starts three slow lookups, three slow payments and a lookup with a large
+    /// answer, and waits until all of them run.
     async fn begin(deployment: &Deployment, entry: SocketAddr) -> Result<Self> {
         let large = Call::price("large").with(headers::ANSWER_BYTES, LARGE_BYTES);
         let large = SlowAnswer::begin(entry, &large).await?;
@@ -92,7 +93,8 @@
         deployment.wait_until("all calls run", all_run).await
     }
 
-    /// Fails unless each call gets its own whole answer.
+    /// Fails unless each call gets its own complete answer and its run ended after
+    /// `event_at`.
     async fn all_answered(self, deployment: &Deployment, event_at: Millis) -> Result<()> {
         for (call, sending) in self.sends {
             let answer = sending.await?;
@@ -109,9 +111,12 @@
                 panic!("{} ran {} times", call.nonce, runs.len());
             };
             let outlasted = run.ended_at_ms.is_some_and(|at| at > event_at);
-            assert!(outlasted, "{} was in flight at the event", call.nonce);
+            assert!(outlasted, "{} ended before the event", call.nonce);
         }
-        assert!(self.large.is_partial(), "the large answer was under way");
+        assert!(
+            self.large.is_partial(),
+            "the large answer is no longer in transit"
+        );
         self.large.finish().await
     }
 }
@@ -127,9 +132,9 @@
 
 #[tokio::test]
 async fn calls_in_flight_at_a_terminating_entry_are_answered_whole() -> Result<()> {
-    // Callers hold connections to the entry when it gets SIGTERM. It goes on
-    // to serve them, ends each connection after its answer, takes no more
-    // connections, and ends with status 0 once the last byte is out.
+    // Callers have connections to the entry when it gets SIGTERM. It continues to
+    // serve them, closes each connection after its answer, accepts no further
+    // connections, and exits with status 0 once it has sent the last byte.
     let members = vec![member(ENTRY, "desk"), member(GATE, "cashier")];
     let mut deployment = Deployment::start(TEXT, members).await?;
     let entry = deployment.entry(ENTRY);
@@ -139,7 +144,10 @@
     wait_leaving(&deployment, ENTRY).await?;
     let late = Call::price("while-leaving");
     let answer = Caller::new().send(entry, &late).await?;
-    assert!(late.is_answered_by(&answer), "a leaving entry still serves");
+    assert!(
+        late.is_answered_by(&answer),
+        "a draining entry still serves"
+    );
     in_flight.all_answered(&deployment, event_at).await?;
     let status = deployment.fleet.wait_exit(ENTRY, EXIT_TIMEOUT).await?;
     assert_eq!(status.code(), Some(0));
@@ -148,9 +156,9 @@
 
 #[tokio::test]
 async fn calls_in_flight_at_a_terminating_gate_are_answered_whole() -> Result<()> {
-    // The only gate of the service gets SIGTERM. What it has let in runs to
-    // its end and is answered whole through the entry; a new call is told
-    // that it did not run.
+    // The only gate of the service gets SIGTERM. The calls that it has admitted
+    // run to their end and are answered completely through the entry; a new call
+    // gets the answer that it did not run.
     let members = vec![member(ENTRY, "desk"), member(GATE, "cashier")];
     let mut deployment = Deployment::start(TEXT, members).await?;
     let entry = deployment.entry(ENTRY);
@@ -170,9 +178,9 @@
 
 #[tokio::test]
 async fn a_late_nested_call_is_served_while_its_node_terminates() -> Result<()> {
-    // A payment has run for two seconds when its target calls on through its
-    // own node, which has been leaving all the while. The node must still
-    // take that call in, or the payment, already half done, fails at its end.
+    // After two seconds of a payment's run, its target makes a nested call through
+    // its own node, which has been draining since the run began. The node must still
+    // accept that call, or the payment fails although a part of it is done.
     let members = vec![
         member(ENTRY, "desk"),
         member(GATE, "cashier"),
@@ -199,8 +207,8 @@
 
 #[tokio::test]
 async fn a_target_drain_and_restart_under_load_fails_no_call() -> Result<()> {
-    // The target asks for draining, finishes what it has, closes its port and
-    // comes back. Its node stays. Callers see only answers.
+    // The target announces that it drains, finishes its runs, closes its port and
+    // reopens it. Its node keeps running. Every call is answered.
     let members = vec![
         member("cashier-1", "cashier"),
         member("cashier-2", "cashier"),
@@ -210,7 +218,9 @@
     let entries = deployment.fleet.entries();
     let traffic = Traffic::start(&entries, 6);
     let has_run = |deployment: &Deployment| deployment.target(GATE).all_runs().len() >= 20;
-    deployment.wait_until("it runs calls", has_run).await?;
+    deployment
+        .wait_until("the target runs calls", has_run)
+        .await?;
     deployment
         .target(GATE)
         .change_mood(|mood| mood.draining = true);
@@ -221,7 +231,9 @@
     };
     let idle_answers = async {
         traffic.wait_answered(50).await?;
-        deployment.wait_until("its runs have ended", is_idle).await
+        deployment
+            .wait_until("the target's runs have ended", is_idle)
+            .await
     };
     idle_answers.await?;
     deployment.target(GATE).close().await;
@@ -233,7 +245,7 @@
     deployment.target(GATE).reopen().await;
     let is_back = |deployment: &Deployment| deployment.target(GATE).all_runs().len() >= before + 10;
     deployment
-        .wait_until("it runs calls again", is_back)
+        .wait_until("the target runs calls again", is_back)
         .await?;
     let served = traffic.stop().await?;
     println!(
@@ -246,9 +258,9 @@
 
 #[tokio::test]
 async fn an_endless_call_delays_a_shutdown_no_longer_than_the_drain_timeout() -> Result<()> {
-    // The caller of a run without an end sees its connection break: nothing
-    // that looks like an answer. The node ends with status 4, so that whoever
-    // replaces it knows that something was cut off.
+    // The caller of an endless run sees its connection break and gets nothing that
+    // looks like an answer. The node exits with status 4, which tells the operator
+    // that it cut off work.
     const DRAIN_TIMEOUT_MS: u64 = 2_000;
     const DRAIN_TIMED_OUT: i32 = 4;
     let platform = PlatformStandin::start(loopback()).await?;
@@ -295,13 +307,14 @@
 
 const BANGKOK: &str = include_str!("../../examples/bangkok.jsonc");
 const BANGKOK_RATE_PER_S: f64 = 120.0;
-/// One run of the load tool after the other, until the restarts are done.
+/// Length of one run of the load tool. Runs follow one another until the restarts
+/// are done.
 const SEGMENT_S: f64 = 2.0;
 
-/// Starts the 14 nodes and targets of the print office.
+/// Starts the 14 nodes and targets of the Bangkok example.
 ///
-/// Without hedges, whose losers are cancelled: a run that is cancelled is then
-/// one that was cut off.
+/// Hedged requests are off, because the slower attempt of a hedge is cancelled.
+/// Without them, a cancelled run is one that was cut off.
 async fn start_bangkok() -> Result<Deployment> {
     let probes = "\"probes_per_s\": 0.2,";
     let text = BANGKOK.replace(probes, &format!("{probes} \"hedge_share\": 0,"));
@@ -321,7 +334,7 @@
     Deployment::start(&text, members).await
 }
 
-/// Loads all entries until `stop` is set.
+/// Sends load to all entries until `stop` is set.
 fn keep_loading(
     entries: Vec<SocketAddr>,
     stop: tokio::sync::watch::Receiver<bool>,
@@ -352,8 +365,8 @@
     runs
 }
 
-/// Restarts the VMs with one number of each service, all at once, and waits
-/// until they are ready.
+/// Restarts the VM with this number in each service, all at the same time, and
+/// waits until they are ready.
 async fn restart_wave(deployment: &mut Deployment, number: usize) -> Result<usize> {
     let mut wave = deployment.fleet.names();
     wave.retain(|vm| vm.ends_with(&format!("-{number}")));
@@ -371,8 +384,7 @@
     Ok(wave.len())
 }
 
-/// Fails when a run was cut off, ran again, or missed the call that it made on
-/// its part.
+/// Fails if a run was cut off, a call ran twice, or a nested call failed.
 fn assert_none_cut_off(runs: &[RunRecord]) {
     let mut seen = BTreeSet::new();
     for run in runs {
@@ -389,17 +401,19 @@
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 3)]
 async fn a_rolling_restart_of_bangkok_under_load_fails_no_call() -> Result<()> {
-    // Every node of the print office is replaced under load, one of each
-    // service at a time: SIGTERM, its end, a new life on the same addresses,
-    // ready, the next. Callers keep to their contract: they go to another
-    // entry when one is gone, and come back when told that a call has not run.
-    // None of their calls fails, is lost or runs twice.
+    // Every node of the Bangkok example is restarted under load, one of each service
+    // at a time: SIGTERM, exit, a new incarnation at the same addresses, readiness,
+    // then the next. Callers follow the contract: they use another entry when one is
+    // down, and retry calls that are answered "not run". No call fails, is lost or
+    // runs twice.
     let mut deployment = start_bangkok().await?;
     let (stop, stopped) = tokio::sync::watch::channel(false);
     let loading = keep_loading(deployment.fleet.entries(), stopped);
     let began_at = Instant::now();
     let is_under_load = |deployment: &Deployment| all_runs(deployment).len() >= 100;
-    deployment.wait_until("load runs", is_under_load).await?;
+    deployment
+        .wait_until("the load runs", is_under_load)
+        .await?;
     let mut restarted = 0;
     for number in 1..=5 {
         restarted += restart_wave(&mut deployment, number).await?;
@@ -419,8 +433,8 @@
         let statuses: Vec<&String> = report.final_statuses.keys().collect();
         assert_eq!(statuses, ["200"], "{}", report.table());
         assert!(report.is_clean(), "{:#?}", report.reconciliation);
-        // A second run or a stored answer would stand for an answer that was
-        // lost on its way to the caller.
+        // A second run or a replayed answer would show that an answer was lost on
+        // its way to the caller.
         let repeats = report.reconciliation.map(|found| found.idempotent_repeats);
         assert_eq!(repeats, Some(0), "answers were cut off");
         let replayed = report.all_codes.get(&ResultCode::Replayed.to_string());
--- a/tests/all/support.rs
+++ b/tests/all/support.rs
@@ -88,7 +88,7 @@
     }
 }
 
-/// The platform, targets and nodes of one test. Dropping it kills the nodes.
+/// The platform, targets and nodes of one test. Dropping it stops the nodes.
 pub struct Deployment {
     /// The stand-in platform.
     pub platform: PlatformStandin,
--- a/tests/all/support/far_entry.rs
+++ b/tests/all/support/far_entry.rs
@@ -25,7 +25,7 @@
 /// A service without calls, so that the entry's node serves no call as a gate.
 const SERVICE: &str = "desk";
 
-/// A running far entry. Dropping it kills its node.
+/// A running far entry. Dropping it stops its node.
 pub struct FarEntry {
     /// Fleet whose only process is the entry's node.
     pub fleet: Fleet,
--- a/tests/all/thin_path.rs
+++ b/tests/all/thin_path.rs
@@ -1,4 +1,5 @@
-//! The whole path: caller, entry, gate, target and back, as processes.
+//! The whole path of a call from its caller through entry and gate to the target and
+//! back, with nodes as processes.
 
 use eyre::Result;
 use hornbeamhitch_types::prelude::*;
@@ -36,14 +37,14 @@
     let path = caller.ticketed_path(entry, &call).await?;
     assert!(
         deployment.runs_of("payment-1").is_empty(),
-        "a redirect runs nothing"
+        "the redirect caused a run"
     );
 
     let answer = caller.send_to(entry, &call, &path).await.unwrap();
     assert_eq!(code_of(&answer), Some(ResultCode::Answered));
     assert!(call.is_answered_by(&answer), "{:?}", answer.body);
 
-    // The same ticket through another entry brings the same answer, no run.
+    // The same ticket through another entry returns the same answer without a run.
     let other = deployment.entry("cashier-2");
     let again = caller.send_to(other, &call, &path).await.unwrap();
     assert_eq!(code_of(&again), Some(ResultCode::Replayed));
--- a/tests/all/uploads.rs
+++ b/tests/all/uploads.rs
@@ -1,4 +1,4 @@
-//! What uploads may take of a node.
+//! Limits on the time and memory that uploads use in a node.
 
 use std::time::{Duration, Instant};
 
@@ -15,7 +15,7 @@
 
 const IDLE_TIMEOUT_MS: u64 = 300;
 const BUFFERED_BYTES: u64 = 1 << 20;
-/// Well below the deadline of the silent call, after which it would end anyway.
+/// Well below the deadline of the stalled call, after which it would end anyway.
 const CUT_TIMEOUT: Duration = Duration::from_secs(10);
 const DEADLINE_MS: u64 = 60_000;
 
@@ -34,9 +34,9 @@
     Ok(deployment)
 }
 
-/// A kiosk loses its network in the middle of an upload and sends no more, not
-/// even a reset. Its call must not hold the node's memory for a minute; nothing
-/// has run, and the same ticket still runs the whole upload.
+/// A caller loses its network in the middle of an upload and sends nothing more, not
+/// even a reset. The call must not occupy the node's memory until its deadline of a
+/// minute. Nothing has run, and the same ticket can still run the whole upload.
 #[tokio::test]
 async fn a_stalled_upload_is_cut_and_has_not_run() -> Result<()> {
     let deployment = start(0).await?;
@@ -66,8 +66,8 @@
     Ok(())
 }
 
-/// Large uploads wait whole in the node until their runs have ended. When the
-/// memory for them is used up, a further one is told "not yet": nothing is
+/// A node buffers large uploads completely until their runs have ended. When its memory
+/// for them is used up, a further upload gets the answer "not yet": its key is not
 /// fenced, and the same ticket runs once there is room again.
 #[tokio::test]
 async fn uploads_beyond_the_memory_limit_are_rejected_for_now() -> Result<()> {
--- a/tests/all/whole_answers.rs
+++ b/tests/all/whole_answers.rs
@@ -1,8 +1,7 @@
-//! A caller gets the whole answer to its own request, or a visible failure.
+//! A caller gets the complete answer to its own request, or a visible failure.
 //!
-//! What HTTP/1.1 leaves no way to prove: a target that states a shorter length
-//! than it meant, and stops there, has said a short body is whole. Nobody but
-//! the target knows better; see
+//! There is one exception that HTTP/1.1 cannot detect: if a target states a shorter
+//! length than it meant and stops there, the truncated body is valid. See
 //! [`bytes_beyond_the_stated_length_reach_no_other_call`].
 
 use std::net::SocketAddr;
@@ -23,7 +22,7 @@
 use crate::support::raw_target::{RawAnswer, RawTarget};
 use crate::support::{Deployment, Member, WAIT_TIMEOUT};
 
-/// Every failed call may be retried, so that budgets play no part here.
+/// Every failed call may be retried, so that budgets do not affect these tests.
 const TEXT: &str = r#"{
   "deployment": "test",
   "services": {
@@ -42,11 +41,11 @@
   },
 }"#;
 
-/// Above what an entry buffers, so that it is streamed.
+/// Larger than an entry's buffer, so that the answer is streamed.
 const LARGE_BYTES: usize = 4 << 20;
-/// Below what an entry buffers and a record stores.
+/// Smaller than an entry's buffer and the largest answer that a record stores.
 const SMALL_BYTES: usize = 40_000;
-/// Between two tries of a call that met a failure.
+/// Time between two attempts of a call that failed.
 const RETRY_INTERVAL: Duration = Duration::from_millis(10);
 const CUTS: [Cut; 5] = [
     Cut::Half,
@@ -69,9 +68,9 @@
     Deployment::start(TEXT, members(count)).await
 }
 
-/// Forty lookups share one HTTP/2 connection, the first ones the slowest, so
-/// that answers come back in about the reverse order of their requests and
-/// interleave. Each caller gets the bytes of its own request.
+/// Forty lookups share one HTTP/2 connection, and the first ones are the slowest, so
+/// that answers interleave and arrive roughly in reverse order. Each caller gets the
+/// answer to its own request.
 #[tokio::test]
 async fn answers_out_of_order_reach_their_own_callers() -> Result<()> {
     const CALLS: usize = 40;
@@ -101,9 +100,9 @@
     Ok(())
 }
 
-/// Lookups are given up at their deadline while the target still works on them,
-/// and it answers late. The next calls over the same nodes, some of them at the
-/// very same time, must not be given those late answers.
+/// Lookups end at their deadline while the target still runs them, and it answers
+/// late. Other calls over the same nodes, some of them concurrent, must not get those
+/// late answers.
 #[tokio::test]
 async fn late_answers_reach_no_other_caller() -> Result<()> {
     let deployment = deployment(1).await?;
@@ -128,20 +127,21 @@
         let (is_late, answer, call) = ended?;
         let answer = answer?;
         if is_late {
-            // A gate that foresees the lateness refuses it before a start.
+            // A gate that expects the call to miss its deadline rejects it before
+            // the start.
             assert_ne!(certainty_of(&answer), Certainty::Answered);
             given_up += u32::from(code_of(&answer) == Some(ResultCode::DeadlinePassed));
             continue;
         }
         assert!(call.is_answered_by(&answer), "{}", call.nonce);
     }
-    assert!(given_up > 0, "no call was given up within its run");
+    assert!(given_up > 0, "no call reached its deadline during its run");
     Ok(())
 }
 
-/// A target cuts the small answer of a lookup, in each way that a cut can be
-/// seen. The entry has it whole in hand before it passes it on, so it tries
-/// again, and the caller gets the whole answer and notices nothing.
+/// A target truncates the small answer of a lookup, in each way that can be detected.
+/// The entry buffers such an answer completely before it passes it on, so it retries,
+/// and the caller gets the complete answer and notices nothing.
 #[tokio::test]
 async fn a_small_truncated_lookup_answer_is_retried() -> Result<()> {
     let deployment = deployment(3).await?;
@@ -159,9 +159,8 @@
     Ok(())
 }
 
-/// A target cuts the small answer of a lookup every time. No attempt brings a
-/// whole one, so the caller is told of the failure, in a whole answer of the
-/// system's own.
+/// A target truncates the small answer of a lookup every time. No attempt returns a
+/// complete one, so the caller gets a complete error answer from the entry.
 #[tokio::test]
 async fn a_small_answer_that_is_always_truncated_is_a_visible_failure() -> Result<()> {
     let deployment = deployment(3).await?;
@@ -177,8 +176,8 @@
     Ok(())
 }
 
-/// A target stops in the middle of a small answer and keeps its connection. The
-/// caller is told so at its deadline.
+/// A target stops in the middle of a small answer and keeps the connection open. The
+/// caller gets an error at its deadline.
 #[tokio::test]
 async fn a_small_answer_that_stops_halfway_ends_at_the_deadline() -> Result<()> {
     let deployment = deployment(1).await?;
@@ -191,9 +190,9 @@
     Ok(())
 }
 
-/// A target cuts a large answer, which is on its way to the caller by then. The
-/// caller's connection or stream breaks: it never sees the end of a body that
-/// has no end.
+/// A target truncates a large answer, a part of which has already been sent to the
+/// caller. The caller's connection or stream breaks, so that the truncated body does
+/// not look complete.
 #[tokio::test]
 async fn a_large_truncated_answer_breaks_the_connection() -> Result<()> {
     let deployment = deployment(3).await?;
@@ -215,10 +214,9 @@
     Ok(())
 }
 
-/// A caller of HTTP/1.0 has no chunks: without a length, only the close of the
-/// connection ends its body, and a cut looks like the end. A target sends a
-/// large answer in chunks and cuts it. The caller must not be left with a short
-/// body that looks whole.
+/// HTTP/1.0 has no chunked encoding: without a length, a body ends when the connection
+/// closes, so a truncated body looks complete. A target sends a large answer in chunks
+/// and truncates it. The caller must not get a truncated body that looks complete.
 #[tokio::test]
 async fn an_http_1_0_caller_gets_no_truncated_body_that_looks_complete() -> Result<()> {
     let deployment = deployment(1).await?;
@@ -237,15 +235,15 @@
     let has_length = head.contains("content-length:");
     assert!(
         read.is_err() || !is_success || has_length,
-        "{} bytes look whole behind {head:?}",
+        "{} bytes look complete after {head:?}",
         answer.len()
     );
     Ok(())
 }
 
-/// A target cuts the answer of a payment, in each way. It ran, but nobody has
-/// its answer: the outcome is "unknown" for good, and it is not run again for
-/// the sake of an answer.
+/// A target truncates the answer of a payment, in each way. The payment ran, but no
+/// node has its answer: the outcome stays "unknown", and the payment is not run again
+/// to get an answer.
 #[tokio::test]
 async fn a_truncated_payment_answer_stays_unknown() -> Result<()> {
     let deployment = deployment(3).await?;
@@ -263,10 +261,10 @@
     Ok(())
 }
 
-/// The stream between entry and gate is reset in the middle of an answer of
-/// several megabytes, of a lookup and of a payment. The head is with the caller
-/// by then, so its connection breaks. The payment's answer was too large to be
-/// kept, and the same ticket says so.
+/// The connection between entry and gate is reset in the middle of an answer of several
+/// megabytes, of a lookup and of a payment. The caller already has the head, so its
+/// connection breaks. The payment's answer was too large to store, and the next send of
+/// the same ticket reports that.
 #[tokio::test]
 async fn a_large_answer_cut_between_nodes_breaks_the_connection() -> Result<()> {
     let deployment = deployment(1).await?;
@@ -292,9 +290,9 @@
     Ok(())
 }
 
-/// Sends a lookup until it is answered. The cut took all connections, and the
-/// next attempt may still meet one of them; that is told as a failure, and
-/// never by a body that is not whole.
+/// Sends a lookup until it is answered. The cut reset all connections, and the next
+/// attempt may still use one of them. The caller must then get an error and never a
+/// truncated body.
 async fn send_until_whole(caller: &Caller, entry: SocketAddr, call: &Call) -> Result<()> {
     let give_up = Instant::now() + WAIT_TIMEOUT;
     while Instant::now() < give_up {
@@ -309,16 +307,16 @@
     bail!("never answered")
 }
 
-/// The stream between entry and gate is reset in the middle of a small answer.
-/// A lookup is tried again elsewhere; a payment's answer is fetched again from
-/// its record. Both callers get the whole answer.
+/// The connection between entry and gate is reset in the middle of a small answer. A
+/// lookup is retried at another gate, and a payment's answer is fetched again from its
+/// record. Both callers get the complete answer.
 #[tokio::test]
 async fn a_small_answer_cut_between_nodes_is_recovered() -> Result<()> {
     let deployment = deployment(2).await?;
     let far = FarEntry::start(TEXT, &deployment, &["cashier-1", "cashier-2"]).await?;
     let relay = far.relay("cashier-1");
     relay.cut_after_answering(SMALL_BYTES / 2);
-    // Enough at the same time that both gates are picked.
+    // There are enough concurrent lookups that both gates are used.
     let mut lookups = JoinSet::new();
     for number in 0..16 {
         let call = Call::price(&format!("lookup-{number}"))
@@ -347,7 +345,7 @@
     Ok(())
 }
 
-/// A deployment of one node beside a raw target.
+/// Starts a deployment of one node in front of a raw target.
 async fn start_with_raw_target(target: &RawTarget) -> Result<Deployment> {
     let mut deployment = Deployment::prepare(Vec::new()).await?;
     deployment.fleet.add(NodeSpec {
@@ -361,9 +359,9 @@
     Ok(deployment)
 }
 
-/// A target gives no length and closes its connection in the middle of the
-/// body. A whole answer of that kind would look the same, so none is passed on:
-/// the caller sees a failure, of lookups and of payments.
+/// A target states no length and closes its connection in the middle of the body. A
+/// complete answer without a length would look the same, so no such answer is passed
+/// on: the caller sees a failure, both for lookups and for payments.
 #[tokio::test]
 async fn an_answer_delimited_by_a_close_is_not_passed_on() -> Result<()> {
     let target = RawTarget::start(|_| RawAnswer {
@@ -383,10 +381,10 @@
     Ok(())
 }
 
-/// A target states a shorter length than it sends. The call itself gets the
-/// stated bytes: HTTP calls that whole, and nobody but the target knows better,
-/// so this cannot be proved otherwise. The bytes beyond, made to look like an
-/// answer of their own, must not become the answer of the next call.
+/// A target states a shorter length than it sends. The call itself gets as many bytes
+/// as stated: that is a complete answer in HTTP, and the nodes cannot tell that it is
+/// not. The excess bytes, which look like another answer, must not become the answer
+/// of the next call.
 #[tokio::test]
 async fn bytes_beyond_the_stated_length_reach_no_other_call() -> Result<()> {
     const EXCESS: &str = "HTTP/1.1 200 OK\r\ncontent-length: 8\r\n\r\nsomeones";
@@ -418,8 +416,8 @@
     Ok(())
 }
 
-/// An upload of several megabytes arrives whole: the answer is derived from the
-/// digest of what the target has read.
+/// An upload of several megabytes reaches the target completely. The test checks this
+/// by the answer, which is derived from the digest of the body that the target read.
 #[tokio::test]
 async fn a_large_upload_arrives_whole() -> Result<()> {
     let deployment = deployment(2).await?;
