--- a/crates/lab/src/capacity/changes.rs
+++ b/crates/lab/src/capacity/changes.rs
@@ -47,7 +47,7 @@
 pub fn measure(layout: &Layout, loss: Loss) -> LossFigures {
     let mut fleet = Fleet::start(layout, Calls::None);
     fleet.run_until(COLD_START_LIMIT, |fleet| fleet.all_at(1));
-    fleet.give_loads();
+    fleet.report_loads();
     fleet.run(SETTLE);
     let lost = lost_vms(layout, loss);
     for index in &lost {
@@ -116,13 +116,13 @@
 fn totals(fleet: &Fleet) -> Vec<(u64, u64)> {
     let mut totals = Vec::new();
     for index in fleet.alive() {
-        let spent = fleet.spent(index);
-        let counters = &spent.counters;
+        let usage = fleet.usage(index);
+        let counters = &usage.counters;
         let bytes = counters.datagram_bytes_out
             + counters.datagram_bytes_in
             + counters.bulk_bytes_out
             + counters.bulk_bytes_in
-            + spent.platform_bytes;
+            + usage.platform_bytes;
         totals.push((bytes, counters.bulk_pulls));
     }
     totals
--- a/crates/lab/src/capacity/control.rs
+++ b/crates/lab/src/capacity/control.rs
@@ -2,7 +2,7 @@
 
 use serde::Serialize;
 
-use crate::capacity::fleet::{Calls, Fleet, Spent};
+use crate::capacity::fleet::{Calls, Fleet, NodeUsage};
 use crate::capacity::layout::Layout;
 use crate::capacity::memory::held_bytes;
 use crate::prelude::*;
@@ -12,7 +12,7 @@
 const EDIT_EVERY: Millis = Millis(1_440);
 /// A node other than those that read the platform is watched: this many are
 /// tried.
-const MEMBERS_TRIED: usize = 40;
+const MAX_MEMBERS_TRIED: usize = 40;
 
 /// What is run.
 #[derive(Clone, Debug)]
@@ -75,18 +75,18 @@
 pub fn measure(case: &ControlCase) -> ControlFigures {
     let mut fleet = Fleet::start(&case.layout, case.calls);
     fleet.run_until(COLD_START_LIMIT, |fleet| fleet.all_at(1));
-    fleet.give_loads();
+    fleet.report_loads();
     fleet.run(Millis::from_secs(case.settle_s));
-    let index = ordinary_member(&fleet);
-    fleet.watch(index);
-    let before = fleet.spent(index);
+    let index = first_non_reader(&fleet);
+    fleet.measure_node(index);
+    let before = fleet.usage(index);
     let measured = Millis::from_secs(case.measure_s);
     if case.edited {
         run_with_edits(&mut fleet, &case.layout, measured);
     } else {
         fleet.run(measured);
     }
-    let after = fleet.spent(index);
+    let after = fleet.usage(index);
     let (mut known_targets, mut doubtful_targets) = (0, 0);
     for view in fleet.node(index).table().services.values() {
         known_targets += view.targets.len();
@@ -98,7 +98,7 @@
     figures.nodes = fleet.alive().len();
     figures.known_targets = known_targets;
     figures.doubtful_targets = doubtful_targets;
-    figures.memory_bytes = held_bytes(fleet.take_out(index));
+    figures.memory_bytes = held_bytes(fleet.remove_node(index));
     figures
 }
 
@@ -113,8 +113,8 @@
 }
 
 /// The first member of the first service that does not read the platform.
-fn ordinary_member(fleet: &Fleet) -> usize {
-    for index in 0..MEMBERS_TRIED.min(fleet.alive().len()) {
+fn first_non_reader(fleet: &Fleet) -> usize {
+    for index in 0..MAX_MEMBERS_TRIED.min(fleet.alive().len()) {
         if !fleet.status(index).reading {
             return index;
         }
@@ -124,7 +124,7 @@
 
 /// What was spent between two looks, a second.
 #[must_use]
-pub fn rates(before: &Spent, after: &Spent, seconds: f64) -> ControlFigures {
+pub fn rates(before: &NodeUsage, after: &NodeUsage, seconds: f64) -> ControlFigures {
     let (old, new) = (&before.counters, &after.counters);
     let rate = |old: u64, new: u64| (new - old) as f64 / seconds;
     let platform = rate(before.platform_bytes, after.platform_bytes);
@@ -190,9 +190,9 @@
     let callers: &[usize] = if quick { &[1, 5] } else { &[1, 5, 10, 30] };
     for count in callers {
         for calls in [Calls::None, Calls::Seldom] {
-            let word = if calls == Calls::None { "" } else { ", seldom" };
+            let suffix = if calls == Calls::None { "" } else { ", seldom" };
             cases.push(ControlCase {
-                name: format!("service of 3, called by {count} of 36{word}"),
+                name: format!("service of 3, called by {count} of 36{suffix}"),
                 layout: Layout::callers_of_one(3, *count, 36),
                 calls,
                 edited: false,
--- a/crates/lab/src/capacity/fleet.rs
+++ b/crates/lab/src/capacity/fleet.rs
@@ -50,7 +50,7 @@
 
 /// What one node has sent, received and spent so far.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Spent {
+pub struct NodeUsage {
     /// The counters of its control half.
     pub counters: ControlCounters,
     /// Bodies that its reads of the platform have brought.
@@ -91,12 +91,12 @@
     Seldom,
 }
 
-enum Occurrence {
+enum FleetEvent {
     Tick,
     /// The calls of one second.
     Calls,
     Event(ControlEvent),
-    Asked(usize, Vec<u8>),
+    BulkRequest(usize, Vec<u8>),
 }
 
 /// All nodes with the network and the platform between them.
@@ -108,10 +108,10 @@
     text: (u64, Arc<str>),
     watches: Vec<Watch>,
     platform_reads: u64,
-    queue: BTreeMap<(Millis, u64), (usize, Occurrence)>,
+    queue: BTreeMap<(Millis, u64), (usize, FleetEvent)>,
     sequence: u64,
     rng: Xoshiro256PlusPlus,
-    watched: usize,
+    measured_node: usize,
     stopwatch: Stopwatch,
     calls: Calls,
 }
@@ -131,7 +131,7 @@
             queue: BTreeMap::new(),
             sequence: 0,
             rng: Xoshiro256PlusPlus::seed_from_u64(SEED),
-            watched: 0,
+            measured_node: 0,
             stopwatch: Stopwatch::default(),
             calls,
         };
@@ -174,10 +174,10 @@
             reached: BTreeMap::new(),
         }));
         let offset = Millis(self.rng.random_range(0..TICK.0));
-        self.push(self.now + offset, index, Occurrence::Tick);
+        self.push(self.now + offset, index, FleetEvent::Tick);
         if self.calls != Calls::None {
             let offset = Millis(self.rng.random_range(0..SECOND.0));
-            self.push(self.now + offset, index, Occurrence::Calls);
+            self.push(self.now + offset, index, FleetEvent::Calls);
         }
     }
 
@@ -194,8 +194,8 @@
     }
 
     /// Measures the processor time of this node from now on.
-    pub fn watch(&mut self, index: usize) {
-        self.watched = index;
+    pub fn measure_node(&mut self, index: usize) {
+        self.measured_node = index;
         self.stopwatch = Stopwatch::default();
     }
 
@@ -215,11 +215,11 @@
 
     /// What one node has spent.
     #[must_use]
-    pub fn spent(&self, index: usize) -> Spent {
-        Spent {
+    pub fn usage(&self, index: usize) -> NodeUsage {
+        NodeUsage {
             counters: self.status(index).counters,
             platform_bytes: self.node(index).platform_bytes,
-            processor_ns: if index == self.watched {
+            processor_ns: if index == self.measured_node {
                 self.stopwatch.spent_ns()
             } else {
                 0
@@ -248,7 +248,7 @@
     }
 
     /// Takes a node out, so that what it holds can be weighed.
-    pub fn take_out(&mut self, index: usize) -> Node {
+    pub fn remove_node(&mut self, index: usize) -> Node {
         self.nodes[index]
             .take()
             .expect("the node was not taken out")
@@ -299,13 +299,13 @@
     }
 
     /// Gives every gate a load, which makes every statement longer.
-    pub fn give_loads(&mut self) {
+    pub fn report_loads(&mut self) {
         for index in self.alive() {
             let load = self.load_of(index);
             self.push(
                 self.now,
                 index,
-                Occurrence::Event(ControlEvent::GateLoad(load)),
+                FleetEvent::Event(ControlEvent::GateLoad(load)),
             );
         }
     }
@@ -318,10 +318,10 @@
             if at > end {
                 break;
             }
-            let (index, occurrence) = entry.remove();
+            let (index, event) = entry.remove();
             self.now = self.now.max(at);
             self.end_watches();
-            self.step(index, occurrence);
+            self.step(index, event);
         }
         self.now = end;
     }
@@ -352,33 +352,33 @@
         }
     }
 
-    fn push(&mut self, at: Millis, index: usize, occurrence: Occurrence) {
+    fn push(&mut self, at: Millis, index: usize, event: FleetEvent) {
         self.sequence += 1;
-        self.queue.insert((at, self.sequence), (index, occurrence));
+        self.queue.insert((at, self.sequence), (index, event));
     }
 
-    fn step(&mut self, index: usize, occurrence: Occurrence) {
+    fn step(&mut self, index: usize, event: FleetEvent) {
         if !self.nodes[index].as_ref().is_some_and(|node| node.alive) {
             return;
         }
-        match occurrence {
-            Occurrence::Tick => self.tick(index),
-            Occurrence::Calls => self.call(index),
-            Occurrence::Event(event) => {
+        match event {
+            FleetEvent::Tick => self.tick(index),
+            FleetEvent::Calls => self.call(index),
+            FleetEvent::Event(event) => {
                 self.handle(index, event);
             }
-            Occurrence::Asked(asker, message) => self.answer(index, asker, message),
+            FleetEvent::BulkRequest(requester, message) => self.answer(index, requester, message),
         }
     }
 
     /// As the daemon does: the gate's load, the tick, now and then a status.
     fn tick(&mut self, index: usize) {
-        self.push(self.now + TICK, index, Occurrence::Tick);
+        self.push(self.now + TICK, index, FleetEvent::Tick);
         let load = self.load_of(index);
         self.handle(index, ControlEvent::GateLoad(load));
         self.handle(index, ControlEvent::Tick);
         let now = self.now;
-        let is_watched = index == self.watched;
+        let is_watched = index == self.measured_node;
         let node = self.nodes[index].as_mut().expect("it was just there");
         node.ticks += 1;
         if is_watched && node.ticks.is_multiple_of(STATUS_TICKS) {
@@ -387,7 +387,7 @@
     }
 
     fn call(&mut self, index: usize) {
-        self.push(self.now + SECOND, index, Occurrence::Calls);
+        self.push(self.now + SECOND, index, FleetEvent::Calls);
         let table = Arc::clone(&self.node(index).table);
         for service in self.node(index).calls.clone() {
             self.handle(index, ControlEvent::SentTo(service.clone()));
@@ -406,14 +406,14 @@
         }
     }
 
-    fn answer(&mut self, index: usize, asker: usize, message: Vec<u8>) {
+    fn answer(&mut self, index: usize, requester: usize, message: Vec<u8>) {
         let request = RequestId(self.sequence);
         let peer = self.node(index).settings.control;
         let event = match self.handle(index, ControlEvent::BulkRequested { request, message }) {
             Some(message) => ControlEvent::BulkAnswered { peer, message },
             None => ControlEvent::BulkFailed { peer },
         };
-        self.push(self.now + BULK_DELAY, asker, Occurrence::Event(event));
+        self.push(self.now + BULK_DELAY, requester, FleetEvent::Event(event));
     }
 
     /// Hands an event to a node and carries out its actions; gives the answer
@@ -421,7 +421,7 @@
     fn handle(&mut self, index: usize, event: ControlEvent) -> Option<Vec<u8>> {
         let now = self.now;
         let node = self.nodes[index].as_mut().expect("the node is alive");
-        let actions = if index == self.watched {
+        let actions = if index == self.measured_node {
             self.stopwatch.time(|| node.control.handle(event, now))
         } else {
             node.control.handle(event, now)
@@ -440,16 +440,16 @@
                 } => self.read(index, PlatformRead::Vms, service, after.0, wait_ms),
                 ControlAction::CancelReads => self.cancel_reads(index),
                 ControlAction::BulkRequest { to, message } => {
-                    self.ask(index, index_at(to), message);
+                    self.send_bulk_request(index, index_at(to), message);
                 }
                 ControlAction::BulkAnswer { message, .. } => answer = Some(message),
-                ControlAction::Publish(table) => self.take_table(index, table),
+                ControlAction::Publish(table) => self.set_table(index, table),
             }
         }
         answer
     }
 
-    fn take_table(&mut self, index: usize, table: Arc<RouteTable>) {
+    fn set_table(&mut self, index: usize, table: Arc<RouteTable>) {
         let now = self.now;
         let node = self.nodes[index].as_mut().expect("the node is alive");
         if let Some(version) = table.version {
@@ -459,27 +459,27 @@
     }
 
     fn send(&mut self, from: usize, to: usize, bytes: Vec<u8>) {
-        let from = self.vms_control(from);
+        let from = self.control_address(from);
         let delay = Millis(self.rng.random_range(DATAGRAM_DELAY_MS));
         let event = ControlEvent::Datagram { from, bytes };
-        self.push(self.now + delay, to, Occurrence::Event(event));
+        self.push(self.now + delay, to, FleetEvent::Event(event));
     }
 
-    fn vms_control(&self, index: usize) -> std::net::SocketAddr {
+    fn control_address(&self, index: usize) -> std::net::SocketAddr {
         self.node(index).settings.control
     }
 
-    fn ask(&mut self, from: usize, to: usize, message: Vec<u8>) {
+    fn send_bulk_request(&mut self, from: usize, to: usize, message: Vec<u8>) {
         let at = self.now + BULK_DELAY;
         if self.nodes[to].as_ref().is_some_and(|node| node.alive) {
-            self.push(at, to, Occurrence::Asked(from, message));
+            self.push(at, to, FleetEvent::BulkRequest(from, message));
             return;
         }
         let peer = self.node(to).settings.control;
         self.push(
             at,
             from,
-            Occurrence::Event(ControlEvent::BulkFailed { peer }),
+            FleetEvent::Event(ControlEvent::BulkFailed { peer }),
         );
     }
 }
--- a/crates/lab/src/capacity/fleet/platform.rs
+++ b/crates/lab/src/capacity/fleet/platform.rs
@@ -5,7 +5,7 @@
 use hornbeamhitch_core::control::{ControlEvent, PlatformRead};
 use hornbeamhitch_wire::control::ListVersion;
 
-use super::{Fleet, LISTED_VM_JSON_BYTES, Occurrence, PLATFORM_DELAY};
+use super::{Fleet, FleetEvent, LISTED_VM_JSON_BYTES, PLATFORM_DELAY};
 use crate::prelude::*;
 
 /// A read of the platform that waits for a newer value.
@@ -46,7 +46,7 @@
     /// Ends watches whose value has come.
     pub(super) fn wake_watches(&mut self) {
         for watch in std::mem::take(&mut self.watches) {
-            let Some((event, bytes)) = self.news_for(&watch) else {
+            let Some((event, bytes)) = self.newer_value(&watch) else {
                 self.watches.push(watch);
                 continue;
             };
@@ -54,7 +54,7 @@
                 node.platform_bytes += bytes;
             }
             let at = self.now + PLATFORM_DELAY;
-            self.push(at, watch.node, Occurrence::Event(event));
+            self.push(at, watch.node, FleetEvent::Event(event));
         }
     }
 
@@ -74,11 +74,11 @@
                 PlatformRead::Vms => ControlEvent::VmsUnchanged,
             };
             let at = now + PLATFORM_DELAY;
-            self.push(at, watch.node, Occurrence::Event(event));
+            self.push(at, watch.node, FleetEvent::Event(event));
         }
     }
 
-    fn news_for(&self, watch: &Watch) -> Option<(ControlEvent, u64)> {
+    fn newer_value(&self, watch: &Watch) -> Option<(ControlEvent, u64)> {
         if watch.read == PlatformRead::Text {
             let (version, text) = &self.text;
             let event = ControlEvent::TextRead {
--- a/crates/lab/src/capacity/reader.rs
+++ b/crates/lab/src/capacity/reader.rs
@@ -54,9 +54,9 @@
     fleet.run_until(COLD_START_LIMIT, |fleet| fleet.all_at(1));
     fleet.run(SETTLE);
     let readers = fleet.readers();
-    let watched = readers[0];
-    fleet.watch(watched);
-    let before = fleet.spent(watched);
+    let measured_node = readers[0];
+    fleet.measure_node(measured_node);
+    let before = fleet.usage(measured_node);
     let reads_before = fleet.platform_reads();
     let started_at = fleet.now();
     let mut published = Vec::new();
@@ -66,7 +66,7 @@
         fleet.run(EDIT_EVERY);
     }
     let seconds = fleet.now().since(started_at).0 as f64 / 1e3;
-    let after = fleet.spent(watched);
+    let after = fleet.usage(measured_node);
     let reads = fleet.platform_reads() - reads_before;
     let (last, _) = published[published.len() - 1];
     fleet.run_until(COLD_START_LIMIT, |fleet| fleet.all_at(last));
@@ -80,7 +80,7 @@
     let mut reader = rates(&before, &after, seconds);
     reader.name.clone_from(&case.name);
     reader.nodes = fleet.alive().len();
-    reader.memory_bytes = held_bytes(fleet.take_out(watched));
+    reader.memory_bytes = held_bytes(fleet.remove_node(measured_node));
     ReaderFigures {
         name: case.name.clone(),
         text_bytes: case.layout.text(0).len(),
--- a/crates/lab/src/capacity/traffic.rs
+++ b/crates/lab/src/capacity/traffic.rs
@@ -15,7 +15,7 @@
 
 const STEPS: u64 = 50_000;
 /// Calls between two ticks of the gate.
-const CALLS_A_TICK: u64 = 1_000;
+const CALLS_PER_TICK: u64 = 1_000;
 const UPDATES: u64 = 100;
 const SEED: u64 = 1;
 const MAX_STORED_BYTES: u64 = 1 << 30;
@@ -112,11 +112,11 @@
     let ttl_ms = policy.ticket_ttl_ms.0;
     // New calls come so fast that as many records expire as are added; they
     // are forgotten by a tick, as in the daemon.
-    let ticketed = time_steps(records.max(CALLS_A_TICK), |step| {
+    let ticketed = time_steps(records.max(CALLS_PER_TICK), |step| {
         let now = Millis(ttl_ms + step * ttl_ms / records.max(1));
         let key = records + step;
         ticketed_call(&mut gate, &policy, key, answer_bytes, now);
-        if step % CALLS_A_TICK == 0 {
+        if step % CALLS_PER_TICK == 0 {
             drop(gate.tick(now));
         }
     });
--- a/crates/lab/src/case.rs
+++ b/crates/lab/src/case.rs
@@ -63,7 +63,7 @@
         data_centre: usize,
     },
     /// They are back, with what they held.
-    ReturnDataCentre {
+    RestoreDataCentre {
         /// Index of the data centre.
         data_centre: usize,
     },
@@ -140,12 +140,12 @@
     #[must_use]
     pub fn capacity_per_s(&self) -> f64 {
         let first = &self.chain[0];
-        let mut held_us = (self.chain.len() - 1) as f64 * HOP_US;
+        let mut occupied_us = (self.chain.len() - 1) as f64 * HOP_US;
         for service in &self.chain {
-            held_us += service.mean_work_us;
+            occupied_us += service.mean_work_us;
         }
         let slots = first.targets as f64 * f64::from(first.slots);
-        slots * 1e6 / held_us
+        slots * 1e6 / occupied_us
     }
 
     /// New calls a second, without those that come back.
--- a/crates/lab/src/case/catalogue.rs
+++ b/crates/lab/src/case/catalogue.rs
@@ -8,12 +8,12 @@
 /// Longer than the cold ramp that every new gate goes through.
 const WARM_UP: Micros = Micros::from_millis(7_000);
 /// Fault cases all last as long, so that a fault weighs the same everywhere.
-const FAULT_RUN: Micros = Micros::from_millis(30_000);
+const FAULT_DURATION: Micros = Micros::from_millis(30_000);
 /// Load of the cases with several faults; what is left of Ljubljana's four
 /// targets while one is slow and one away carries a little over half.
-const TOGETHER_PERCENT: u32 = 45;
+const COMBINED_FAULTS_PERCENT: u32 = 45;
 /// Shorter, because every call is eight.
-const CHAIN_RUN: Micros = Micros::from_millis(17_000);
+const CHAIN_DURATION: Micros = Micros::from_millis(17_000);
 const DEEPEST_CHAIN: usize = 8;
 const CHAIN_NAMES: [&str; DEEPEST_CHAIN] = ["a", "b", "c", "d", "e", "f", "g", "h"];
 
@@ -183,12 +183,12 @@
     let about = "noisy neighbours, a slow target, and another drains and starts cold";
     let mut together = faulty(deployment, "together", about, together);
     together.noisy = true;
-    together.name = format!("{}-together-{TOGETHER_PERCENT}", deployment.name);
-    together.load = f64::from(TOGETHER_PERCENT) / 100.0;
+    together.name = format!("{}-together-{COMBINED_FAULTS_PERCENT}", deployment.name);
+    together.load = f64::from(COMBINED_FAULTS_PERCENT) / 100.0;
     cases.push(together);
     let lost = vec![
         at(8_000, Fault::LoseDataCentre { data_centre: 2 }),
-        at(20_000, Fault::ReturnDataCentre { data_centre: 2 }),
+        at(20_000, Fault::RestoreDataCentre { data_centre: 2 }),
     ];
     cases.push(faulty(
         deployment,
@@ -208,7 +208,7 @@
                 .push(service(name, 3, deployment.small.slots, 2_000.0));
         }
         case.nodes = 3 * DEEPEST_CHAIN;
-        case.duration = CHAIN_RUN;
+        case.duration = CHAIN_DURATION;
         cases.push(case);
     }
 }
@@ -238,7 +238,7 @@
     const PERCENT: u32 = 60;
     let mut case = steady(deployment, &deployment.lookups, kind, PERCENT);
     case.about = about;
-    case.duration = FAULT_RUN;
+    case.duration = FAULT_DURATION;
     case.faults = faults;
     case
 }
--- a/crates/lab/src/commands/check.rs
+++ b/crates/lab/src/commands/check.rs
@@ -41,9 +41,9 @@
 
 fn print(verdict: &Verdict) {
     let bound = &verdict.bound;
-    let word = if verdict.holds { "ok    " } else { "BREACH" };
+    let verdict_text = if verdict.holds { "ok    " } else { "BREACH" };
     print!(
-        "{word} {:28} {:18} {:.4}",
+        "{verdict_text} {:28} {:18} {:.4}",
         bound.case, bound.measure, verdict.measured
     );
     if let Some(limit) = bound.at_most {
--- a/crates/lab/src/event.rs
+++ b/crates/lab/src/event.rs
@@ -51,7 +51,7 @@
     /// The entries hear what control has found out.
     ViewUpdate,
     /// The gates hear of suspected requests.
-    SuspectsHeard,
+    SuspectsUpdate,
 }
 
 #[derive(Debug)]
--- a/crates/lab/src/host.rs
+++ b/crates/lab/src/host.rs
@@ -13,9 +13,9 @@
 use crate::workload::mix;
 
 /// Time between two copies of a gate's report in cases with stale reports.
-pub(crate) const REPORT_GAP: Micros = Micros::from_millis(10);
+pub(crate) const REPORT_INTERVAL: Micros = Micros::from_millis(10);
 /// Copies kept, enough for the oldest report that a case asks for.
-const KEPT_REPORTS: usize = 52;
+const STORED_REPORTS: usize = 52;
 /// Weight of the newest service time in a target's own smoothed value.
 const SMOOTHING: f64 = 0.1;
 const MAX_STORED_BYTES: u64 = 64 << 20;
@@ -32,7 +32,7 @@
     pub(crate) incarnation: Incarnation,
     pub(crate) leaving: bool,
     /// Partitioned away, or gone with its data centre.
-    pub(crate) lost_since: Option<Micros>,
+    pub(crate) unreachable_since: Option<Micros>,
     /// Attempts on their way here, from their pick or their ticket on, which
     /// only the oracle sees.
     pub(crate) incoming: usize,
@@ -52,7 +52,7 @@
     pub(crate) vm: VmId,
     pub(crate) data_centre: usize,
     pub(crate) node: usize,
-    pub(crate) gated: bool,
+    pub(crate) has_gate: bool,
     pub(crate) seed: u64,
     pub(crate) policy: Arc<ServicePolicy>,
     pub(crate) mean_work_us: f64,
@@ -68,16 +68,16 @@
             target: FakeTarget::new(settings.policy.slots),
             incarnation: Incarnation(1),
             leaving: false,
-            lost_since: None,
+            unreachable_since: None,
             incoming: 0,
             attempts: HashMap::new(),
             joined: Vec::new(),
-            reports: VecDeque::with_capacity(KEPT_REPORTS),
+            reports: VecDeque::with_capacity(STORED_REPORTS),
             service_time_us: settings.mean_work_us,
             policy: settings.policy,
             seed: settings.seed,
         };
-        if settings.gated {
+        if settings.has_gate {
             host.gate = Some(host.new_gate(Micros::ZERO));
         }
         host
@@ -133,8 +133,8 @@
         }
     }
 
-    pub(crate) fn keep_report(&mut self, now: Micros) {
-        if self.reports.len() == KEPT_REPORTS {
+    pub(crate) fn store_report(&mut self, now: Micros) {
+        if self.reports.len() == STORED_REPORTS {
             self.reports.pop_back();
         }
         let report = self.load(now);
@@ -143,7 +143,7 @@
 
     /// The kept report of about that age.
     pub(crate) fn old_report(&self, age: Micros, now: Micros) -> LoadReport {
-        let steps = (age.0 / REPORT_GAP.0) as usize;
+        let steps = (age.0 / REPORT_INTERVAL.0) as usize;
         let oldest = self.reports.len().saturating_sub(1);
         match self.reports.get(steps.min(oldest)) {
             Some(report) => *report,
@@ -154,29 +154,29 @@
     /// When a call that sets out now would be answered, in microseconds from
     /// now, for an eye that sees every queue at once.
     pub(crate) fn expected_time_us(&self, mean_work_us: f64, now: Micros) -> f64 {
-        if self.lost_since.is_some() || self.leaving || !self.target.is_up() {
+        if self.unreachable_since.is_some() || self.leaving || !self.target.is_up() {
             return f64::INFINITY;
         }
         if self.target.fails_fast() {
             return f64::INFINITY;
         }
         let work_us = mean_work_us * self.target.factor(now);
-        let places = self.places(now);
-        let wait_calls = (self.calls_in_hand(now) + 1).saturating_sub(places);
-        let wait_us = wait_calls as f64 * work_us / places as f64;
+        let concurrency = self.concurrency(now);
+        let wait_calls = (self.pending_calls(now) + 1).saturating_sub(concurrency);
+        let wait_us = wait_calls as f64 * work_us / concurrency as f64;
         self.target.frozen_for(now).0 as f64 + wait_us + work_us
     }
 
     /// Whether a call that sets out now would run at once.
     pub(crate) fn has_free_slot(&self, now: Micros) -> bool {
-        self.lost_since.is_none()
+        self.unreachable_since.is_none()
             && !self.leaving
             && self.target.is_up()
-            && self.calls_in_hand(now) < self.places(now)
+            && self.pending_calls(now) < self.concurrency(now)
     }
 
     /// Calls here and on their way, running and waiting.
-    fn calls_in_hand(&self, now: Micros) -> usize {
+    fn pending_calls(&self, now: Micros) -> usize {
         let at_target = self.target.running() + self.target.waiting();
         let mut held = 0;
         if let Some(gate) = &self.gate {
@@ -186,7 +186,7 @@
     }
 
     /// Calls that may run at once by the gate's limit and the slots.
-    fn places(&self, now: Micros) -> usize {
+    fn concurrency(&self, now: Micros) -> usize {
         let slots = self.target.slots();
         match &self.gate {
             Some(gate) => slots.min(gate.load(now.floor_millis()).limit.max(1) as usize),
--- a/crates/lab/src/plot.rs
+++ b/crates/lab/src/plot.rs
@@ -36,9 +36,9 @@
 }
 
 fn push_key(text: &mut String) {
-    for (place, kind) in PolicyKind::VARIANTS.iter().enumerate() {
-        let x = 10 + (place % 5) * 180;
-        let y = 14 + (place / 5) * 14;
+    for (index, kind) in PolicyKind::VARIANTS.iter().enumerate() {
+        let x = 10 + (index % 5) * 180;
+        let y = 14 + (index / 5) * 14;
         push(
             text,
             format_args!(
--- a/crates/lab/src/policy.rs
+++ b/crates/lab/src/policy.rs
@@ -107,7 +107,7 @@
 
     /// Whether a hedge would find a free slot, for all that this policy knows
     /// beyond the core's own judgement.
-    fn has_room(&self, truth: &Truth<'_>) -> bool;
+    fn has_free_slot(&self, truth: &Truth<'_>) -> bool;
 
     /// Ends an attempt.
     fn finish(&mut self, pick: &Pick, outcome: &AttemptOutcome, now: Millis);
@@ -145,7 +145,7 @@
 }
 
 /// Finds a VM's place in a view; places are the same in every view of a run.
-fn place_of(view: &ServiceView, vm: &VmId) -> usize {
-    let place = view.targets.iter().position(|target| target.vm == *vm);
-    place.expect("views of a run list every VM of the service")
+fn position_of(view: &ServiceView, vm: &VmId) -> usize {
+    let position = view.targets.iter().position(|target| target.vm == *vm);
+    position.expect("views of a run list every VM of the service")
 }
--- a/crates/lab/src/policy/baseline.rs
+++ b/crates/lab/src/policy/baseline.rs
@@ -69,23 +69,23 @@
             let retry_after_ms = self.core.retry_after_ms(truth.now.floor_millis());
             return Err(Refusal::retry_after(ResultCode::NoTarget, retry_after_ms));
         }
-        let place = self.chooser.choose(&self.eligible, truth);
-        Ok(self.eligible[place])
+        let position = self.chooser.choose(&self.eligible, truth);
+        Ok(self.eligible[position])
     }
 
     /// The core's budgets grow with first attempts that it picks itself. So
     /// that a baseline may retry and hedge as much as ours, the core picks as
     /// well, and that attempt is taken back before anything is sent.
-    fn earn_budgets(&mut self, request: &PickRequest<'_>, now: Millis) {
+    fn credit_budgets(&mut self, request: &PickRequest<'_>, now: Millis) {
         let Ok(pick) = self.core.pick(request, now) else {
             return;
         };
-        let taken_back = AttemptOutcome {
+        let cancelled = AttemptOutcome {
             end: AttemptEnd::Cancelled,
             latency_us: 0,
             load: None,
         };
-        self.core.finish(&pick, &taken_back, now);
+        self.core.finish(&pick, &cancelled, now);
     }
 
     fn candidate_mut(&mut self, index: TargetIndex) -> Option<&mut Candidate> {
@@ -99,7 +99,7 @@
     fn pick(&mut self, request: &PickRequest<'_>, truth: &Truth<'_>) -> Result<Pick, Refusal> {
         let now = truth.now.floor_millis();
         if request.exclude.is_empty() {
-            self.earn_budgets(request, now);
+            self.credit_budgets(request, now);
         }
         let chosen = self.choose(request.exclude, truth)?;
         if let Some(candidate) = self.candidate_mut(chosen.index) {
@@ -118,8 +118,8 @@
         Ok(self.view.targets[chosen.host].vm.clone())
     }
 
-    fn has_room(&self, truth: &Truth<'_>) -> bool {
-        self.chooser.has_room(truth)
+    fn has_free_slot(&self, truth: &Truth<'_>) -> bool {
+        self.chooser.has_free_slot(truth)
     }
 
     fn finish(&mut self, pick: &Pick, outcome: &AttemptOutcome, now: Millis) {
--- a/crates/lab/src/policy/choosers.rs
+++ b/crates/lab/src/policy/choosers.rs
@@ -12,7 +12,7 @@
     fn choose(&mut self, candidates: &[Candidate], truth: &Truth<'_>) -> usize;
 
     /// Whether some target has a free slot; those who cannot tell say yes.
-    fn has_room(&self, _truth: &Truth<'_>) -> bool {
+    fn has_free_slot(&self, _truth: &Truth<'_>) -> bool {
         true
     }
 }
@@ -78,19 +78,19 @@
     fn choose(&mut self, candidates: &[Candidate], _truth: &Truth<'_>) -> usize {
         let mut best = 0;
         let mut ties = 0_u32;
-        for (place, candidate) in candidates.iter().enumerate() {
+        for (index, candidate) in candidates.iter().enumerate() {
             let least = candidates[best].own_in_flight;
             if candidate.own_in_flight > least {
                 continue;
             }
             if candidate.own_in_flight < least {
-                best = place;
+                best = index;
                 ties = 1;
                 continue;
             }
             ties += 1;
             if self.rng.random_range(0..ties) == 0 {
-                best = place;
+                best = index;
             }
         }
         best
@@ -133,20 +133,19 @@
     fn choose(&mut self, candidates: &[Candidate], truth: &Truth<'_>) -> usize {
         let mut best = 0;
         let mut best_us = f64::INFINITY;
-        for (place, candidate) in candidates.iter().enumerate() {
+        for (index, candidate) in candidates.iter().enumerate() {
             let host = &truth.hosts[candidate.host];
-            let there_and_back_us = 2.0 * f64::from(candidate.distance_us);
-            let expected_us =
-                there_and_back_us + host.expected_time_us(truth.mean_work_us, truth.now);
+            let round_trip_us = 2.0 * f64::from(candidate.distance_us);
+            let expected_us = round_trip_us + host.expected_time_us(truth.mean_work_us, truth.now);
             if expected_us < best_us {
-                best = place;
+                best = index;
                 best_us = expected_us;
             }
         }
         best
     }
 
-    fn has_room(&self, truth: &Truth<'_>) -> bool {
+    fn has_free_slot(&self, truth: &Truth<'_>) -> bool {
         truth.hosts.iter().any(|host| host.has_free_slot(truth.now))
     }
 }
--- a/crates/lab/src/policy/core_policy.rs
+++ b/crates/lab/src/policy/core_policy.rs
@@ -4,7 +4,7 @@
 
 use hornbeamhitch_core::entry::EntryService;
 
-use super::{Policy, Truth, place_of};
+use super::{Policy, Truth, position_of};
 use crate::prelude::*;
 
 #[derive(Debug)]
@@ -38,7 +38,7 @@
         Ok(gate.vm)
     }
 
-    fn has_room(&self, _truth: &Truth<'_>) -> bool {
+    fn has_free_slot(&self, _truth: &Truth<'_>) -> bool {
         true
     }
 
@@ -58,6 +58,6 @@
     fn host_of(&self, target: TargetIndex) -> usize {
         let target = self.core.target(target);
         let target = target.expect("a target of a run stays in its views");
-        place_of(&self.view, &target.vm)
+        position_of(&self.view, &target.vm)
     }
 }
--- a/crates/lab/src/run.rs
+++ b/crates/lab/src/run.rs
@@ -10,7 +10,7 @@
 
 /// Runs that are independent of each other may share the machine, but leave
 /// half of it to others.
-const SHARE_OF_CORES: usize = 2;
+const CORES_PER_THREAD: usize = 2;
 
 /// One run to make.
 #[derive(Clone, Debug)]
@@ -69,5 +69,5 @@
 
 fn thread_count(jobs: usize) -> usize {
     let cores = thread::available_parallelism().map_or(1, usize::from);
-    (cores / SHARE_OF_CORES).clamp(1, jobs.max(1))
+    (cores / CORES_PER_THREAD).clamp(1, jobs.max(1))
 }
--- a/crates/lab/src/target.rs
+++ b/crates/lab/src/target.rs
@@ -114,7 +114,7 @@
     }
 
     /// The call has done its own work and holds its slot while it calls on.
-    pub(crate) fn calls_on(&mut self, attempt: AttemptIndex) {
+    pub(crate) fn wait_for_nested_call(&mut self, attempt: AttemptIndex) {
         for running in &mut self.running {
             if running.attempt == attempt {
                 running.done_at = None;
--- a/crates/lab/src/workload.rs
+++ b/crates/lab/src/workload.rs
@@ -11,10 +11,10 @@
 
 /// Mean time between two stalls of one target in a noisy case.
 const MEAN_STALL_GAP_US: f64 = 1_000_000.0;
-const SHORTEST_STALL_US: u64 = 5_000;
-const LONGEST_STALL_US: u64 = 50_000;
-const YOUNGEST_REPORT_US: u64 = 10_000;
-const OLDEST_REPORT_US: u64 = 500_000;
+const MIN_STALL_US: u64 = 5_000;
+const MAX_STALL_US: u64 = 50_000;
+const MIN_REPORT_AGE_US: u64 = 10_000;
+const MAX_REPORT_AGE_US: u64 = 500_000;
 
 /// One new call as its caller sends it.
 #[derive(Clone, Copy, Debug)]
@@ -81,13 +81,13 @@
     }
 
     pub(crate) fn stall_length(&mut self, host: usize) -> Micros {
-        Micros(self.stalls[host].random_range(SHORTEST_STALL_US..=LONGEST_STALL_US))
+        Micros(self.stalls[host].random_range(MIN_STALL_US..=MAX_STALL_US))
     }
 
     pub(crate) fn report_age(&mut self) -> Micros {
         Micros(
             self.reports
-                .random_range(YOUNGEST_REPORT_US..=OLDEST_REPORT_US),
+                .random_range(MIN_REPORT_AGE_US..=MAX_REPORT_AGE_US),
         )
     }
 }
--- a/crates/lab/src/world.rs
+++ b/crates/lab/src/world.rs
@@ -6,7 +6,7 @@
 
 use crate::case::{BETWEEN_DATA_CENTRES_US, DATA_CENTRES, INSIDE_DATA_CENTRE_US};
 use crate::event::{AttemptIndex, CallIndex, Event, EventQueue, HostId};
-use crate::host::{Host, HostSettings, REPORT_GAP};
+use crate::host::{Host, HostSettings, REPORT_INTERVAL};
 use crate::policy::{Policy, PolicyKind, new_policy};
 use crate::prelude::*;
 use crate::workload::{Workload, mix};
@@ -26,7 +26,7 @@
 /// How often a gate looks after what it holds, as the daemon does.
 const GATE_TICK: Micros = Micros::from_millis(5);
 /// After the last arrival, ticks go on for as long as calls can last.
-const RUN_OUT: Micros = Micros::from_millis(10_000);
+const TICKS_AFTER_LAST_ARRIVAL: Micros = Micros::from_millis(10_000);
 const SAME_VM_US: u32 = 20;
 
 /// One service with its targets.
@@ -127,7 +127,7 @@
             self.queue.schedule(GATE_TICK, Event::GateTick);
         }
         if self.case.stale_reports {
-            self.queue.schedule(REPORT_GAP, Event::ReportTick);
+            self.queue.schedule(REPORT_INTERVAL, Event::ReportTick);
         }
         for fault in &self.case.faults {
             self.queue.schedule(fault.at, Event::Fault(fault.fault));
@@ -168,7 +168,7 @@
             Event::Fault(fault) => self.begin_fault(fault),
             Event::Stall(host) => self.stall(host),
             Event::ViewUpdate => self.update_views(),
-            Event::SuspectsHeard => self.hear_suspects(),
+            Event::SuspectsUpdate => self.update_suspects(),
         }
     }
 
@@ -185,15 +185,15 @@
         let now = self.now;
         for service in &mut self.services {
             for host in &mut service.hosts {
-                host.keep_report(now);
+                host.store_report(now);
             }
         }
-        self.repeat(Event::ReportTick, REPORT_GAP);
+        self.repeat(Event::ReportTick, REPORT_INTERVAL);
     }
 
     fn repeat(&mut self, event: Event, gap: Micros) {
         let at = self.now + gap;
-        if at < self.case.duration + RUN_OUT {
+        if at < self.case.duration + TICKS_AFTER_LAST_ARRIVAL {
             self.queue.schedule(at, event);
         }
     }
@@ -258,7 +258,7 @@
                 vm: VmId::new(&format!("vm-{node:03}")),
                 data_centre: node % DATA_CENTRES,
                 node,
-                gated: kind.has_gates(),
+                has_gate: kind.has_gates(),
                 seed: mix(seed, 500 + node as u64),
                 policy: Arc::clone(&policy),
                 mean_work_us: spec.mean_work_us,
--- a/crates/lab/src/world/call.rs
+++ b/crates/lab/src/world/call.rs
@@ -73,7 +73,7 @@
     /// On its way to the gate.
     Sent,
     /// Held by the gate.
-    Held(RunId),
+    Queued(RunId),
     /// Waits for the run of another attempt with the same key.
     Joined(RunId),
     /// In the target, waiting there or running.
@@ -96,9 +96,9 @@
     /// The entry still waits for it.
     pub(super) live: bool,
     /// The call that the target made on its behalf.
-    pub(super) child: Option<CallIndex>,
+    pub(super) nested_call: Option<CallIndex>,
     /// Time for which it held a slot.
-    pub(super) held: Micros,
+    pub(super) slot_time: Micros,
     /// What travels back to the entry.
     pub(super) outcome: Option<AttemptOutcome>,
 }
--- a/crates/lab/src/world/entry_side.rs
+++ b/crates/lab/src/world/entry_side.rs
@@ -13,7 +13,7 @@
 /// A caller sends a call at most this often.
 const MAX_TRIES: u32 = 5;
 /// When a caller without `Retry-After` comes back.
-const UNTOLD_WAIT: Micros = Micros::from_millis(500);
+const DEFAULT_RETRY_WAIT: Micros = Micros::from_millis(500);
 /// The way to the caller and back to an entry.
 const CALLER_ROUND_TRIP: Micros = Micros(2 * CALLER_DISTANCE.0);
 
@@ -34,7 +34,7 @@
         let deadline_at = match kind {
             CallKind::FromTarget(parent) => {
                 let parent_call = self.attempt(parent).call;
-                self.attempt_mut(parent).child = Some(index);
+                self.attempt_mut(parent).nested_call = Some(index);
                 self.call(parent_call).deadline_at
             }
             CallKind::FromCaller | CallKind::Crashing => Micros::ZERO,
@@ -79,7 +79,7 @@
             Ok(vm) => vm,
             Err(refusal) => {
                 self.call_mut(index).live = true;
-                self.conclude(index, CallEnd::Refused(refusal));
+                self.finish_try(index, CallEnd::Refused(refusal));
                 return;
             }
         };
@@ -138,7 +138,7 @@
             Ok(pick) => pick,
             Err(refusal) => {
                 if self.call(index).live_attempts.is_empty() {
-                    self.conclude(index, CallEnd::Refused(refusal));
+                    self.finish_try(index, CallEnd::Refused(refusal));
                 }
                 return;
             }
@@ -155,8 +155,8 @@
             run: None,
             at_target_since: Micros::ZERO,
             live: true,
-            child: None,
-            held: Micros::ZERO,
+            nested_call: None,
+            slot_time: Micros::ZERO,
             outcome: None,
         });
         self.tally.attempts += 1;
@@ -234,7 +234,7 @@
             now: self.now,
         };
         let policy = &mut self.nodes[call.node].policies[call.service];
-        if !policy.has_room(&truth) || !policy.core().try_hedge(&progress, now) {
+        if !policy.has_free_slot(&truth) || !policy.core().try_hedge(&progress, now) {
             return;
         }
         self.call_mut(index).hedged = true;
@@ -252,9 +252,9 @@
         let call = self.attempt(index).call;
         self.call_mut(call).broke |= outcome.end == AttemptEnd::Broken;
         if outcome.end == (AttemptEnd::Answered { failed: false }) {
-            let held = self.attempt(index).held;
-            self.tally.useful_us += held.0;
-            self.conclude(call, CallEnd::Answered);
+            let slot_time = self.attempt(index).slot_time;
+            self.tally.useful_us += slot_time.0;
+            self.finish_try(call, CallEnd::Answered);
             return;
         }
         if !self.call(call).live_attempts.is_empty() {
@@ -276,13 +276,13 @@
             // there again is of no use; its caller gets a new one.
             Next::Retry if self.call(index).ticket.is_some() => {
                 let refusal = Refusal::fixed(ResultCode::Overloaded);
-                self.conclude(index, call_end(end, refusal));
+                self.finish_try(index, call_end(end, refusal));
             }
             Next::Retry => {
                 self.tally.retries += 1;
                 self.start_attempt(index);
             }
-            Next::GiveUp(refusal) => self.conclude(index, call_end(end, refusal)),
+            Next::GiveUp(refusal) => self.finish_try(index, call_end(end, refusal)),
         }
     }
 
@@ -305,7 +305,7 @@
         }
         self.cancel_attempts(index, AttemptEnd::TimedOut);
         let refusal = Refusal::fixed(ResultCode::DeadlinePassed);
-        self.conclude(index, CallEnd::Failed(refusal));
+        self.finish_try(index, CallEnd::Failed(refusal));
     }
 
     /// Ends every attempt that is still out, here and at the gates.
@@ -324,17 +324,17 @@
     }
 
     /// Gives the caller its final answer for this try.
-    pub(super) fn conclude(&mut self, index: CallIndex, end: CallEnd) {
+    pub(super) fn finish_try(&mut self, index: CallIndex, end: CallEnd) {
         self.cancel_attempts(index, AttemptEnd::Cancelled);
         let now = self.now;
         let call = self.call_mut(index);
         call.live = false;
         let kind = call.kind;
         if let CallKind::FromTarget(parent) = kind {
-            self.child_concluded(parent, end == CallEnd::Answered);
+            self.nested_call_ended(parent, end == CallEnd::Answered);
             return;
         }
-        let comes_back = self.comes_back_at(index, &end);
+        let next_try_at = self.next_try_at(index, &end);
         let call = &self.calls[index.0];
         let is_measured = call.sent_at >= self.case.warm_up && kind == CallKind::FromCaller;
         let in_window = now >= self.case.warm_up && now < self.case.duration;
@@ -344,7 +344,7 @@
             let deadline = Micros::from(self.case.deadline());
             self.tally.count_try(&end, latency, deadline);
         }
-        let Some(at) = comes_back else {
+        let Some(at) = next_try_at else {
             if is_measured {
                 self.tally.count_call(&end);
             }
@@ -354,7 +354,7 @@
     }
 
     /// When a caller that was not served comes back, as documented.
-    fn comes_back_at(&self, index: CallIndex, end: &CallEnd) -> Option<Micros> {
+    fn next_try_at(&self, index: CallIndex, end: &CallEnd) -> Option<Micros> {
         let call = self.call(index);
         if !self.case.callers_resend || call.tries >= MAX_TRIES {
             return None;
@@ -368,7 +368,7 @@
         }
         let wait = match refusal.retry_after_ms {
             Some(retry_after) => Micros::from(retry_after),
-            None => UNTOLD_WAIT,
+            None => DEFAULT_RETRY_WAIT,
         };
         Some(self.now + CALLER_ROUND_TRIP + wait)
     }
--- a/crates/lab/src/world/faults.rs
+++ b/crates/lab/src/world/faults.rs
@@ -12,19 +12,19 @@
 use crate::prelude::*;
 
 /// Word of a leaving gate reaches every entry in this time.
-const LEAVING_HEARD: Micros = Micros::from_millis(1_000);
+const LEAVING_DELAY: Micros = Micros::from_millis(1_000);
 /// Word of a new life reaches every entry in this time.
-const NEW_LIFE_HEARD: Micros = Micros::from_millis(200);
+const INCARNATION_DELAY: Micros = Micros::from_millis(200);
 /// Silence after which control calls a peer of a small service doubtful.
-const DOUBT_AFTER: Micros = Micros::from_millis(6_000);
+const DOUBTFUL_AFTER: Micros = Micros::from_millis(6_000);
 /// Time after which a silent open connection counts as broken; the daemon
 /// pings an open connection and gives up on the answer after this time.
-const KEEP_ALIVE: Micros = Micros::from_millis(2_000);
+const KEEP_ALIVE_TIMEOUT: Micros = Micros::from_millis(2_000);
 /// Word of a peer that is heard again reaches every entry in this time.
-const RETURN_HEARD: Micros = Micros::from_millis(1_000);
+const RECOVERY_DELAY: Micros = Micros::from_millis(1_000);
 /// Suspicion reaches every gate in this time: control sends it at once, and
 /// traffic reads a new snapshot within a tick.
-const SUSPECTS_HEARD: Micros = Micros::from_millis(55);
+const SUSPECTS_DELAY: Micros = Micros::from_millis(55);
 /// Time that a crashed target needs to be up again.
 const RESTART_TIME: Micros = Micros::from_millis(2_000);
 const CRASH_IDENTITY: u64 = 0x0c0f_fee0;
@@ -37,21 +37,22 @@
             Fault::FailFast { target, on } => self.first(target).set_fails_fast(on),
             Fault::Drain { target } => {
                 self.host_mut(first(target)).leave();
-                self.queue.schedule(now + LEAVING_HEARD, Event::ViewUpdate);
+                self.queue.schedule(now + LEAVING_DELAY, Event::ViewUpdate);
             }
             Fault::ColdStart { target } => {
                 let suspects = Arc::new(self.suspects.snapshot());
                 self.host_mut(first(target)).restart(&suspects, now);
                 self.disconnect(first(target));
-                self.queue.schedule(now + NEW_LIFE_HEARD, Event::ViewUpdate);
+                self.queue
+                    .schedule(now + INCARNATION_DELAY, Event::ViewUpdate);
             }
             Fault::CrashCall => {
                 let node = self.live_node(0);
                 self.add_call(CallKind::Crashing, 0, node, CRASH_IDENTITY);
             }
             Fault::Restarted { target } => self.first(target).start_cold(now),
-            Fault::LoseDataCentre { data_centre } => self.lose(data_centre),
-            Fault::ReturnDataCentre { data_centre } => self.bring_back(data_centre),
+            Fault::LoseDataCentre { data_centre } => self.lose_data_centre(data_centre),
+            Fault::RestoreDataCentre { data_centre } => self.restore_data_centre(data_centre),
         }
     }
 
@@ -81,23 +82,23 @@
         let fault = Fault::Restarted { target: id.target };
         let at = self.now + RESTART_TIME;
         self.queue.schedule(at, Event::Fault(fault));
-        self.tell_suspects(&entries);
+        self.merge_suspects(&entries);
     }
 
     /// Suspicion reaches the other gates by control.
-    pub(super) fn tell_suspects(&mut self, entries: &[SuspectEntry]) {
+    pub(super) fn merge_suspects(&mut self, entries: &[SuspectEntry]) {
         let now = self.now.floor_millis();
         let mut changed = false;
         for entry in entries {
             changed |= self.suspects.merge(entry, now);
         }
         if changed {
-            let at = self.now + SUSPECTS_HEARD;
-            self.queue.schedule(at, Event::SuspectsHeard);
+            let at = self.now + SUSPECTS_DELAY;
+            self.queue.schedule(at, Event::SuspectsUpdate);
         }
     }
 
-    pub(super) fn hear_suspects(&mut self) {
+    pub(super) fn update_suspects(&mut self) {
         let snapshot = Arc::new(self.suspects.snapshot());
         for service in &mut self.services {
             for host in &mut service.hosts {
@@ -108,19 +109,19 @@
         }
     }
 
-    fn lose(&mut self, data_centre: usize) {
+    fn lose_data_centre(&mut self, data_centre: usize) {
         let now = self.now;
         self.lost_data_centres[data_centre] = Some(now);
         for service in &mut self.services {
             for host in &mut service.hosts {
                 if host.data_centre == data_centre {
-                    host.lost_since = Some(now);
+                    host.unreachable_since = Some(now);
                 }
             }
         }
         self.fail_calls_at_lost_entries();
         self.break_attempts_at_lost_hosts();
-        self.queue.schedule(now + DOUBT_AFTER, Event::ViewUpdate);
+        self.queue.schedule(now + DOUBTFUL_AFTER, Event::ViewUpdate);
     }
 
     /// Callers of the lost entries see their connections break.
@@ -133,13 +134,13 @@
                 continue;
             }
             let refusal = Refusal::fixed(ResultCode::GateLost);
-            self.conclude(index, CallEnd::Failed(refusal));
+            self.finish_try(index, CallEnd::Failed(refusal));
         }
     }
 
     /// What is at a lost host ends there; its entries see it by keep-alive.
     fn break_attempts_at_lost_hosts(&mut self) {
-        let at = self.now + KEEP_ALIVE;
+        let at = self.now + KEEP_ALIVE_TIMEOUT;
         for index in 0..self.attempts.len() {
             let index = AttemptIndex(index);
             let attempt = self.attempt(index);
@@ -147,7 +148,7 @@
             if attempt.stage == Stage::Ended || attempt.stage == Stage::Sent {
                 continue;
             }
-            if self.host(id).lost_since.is_none() {
+            if self.host(id).unreachable_since.is_none() {
                 continue;
             }
             self.cancel_at_gate(index);
@@ -158,23 +159,23 @@
         for service in 0..self.services.len() {
             for target in 0..self.services[service].hosts.len() {
                 let id = HostId { service, target };
-                if self.host(id).lost_since.is_some() {
+                if self.host(id).unreachable_since.is_some() {
                     self.disconnect(id);
                 }
             }
         }
     }
 
-    fn bring_back(&mut self, data_centre: usize) {
+    fn restore_data_centre(&mut self, data_centre: usize) {
         self.lost_data_centres[data_centre] = None;
         for service in &mut self.services {
             for host in &mut service.hosts {
                 if host.data_centre == data_centre {
-                    host.lost_since = None;
+                    host.unreachable_since = None;
                 }
             }
         }
-        let at = self.now + RETURN_HEARD;
+        let at = self.now + RECOVERY_DELAY;
         self.queue.schedule(at, Event::ViewUpdate);
     }
 }
--- a/crates/lab/src/world/gate_side.rs
+++ b/crates/lab/src/world/gate_side.rs
@@ -14,7 +14,7 @@
 /// Time after which an entry gives up on a new connection.
 const CONNECT_TIMEOUT: Micros = Micros::from_millis(750);
 /// What a gate that met a refused connection tells its entry to wait.
-const SHED_WAIT: Millis = Millis(100);
+const REFUSAL_RETRY_AFTER: Millis = Millis(100);
 
 impl World {
     pub(super) fn attempt_at_gate(&mut self, index: AttemptIndex) {
@@ -23,7 +23,7 @@
         if self.attempt(index).stage != Stage::Sent {
             return;
         }
-        if self.is_cut_off(index) {
+        if self.is_unreachable(index) {
             self.fail_to_connect(index);
             return;
         }
@@ -32,18 +32,18 @@
             return;
         }
         if self.host(host).leaving {
-            let refusal = Refusal::retry_after(ResultCode::Leaving, SHED_WAIT);
+            let refusal = Refusal::retry_after(ResultCode::Leaving, REFUSAL_RETRY_AFTER);
             self.send_end(index, AttemptEnd::Refused(refusal));
             return;
         }
         self.start_at_target(index);
     }
 
-    fn is_cut_off(&self, index: AttemptIndex) -> bool {
+    fn is_unreachable(&self, index: AttemptIndex) -> bool {
         let attempt = self.attempt(index);
         let node = self.call(attempt.call).node;
         let node_lost = self.lost_data_centres[self.nodes[node].data_centre].is_some();
-        node_lost || self.host(attempt.host).lost_since.is_some()
+        node_lost || self.host(attempt.host).unreachable_since.is_some()
     }
 
     fn fail_to_connect(&mut self, index: AttemptIndex) {
@@ -86,7 +86,7 @@
                 host.attempts.insert(run, index);
                 let attempt = self.attempt_mut(index);
                 attempt.run = Some(run);
-                attempt.stage = Stage::Held(run);
+                attempt.stage = Stage::Queued(run);
             }
             Verdict::Join(run) => {
                 host.joined.push((run, index));
@@ -95,8 +95,8 @@
             Verdict::Replay(_) => self.send_end(index, AttemptEnd::Answered { failed: false }),
             Verdict::Refuse(refusal) => self.send_end(index, AttemptEnd::Refused(refusal)),
         }
-        self.follow(id, wakes);
-        self.tell_suspects(accused.as_slice());
+        self.apply_wakes(id, wakes);
+        self.merge_suspects(accused.as_slice());
     }
 
     fn start_at_target(&mut self, index: AttemptIndex) {
@@ -147,7 +147,7 @@
         }
         let identity = call.identity;
         let node = self.host(id).node;
-        self.host_mut(id).target.calls_on(index);
+        self.host_mut(id).target.wait_for_nested_call(index);
         self.add_call(CallKind::FromTarget(index), next_service, node, identity);
     }
 
@@ -161,8 +161,8 @@
     }
 
     /// The call that a target made on behalf of a run has ended.
-    pub(super) fn child_concluded(&mut self, parent: AttemptIndex, answered: bool) {
-        self.attempt_mut(parent).child = None;
+    pub(super) fn nested_call_ended(&mut self, parent: AttemptIndex, answered: bool) {
+        self.attempt_mut(parent).nested_call = None;
         if self.attempt(parent).stage != Stage::AtTarget {
             return;
         }
@@ -179,7 +179,7 @@
         let service_time = now.since(attempt.at_target_since);
         let attempt_end = attempt_end(&end);
         let host = self.host_mut(id);
-        let held = host.target.remove(index, now);
+        let slot_time = host.target.remove(index, now);
         if matches!(end, RunEnd::Answered { .. }) {
             host.observe_service_time(service_time);
         }
@@ -188,14 +188,14 @@
             host.attempts.remove(&run);
             wakes = gate.finish(run, end, service_time.to_u32(), now.floor_millis());
         }
-        self.attempt_mut(index).held = held;
-        self.tally.busy_us += held.0;
+        self.attempt_mut(index).slot_time = slot_time;
+        self.tally.busy_us += slot_time.0;
         match attempt_end {
             Some(attempt_end) => self.send_end(index, attempt_end),
             None => self.attempt_mut(index).stage = Stage::Ended,
         }
         self.start_waiting(id);
-        self.follow(id, wakes);
+        self.apply_wakes(id, wakes);
     }
 
     fn start_waiting(&mut self, id: HostId) {
@@ -206,7 +206,7 @@
     }
 
     /// Does what a gate has decided about the calls that it held.
-    pub(super) fn follow(&mut self, id: HostId, wakes: Vec<Wake>) {
+    pub(super) fn apply_wakes(&mut self, id: HostId, wakes: Vec<Wake>) {
         for wake in wakes {
             match wake {
                 Wake::Start(run) => {
@@ -288,18 +288,18 @@
                     .joined
                     .retain(|(_, joined)| *joined != index);
             }
-            Stage::Held(run) => {
+            Stage::Queued(run) => {
                 self.attempt_mut(index).stage = Stage::Ended;
                 let host = self.host_mut(id);
                 host.attempts.remove(&run);
                 let gate = host.gate.as_mut().expect("only gates hold calls");
                 let wakes = gate.abandon(run, now);
-                self.follow(id, wakes);
+                self.apply_wakes(id, wakes);
             }
             Stage::AtTarget => {
-                if let Some(child) = self.attempt_mut(index).child.take() {
-                    self.cancel_attempts(child, AttemptEnd::Cancelled);
-                    self.call_mut(child).live = false;
+                if let Some(nested_call) = self.attempt_mut(index).nested_call.take() {
+                    self.cancel_attempts(nested_call, AttemptEnd::Cancelled);
+                    self.call_mut(nested_call).live = false;
                 }
                 self.run_ended(index, RunEnd::Cancelled);
             }
@@ -313,8 +313,8 @@
         };
         let wakes = gate.tick(now);
         let cleared = gate.take_cleared();
-        self.follow(id, wakes);
-        self.tell_suspects(&cleared);
+        self.apply_wakes(id, wakes);
+        self.merge_suspects(&cleared);
     }
 }
 
@@ -325,7 +325,7 @@
         RunEnd::Answered { failed, .. } => Some(AttemptEnd::Answered { failed: *failed }),
         RunEnd::NotRun => Some(AttemptEnd::Refused(Refusal::retry_after(
             ResultCode::Overloaded,
-            SHED_WAIT,
+            REFUSAL_RETRY_AFTER,
         ))),
         RunEnd::Unreachable => Some(AttemptEnd::Unreachable),
         RunEnd::Broken => Some(AttemptEnd::Broken),
--- a/crates/lab/src/world/tally.rs
+++ b/crates/lab/src/world/tally.rs
@@ -6,9 +6,9 @@
 use crate::policy::PolicyKind;
 use crate::prelude::*;
 
-const LONGEST_US: u64 = 60_000_000;
+const MAX_LATENCY_US: u64 = 60_000_000;
 /// Three digits: quantiles are exact to a thousandth.
-const DIGITS: u8 = 3;
+const SIGNIFICANT_DIGITS: u8 = 3;
 
 /// How a call ended for its caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -125,7 +125,8 @@
 }
 
 fn histogram() -> Histogram<u64> {
-    Histogram::new_with_bounds(1, LONGEST_US, DIGITS).expect("the bounds are in range")
+    Histogram::new_with_bounds(1, MAX_LATENCY_US, SIGNIFICANT_DIGITS)
+        .expect("the bounds are in range")
 }
 
 fn ratio(part: u64, whole: u64) -> f64 {
--- a/crates/lab/src/world/views.rs
+++ b/crates/lab/src/world/views.rs
@@ -28,7 +28,7 @@
                 incarnation: Some(host.incarnation),
                 distance_us: distance_us(node, data_centre, host),
                 leaving: host.leaving,
-                doubtful: host.lost_since.is_some(),
+                doubtful: host.unreachable_since.is_some(),
                 load: Some(HeardLoad {
                     report: host.load(self.now),
                     heard_at: self.now.floor_millis(),
--- a/crates/lab/tests/capacity.rs
+++ b/crates/lab/tests/capacity.rs
@@ -57,7 +57,7 @@
 /// A node that calls 30 targets in one second hears of each by an answer, and
 /// none of this costs a probe or makes it publish more than five tables.
 #[test]
-fn loads_on_answers_cost_no_messages() {
+fn load_reports_on_answers_add_no_messages() {
     let calling = figures(Layout::caller_and_callees(5, 5, 6), Calls::EveryTarget);
     assert!(calling.bytes_per_s() <= MAX_BYTES_PER_S / 2.0);
     assert!(calling.probes_per_s <= 0.5);
--- a/tests/all/not_run.rs
+++ b/tests/all/not_run.rs
@@ -241,10 +241,7 @@
         let never_ran =
             |received: &Certainty| matches!(received, Certainty::NotYet | Certainty::TicketDead);
         if received.unanswered_sends == 0 && received.certainties.iter().all(never_ran) {
-            assert_eq!(
-                runs, 0,
-                "the answers exclude a run of {key}: {received:?}"
-            );
+            assert_eq!(runs, 0, "the answers exclude a run of {key}: {received:?}");
         }
     }
     for (nonce, received) in &*answer_log
