--- a/crates/text/src/change.rs
+++ b/crates/text/src/change.rs
@@ -269,9 +269,11 @@
             } => write!(f, "{service}: call {call}: {change}"),
             Self::RouteAdded { route } => {
                 let to = route.destinations();
-                write!(f, "route {} to {to} is added", route.under())
+                write!(f, "route {} to {to} is added", route.host_and_prefix())
+            }
+            Self::RouteRemoved { route } => {
+                write!(f, "route {} is removed", route.host_and_prefix())
             }
-            Self::RouteRemoved { route } => write!(f, "route {} is removed", route.under()),
             Self::Route {
                 under,
                 field,
--- a/crates/text/src/change/consequence.rs
+++ b/crates/text/src/change/consequence.rs
@@ -13,8 +13,8 @@
         Change::DefaultDistance { .. } | Change::Distance { .. } => {
             "picking weighs targets in other data centres anew".to_owned()
         }
-        Change::ServiceAdded { depends_on, .. } => added(depends_on),
-        Change::ServiceRemoved { former_callers, .. } => removed(former_callers),
+        Change::ServiceAdded { depends_on, .. } => service_added(depends_on),
+        Change::ServiceRemoved { former_callers, .. } => service_removed(former_callers),
         Change::DependencyAdded {
             service,
             dependency,
@@ -54,14 +54,17 @@
     Some(consequence.to_owned())
 }
 
-fn added(depends_on: &[ServiceName]) -> String {
+fn service_added(depends_on: &[ServiceName]) -> String {
     if depends_on.is_empty() {
         return "its calls are taken; it depends on no service".to_owned();
     }
-    format!("its calls are taken; it depends on {}", listed(depends_on))
+    format!(
+        "its calls are taken; it depends on {}",
+        join_names(depends_on)
+    )
 }
 
-fn removed(former_callers: &[ServiceName]) -> String {
+fn service_removed(former_callers: &[ServiceName]) -> String {
     let refusal = format!("its calls are refused with {}", ResultCode::UnknownService);
     if former_callers.is_empty() {
         return refusal;
@@ -73,11 +76,11 @@
     };
     format!(
         "{refusal}; {} no longer {verb} on it",
-        listed(former_callers)
+        join_names(former_callers)
     )
 }
 
-fn listed(names: &[ServiceName]) -> String {
+fn join_names(names: &[ServiceName]) -> String {
     let mut words = String::new();
     for (index, name) in names.iter().enumerate() {
         let separator = match index {
@@ -96,11 +99,11 @@
         CallChange::Match { .. } | CallChange::Idempotent { .. } => None,
         CallChange::Class { old, new } if new < old => Some("it is served earlier".to_owned()),
         CallChange::Class { .. } => Some("it is served later".to_owned()),
-        CallChange::DeadlineMs { old, new } => Some(deadline(old.0 as f64, new.0 as f64)),
+        CallChange::DeadlineMs { old, new } => Some(deadline_changed(old.0 as f64, new.0 as f64)),
     }
 }
 
-fn deadline(old: f64, new: f64) -> String {
+fn deadline_changed(old: f64, new: f64) -> String {
     let when = if new < old { "sooner" } else { "later" };
     format!("calls without a deadline of their own are given up {when}")
 }
@@ -134,7 +137,7 @@
         Setting::QueueLimit => unless_zero(new, "no call waits for a slot", || {
             format!("at most {new} calls wait at a gate; others are refused as not run")
         }),
-        Setting::DeadlineMs => deadline(old, new),
+        Setting::DeadlineMs => deadline_changed(old, new),
         Setting::TicketTtlMs => {
             format!("new tickets are valid for {new} ms; those already issued keep their time")
         }
--- a/crates/text/src/change/grouped.rs
+++ b/crates/text/src/change/grouped.rs
@@ -15,7 +15,7 @@
     /// The change of the first service.
     pub change: &'a Change,
     /// The other services, in order.
-    pub also: Vec<&'a ServiceName>,
+    pub others: Vec<&'a ServiceName>,
 }
 
 /// Puts equal changes of numbers together, at the place of the first.
@@ -25,7 +25,7 @@
 #[must_use]
 pub fn grouped(changes: &[Change]) -> Vec<GroupedChange<'_>> {
     let mut groups: Vec<GroupedChange<'_>> = Vec::new();
-    let mut places: HashMap<(Setting, u64, u64), usize> = HashMap::new();
+    let mut group_indices: HashMap<(Setting, u64, u64), usize> = HashMap::new();
     for change in changes {
         let Change::Setting {
             service,
@@ -34,40 +34,40 @@
             new,
         } = change
         else {
-            groups.push(alone(change));
+            groups.push(single(change));
             continue;
         };
         let key = (*setting, old.to_bits(), new.to_bits());
-        if let Some(place) = places.get(&key) {
-            groups[*place].also.push(service);
+        if let Some(index) = group_indices.get(&key) {
+            groups[*index].others.push(service);
             continue;
         }
-        places.insert(key, groups.len());
-        groups.push(alone(change));
+        group_indices.insert(key, groups.len());
+        groups.push(single(change));
     }
     groups
 }
 
-fn alone(change: &Change) -> GroupedChange<'_> {
+fn single(change: &Change) -> GroupedChange<'_> {
     GroupedChange {
         change,
-        also: Vec::new(),
+        others: Vec::new(),
     }
 }
 
 impl fmt::Display for GroupedChange<'_> {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         self.change.fmt(f)?;
-        if self.also.is_empty() {
+        if self.others.is_empty() {
             return Ok(());
         }
         f.write_str("; the same for ")?;
-        for (index, service) in self.also.iter().take(MAX_NAMED).enumerate() {
+        for (index, service) in self.others.iter().take(MAX_NAMED).enumerate() {
             let separator = if index == 0 { "" } else { ", " };
             write!(f, "{separator}{service}")?;
         }
-        if self.also.len() > MAX_NAMED {
-            write!(f, " and {} more", self.also.len() - MAX_NAMED)?;
+        if self.others.len() > MAX_NAMED {
+            write!(f, " and {} more", self.others.len() - MAX_NAMED)?;
         }
         Ok(())
     }
--- a/crates/text/src/checked.rs
+++ b/crates/text/src/checked.rs
@@ -39,8 +39,8 @@
     #[must_use]
     pub fn route_set(&self, version: u64) -> RouteSet {
         let mut routes = RouteSet::new(version, CallerLimits::default());
-        for one in &self.routes {
-            routes.add(&one.host, one.route.clone());
+        for host_route in &self.routes {
+            routes.add(&host_route.host, host_route.route.clone());
         }
         routes
     }
@@ -56,7 +56,11 @@
     pub fn callers_of(&self, name: &str) -> Vec<&ServiceName> {
         let mut callers = Vec::new();
         for service in &self.services {
-            if !service.depends_on.iter().any(|one| one.as_str() == name) {
+            if !service
+                .depends_on
+                .iter()
+                .any(|dependency| dependency.as_str() == name)
+            {
                 continue;
             }
             callers.push(&service.service);
@@ -79,7 +83,7 @@
 impl HostRoute {
     /// Host and prefix, as reports name a route.
     #[must_use]
-    pub fn under(&self) -> String {
+    pub fn host_and_prefix(&self) -> String {
         format!("{}{}", self.host, self.route.prefix)
     }
 
@@ -87,8 +91,8 @@
     #[must_use]
     pub fn destinations(&self) -> String {
         let mut parts = Vec::new();
-        for part in &self.route.destinations {
-            parts.push(format!("{} {}", part.service, part.weight));
+        for destination in &self.route.destinations {
+            parts.push(format!("{} {}", destination.service, destination.weight));
         }
         parts.join(", ")
     }
@@ -103,7 +107,7 @@
     /// It follows another value.
     Follows {
         /// The value that it follows.
-        value: Followed,
+        value: FollowedValue,
     },
     /// The text's `defaults` set it.
     Defaults {
@@ -121,7 +125,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, strum::Display)]
 #[serde(rename_all = "snake_case")]
 #[strum(serialize_all = "snake_case")]
-pub enum Followed {
+pub enum FollowedValue {
     /// The service's slots.
     Slots,
     /// The service's deadline.
--- a/crates/text/src/diff.rs
+++ b/crates/text/src/diff.rs
@@ -48,11 +48,11 @@
 }
 
 fn diff_route(before: &HostRoute, after: &HostRoute, changes: &mut Vec<Change>) {
-    let values = |one: &HostRoute| {
-        let route = &one.route;
+    let values = |host_route: &HostRoute| {
+        let route = &host_route.route;
         [
             ("name", route.name.clone()),
-            ("to", one.destinations()),
+            ("to", host_route.destinations()),
             ("idempotent", route.kind.is_idempotent().to_string()),
             ("timeout_ms", route.timeout_ms.0.to_string()),
             ("objective_ms", route.objective_ms.0.to_string()),
@@ -65,7 +65,7 @@
             continue;
         }
         changes.push(Change::Route {
-            under: after.under(),
+            under: after.host_and_prefix(),
             field,
             old,
             new,
@@ -149,8 +149,8 @@
         });
     }
     for (old, new) in paired(&before.distances, &after.distances, distance_order) {
-        let old_us = old.map_or(old_default, |one| one.one_way_us);
-        let new_us = new.map_or(new_default, |one| one.one_way_us);
+        let old_us = old.map_or(old_default, |distance| distance.one_way_us);
+        let new_us = new.map_or(new_default, |distance| distance.one_way_us);
         let Some(ends) = old.or(new) else {
             continue;
         };
--- a/crates/text/src/explain.rs
+++ b/crates/text/src/explain.rs
@@ -41,10 +41,13 @@
         });
     }
     let mut routes = Vec::new();
-    for one in &text.routes {
-        let parts = &one.route.destinations;
-        if parts.iter().any(|part| part.service == policy.service) {
-            routes.push(one.clone());
+    for host_route in &text.routes {
+        let destinations = &host_route.route.destinations;
+        if destinations
+            .iter()
+            .any(|destination| destination.service == policy.service)
+        {
+            routes.push(host_route.clone());
         }
     }
     Ok(Explanation {
--- a/crates/text/src/explanation.rs
+++ b/crates/text/src/explanation.rs
@@ -6,8 +6,8 @@
 use thiserror::Error;
 
 use crate::checked::HostRoute;
-pub use crate::checked::{Followed, Origin};
-use crate::fault::meant;
+pub use crate::checked::{FollowedValue, Origin};
+use crate::fault::suggestion;
 use crate::prelude::*;
 use crate::setting::Group;
 
@@ -64,7 +64,7 @@
 
 /// The text has no such service.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
-#[error("the text has no service {service:?}{}", meant(nearest.as_deref()))]
+#[error("the text has no service {service:?}{}", suggestion(nearest.as_deref()))]
 pub struct UnknownService {
     /// The name asked for.
     pub service: String,
@@ -132,18 +132,18 @@
             let deadline_ms = call.deadline_ms.0.to_string();
             row(f, "  deadline_ms", &deadline_ms, &explained.deadline_origin)?;
         }
-        for one in &self.routes {
-            let route = &one.route;
+        for host_route in &self.routes {
+            let route = &host_route.route;
             writeln!(
                 f,
                 "  route {}: {}, line {}",
                 route.name,
-                one.under(),
-                one.line
+                host_route.host_and_prefix(),
+                host_route.line
             )?;
             let idempotent = route.kind.is_idempotent();
             for (key, value) in [
-                ("  to", one.destinations()),
+                ("  to", host_route.destinations()),
                 ("  idempotent", idempotent.to_string()),
                 ("  timeout_ms", route.timeout_ms.0.to_string()),
                 ("  objective_ms", route.objective_ms.0.to_string()),
--- a/crates/text/src/fault.rs
+++ b/crates/text/src/fault.rs
@@ -55,12 +55,12 @@
 
 /// One fault of a text; a text with faults is refused whole.
 #[derive(Clone, Debug, PartialEq, Error)]
-#[error("{position}: {place}{kind}{}", allowed_suffix(kind))]
+#[error("{position}: {path}{kind}{}", allowed_suffix(kind))]
 pub struct Fault {
     /// Where it stands.
     pub position: Position,
     /// The keys that lead there.
-    pub place: Place,
+    pub path: KeyPath,
     /// What is wrong.
     pub kind: FaultKind,
 }
@@ -69,9 +69,9 @@
 /// the whole text.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(transparent)]
-pub struct Place(pub String);
+pub struct KeyPath(pub String);
 
-impl fmt::Display for Place {
+impl fmt::Display for KeyPath {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         if self.0.is_empty() {
             return Ok(());
@@ -103,7 +103,7 @@
         size_bytes: usize,
     },
     /// A key that no object of this kind has.
-    #[error("unknown key {}{}", quoted(key), meant(nearest.as_deref()))]
+    #[error("unknown key {}{}", quoted(key), suggestion(nearest.as_deref()))]
     UnknownKey {
         /// The key.
         key: String,
@@ -184,7 +184,7 @@
     #[error(
         "service {service} depends on {}, which is not a service of this text{}",
         quoted(dependency),
-        meant(nearest.as_deref())
+        suggestion(nearest.as_deref())
     )]
     UnknownDependency {
         /// The service, or `defaults`.
@@ -201,7 +201,7 @@
         cycle: String,
     },
     /// A class that does not exist.
-    #[error("unknown class {}{}", quoted(class), meant(*nearest))]
+    #[error("unknown class {}{}", quoted(class), suggestion(*nearest))]
     UnknownClass {
         /// The class, shortened.
         class: String,
@@ -230,7 +230,7 @@
     #[error(
         "route {route} leads to {}, which is not a service of this text{}",
         quoted(service),
-        meant(nearest.as_deref())
+        suggestion(nearest.as_deref())
     )]
     UnknownDestination {
         /// Name of the route.
@@ -247,7 +247,7 @@
         route: String,
     },
     /// A distance from or to a data centre that the text does not list.
-    #[error("unknown data centre {}{}", quoted(data_centre), meant(nearest.as_deref()))]
+    #[error("unknown data centre {}{}", quoted(data_centre), suggestion(nearest.as_deref()))]
     UnknownDataCentre {
         /// The data centre, shortened.
         data_centre: String,
@@ -328,7 +328,7 @@
     format!("; allowed: {}", kind.allowed())
 }
 
-pub(crate) fn meant(nearest: Option<&str>) -> String {
+pub(crate) fn suggestion(nearest: Option<&str>) -> String {
     match nearest {
         Some(name) => format!("; did you mean \"{name}\"?"),
         None => String::new(),
@@ -340,7 +340,7 @@
 struct FaultRecord<'a> {
     line: u32,
     column: u32,
-    place: &'a Place,
+    place: &'a KeyPath,
     kind: &'static str,
     reason: String,
     allowed: String,
@@ -351,7 +351,7 @@
         let record = FaultRecord {
             line: self.position.line,
             column: self.position.column,
-            place: &self.place,
+            place: &self.path,
             kind: self.kind.name(),
             reason: self.kind.to_string(),
             allowed: self.kind.allowed(),
--- a/crates/text/src/graph.rs
+++ b/crates/text/src/graph.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 
 use crate::draft::{Located, TextDraft};
-use crate::fault::{FaultKind, Place};
+use crate::fault::{FaultKind, KeyPath};
 use crate::limits::{MAX_CYCLE_NAMES, MAX_DEPTH};
 use crate::name::shortened;
 use crate::nearest::nearest;
@@ -16,24 +16,24 @@
     graph.check_known(report);
     let mut search = Search::new(&graph);
     for service in 0..draft.services.len() {
-        search.from(service, report);
+        search.search_from(service, report);
     }
-    search.warn_of_depth(report);
+    search.warn_about_depth(report);
 }
 
 /// Services as numbers, in the order of the text.
 struct Graph<'d, 'v> {
     draft: &'d TextDraft<'v>,
-    numbers: HashMap<&'v str, usize>,
+    indices: HashMap<&'v str, usize>,
 }
 
 impl<'d, 'v> Graph<'d, 'v> {
     fn new(draft: &'d TextDraft<'v>) -> Self {
-        let mut numbers = HashMap::new();
-        for (number, service) in draft.services.iter().enumerate() {
-            numbers.insert(service.name.value, number);
+        let mut indices = HashMap::new();
+        for (index, service) in draft.services.iter().enumerate() {
+            indices.insert(service.name.value, index);
         }
-        Self { draft, numbers }
+        Self { draft, indices }
     }
 
     fn name(&self, service: usize) -> &'v str {
@@ -61,12 +61,12 @@
     fn check_list(
         &self,
         owner: &str,
-        owner_place: &str,
+        owner_path: &str,
         list: &[Located<&str>],
         report: &mut Report<'_, '_>,
     ) {
         for dependency in list {
-            if self.numbers.contains_key(dependency.value) {
+            if self.indices.contains_key(dependency.value) {
                 continue;
             }
             report.fault(dependency.offset, || {
@@ -76,7 +76,7 @@
                     dependency: shortened(dependency.value),
                     nearest: nearest(dependency.value, known).map(str::to_owned),
                 };
-                (Place(format!("{owner_place}.depends_on")), kind)
+                (KeyPath(format!("{owner_path}.depends_on")), kind)
             });
         }
     }
@@ -120,7 +120,7 @@
         }
     }
 
-    fn from(&mut self, start: usize, report: &mut Report<'_, '_>) {
+    fn search_from(&mut self, start: usize, report: &mut Report<'_, '_>) {
         if self.progress[start] != Progress::Unseen {
             return;
         }
@@ -137,17 +137,17 @@
     }
 
     fn follow(&mut self, from: usize, edge: Located<&'v str>, report: &mut Report<'_, '_>) {
-        let Some(&to) = self.graph.numbers.get(edge.value) else {
+        let Some(&to) = self.graph.indices.get(edge.value) else {
             return;
         };
         self.is_dependency[to] = true;
         match self.progress[to] {
             Progress::Unseen => self.enter(to),
-            Progress::Done => self.deepen(from, to),
+            Progress::Done => self.update_depth(from, to),
             Progress::OnPath(first) => report.fault(edge.offset, || {
-                let place = Place(format!("services.{}.depends_on", self.graph.name(from)));
+                let path = KeyPath(format!("services.{}.depends_on", self.graph.name(from)));
                 let cycle = self.describe_cycle(first);
-                (place, FaultKind::CircularDependency { cycle })
+                (path, FaultKind::CircularDependency { cycle })
             }),
         }
     }
@@ -163,32 +163,32 @@
     fn leave(&mut self, service: usize) {
         self.progress[service] = Progress::Done;
         self.path.pop();
-        if let Some(above) = self.path.last() {
-            self.deepen(above.service, service);
+        if let Some(caller) = self.path.last() {
+            self.update_depth(caller.service, service);
         }
     }
 
-    fn deepen(&mut self, from: usize, to: usize) {
+    fn update_depth(&mut self, from: usize, to: usize) {
         self.depths[from] = self.depths[from].max(self.depths[to] + 1);
     }
 
     fn describe_cycle(&self, first: usize) -> String {
         let cycle = &self.path[first..];
-        let mut words = String::new();
+        let mut description = String::new();
         for visit in cycle.iter().take(MAX_CYCLE_NAMES) {
-            words.push_str(&shortened(self.graph.name(visit.service)));
-            words.push_str(" -> ");
+            description.push_str(&shortened(self.graph.name(visit.service)));
+            description.push_str(" -> ");
         }
         if cycle.len() > MAX_CYCLE_NAMES {
             let left_out = cycle.len() - MAX_CYCLE_NAMES;
-            words.push_str(&format!("({left_out} more) -> "));
+            description.push_str(&format!("({left_out} more) -> "));
         }
-        words.push_str(&shortened(self.graph.name(cycle[0].service)));
-        words
+        description.push_str(&shortened(self.graph.name(cycle[0].service)));
+        description
     }
 
     /// Warns at services that nothing depends on, where chains begin.
-    fn warn_of_depth(&self, report: &mut Report<'_, '_>) {
+    fn warn_about_depth(&self, report: &mut Report<'_, '_>) {
         for (service, depth) in self.depths.iter().copied().enumerate() {
             if depth <= MAX_DEPTH || self.is_dependency[service] {
                 continue;
@@ -200,7 +200,7 @@
                     depth,
                     limit: MAX_DEPTH,
                 };
-                (Place(format!("services.{}", name.value)), kind)
+                (KeyPath(format!("services.{}", name.value)), kind)
             });
         }
     }
--- a/crates/text/src/lib.rs
+++ b/crates/text/src/lib.rs
@@ -46,7 +46,7 @@
 pub use syntax::SYNTAX;
 pub use warning::{Warning, WarningKind};
 
-use fault::Place;
+use fault::KeyPath;
 use position::LineIndex;
 use report::Report;
 
@@ -64,7 +64,7 @@
     let valid = std::str::from_utf8(valid).unwrap_or_default();
     let lines = LineIndex::new(valid);
     let mut report = Report::new(&lines);
-    report.fault(valid.len(), || (Place::default(), FaultKind::NotUtf8));
+    report.fault(valid.len(), || (KeyPath::default(), FaultKind::NotUtf8));
     Err(report.into_faults())
 }
 
--- a/crates/text/src/read.rs
+++ b/crates/text/src/read.rs
@@ -13,7 +13,7 @@
 pub(crate) use call::ANY_METHOD;
 
 use crate::draft::{DistanceDraft, Located, NamedService, TextDraft};
-use crate::fault::{FaultKind, Place};
+use crate::fault::{FaultKind, KeyPath};
 use crate::keys::{DistanceKey, Key, TextKey};
 use crate::limits::{MAX_DATA_CENTRES, MAX_DISTANCES, MAX_SERVICES, MAX_TENANTS};
 use crate::name::{NameKind, shortened};
@@ -33,7 +33,7 @@
         return draft;
     };
     for (key, prop) in reader.entries(object, TextKey::VARIANTS) {
-        reader.under(key.name(), |reader| read_key(reader, key, prop, &mut draft));
+        reader.at_key(key.name(), |reader| read_key(reader, key, prop, &mut draft));
     }
     report_missing(
         &mut reader,
@@ -116,7 +116,7 @@
             offset: prop.start(),
         };
         reader.check_name(name, NameKind::Service);
-        let draft = reader.under(name.value, |reader| service::read(reader, &prop.value));
+        let draft = reader.at_key(name.value, |reader| service::read(reader, &prop.value));
         services.push(NamedService { name, draft });
     }
     services
@@ -132,7 +132,7 @@
         return distances;
     };
     for (index, element) in array.elements.iter().enumerate() {
-        let Some(found) = reader.at(index, |reader| distance(reader, element)) else {
+        let Some(found) = reader.at_index(index, |reader| distance(reader, element)) else {
             continue;
         };
         let (low, high) = ordered(found.from.value, found.to.value);
@@ -158,7 +158,7 @@
     let mut to = None;
     let mut one_way_ms = None;
     for (key, prop) in reader.entries(object, DistanceKey::VARIANTS) {
-        reader.under(key.name(), |reader| match key {
+        reader.at_key(key.name(), |reader| match key {
             DistanceKey::From => from = reader.name(&prop.value, NameKind::DataCentre),
             DistanceKey::To => to = reader.name(&prop.value, NameKind::DataCentre),
             DistanceKey::OneWayMs => one_way_ms = reader.number(&prop.value, DISTANCE_MS),
@@ -193,7 +193,7 @@
                     data_centre: shortened(end.value),
                     nearest: nearest(end.value, known.iter().copied()).map(str::to_owned),
                 };
-                (Place(format!("distances[{index}]")), kind)
+                (KeyPath(format!("distances[{index}]")), kind)
             });
         }
     }
--- a/crates/text/src/read/call.rs
+++ b/crates/text/src/read/call.rs
@@ -38,7 +38,7 @@
     let mut seen_matches = HashMap::new();
     let mut calls = Vec::new();
     for (index, element) in array.elements.iter().enumerate() {
-        let Some(call) = reader.at(index, |reader| read(reader, element)) else {
+        let Some(call) = reader.at_index(index, |reader| read(reader, element)) else {
             continue;
         };
         let pattern = format!("{} {}", call.method, call.path_prefix);
@@ -69,7 +69,7 @@
     let mut deadline_ms = None;
     for (key, prop) in reader.entries(object, CallEntryKey::VARIANTS) {
         let value = &prop.value;
-        reader.under(key.name(), |reader| match key {
+        reader.at_key(key.name(), |reader| match key {
             CallEntryKey::Name => name = reader.name(value, NameKind::Call),
             CallEntryKey::Match => matched = read_match(reader, value),
             CallEntryKey::Idempotent => idempotent = reader.boolean(value),
--- a/crates/text/src/read/route.rs
+++ b/crates/text/src/read/route.rs
@@ -9,7 +9,7 @@
 use super::call::is_path_prefix;
 use super::report_missing;
 use crate::draft::{DestinationDraft, Located, RouteDraft, TextDraft};
-use crate::fault::{FaultKind, Place};
+use crate::fault::{FaultKind, KeyPath};
 use crate::keys::{Key, RouteKey};
 use crate::limits::{MAX_DESTINATIONS, MAX_HOST_CHARS, MAX_ROUTES};
 use crate::name::{NameKind, shortened};
@@ -42,12 +42,12 @@
     let mut seen_names = HashMap::new();
     let mut seen_prefixes = HashMap::new();
     for (index, element) in array.elements.iter().enumerate() {
-        let Some(route) = reader.at(index, |reader| read(reader, index, element)) else {
+        let Some(route) = reader.at_index(index, |reader| read(reader, index, element)) else {
             continue;
         };
-        let under = format!("{}{}", route.host.value, route.prefix.value);
+        let host_and_prefix = format!("{}{}", route.host.value, route.prefix.value);
         let entry = Located {
-            value: under.as_str(),
+            value: host_and_prefix.as_str(),
             offset: route.prefix.offset,
         };
         if reader.is_repeated(&mut seen_names, route.name) {
@@ -73,7 +73,7 @@
     let deadline = Setting::DeadlineMs.range();
     for (key, prop) in reader.entries(object, RouteKey::VARIANTS) {
         let value = &prop.value;
-        reader.under(key.name(), |reader| match key {
+        reader.at_key(key.name(), |reader| match key {
             RouteKey::Name => name = reader.name(value, NameKind::Call),
             RouteKey::Host => host = read_host(reader, value),
             RouteKey::Prefix => prefix = read_prefix(reader, value),
@@ -127,7 +127,7 @@
             value: prop.name.as_str(),
             offset: prop.start(),
         };
-        let weight = reader.under(service.value, |reader| reader.number(&prop.value, WEIGHT));
+        let weight = reader.at_key(service.value, |reader| reader.number(&prop.value, WEIGHT));
         let Some(weight) = weight.map(|found| found.value) else {
             continue;
         };
@@ -173,26 +173,26 @@
 pub(super) fn check_destinations(draft: &TextDraft<'_>, report: &mut Report<'_, '_>) {
     let known: Vec<&str> = draft.services.iter().map(|one| one.name.value).collect();
     for route in &draft.routes {
-        let place = Place(format!("routes[{}].to", route.index));
+        let path = KeyPath(format!("routes[{}].to", route.index));
         let name = route.name.value;
-        if route.to.iter().all(|part| part.weight == 0.0) {
+        if route.to.iter().all(|destination| destination.weight == 0.0) {
             report.fault(route.name.offset, || {
                 let route = name.to_owned();
-                (place.clone(), FaultKind::NoDestination { route })
+                (path.clone(), FaultKind::NoDestination { route })
             });
         }
-        for part in &route.to {
-            let service = part.service.value;
+        for destination in &route.to {
+            let service = destination.service.value;
             if known.contains(&service) {
                 continue;
             }
-            report.fault(part.service.offset, || {
+            report.fault(destination.service.offset, || {
                 let kind = FaultKind::UnknownDestination {
                     route: name.to_owned(),
                     service: shortened(service),
                     nearest: nearest(service, known.iter().copied()).map(str::to_owned),
                 };
-                (place.clone(), kind)
+                (path.clone(), kind)
             });
         }
     }
--- a/crates/text/src/read/service.rs
+++ b/crates/text/src/read/service.rs
@@ -21,7 +21,7 @@
         return draft;
     };
     for (key, prop) in reader.entries(object, &ServiceKey::all()) {
-        reader.under(key.name(), |reader| {
+        reader.at_key(key.name(), |reader| {
             read_key(reader, key, &prop.value, &mut draft);
         });
     }
@@ -59,7 +59,7 @@
         return;
     };
     for (setting, prop) in reader.entries(object, &Setting::in_group(group)) {
-        reader.under(setting.key(), |reader| {
+        reader.at_key(setting.key(), |reader| {
             number(reader, setting, &prop.value, numbers);
         });
     }
--- a/crates/text/src/reader.rs
+++ b/crates/text/src/reader.rs
@@ -7,7 +7,7 @@
 use jsonc_parser::common::Ranged;
 
 use crate::draft::Located;
-use crate::fault::{Expected, FaultKind, JsonType, Place};
+use crate::fault::{Expected, FaultKind, JsonType, KeyPath};
 use crate::keys::Key;
 use crate::name::{NameKind, shortened};
 use crate::nearest::nearest;
@@ -36,7 +36,7 @@
     }
 
     /// Reads something that stands under a key.
-    pub(crate) fn under<T>(&mut self, key: &'v str, read: impl FnOnce(&mut Self) -> T) -> T {
+    pub(crate) fn at_key<T>(&mut self, key: &'v str, read: impl FnOnce(&mut Self) -> T) -> T {
         self.path.push(Step::Key(key));
         let result = read(self);
         self.path.pop();
@@ -44,7 +44,7 @@
     }
 
     /// Reads something that stands at an index of an array.
-    pub(crate) fn at<T>(&mut self, index: usize, read: impl FnOnce(&mut Self) -> T) -> T {
+    pub(crate) fn at_index<T>(&mut self, index: usize, read: impl FnOnce(&mut Self) -> T) -> T {
         self.path.push(Step::Index(index));
         let result = read(self);
         self.path.pop();
@@ -54,7 +54,7 @@
     /// Reports a fault at the present place.
     pub(crate) fn fault(&mut self, offset: usize, kind: impl FnOnce() -> FaultKind) {
         let path = &self.path;
-        self.report.fault(offset, || (place(path), kind()));
+        self.report.fault(offset, || (key_path(path), kind()));
     }
 
     pub(crate) fn line(&self, offset: usize) -> u32 {
@@ -194,7 +194,7 @@
         let mut seen = HashMap::new();
         let mut names = Vec::new();
         for (index, element) in array.elements.iter().enumerate() {
-            let Some(name) = self.at(index, |reader| reader.name(element, kind)) else {
+            let Some(name) = self.at_index(index, |reader| reader.name(element, kind)) else {
                 continue;
             };
             if self.is_repeated(&mut seen, name) {
@@ -260,7 +260,7 @@
     }
 }
 
-fn place(path: &[Step<'_>]) -> Place {
+fn key_path(path: &[Step<'_>]) -> KeyPath {
     let mut written = String::new();
     for step in path {
         match step {
@@ -275,5 +275,5 @@
             }
         }
     }
-    Place(written)
+    KeyPath(written)
 }
--- a/crates/text/src/relations.rs
+++ b/crates/text/src/relations.rs
@@ -4,7 +4,7 @@
 
 use crate::checked::CheckedText;
 use crate::draft::{CallDraft, NamedService, TextDraft};
-use crate::fault::Place;
+use crate::fault::KeyPath;
 use crate::prelude::*;
 use crate::report::Report;
 use crate::resolve::is_safe;
@@ -20,8 +20,8 @@
         check_tickets(service, policy, report);
         check_dependencies(draft, service, &deadlines, report);
         if let Some(calls) = &service.draft.calls {
-            let place = format!("services.{}.calls", service.name.value);
-            check_payments(&place, &calls.value, report);
+            let path = format!("services.{}.calls", service.name.value);
+            check_payments(&path, &calls.value, report);
         }
     }
     if let Some(calls) = &draft.defaults.calls {
@@ -44,7 +44,7 @@
             connections: policy.connections,
             slots: policy.slots,
         };
-        (place_of(service), kind)
+        (service_path(service), kind)
     });
 }
 
@@ -60,7 +60,7 @@
             ticket_ttl_ms: policy.ticket_ttl_ms.0,
             deadline_ms: deadline_ms.0,
         };
-        (place_of(service), kind)
+        (service_path(service), kind)
     });
 }
 
@@ -89,14 +89,14 @@
                 dependency_ms: dependency_ms.0,
             };
             (
-                Place(format!("services.{}.depends_on", service.name.value)),
+                KeyPath(format!("services.{}.depends_on", service.name.value)),
                 kind,
             )
         });
     }
 }
 
-fn check_payments(place: &str, calls: &[CallDraft<'_>], report: &mut Report<'_, '_>) {
+fn check_payments(path: &str, calls: &[CallDraft<'_>], report: &mut Report<'_, '_>) {
     for call in calls {
         let Some(class) = call.class else {
             continue;
@@ -113,7 +113,7 @@
                 method: call.method.to_owned(),
                 class: class.value,
             };
-            (Place(place.to_owned()), kind)
+            (KeyPath(path.to_owned()), kind)
         });
     }
 }
@@ -134,6 +134,6 @@
     longest
 }
 
-fn place_of(service: &NamedService<'_>) -> Place {
-    Place(format!("services.{}", service.name.value))
+fn service_path(service: &NamedService<'_>) -> KeyPath {
+    KeyPath(format!("services.{}", service.name.value))
 }
--- a/crates/text/src/report.rs
+++ b/crates/text/src/report.rs
@@ -1,7 +1,7 @@
 //! Collects the faults and warnings of one check.
 
 use crate::checked::CheckedText;
-use crate::fault::Place;
+use crate::fault::KeyPath;
 use crate::limits::MAX_REPORTED;
 use crate::position::LineIndex;
 use crate::prelude::*;
@@ -30,15 +30,15 @@
 
     /// Adds a fault at a byte offset. Beyond the limit it is only counted, and
     /// `describe` is not called, which bounds the cost of a hostile text.
-    pub(crate) fn fault(&mut self, offset: usize, describe: impl FnOnce() -> (Place, FaultKind)) {
+    pub(crate) fn fault(&mut self, offset: usize, describe: impl FnOnce() -> (KeyPath, FaultKind)) {
         if self.faults.len() >= MAX_REPORTED {
             self.omitted_faults += 1;
             return;
         }
-        let (place, kind) = describe();
+        let (path, kind) = describe();
         self.faults.push(Fault {
             position: self.lines.position(offset),
-            place,
+            path,
             kind,
         });
     }
@@ -47,22 +47,22 @@
     pub(crate) fn warning(
         &mut self,
         offset: usize,
-        describe: impl FnOnce() -> (Place, WarningKind),
+        describe: impl FnOnce() -> (KeyPath, WarningKind),
     ) {
         if self.warnings.len() >= MAX_REPORTED {
             return;
         }
-        let (place, kind) = describe();
+        let (path, kind) = describe();
         self.warnings.push(Warning {
             position: self.lines.position(offset),
-            place,
+            path,
             kind,
         });
     }
 
     pub(crate) fn into_faults(mut self) -> Faults {
         self.faults
-            .sort_by(|a, b| (a.position, &a.place).cmp(&(b.position, &b.place)));
+            .sort_by(|a, b| (a.position, &a.path).cmp(&(b.position, &b.path)));
         Faults {
             faults: self.faults,
             omitted: self.omitted_faults,
@@ -75,7 +75,7 @@
             return Err(self.into_faults());
         }
         self.warnings
-            .sort_by(|a, b| (a.position, &a.place).cmp(&(b.position, &b.place)));
+            .sort_by(|a, b| (a.position, &a.path).cmp(&(b.position, &b.path)));
         resolved.warnings = self.warnings;
         Ok(resolved)
     }
--- a/crates/text/src/resolve.rs
+++ b/crates/text/src/resolve.rs
@@ -3,9 +3,9 @@
 use hornbeamhitch_dispatch::routes::{CallKind, Destination, Route};
 use strum::{EnumCount, VariantArray};
 
-use crate::checked::{CallSources, CheckedText, Followed, HostRoute, Origin, ServiceSources};
+use crate::checked::{CallSources, CheckedText, FollowedValue, HostRoute, Origin, ServiceSources};
 use crate::draft::{CallDraft, Located, NamedService, TextDraft};
-use crate::fault::Place;
+use crate::fault::KeyPath;
 use crate::limits::MAX_RESOLVED_ENTRIES;
 use crate::number::{to_micros, to_millis, to_u32, to_u64};
 use crate::position::LineIndex;
@@ -54,7 +54,7 @@
     }
     report.fault(0, || {
         (
-            Place::default(),
+            KeyPath::default(),
             FaultKind::TooManyResolved { count, limit },
         )
     });
@@ -89,10 +89,10 @@
     let mut routes = Vec::new();
     for written in &draft.routes {
         let mut destinations = Vec::new();
-        for part in &written.to {
+        for destination in &written.to {
             destinations.push(Destination {
-                service: ServiceName::new(part.service.value),
-                weight: to_u32(part.weight),
+                service: ServiceName::new(destination.service.value),
+                weight: to_u32(destination.weight),
             });
         }
         let kind = match written.idempotent {
@@ -205,7 +205,7 @@
     if numbers.origins[Setting::QueueLimit as usize] == Origin::BuiltIn {
         let slots = numbers.get(Setting::Slots);
         let origin = Origin::Follows {
-            value: Followed::Slots,
+            value: FollowedValue::Slots,
         };
         numbers.put(Setting::QueueLimit, slots, origin);
     }
@@ -257,10 +257,10 @@
             Origin::Defaults { line }
         }
     };
-    let follows = |value: Followed| Origin::Follows { value };
+    let follows = |value: FollowedValue| Origin::Follows { value };
     let (idempotent, idempotent_origin) = match call.idempotent {
         Some(found) => (found.value, written(found.offset)),
-        None => (is_safe(call.method), follows(Followed::Method)),
+        None => (is_safe(call.method), follows(FollowedValue::Method)),
     };
     let (class, class_origin) = match call.class {
         Some(found) => (found.value, written(found.offset)),
@@ -270,7 +270,7 @@
         Some(found) => (to_millis(found.value), written(found.offset)),
         None => (
             numbers.millis(Setting::DeadlineMs),
-            follows(Followed::DeadlineMs),
+            follows(FollowedValue::DeadlineMs),
         ),
     };
     let policy = CallPolicy {
@@ -322,7 +322,7 @@
             max_ms: to_u64(max_ms),
         };
         (
-            Place(format!("services.{}.ejection", service.name.value)),
+            KeyPath(format!("services.{}.ejection", service.name.value)),
             kind,
         )
     });
--- a/crates/text/src/syntax.rs
+++ b/crates/text/src/syntax.rs
@@ -5,7 +5,7 @@
 use jsonc_parser::{CollectOptions, ParseOptions, parse_to_ast};
 
 use crate::depth::too_deep;
-use crate::fault::{FaultKind, Place};
+use crate::fault::{FaultKind, KeyPath};
 use crate::limits::{LARGE_TEXT_BYTES, MAX_TEXT_BYTES};
 use crate::report::Report;
 use crate::warning::WarningKind;
@@ -46,33 +46,33 @@
     if text.len() > MAX_TEXT_BYTES {
         let size_bytes = text.len();
         report.fault(0, || {
-            (Place::default(), FaultKind::TextTooLong { size_bytes })
+            (KeyPath::default(), FaultKind::TextTooLong { size_bytes })
         });
         return None;
     }
     if let Some(offset) = too_deep(text) {
-        report.fault(offset, || (Place::default(), FaultKind::TooDeep));
+        report.fault(offset, || (KeyPath::default(), FaultKind::TooDeep));
         return None;
     }
     warn_if_large(report);
-    let strict_error = match run(text, &SYNTAX) {
-        Ok(root) => return root.or_else(|| empty(report)),
+    let strict_error = match parse_with(text, &SYNTAX) {
+        Ok(root) => return root.or_else(|| report_empty(report)),
         Err(error) => error,
     };
     let strict_start = strict_error.range().start;
-    record(&strict_error, report);
-    match run(text, &lenient()) {
+    report_error(&strict_error, report);
+    match parse_with(text, &lenient()) {
         Ok(root) => root,
         Err(lenient_error) => {
             if lenient_error.range().start != strict_start {
-                record(&lenient_error, report);
+                report_error(&lenient_error, report);
             }
             None
         }
     }
 }
 
-fn run<'t>(text: &'t str, options: &ParseOptions) -> Result<Option<Value<'t>>, ParseError> {
+fn parse_with<'t>(text: &'t str, options: &ParseOptions) -> Result<Option<Value<'t>>, ParseError> {
     let parsed = parse_to_ast(text, &CollectOptions::default(), options)?;
     Ok(parsed.value)
 }
@@ -87,25 +87,25 @@
             size_bytes,
             limit_bytes: MAX_TEXT_BYTES,
         };
-        (Place::default(), kind)
+        (KeyPath::default(), kind)
     });
 }
 
-fn record(error: &ParseError, report: &mut Report<'_, '_>) {
+fn report_error(error: &ParseError, report: &mut Report<'_, '_>) {
     report.fault(error.range().start, || {
         let kind = FaultKind::Syntax {
             message: lower_first(&error.kind().to_string()),
         };
-        (Place::default(), kind)
+        (KeyPath::default(), kind)
     });
 }
 
-fn empty<'t>(report: &mut Report<'_, '_>) -> Option<Value<'t>> {
+fn report_empty<'t>(report: &mut Report<'_, '_>) -> Option<Value<'t>> {
     report.fault(0, || {
         let kind = FaultKind::Syntax {
             message: "the text is empty".to_owned(),
         };
-        (Place::default(), kind)
+        (KeyPath::default(), kind)
     });
     None
 }
--- a/crates/text/src/warning.rs
+++ b/crates/text/src/warning.rs
@@ -7,7 +7,7 @@
 use strum::IntoStaticStr;
 use thiserror::Error;
 
-use crate::fault::Place;
+use crate::fault::KeyPath;
 use crate::position::Position;
 
 /// One warning; a text with warnings is accepted.
@@ -16,7 +16,7 @@
     /// Where it stands.
     pub position: Position,
     /// The keys that lead there.
-    pub place: Place,
+    pub path: KeyPath,
     /// What is doubtful.
     pub kind: WarningKind,
 }
@@ -89,7 +89,7 @@
 
 impl fmt::Display for Warning {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}: {}{}", self.position, self.place, self.kind)
+        write!(f, "{}: {}{}", self.position, self.path, self.kind)
     }
 }
 
@@ -98,7 +98,7 @@
 struct WarningRecord<'a> {
     line: u32,
     column: u32,
-    place: &'a Place,
+    place: &'a KeyPath,
     kind: &'static str,
     reason: String,
 }
@@ -108,7 +108,7 @@
         let record = WarningRecord {
             line: self.position.line,
             column: self.position.column,
-            place: &self.place,
+            place: &self.path,
             kind: (&self.kind).into(),
             reason: self.kind.to_string(),
         };
--- a/crates/text/tests/all/differences.rs
+++ b/crates/text/tests/all/differences.rs
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn comments_order_and_spelt_out_defaults_are_no_change() {
+fn comments_order_and_explicit_defaults_are_no_change() {
     let old = r#"{ "deployment": "d", "services": { "a": {}, "b": {} } }"#;
     let new = r#"{
       // The same, longer.
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn a_payment_that_becomes_idempotent_is_spelt_out() {
+fn a_payment_that_becomes_idempotent_is_reported() {
     let new = edited(
         BANGKOK,
         r#""match": "POST /charge", "idempotent": false"#,
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn a_payment_left_to_another_entry_is_spelt_out() {
+fn a_payment_that_falls_to_another_entry_is_reported() {
     // An operator deletes the entry of a payment and forgets that a broader
     // one, meant for searches, covers its path too. No entry that is left has
     // changed, yet the payment would be retried.
@@ -94,7 +94,7 @@
 }
 
 #[test]
-fn calls_that_change_come_and_go() {
+fn changed_added_and_removed_calls_are_reported() {
     let old = r#"{ "deployment": "d", "services": { "a": { "calls": [
       { "name": "charge", "match": "POST /charge", "class": "payment" },
       { "name": "search", "match": "POST /search", "idempotent": true },
@@ -128,7 +128,7 @@
 }
 
 #[test]
-fn every_number_has_a_consequence_in_words() {
+fn every_number_has_a_described_consequence() {
     let old = r#"{ "deployment": "d", "services": { "s": {} } }"#;
     let new = r#"{ "deployment": "d", "services": { "s": {
       "slots": 12, "connections": 100, "queue_limit": 20, "deadline_ms": 1000,
@@ -147,7 +147,7 @@
 }
 
 #[test]
-fn numbers_that_turn_something_off_say_so() {
+fn zero_values_that_disable_a_feature_are_reported() {
     let old = r#"{ "deployment": "d", "services": { "s": {} } }"#;
     let new = r#"{ "deployment": "d", "services": { "s": {
       "queue_limit": 0, "cold_ramp_ms": 0,
@@ -158,7 +158,7 @@
 }
 
 #[test]
-fn equal_changes_of_many_services_are_told_once() {
+fn equal_changes_of_many_services_are_reported_once() {
     let mut services = String::new();
     for number in 10..30 {
         services.push_str(&format!("\"s{number}\": {{}},"));
--- a/crates/text/tests/all/examples.rs
+++ b/crates/text/tests/all/examples.rs
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn what_must_not_run_twice_is_not_idempotent() {
+fn calls_that_must_not_run_twice_are_not_idempotent() {
     let bangkok = checked(BANGKOK);
     let ljubljana = checked(LJUBLJANA);
     let expected = [
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn each_user_weighs_what_it_measures() {
+fn the_print_office_probes_and_hedges_less_than_the_insurers() {
     let bangkok = checked(BANGKOK);
     let ljubljana = checked(LJUBLJANA);
     for print_office in &bangkok.services {
--- a/crates/text/tests/all/faults.rs
+++ b/crates/text/tests/all/faults.rs
@@ -7,7 +7,7 @@
 use crate::support::faults;
 
 #[test]
-fn every_fault_of_a_text_is_named_in_one_check() {
+fn every_fault_of_a_text_is_reported_in_one_check() {
     let text = r#"{
   "deploymnet": "bangkok",
   "data_centres": ["bkk-1", "bkk-1", "bkk 2", 3],
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn a_long_circle_is_described_in_part() {
+fn a_long_cycle_is_abbreviated() {
     let mut services = String::new();
     for number in 0..40 {
         let next = (number + 1) % 40;
@@ -136,7 +136,7 @@
 }
 
 #[test]
-fn required_keys_are_asked_for() {
+fn missing_required_keys_are_reported() {
     assert_snapshot!(faults("{}"));
 }
 
@@ -159,7 +159,7 @@
 }
 
 #[test]
-fn lists_of_defaults_that_multiply_are_refused() {
+fn inherited_lists_that_multiply_are_refused() {
     // Of 4,000 services 3,750 inherit the 250 dependencies of `defaults`. The
     // text is small, but resolved it would hold a million names on every node.
     let mut names = String::new();
--- a/crates/text/tests/all/hostile.rs
+++ b/crates/text/tests/all/hostile.rs
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn brackets_cannot_hide_from_the_bound_on_nesting() {
+fn brackets_cannot_evade_the_nesting_limit() {
     // Brackets after something that looks like the start of a string or a
     // comment to a scan, but not to the parser, would reach its recursion.
     let deep = "[".repeat(100_000);
@@ -200,7 +200,7 @@
     }
 
     #[test]
-    fn any_soup_of_json_tokens_is_checked_without_a_panic(
+    fn any_sequence_of_json_tokens_is_checked_without_a_panic(
         tokens in prop::collection::vec(
             prop::sample::select(vec![
                 "{", "}", "[", "]", ",", ":", "\"", "//", "/*", "*/", "\n", "\\", "\0", "-", "+",
--- a/crates/text/tests/all/routes.rs
+++ b/crates/text/tests/all/routes.rs
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn faulty_routes_are_all_named() {
+fn faulty_routes_are_all_reported() {
     let faulty = TEXT
         .replace("\"print.example\"", "\"Print.example:80\"")
         .replace("\"prefix\": \"/\"", "\"prefix\": \"/charge\"")
@@ -54,17 +54,17 @@
 }
 
 #[test]
-fn an_edit_of_routes_is_told_with_what_follows() {
+fn route_changes_are_reported_with_consequences() {
     let after = TEXT
         .replace("90", "50")
         .replace("\"layouts-next\": 10", "\"layouts-next\": 50")
         .replace("\"timeout_ms\": 800", "\"timeout_ms\": 900")
         .replace("pay.example", "till.example");
-    let mut told = String::new();
+    let mut description = String::new();
     for change in diff(&checked(TEXT), &checked(&after)) {
-        told.push_str(&format!("{change}\n"));
+        description.push_str(&format!("{change}\n"));
     }
-    assert_snapshot!(told);
+    assert_snapshot!(description);
 }
 
 #[test]
--- a/crates/text/tests/all/warnings.rs
+++ b/crates/text/tests/all/warnings.rs
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn doubtful_values_are_warned_of() {
+fn doubtful_values_cause_warnings() {
     let text = r#"{
   "deployment": "d",
   "services": {
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn chains_deeper_than_eight_are_warned_of_at_their_first_service() {
+fn chains_deeper_than_eight_cause_a_warning_at_their_first_service() {
     let mut services = String::new();
     for number in 0..8 {
         let next = number + 1;
--- a/crates/types/tests/result_codes.rs
+++ b/crates/types/tests/result_codes.rs
@@ -15,7 +15,7 @@
     certainty: String,
 }
 
-fn documented() -> BTreeMap<u16, Row> {
+fn documented_rows() -> BTreeMap<u16, Row> {
     let mut rows = BTreeMap::new();
     for line in TABLE.lines() {
         let cells: Vec<&str> = line.split('|').map(str::trim).collect();
@@ -54,11 +54,11 @@
             "the number of {name} is used twice"
         );
     }
-    assert_eq!(documented(), expected);
+    assert_eq!(documented_rows(), expected);
 }
 
 #[test]
-fn every_number_finds_its_code_again() {
+fn every_number_maps_back_to_its_code() {
     for code in ResultCode::VARIANTS {
         assert_eq!(ResultCode::from_number(code.number()), Some(*code));
     }
@@ -68,8 +68,8 @@
 /// A caller that is told "not run" takes a new ticket. A code that is given
 /// where the request may have run must therefore never be of that certainty.
 #[test]
-fn codes_of_doubt_are_never_not_run() {
-    let doubtful = [
+fn codes_with_unknown_outcome_never_certify_not_run() {
+    let unknown_outcome = [
         ResultCode::GateLost,
         ResultCode::RunBroken,
         ResultCode::AnswerNotKept,
@@ -77,7 +77,7 @@
         ResultCode::DeadlinePassed,
         ResultCode::AnswerCut,
     ];
-    for code in doubtful {
+    for code in unknown_outcome {
         assert_eq!(code.certainty(), Certainty::Unknown, "{code}");
     }
     assert_eq!(ResultCode::StillRunning.certainty(), Certainty::Pending);
--- a/src/ask.rs
+++ b/src/ask.rs
@@ -35,7 +35,7 @@
 /// # Errors
 ///
 /// An address that cannot be read, or a runtime that cannot be started.
-pub(crate) fn ask_all(nodes: &[String], timeout_ms: u64) -> Result<Vec<Answer>> {
+pub(crate) fn fetch_statuses(nodes: &[String], timeout_ms: u64) -> Result<Vec<Answer>> {
     if !TIMEOUT_MS.contains(&timeout_ms) {
         let (min, max) = (TIMEOUT_MS.start(), TIMEOUT_MS.end());
         bail!("--timeout-ms {timeout_ms} is out of range; allowed: {min} to {max}");
@@ -52,14 +52,14 @@
         .enable_all()
         .build()
         .wrap_err("cannot start the runtime")?;
-    Ok(runtime.block_on(gather(nodes, uris, limit)))
+    Ok(runtime.block_on(fetch_all(nodes, uris, limit)))
 }
 
-async fn gather(nodes: &[String], uris: Vec<Uri>, limit: Duration) -> Vec<Answer> {
+async fn fetch_all(nodes: &[String], uris: Vec<Uri>, limit: Duration) -> Vec<Answer> {
     let client: HttpClient = Client::builder(TokioExecutor::new()).build_http();
     let mut running = Vec::new();
     for uri in uris {
-        running.push(tokio::spawn(ask_in_time(client.clone(), uri, limit)));
+        running.push(tokio::spawn(fetch_with_timeout(client.clone(), uri, limit)));
     }
     let mut answers = Vec::new();
     for (node, task) in nodes.iter().zip(running) {
@@ -72,14 +72,14 @@
     answers
 }
 
-async fn ask_in_time(client: HttpClient, uri: Uri, limit: Duration) -> Result<NodeStatus> {
-    match timeout(limit, ask(client, uri)).await {
+async fn fetch_with_timeout(client: HttpClient, uri: Uri, limit: Duration) -> Result<NodeStatus> {
+    match timeout(limit, fetch_status(client, uri)).await {
         Ok(status) => status,
         Err(_) => Err(eyre!("no answer within {} ms", limit.as_millis())),
     }
 }
 
-async fn ask(client: HttpClient, uri: Uri) -> Result<NodeStatus> {
+async fn fetch_status(client: HttpClient, uri: Uri) -> Result<NodeStatus> {
     let answer = client.get(uri).await.wrap_err("cannot be reached")?;
     let (head, body) = answer.into_parts();
     if head.status != StatusCode::OK {
--- a/src/commands/plot.rs
+++ b/src/commands/plot.rs
@@ -44,9 +44,9 @@
         bail!("--step-ms must be 1 or more");
     }
     let mut series = Series::new(step_ms, arguments.service.as_deref());
-    let unread = logs::read_all(&arguments.files, |line| series.take(&line))?;
-    if unread > 0 {
-        writeln!(out, "{unread} lines were no log of a node")?;
+    let unparsed = logs::read_all(&arguments.files, |line| series.take(&line))?;
+    if unparsed > 0 {
+        writeln!(out, "{unparsed} lines were no log of a node")?;
     }
     let step_count = series.step_count();
     if step_count == 0 {
@@ -62,7 +62,7 @@
         );
     }
     let steps = series.steps();
-    let text = draw::svg(&steps, series.left_out())?;
+    let text = draw::svg(&steps, series.suppressed_lines())?;
     fs::write(&arguments.out, text)
         .wrap_err_with(|| format!("{} cannot be written", arguments.out))?;
     writeln!(
@@ -72,11 +72,11 @@
         series.calls(),
         steps.len()
     )?;
-    if series.left_out() > 0 {
+    if series.suppressed_lines() > 0 {
         writeln!(
             out,
             "{} further lines were left out by the nodes; their calls are not in the picture",
-            series.left_out()
+            series.suppressed_lines()
         )?;
     }
     Ok(Exit::Ok)
--- a/src/commands/plot/draw.rs
+++ b/src/commands/plot/draw.rs
@@ -26,19 +26,20 @@
 }
 
 /// Draws the steps as SVG.
-pub(super) fn svg(steps: &[Step], left_out: u64) -> Result<String> {
+pub(super) fn svg(steps: &[Step], suppressed_lines: u64) -> Result<String> {
     let mut text = String::new();
     {
         let root = SVGBackend::with_string(&mut text, SIZE).into_drawing_area();
-        draw(&root, steps, left_out).map_err(|error| eyre!("the picture failed: {error}"))?;
+        draw(&root, steps, suppressed_lines)
+            .map_err(|error| eyre!("the picture failed: {error}"))?;
     }
     Ok(text)
 }
 
-fn draw(root: &Area<'_>, steps: &[Step], left_out: u64) -> Result<(), DrawFault> {
+fn draw(root: &Area<'_>, steps: &[Step], suppressed_lines: u64) -> Result<(), DrawFault> {
     root.fill(&WHITE)?;
     let (rates, latencies) = root.split_vertically(SIZE.1 / 2);
-    draw_rates(&rates, steps, left_out)?;
+    draw_rates(&rates, steps, suppressed_lines)?;
     draw_latencies(&latencies, steps)?;
     root.present()
 }
@@ -56,12 +57,12 @@
     steps.last().map_or(1.0, |step| step.at_s.max(1.0))
 }
 
-fn draw_rates(area: &Area<'_>, steps: &[Step], left_out: u64) -> Result<(), DrawFault> {
+fn draw_rates(area: &Area<'_>, steps: &[Step], suppressed_lines: u64) -> Result<(), DrawFault> {
     let mut highest = 1.0_f64;
     for rate in steps.iter().flat_map(|step| step.rates) {
         highest = highest.max(rate);
     }
-    let caption = match left_out {
+    let caption = match suppressed_lines {
         0 => "calls a second".to_owned(),
         lines => format!("calls a second, without {lines} lines that nodes left out"),
     };
@@ -97,13 +98,13 @@
         .y_label_area_size(56)
         .build_cartesian_2d(0.0..last_s(steps), (1.0..highest as f64 * 1.2).log_scale())?;
     let mut curves = Vec::new();
-    for (place, (name, colour)) in LATENCIES.into_iter().enumerate() {
+    for (index, (name, colour)) in LATENCIES.into_iter().enumerate() {
         let mut points = Vec::new();
         for step in steps {
             let Some(latencies_ms) = step.latencies_ms else {
                 continue;
             };
-            points.push((step.at_s, latencies_ms[place].max(1) as f64));
+            points.push((step.at_s, latencies_ms[index].max(1) as f64));
         }
         curves.push(Curve {
             name,
--- a/src/commands/plot/series.rs
+++ b/src/commands/plot/series.rs
@@ -12,7 +12,7 @@
 /// Digits of a latency that are kept; a picture shows fewer.
 const DIGITS: u8 = 2;
 /// Statuses from here on are failures of the target.
-const SERVER_FAULT: u64 = 500;
+const FIRST_SERVER_ERROR: u64 = 500;
 
 /// How a call ended, as its caller sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, strum::VariantArray, strum::IntoStaticStr)]
@@ -40,7 +40,7 @@
         let number = u16::try_from(line.number("code")?).ok()?;
         let code = ResultCode::from_number(number)?;
         Some(match code.certainty() {
-            Certainty::Answered if line.number("status")? >= SERVER_FAULT => Self::Failed,
+            Certainty::Answered if line.number("status")? >= FIRST_SERVER_ERROR => Self::Failed,
             Certainty::Answered => Self::Answered,
             Certainty::NotRun | Certainty::NotYet | Certainty::TicketDead => Self::NotRun,
             Certainty::Pending | Certainty::Unknown => Self::Unknown,
@@ -61,12 +61,12 @@
 }
 
 #[derive(Debug)]
-struct Gathered {
+struct StepData {
     counts: [u64; OUTCOMES],
     latencies: Histogram<u64>,
 }
 
-impl Gathered {
+impl StepData {
     fn new() -> Self {
         let latencies = Histogram::new_with_bounds(1, MAX_LATENCY_MS, DIGITS);
         Self {
@@ -81,8 +81,8 @@
 pub(super) struct Series<'a> {
     step_ms: u64,
     service: Option<&'a str>,
-    gathered: BTreeMap<u64, Gathered>,
-    left_out: u64,
+    step_data: BTreeMap<u64, StepData>,
+    suppressed_lines: u64,
 }
 
 impl<'a> Series<'a> {
@@ -91,8 +91,8 @@
         Self {
             step_ms,
             service,
-            gathered: BTreeMap::new(),
-            left_out: 0,
+            step_data: BTreeMap::new(),
+            suppressed_lines: 0,
         }
     }
 
@@ -101,32 +101,32 @@
         let Some(outcome) = Outcome::of(line) else {
             return;
         };
-        self.left_out += line.number("suppressed").unwrap_or(0);
+        self.suppressed_lines += line.number("suppressed").unwrap_or(0);
         if self.service.is_some() && self.service != line.text("service") {
             return;
         }
         let step = line.time_ms / self.step_ms;
-        let gathered = self.gathered.entry(step).or_insert_with(Gathered::new);
-        gathered.counts[outcome as usize] += 1;
+        let step_data = self.step_data.entry(step).or_insert_with(StepData::new);
+        step_data.counts[outcome as usize] += 1;
         if outcome == Outcome::Answered
             && let Some(took_ms) = line.number("took_ms")
         {
-            gathered.latencies.saturating_record(took_ms);
+            step_data.latencies.saturating_record(took_ms);
         }
     }
 
     /// Calls that were taken in.
     pub(super) fn calls(&self) -> u64 {
         let mut calls = 0;
-        for gathered in self.gathered.values() {
-            calls += gathered.counts.iter().sum::<u64>();
+        for step_data in self.step_data.values() {
+            calls += step_data.counts.iter().sum::<u64>();
         }
         calls
     }
 
     /// Lines that nodes left out, because one place wrote too many.
-    pub(super) const fn left_out(&self) -> u64 {
-        self.left_out
+    pub(super) const fn suppressed_lines(&self) -> u64 {
+        self.suppressed_lines
     }
 
     /// Steps from the first call to the last.
@@ -144,30 +144,30 @@
         };
         for number in first..=last {
             let at_s = ((number - first) * self.step_ms) as f64 / 1e3;
-            let gathered = self.gathered.get(&number);
-            steps.push(self.step(gathered, at_s));
+            let step_data = self.step_data.get(&number);
+            steps.push(self.step(step_data, at_s));
         }
         steps
     }
 
     fn first_and_last(&self) -> Option<(u64, u64)> {
-        let (&first, _) = self.gathered.first_key_value()?;
-        let (&last, _) = self.gathered.last_key_value()?;
+        let (&first, _) = self.step_data.first_key_value()?;
+        let (&last, _) = self.step_data.last_key_value()?;
         Some((first, last))
     }
 
-    fn step(&self, gathered: Option<&Gathered>, at_s: f64) -> Step {
+    fn step(&self, step_data: Option<&StepData>, at_s: f64) -> Step {
         let mut step = Step {
             at_s,
             ..Step::default()
         };
-        let Some(gathered) = gathered else {
+        let Some(step_data) = step_data else {
             return step;
         };
-        for (rate, count) in step.rates.iter_mut().zip(gathered.counts) {
+        for (rate, count) in step.rates.iter_mut().zip(step_data.counts) {
             *rate = count as f64 * 1e3 / self.step_ms as f64;
         }
-        let latencies = &gathered.latencies;
+        let latencies = &step_data.latencies;
         if !latencies.is_empty() {
             let p50 = latencies.value_at_quantile(0.5);
             let p99 = latencies.value_at_quantile(0.99);
--- a/src/commands/status.rs
+++ b/src/commands/status.rs
@@ -11,7 +11,7 @@
 use hornbeamhitch_types::status::NodeStatus;
 use serde::Serialize;
 
-use crate::ask::{Answer, ask_all};
+use crate::ask::{Answer, fetch_statuses};
 use crate::exit::Exit;
 use crate::source::write_json;
 
@@ -50,7 +50,7 @@
 }
 
 pub(crate) fn run(arguments: &Arguments, out: &mut dyn Write) -> Result<Exit> {
-    let answers = ask_all(&arguments.node, arguments.timeout_ms)?;
+    let answers = fetch_statuses(&arguments.node, arguments.timeout_ms)?;
     let versions = versions_in_force(&answers);
     let agree = versions.len() <= 1;
     if arguments.json {
--- a/src/commands/trace.rs
+++ b/src/commands/trace.rs
@@ -43,7 +43,7 @@
 
 /// The story with what is missing from it.
 #[derive(Debug, Default, Serialize)]
-struct Story {
+struct RequestTrace {
     request: String,
     steps: Vec<Step>,
     missing: Vec<String>,
@@ -52,30 +52,30 @@
 }
 
 pub(crate) fn run(arguments: &Arguments, out: &mut dyn Write) -> Result<Exit> {
-    let mut story = Story {
+    let mut trace = RequestTrace {
         request: arguments.request.clone(),
-        ..Story::default()
+        ..RequestTrace::default()
     };
-    story.unread_lines = logs::read_all(&arguments.files, |line| {
+    trace.unread_lines = logs::read_all(&arguments.files, |line| {
         if line.text("request") == Some(&arguments.request) {
-            story.steps.push(Step::of(line));
+            trace.steps.push(Step::of(line));
         }
     })?;
-    story.steps.sort_by_key(|step| step.time_ms);
-    story.name_missing();
+    trace.steps.sort_by_key(|step| step.time_ms);
+    trace.report_missing();
     if arguments.json {
-        write_json(out, &story)?;
+        write_json(out, &trace)?;
     } else {
-        story.write(out)?;
+        trace.write(out)?;
     }
-    Ok(match story.steps.is_empty() {
+    Ok(match trace.steps.is_empty() {
         true => Exit::Found,
         false => Exit::Ok,
     })
 }
 
-impl Story {
-    fn name_missing(&mut self) {
+impl RequestTrace {
+    fn report_missing(&mut self) {
         if self.steps.is_empty() {
             let reason = "no line names the request: its entry's log is not among the files, or \
                           lines were left out (see hitch_log_lines_suppressed_total)";
--- a/src/commands/where.rs
+++ b/src/commands/where.rs
@@ -11,7 +11,7 @@
 
 use super::status::report::{age, state, write_errors};
 use super::status::verdict;
-use crate::ask::{Answer, ask_all};
+use crate::ask::{Answer, fetch_statuses};
 use crate::exit::Exit;
 use crate::source::write_json;
 use crate::table::Table;
@@ -74,7 +74,7 @@
 }
 
 pub(crate) fn run(arguments: &Arguments, out: &mut dyn Write) -> Result<Exit> {
-    let answers = ask_all(&arguments.node, arguments.timeout_ms)?;
+    let answers = fetch_statuses(&arguments.node, arguments.timeout_ms)?;
     let views = views(&arguments.service, &answers);
     if arguments.json {
         write_json(out, &views)?;
--- a/src/logs.rs
+++ b/src/logs.rs
@@ -38,21 +38,21 @@
 
 /// Reads the lines of all files, or of the standard input where none is named.
 /// Returns how many lines were no log of a node.
-pub(crate) fn read_all(files: &[String], mut take: impl FnMut(LogLine)) -> Result<u64> {
+pub(crate) fn read_all(files: &[String], mut handle_line: impl FnMut(LogLine)) -> Result<u64> {
     if files.is_empty() {
-        return read(io::stdin().lock(), &mut take);
+        return read(io::stdin().lock(), &mut handle_line);
     }
-    let mut unread = 0;
+    let mut unparsed = 0;
     for name in files {
         let file = File::open(name).wrap_err_with(|| format!("{name} cannot be read"))?;
-        unread += read(BufReader::new(file), &mut take)?;
+        unparsed += read(BufReader::new(file), &mut handle_line)?;
     }
-    Ok(unread)
+    Ok(unparsed)
 }
 
 /// What stands before a line's JSON, as some collectors put it there, is skipped.
-fn read(lines: impl BufRead, take: &mut impl FnMut(LogLine)) -> Result<u64> {
-    let mut unread = 0;
+fn read(lines: impl BufRead, handle_line: &mut impl FnMut(LogLine)) -> Result<u64> {
+    let mut unparsed = 0;
     for line in lines.split(b'\n') {
         let line = line?;
         let line = String::from_utf8_lossy(&line);
@@ -61,9 +61,9 @@
         }
         let json = line.find('{').map(|start| &line[start..]);
         match json.map(serde_json::from_str::<LogLine>) {
-            Some(Ok(line)) => take(line),
-            _ => unread += 1,
+            Some(Ok(line)) => handle_line(line),
+            _ => unparsed += 1,
         }
     }
-    Ok(unread)
+    Ok(unparsed)
 }
--- a/src/source.rs
+++ b/src/source.rs
@@ -65,7 +65,7 @@
     let allowed = fault.kind.allowed();
     format!(
         "{file}:{line}:{column}: {}{}; allowed: {allowed}",
-        fault.place, fault.kind
+        fault.path, fault.kind
     )
 }
 
@@ -74,7 +74,7 @@
     let (line, column) = (warning.position.line, warning.position.column);
     format!(
         "{file}:{line}:{column}: warning: {}{}",
-        warning.place, warning.kind
+        warning.path, warning.kind
     )
 }
 
