--- a/crates/core/src/control/dissemination/tests.rs
+++ b/crates/core/src/control/dissemination/tests.rs
@@ -25,8 +25,8 @@
     board
 }
 
-/// A datagram of a node that holds version 2, all of it or its own slices.
-fn news_from(host: u8, service: &str, is_whole: bool) -> Datagram {
+/// A datagram of a node at version 2 with either all slices or only its own.
+fn datagram_from(host: u8, service: &str, is_whole: bool) -> Datagram {
     Datagram {
         from: MemberDigest {
             vm: VmId::new(&format!("vm-{host}")),
@@ -60,16 +60,19 @@
     slices
 }
 
-/// A node has just stopped to read and still holds every slice; the text goes
-/// on changing. It asks a reader, and not a member of its own service, which
-/// holds a few slices and would leave it behind for as long as it keeps the
-/// rest.
+/// A node that has just stopped reading still has every slice while the text keeps
+/// changing. It must pull from a reader. A member of its own service has only a few
+/// slices and would leave it behind for as long as it keeps the others.
 #[test]
-fn a_holder_of_all_slices_asks_another_such_holder() {
+fn a_node_with_all_slices_pulls_from_another_such_node() {
     let mut board = board();
     assert!(board.text.replace(1, slices()));
-    board.holders.hear(&news_from(2, "ledger", false), NOW);
-    board.holders.hear(&news_from(3, "darkroom", true), NOW);
+    board
+        .holders
+        .note_datagram(&datagram_from(2, "ledger", false), NOW);
+    board
+        .holders
+        .note_datagram(&datagram_from(3, "darkroom", true), NOW);
     let dissemination = Dissemination::new(NOW);
     for _ in 0..32 {
         let needs = Needs::of(&board);
@@ -78,33 +81,41 @@
     }
 }
 
-/// With nobody else to ask it waits for the platform or for a reader, and does
-/// not send a question that names every slice in vain.
+/// Without another candidate, the node waits for the platform or a reader. It sends no
+/// useless request that names every slice.
 #[test]
-fn a_holder_of_all_slices_asks_no_holder_of_a_few() {
+fn a_node_with_all_slices_does_not_pull_from_partial_nodes() {
     let mut board = board();
     assert!(board.text.replace(1, slices()));
-    board.holders.hear(&news_from(2, "ledger", false), NOW);
-    board.holders.hear(&news_from(4, "darkroom", false), NOW);
+    board
+        .holders
+        .note_datagram(&datagram_from(2, "ledger", false), NOW);
+    board
+        .holders
+        .note_datagram(&datagram_from(4, "darkroom", false), NOW);
     let needs = Needs::of(&board);
     let dissemination = Dissemination::new(NOW);
     assert_eq!(dissemination.choose_peer(&mut board, needs), None);
 }
 
-/// An ordinary node asks members of its own service and readers alike.
+/// A node with a few slices pulls from members of its own service and from readers.
 #[test]
-fn a_holder_of_a_few_slices_asks_its_own_service_too() {
+fn a_partial_node_pulls_from_its_own_service_too() {
     let mut board = board();
-    board.holders.hear(&news_from(2, "ledger", false), NOW);
-    board.holders.hear(&news_from(3, "darkroom", true), NOW);
+    board
+        .holders
+        .note_datagram(&datagram_from(2, "ledger", false), NOW);
+    board
+        .holders
+        .note_datagram(&datagram_from(3, "darkroom", true), NOW);
     let dissemination = Dissemination::new(NOW);
-    let mut asked = std::collections::BTreeSet::new();
+    let mut chosen = std::collections::BTreeSet::new();
     for _ in 0..64 {
         let needs = Needs::of(&board);
-        asked.extend(dissemination.choose_peer(&mut board, needs));
+        chosen.extend(dissemination.choose_peer(&mut board, needs));
     }
     assert_eq!(
-        asked.into_iter().collect::<Vec<_>>(),
+        chosen.into_iter().collect::<Vec<_>>(),
         [address(2), address(3)]
     );
 }
--- a/crates/core/src/control/publishing.rs
+++ b/crates/core/src/control/publishing.rs
@@ -1,35 +1,35 @@
-//! The route table that traffic reads, rebuilt when something has changed.
+//! Publishes the route table for the data path when something has changed.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
 use super::api::ControlAction;
-use super::board::{Board, Controller, Dirt};
+use super::board::{Board, Controller, PendingPublish};
 use super::member::Member;
 use super::members::doubtful_after;
 use super::status::MemberState;
 use crate::prelude::*;
 use crate::suspects::SuspectSet;
 
-/// Load alone is published no more often than this: reports on answers reach
-/// entries directly, and are newer.
-const LOADS_EVERY: Millis = Millis(200);
+/// Minimum time between two publications when only loads changed. Load reports in answers
+/// reach the entries directly and are newer.
+const MIN_LOAD_INTERVAL: Millis = Millis(200);
 
-/// The controller of publishing.
+/// Controller that publishes the route table.
 #[derive(Debug, Default)]
 pub(super) struct Publishing {
     published_at: Millis,
     services: BTreeMap<ServiceName, Arc<ServiceView>>,
     suspects: Arc<SuspectSet>,
-    /// A change that waits for its time.
-    waiting: Dirt,
+    /// A change whose publication is delayed.
+    deferred: PendingPublish,
 }
 
 impl Publishing {
-    fn publish(&mut self, board: &mut Board, dirt: Dirt) {
+    fn publish(&mut self, board: &mut Board, pending_publish: PendingPublish) {
         let mut services = BTreeMap::new();
         let by_service = board.members.by_service();
-        for service in board.held_services() {
+        for service in board.tracked_services() {
             let members = by_service.get(service).map_or(&[][..], Vec::as_slice);
             let Some(policy) = board.config.policy(service) else {
                 continue;
@@ -38,8 +38,8 @@
                 policy: Arc::clone(policy),
                 targets: targets(board, service, members),
             };
-            // An unchanged view keeps its place in memory, so that traffic can
-            // tell by the pointer that there is nothing to take over.
+            // An unchanged view keeps its allocation, so that the data path can detect by
+            // pointer comparison that nothing changed.
             let view = match self.services.get(service) {
                 Some(old) if **old == view => Arc::clone(old),
                 _ => Arc::new(view),
@@ -51,7 +51,7 @@
             self.suspects = Arc::new(suspects);
         }
         self.published_at = board.now;
-        if dirt == Dirt::Loads && is_same(&services, &self.services) {
+        if pending_publish == PendingPublish::Loads && is_same(&services, &self.services) {
             return;
         }
         let table = RouteTable {
@@ -70,21 +70,23 @@
 
 impl Controller for Publishing {
     fn on_settled(&mut self, board: &mut Board) {
-        self.waiting = self.waiting.max(std::mem::take(&mut board.dirt));
-        let is_due = match self.waiting {
-            Dirt::Clean => false,
-            Dirt::Loads => board.now.since(self.published_at) >= LOADS_EVERY,
-            Dirt::Routes => true,
+        self.deferred = self
+            .deferred
+            .max(std::mem::take(&mut board.pending_publish));
+        let is_due = match self.deferred {
+            PendingPublish::Nothing => false,
+            PendingPublish::Loads => board.now.since(self.published_at) >= MIN_LOAD_INTERVAL,
+            PendingPublish::Routes => true,
         };
         if !is_due {
             return;
         }
-        let dirt = std::mem::take(&mut self.waiting);
-        self.publish(board, dirt);
+        let pending_publish = std::mem::take(&mut self.deferred);
+        self.publish(board, pending_publish);
     }
 }
 
-/// Whether every view is the very one published before.
+/// Returns whether every view is identical (the same allocation) to the published one.
 fn is_same(
     services: &BTreeMap<ServiceName, Arc<ServiceView>>,
     published: &BTreeMap<ServiceName, Arc<ServiceView>>,
@@ -152,13 +154,13 @@
     }
 }
 
-/// One-way time between two data centres; within one it counts as none unless
-/// the text says otherwise.
+/// Returns the one-way latency between two data centres. Within one data centre it is
+/// zero unless the text specifies it.
 fn distance_us(deployment: &DeploymentPolicy, from: &DataCentre, to: &DataCentre) -> u32 {
     for distance in &deployment.distances {
-        let is_forth = distance.from == *from && distance.to == *to;
-        let is_back = distance.from == *to && distance.to == *from;
-        if is_forth || is_back {
+        let is_forward = distance.from == *from && distance.to == *to;
+        let is_reverse = distance.from == *to && distance.to == *from;
+        if is_forward || is_reverse {
             return distance.one_way_us;
         }
     }
--- a/crates/core/src/control/tests/harness/platform.rs
+++ b/crates/core/src/control/tests/harness/platform.rs
@@ -1,4 +1,4 @@
-//! The platform of a fleet: reads, and watches that wait for a newer value.
+//! The simulated platform of a fleet: reads, and watches that wait for a newer value.
 
 use std::sync::Arc;
 
@@ -9,7 +9,7 @@
 
 const PLATFORM_DELAY: Millis = Millis(5);
 
-/// What the platform serves and how.
+/// What the platform serves, and its state.
 pub(in crate::control::tests) struct Platform {
     pub(in crate::control::tests) text: Option<(u64, Arc<str>)>,
     pub(in crate::control::tests) list_version: u64,
@@ -21,7 +21,7 @@
 
 pub(super) struct PlatformWatch {
     node: usize,
-    life: Incarnation,
+    incarnation: Incarnation,
     read: PlatformRead,
     service: Option<ServiceName>,
     after: u64,
@@ -43,69 +43,70 @@
             self.push(self.now + PLATFORM_DELAY, node, Occurrence::Event(event));
             return;
         }
-        let life = self.nodes[node].settings.incarnation;
+        let incarnation = self.nodes[node].settings.incarnation;
         self.platform.watches.push(PlatformWatch {
             node,
-            life,
+            incarnation,
             read,
             service,
             after,
             until: self.now + wait_ms,
         });
-        self.wake_watches();
+        self.answer_watches();
         self.end_watches();
     }
 
-    /// Ends watches whose value has come.
-    pub(super) fn wake_watches(&mut self) {
+    /// Answers the watches for which a newer value exists.
+    pub(super) fn answer_watches(&mut self) {
         for watch in std::mem::take(&mut self.platform.watches) {
-            let is_cut = self.network.cut_from_platform.contains(&watch.node);
-            let news = self.platform.news_for(&watch);
-            let Some(event) = news.filter(|_| !is_cut) else {
+            let is_unreachable = self.network.cut_from_platform.contains(&watch.node);
+            let newer_value = self.platform.newer_value_for(&watch);
+            let Some(event) = newer_value.filter(|_| !is_unreachable) else {
                 self.platform.watches.push(watch);
                 continue;
             };
             let at = self.now + PLATFORM_DELAY;
-            if self.nodes[watch.node].settings.incarnation == watch.life {
+            if self.nodes[watch.node].settings.incarnation == watch.incarnation {
                 self.push(at, watch.node, Occurrence::Event(event));
             }
         }
     }
 
-    /// Ends watches whose time is over, and those that the platform cannot
-    /// answer.
+    /// Ends watches that have timed out, and fails those of nodes that cannot reach the
+    /// platform.
     pub(super) fn end_watches(&mut self) {
         let now = self.now;
-        let is_quiet = !self.platform.down && self.network.cut_from_platform.is_empty();
-        if is_quiet && !self.platform.watches.iter().any(|watch| watch.until <= now) {
+        let all_reach_platform = !self.platform.down && self.network.cut_from_platform.is_empty();
+        if all_reach_platform && !self.platform.watches.iter().any(|watch| watch.until <= now) {
             return;
         }
         for watch in std::mem::take(&mut self.platform.watches) {
-            let is_cut = self.platform.down || self.network.cut_from_platform.contains(&watch.node);
-            if !is_cut && watch.until > now {
+            let is_unreachable =
+                self.platform.down || self.network.cut_from_platform.contains(&watch.node);
+            if !is_unreachable && watch.until > now {
                 self.platform.watches.push(watch);
                 continue;
             }
-            let event = match (is_cut, watch.read) {
+            let event = match (is_unreachable, watch.read) {
                 (true, read) => ControlEvent::PlatformFailed(read),
                 (false, PlatformRead::Text) => ControlEvent::TextUnchanged,
                 (false, PlatformRead::Vms) => ControlEvent::VmsUnchanged,
             };
             let at = now + PLATFORM_DELAY;
-            if self.nodes[watch.node].settings.incarnation == watch.life {
+            if self.nodes[watch.node].settings.incarnation == watch.incarnation {
                 self.push(at, watch.node, Occurrence::Event(event));
             }
         }
     }
 
-    /// A node gives up the reads that it has on their way.
+    /// Cancels the reads of a node.
     pub(super) fn cancel_reads(&mut self, node: usize) {
-        let life = self.nodes[node].settings.incarnation;
+        let incarnation = self.nodes[node].settings.incarnation;
         let watches = &mut self.platform.watches;
-        watches.retain(|watch| watch.node != node || watch.life != life);
+        watches.retain(|watch| watch.node != node || watch.incarnation != incarnation);
     }
 
-    /// Watches of living nodes that the platform holds.
+    /// Returns the number of open watches of running nodes.
     pub(in crate::control::tests) fn watches(&self) -> usize {
         let watches = self.platform.watches.iter();
         watches.filter(|watch| self.nodes[watch.node].alive).count()
@@ -113,7 +114,7 @@
 }
 
 impl Platform {
-    fn news_for(&self, watch: &PlatformWatch) -> Option<ControlEvent> {
+    fn newer_value_for(&self, watch: &PlatformWatch) -> Option<ControlEvent> {
         if watch.read == PlatformRead::Text {
             let (version, text) = self.text.as_ref()?;
             return (*version > watch.after).then(|| ControlEvent::TextRead {
