--- a/crates/text/src/change.rs
+++ b/crates/text/src/change.rs
@@ -1,4 +1,4 @@
-//! One difference between two texts, with what follows from it.
+//! Differences between two texts and their consequences.
 
 mod consequence;
 mod grouped;
@@ -13,16 +13,17 @@
 
 /// One difference between two checked texts.
 ///
-/// Values are compared as resolved, so an edit of the text's defaults shows as
-/// a change of each service that it reaches, and an edit of a comment as none.
+/// Resolved values are compared. An edit of the text's defaults is therefore a
+/// change of each service that inherits them, and an edit of a comment is no
+/// change.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 #[serde(tag = "kind", rename_all = "kebab-case")]
 pub enum Change {
-    /// The deployment has another name.
+    /// The deployment was renamed.
     Deployment {
-        /// Name before.
+        /// Previous name.
         old: String,
-        /// Name after.
+        /// New name.
         new: String,
     },
     /// A data centre was added.
@@ -45,71 +46,71 @@
         /// Its name.
         tenant: TenantName,
     },
-    /// Another distance between data centres that no entry lists.
+    /// The default distance between data centres changed.
     DefaultDistance {
-        /// One-way time before, in microseconds.
+        /// Previous one-way latency in microseconds.
         old_us: u32,
-        /// One-way time after, in microseconds.
+        /// New one-way latency in microseconds.
         new_us: u32,
     },
-    /// Another distance between two data centres.
+    /// The distance between two data centres changed.
     Distance {
-        /// One end.
+        /// One of the two data centres.
         from: DataCentre,
-        /// The other end.
+        /// The other data centre.
         to: DataCentre,
-        /// One-way time before, in microseconds.
+        /// Previous one-way latency in microseconds.
         old_us: u32,
-        /// One-way time after, in microseconds.
+        /// New one-way latency in microseconds.
         new_us: u32,
     },
     /// A service was added.
     ServiceAdded {
         /// Its name.
         service: ServiceName,
-        /// What it depends on.
+        /// Services that it depends on.
         depends_on: Vec<ServiceName>,
     },
     /// A service was removed.
     ServiceRemoved {
         /// Its name.
         service: ServiceName,
-        /// Services that depended on it and are still in the text.
+        /// Services that depended on it and are still listed.
         former_callers: Vec<ServiceName>,
     },
-    /// A service depends on one more.
+    /// A service has a new dependency.
     DependencyAdded {
         /// The service.
         service: ServiceName,
-        /// What it depends on now.
+        /// The new dependency.
         dependency: ServiceName,
     },
-    /// A service depends on one less.
+    /// A service no longer has a dependency.
     DependencyRemoved {
         /// The service.
         service: ServiceName,
-        /// What it depended on.
+        /// The previous dependency.
         dependency: ServiceName,
     },
-    /// A number of a service changed.
+    /// A numeric setting of a service changed.
     Setting {
         /// The service.
         service: ServiceName,
-        /// Which number.
+        /// The setting.
         setting: Setting,
-        /// Value before.
+        /// Previous value.
         old: f64,
-        /// Value after.
+        /// New value.
         new: f64,
     },
-    /// A service names one more call.
+    /// A named call was added to a service.
     CallAdded {
         /// The service.
         service: ServiceName,
         /// The call.
         call: CallPolicy,
     },
-    /// A service names one call less.
+    /// A named call was removed from a service.
     CallRemoved {
         /// The service.
         service: ServiceName,
@@ -137,68 +138,69 @@
     },
     /// A value of a route changed.
     Route {
-        /// Host and prefix.
+        /// Host and path prefix of the route.
         under: String,
-        /// Which value.
+        /// Key of the value.
         field: &'static str,
-        /// Value before.
+        /// Previous value.
         old: String,
-        /// Value after.
+        /// New value.
         new: String,
     },
-    /// Calls count as idempotent or no longer do, for whatever reason: their
-    /// entry changed, came or went, or another one covers them now.
+    /// Calls became idempotent or stopped being so. Either their entry was
+    /// changed, added or removed, or another entry covers them now.
     Idempotence {
         /// The service.
         service: ServiceName,
-        /// Method and path, as a call's match is written.
+        /// Method and path, in the form of a call's match.
         calls: String,
-        /// Whether they count as idempotent now; it was the opposite before.
+        /// Whether the calls are idempotent now. They were the opposite before.
         new: bool,
     },
 }
 
-/// What changed of a named call.
+/// A change of a named call.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 #[serde(tag = "field", rename_all = "snake_case")]
 pub enum CallChange {
-    /// The calls that it covers.
+    /// The method or path prefix that it matches changed.
     Match {
-        /// Method and path before.
+        /// Previous method and path.
         old: String,
-        /// Method and path after.
+        /// New method and path.
         new: String,
     },
-    /// Whether running it twice is harmless.
+    /// Whether it is marked idempotent changed.
     Idempotent {
-        /// Value after; it was the opposite before.
+        /// New value. The previous one was the opposite.
         new: bool,
     },
-    /// Its rank in queues.
+    /// Its class, and so its queueing priority, changed.
     Class {
-        /// Class before.
+        /// Previous class.
         old: CallClass,
-        /// Class after.
+        /// New class.
         new: CallClass,
     },
-    /// Its deadline.
+    /// Its deadline changed.
     DeadlineMs {
-        /// Deadline before.
+        /// Previous deadline.
         old: Millis,
-        /// Deadline after.
+        /// New deadline.
         new: Millis,
     },
 }
 
 impl Change {
-    /// What follows from the change, in words.
+    /// Describes the consequence of the change, if the change itself does not
+    /// already say it.
     #[must_use]
     pub fn consequence(&self) -> Option<String> {
         consequence::of(self)
     }
 }
 
-/// The change and what follows from it, on one line.
+/// Formats the change and its consequence on one line.
 impl fmt::Display for Change {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         self.write_what(f)?;
@@ -307,7 +309,7 @@
     }
 }
 
-/// The calls that a named call covers, as the text writes them.
+/// Formats the method and path prefix of a named call as its match in the text.
 pub(crate) fn pattern(call: &CallPolicy) -> String {
     format!("{} {}", call.method, call.path_prefix)
 }
--- a/crates/text/src/change/consequence.rs
+++ b/crates/text/src/change/consequence.rs
@@ -1,9 +1,10 @@
-//! What follows from a change, in words.
+//! Describes the consequences of changes.
 
 use super::{CallChange, Change};
 use crate::prelude::*;
 
-/// The consequence of a change, if the change itself does not say it all.
+/// Describes the consequence of a change, or returns `None` if the change itself
+/// already says it.
 pub(super) fn of(change: &Change) -> Option<String> {
     let consequence = match change {
         Change::Deployment { .. } => "reports and logs carry the new name".to_owned(),
@@ -108,7 +109,8 @@
     format!("calls without a deadline of their own are given up {when}")
 }
 
-/// A count or share that is turned off, else what the new one means.
+/// Returns `off` if the new value is zero, which disables the feature, and the
+/// description by `on` otherwise.
 fn unless_zero(new: f64, off: &str, on: impl FnOnce() -> String) -> String {
     if new == 0.0 {
         return off.to_owned();
@@ -118,7 +120,7 @@
 
 fn percent(share: f64) -> String {
     const PER_CENT: f64 = 100.0;
-    // Rounded, because 0.07 times 100 is not 7 in binary.
+    // Rounds because 0.07 times 100 is not exactly 7 in binary floating point.
     let hundredths = (share * PER_CENT * PER_CENT).round() / PER_CENT;
     format!("{hundredths}%")
 }
--- a/crates/text/src/change/grouped.rs
+++ b/crates/text/src/change/grouped.rs
@@ -1,4 +1,4 @@
-//! The same change of several services, told once.
+//! Groups equal changes of several services.
 
 use std::collections::HashMap;
 use std::fmt;
@@ -6,10 +6,10 @@
 use super::Change;
 use crate::prelude::*;
 
-/// Services that are named beside the first.
+/// How many services are named after the first one.
 const MAX_NAMED: usize = 8;
 
-/// A change, and the other services that change in the same way.
+/// A change and the other services that change in the same way.
 #[derive(Clone, Debug, PartialEq)]
 pub struct GroupedChange<'a> {
     /// The change of the first service.
@@ -18,10 +18,10 @@
     pub others: Vec<&'a ServiceName>,
 }
 
-/// Puts equal changes of numbers together, at the place of the first.
+/// Groups equal changes of numeric settings at the position of the first one.
 ///
-/// An edit of the text's defaults changes hundreds of services alike; told one
-/// by one, they would hide the change that was not meant.
+/// An edit of the text's defaults can change hundreds of services in the same
+/// way. A list of all of them would hide an unintended change.
 #[must_use]
 pub fn grouped(changes: &[Change]) -> Vec<GroupedChange<'_>> {
     let mut groups: Vec<GroupedChange<'_>> = Vec::new();
--- a/crates/text/src/checked.rs
+++ b/crates/text/src/checked.rs
@@ -1,4 +1,4 @@
-//! A text that passed its checks.
+//! A text that passed all checks.
 
 use hornbeamhitch_dispatch::routes::{CallerLimits, Route, RouteSet};
 use serde::Serialize;
@@ -6,22 +6,22 @@
 
 use crate::prelude::*;
 
-/// A checked text, resolved to what the nodes run by.
+/// A checked text, resolved to the policies that the nodes apply.
 ///
-/// It can only come from [`crate::check`], so every value is in the range that
-/// its policy names.
+/// Only [`crate::check`] can create it, so every value is in the range documented
+/// at its policy's field.
 #[derive(Clone, Debug, PartialEq)]
 #[non_exhaustive]
 pub struct CheckedText {
-    /// What holds for the whole deployment.
+    /// The policy of the whole deployment.
     pub deployment: DeploymentPolicy,
     /// Data centres that the text lists, ordered by name.
     pub data_centres: Vec<DataCentre>,
     /// The services, ordered by name.
     pub services: Vec<ServicePolicy>,
-    /// Routes by host and path prefix, ordered by both.
+    /// The routes, ordered by host and path prefix.
     pub routes: Vec<HostRoute>,
-    /// What is allowed but probably not meant.
+    /// Warnings about values that are allowed but probably not intended.
     pub warnings: Vec<Warning>,
     /// Where the values of `services` come from, in the same order.
     pub(crate) sources: Vec<ServiceSources>,
@@ -35,7 +35,7 @@
         Some(&self.services[index])
     }
 
-    /// The routes as a set that nodes route by, under a version.
+    /// Builds the set of routes that nodes use, with the given version.
     #[must_use]
     pub fn route_set(&self, version: u64) -> RouteSet {
         let mut routes = RouteSet::new(version, CallerLimits::default());
@@ -51,7 +51,7 @@
             .ok()
     }
 
-    /// Names of the services that depend on a service.
+    /// Returns the names of the services that depend on a service.
     #[must_use]
     pub fn callers_of(&self, name: &str) -> Vec<&ServiceName> {
         let mut callers = Vec::new();
@@ -69,25 +69,25 @@
     }
 }
 
-/// A route under its host.
+/// A route with its host.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct HostRoute {
     /// The host in lower case.
     pub host: String,
     /// Line on which the route begins.
     pub line: u32,
-    /// What the nodes route by.
+    /// The route as the nodes use it.
     pub route: Route,
 }
 
 impl HostRoute {
-    /// Host and prefix, as reports name a route.
+    /// Formats host and path prefix, which identify a route in reports.
     #[must_use]
     pub fn host_and_prefix(&self) -> String {
         format!("{}{}", self.host, self.route.prefix)
     }
 
-    /// The parts with their weights, as reports show them.
+    /// Formats the destinations with their weights for reports.
     #[must_use]
     pub fn destinations(&self) -> String {
         let mut parts = Vec::new();
@@ -104,9 +104,9 @@
 pub enum Origin {
     /// Neither the service nor the text's defaults set it.
     BuiltIn,
-    /// It follows another value.
+    /// It is not set and is derived from another value.
     Follows {
-        /// The value that it follows.
+        /// The other value.
         value: FollowedValue,
     },
     /// The text's `defaults` set it.
@@ -121,7 +121,7 @@
     },
 }
 
-/// A value that another one follows when it is not set.
+/// A value from which another one is derived if that one is not set.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, strum::Display)]
 #[serde(rename_all = "snake_case")]
 #[strum(serialize_all = "snake_case")]
--- a/crates/text/src/depth.rs
+++ b/crates/text/src/depth.rs
@@ -1,8 +1,8 @@
-//! Bounds the nesting of a text before it is parsed.
+//! Limits the nesting depth of a text before it is parsed.
 
 use crate::limits::MAX_NESTING;
 
-/// What the scan is in the middle of.
+/// The syntactic context at the scan's current position.
 #[derive(Clone, Copy)]
 enum State {
     Values,
@@ -11,13 +11,13 @@
     BlockComment,
 }
 
-/// The offset of the first bracket that nests deeper than allowed.
+/// Returns the offset of the first bracket that exceeds the nesting limit.
 ///
-/// The parser calls itself for each level, up to 512 of them, which needs more
-/// stack than a thread of the daemon may have: without this scan, one broken
-/// value in the platform would abort every node that reads it. Strings and
-/// comments are skipped by the parser's own rules, so no text can hide its
-/// brackets from the scan and still show them to the parser.
+/// The parser recurses for each level, up to 512 levels, which can need more
+/// stack than a daemon thread has. Without this scan, one invalid value in the
+/// platform would abort every node that reads it. The scan skips strings and
+/// comments by the same rules as the parser, so it counts every bracket that
+/// the parser sees.
 pub(crate) fn too_deep(text: &str) -> Option<usize> {
     let mut state = State::Values;
     let mut depth = 0_usize;
--- a/crates/text/src/diff.rs
+++ b/crates/text/src/diff.rs
@@ -9,7 +9,8 @@
 use crate::checked::{CheckedText, HostRoute};
 use crate::prelude::*;
 
-/// What an edit changes, deployment first, then service by service.
+/// Returns the differences between two texts: those of the deployment first, then
+/// those of each service, then those of the routes.
 #[must_use]
 pub fn diff(old: &CheckedText, new: &CheckedText) -> Vec<Change> {
     let mut changes = Vec::new();
@@ -79,7 +80,7 @@
 
 type Callers<'a> = BTreeMap<&'a ServiceName, Vec<&'a ServiceName>>;
 
-/// The services that depend on each service.
+/// Returns, for each service, the services that depend on it.
 fn callers(text: &CheckedText) -> Callers<'_> {
     let mut callers = Callers::new();
     for service in &text.services {
@@ -240,11 +241,11 @@
     named
 }
 
-/// Compares what decides about running twice, for each match of either text.
+/// Compares whether calls are idempotent, for each match in either text.
 ///
-/// An entry that goes or moves can leave its calls to another entry or to
-/// their method. The entries alone would not show that a payment may now run
-/// twice.
+/// If an entry is removed or its match changes, another entry or the method
+/// decides about its previous calls. A comparison of the entries alone would not
+/// show that a payment may now run twice.
 fn diff_idempotence(before: &ServicePolicy, after: &ServicePolicy, changes: &mut Vec<Change>) {
     let mut calls = BTreeMap::new();
     for call in before.calls.iter().chain(&after.calls) {
@@ -263,9 +264,11 @@
     }
 }
 
-/// Whether a policy takes the calls that a named call covers for idempotent.
+/// Returns whether a policy treats the calls that a named call matches as
+/// idempotent.
 ///
-/// A call of any method is judged by `POST`, where the answer matters most.
+/// If the call matches any method, `POST` is used, the method for which running
+/// a call twice does the most harm.
 fn is_idempotent(policy: &ServicePolicy, call: &CallPolicy) -> bool {
     let method = match call.method.as_str() {
         crate::read::ANY_METHOD => "POST",
@@ -302,7 +305,7 @@
     changes
 }
 
-/// Walks two sorted lists together; equal entries come as a pair.
+/// Merges two sorted lists into pairs. Entries that compare equal form one pair.
 fn paired<'a, T>(
     old: &'a [T],
     new: &'a [T],
--- a/crates/text/src/draft.rs
+++ b/crates/text/src/draft.rs
@@ -1,18 +1,18 @@
-//! What a text says, before it is resolved.
+//! The parsed content of a text before it is resolved.
 
 use hornbeamhitch_types::policy::CallClass;
 use strum::EnumCount;
 
 use crate::setting::Setting;
 
-/// A value with the byte offset at which it stands.
+/// A value with its byte offset in the text.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Located<T> {
     pub(crate) value: T,
     pub(crate) offset: usize,
 }
 
-/// The whole text.
+/// The parsed text.
 #[derive(Debug, Default)]
 pub(crate) struct TextDraft<'v> {
     pub(crate) deployment: &'v str,
@@ -28,7 +28,7 @@
 /// One route of a host.
 #[derive(Debug)]
 pub(crate) struct RouteDraft<'v> {
-    /// Its place in the list as written.
+    /// Index of the route in the list of the text.
     pub(crate) index: usize,
     pub(crate) name: Located<&'v str>,
     pub(crate) host: Located<&'v str>,
@@ -41,7 +41,7 @@
     pub(crate) priority: f64,
 }
 
-/// One part of a route.
+/// One destination of a route, with its weight.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct DestinationDraft<'v> {
     pub(crate) service: Located<&'v str>,
@@ -56,14 +56,14 @@
     pub(crate) one_way_ms: f64,
 }
 
-/// A service under its name.
+/// A service with its name.
 #[derive(Debug)]
 pub(crate) struct NamedService<'v> {
     pub(crate) name: Located<&'v str>,
     pub(crate) draft: ServiceDraft<'v>,
 }
 
-/// What a service, or `defaults`, sets.
+/// The values that a service or `defaults` sets.
 #[derive(Debug, Default)]
 pub(crate) struct ServiceDraft<'v> {
     pub(crate) depends_on: Option<Located<Vec<Located<&'v str>>>>,
@@ -71,7 +71,7 @@
     pub(crate) numbers: Numbers,
 }
 
-/// The numbers that a service, or `defaults`, sets; each is in its range.
+/// The numeric settings that a service or `defaults` sets. Each is in its range.
 #[derive(Debug, Default)]
 pub(crate) struct Numbers([Option<Located<f64>>; Setting::COUNT]);
 
@@ -98,7 +98,8 @@
 }
 
 impl<'v> TextDraft<'v> {
-    /// The dependencies of a service: its own, else those of `defaults`.
+    /// Returns the dependencies of a service, or those of `defaults` if the
+    /// service lists none.
     pub(crate) fn dependencies<'s>(
         &'s self,
         service: &'s ServiceDraft<'v>,
@@ -113,7 +114,8 @@
         }
     }
 
-    /// The calls of a service: its own, else those of `defaults`.
+    /// Returns the calls of a service, or those of `defaults` if the service lists
+    /// none.
     pub(crate) fn calls<'s>(&'s self, service: &'s ServiceDraft<'v>) -> &'s [CallDraft<'v>] {
         let written = service.calls.as_ref().or(self.defaults.calls.as_ref());
         match written {
--- a/crates/text/src/explain.rs
+++ b/crates/text/src/explain.rs
@@ -1,4 +1,4 @@
-//! Puts together what a service resolves to.
+//! Builds the explanation of a service.
 
 use strum::VariantArray;
 
@@ -11,7 +11,7 @@
 ///
 /// # Errors
 ///
-/// [`UnknownService`] when the text has no such service.
+/// Returns [`UnknownService`] if the text does not list the service.
 pub fn explain(text: &CheckedText, service: &str) -> Result<Explanation, UnknownService> {
     let Some(index) = text.service_index(service) else {
         let known = text.services.iter().map(|known| known.service.as_str());
--- a/crates/text/src/explanation.rs
+++ b/crates/text/src/explanation.rs
@@ -1,4 +1,4 @@
-//! What a service resolves to, with the origin of each value.
+//! Explanation of a resolved service with the origin of each value.
 
 use std::fmt;
 
@@ -16,41 +16,41 @@
 pub struct Explanation {
     /// The service's name.
     pub service: ServiceName,
-    /// Line on which it begins.
+    /// Line on which the service begins.
     pub line: u32,
     /// Services that it depends on.
     pub depends_on: Vec<ServiceName>,
-    /// Where that list comes from.
+    /// Where the list of dependencies comes from.
     pub depends_on_origin: Origin,
     /// Services that depend on it.
     pub callers: Vec<ServiceName>,
-    /// Every number of the service.
+    /// All numeric settings of the service.
     pub settings: Vec<ExplainedSetting>,
     /// Where the list of calls comes from.
     pub calls_origin: Origin,
-    /// The named calls, in the order in which they are tried for one length of
-    /// path.
+    /// The named calls. Among those that match with equally long path prefixes,
+    /// the first one applies.
     pub calls: Vec<ExplainedCall>,
-    /// Routes by host and prefix that lead to it.
+    /// Routes that have the service as a destination.
     #[serde(skip_serializing_if = "Vec::is_empty")]
     pub routes: Vec<HostRoute>,
 }
 
-/// One number and its origin.
+/// One numeric setting and its origin.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct ExplainedSetting {
-    /// Which number.
+    /// The setting.
     pub setting: Setting,
-    /// Its value, in the unit that its key ends with.
+    /// Its value, in the unit given by the suffix of its key.
     pub value: f64,
-    /// Where it comes from.
+    /// Where the value comes from.
     pub origin: Origin,
 }
 
 /// One named call and the origin of its values.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct ExplainedCall {
-    /// Line on which it is named.
+    /// Line of its name.
     pub line: u32,
     /// The call.
     pub call: CallPolicy,
@@ -62,13 +62,13 @@
     pub deadline_origin: Origin,
 }
 
-/// The text has no such service.
+/// The error that the text does not list a service.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("the text has no service {service:?}{}", suggestion(nearest.as_deref()))]
 pub struct UnknownService {
-    /// The name asked for.
+    /// The requested name.
     pub service: String,
-    /// The service that it resembles.
+    /// The most similar service name, if any is similar enough.
     pub nearest: Option<String>,
 }
 
--- a/crates/text/src/fault.rs
+++ b/crates/text/src/fault.rs
@@ -1,4 +1,4 @@
-//! What can be wrong with a text.
+//! Faults of a text.
 
 use std::fmt;
 
@@ -12,7 +12,7 @@
 use crate::position::Position;
 use crate::setting::Range;
 
-/// The type of a value, in the words of JSON.
+/// The JSON type of a value.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Display)]
 #[strum(serialize_all = "lowercase")]
 pub enum JsonType {
@@ -35,7 +35,7 @@
     Null,
 }
 
-/// What a value should be.
+/// The values that are allowed.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Expected {
     /// Any value of a type.
@@ -53,20 +53,20 @@
     }
 }
 
-/// One fault of a text; a text with faults is refused whole.
+/// One fault of a text. A text with faults is rejected as a whole.
 #[derive(Clone, Debug, PartialEq, Error)]
 #[error("{position}: {path}{kind}{}", allowed_suffix(kind))]
 pub struct Fault {
-    /// Where it stands.
+    /// Position in the text.
     pub position: Position,
-    /// The keys that lead there.
+    /// Path of the faulty value.
     pub path: KeyPath,
-    /// What is wrong.
+    /// Kind of the fault.
     pub kind: FaultKind,
 }
 
-/// The keys that lead to a value, such as `services.cashier.slots`; empty for
-/// the whole text.
+/// The path of keys that leads to a value, such as `services.cashier.slots`. It
+/// is empty for the whole text.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(transparent)]
 pub struct KeyPath(pub String);
@@ -80,77 +80,78 @@
     }
 }
 
-/// What is wrong.
+/// The kind of a fault.
 #[derive(Clone, Debug, PartialEq, Error, IntoStaticStr)]
 #[strum(serialize_all = "kebab-case")]
 pub enum FaultKind {
-    /// Not JSON with comments.
+    /// The text is not valid JSON with comments.
     #[error("syntax error: {message}")]
     Syntax {
-        /// The parser's reason.
+        /// The parser's error message.
         message: String,
     },
-    /// Bytes that are not UTF-8.
+    /// The text is not UTF-8.
     #[error("the text is not UTF-8 from here on")]
     NotUtf8,
-    /// Brackets within brackets, more than any text needs.
+    /// The nesting exceeds the limit, which no valid text reaches.
     #[error("nested too deep")]
     TooDeep,
-    /// The text is larger than the platform holds.
+    /// The text is larger than the platform can store.
     #[error("the text is {size_bytes} bytes long")]
     TextTooLong {
         /// Size of the text in bytes.
         size_bytes: usize,
     },
-    /// A key that no object of this kind has.
+    /// An object has a key that is not allowed there.
     #[error("unknown key {}{}", quoted(key), suggestion(nearest.as_deref()))]
     UnknownKey {
         /// The key.
         key: String,
-        /// The known key that it resembles.
+        /// The most similar known key, if any is similar enough.
         nearest: Option<&'static str>,
         /// All known keys.
         known: Vec<&'static str>,
     },
-    /// The same key twice in one object.
+    /// An object has the same key twice.
     #[error("duplicate key {}; it is first set on line {first_line}", quoted(key))]
     DuplicateKey {
         /// The key.
         key: String,
-        /// Line of the first one.
+        /// Line of its first occurrence.
         first_line: u32,
     },
-    /// A required key is absent.
+    /// A required key is missing.
     #[error("the key \"{key}\" is missing")]
     MissingKey {
         /// The key.
         key: &'static str,
     },
-    /// A value of another type.
+    /// A value has the wrong type.
     #[error("found {found}")]
     WrongType {
         /// The type in the text.
         found: JsonType,
-        /// What is allowed.
+        /// The allowed values.
         expected: Expected,
     },
-    /// A number outside its range, or with a fraction where none is allowed.
+    /// A number is outside its range, or has a fraction where a whole number is
+    /// required.
     #[error("{written} is out of range")]
     OutOfRange {
-        /// The number as written, shortened.
+        /// The number as written in the text, shortened.
         written: String,
-        /// What is allowed.
+        /// The allowed range.
         range: Range,
     },
-    /// A name with characters that are not allowed, empty or too long.
+    /// A name is empty, too long or has characters that are not allowed.
     #[error("{} is not a valid {kind} name", quoted(name))]
     InvalidName {
-        /// What it should name.
+        /// The kind of name.
         kind: NameKind,
         /// The name, shortened.
         name: String,
     },
-    /// The same entry twice in one list.
+    /// A list has the same entry twice.
     #[error(
         "{} is listed twice; it first stands on line {first_line}",
         quoted(name)
@@ -158,29 +159,29 @@
     DuplicateEntry {
         /// The entry, shortened.
         name: String,
-        /// Line of the first one.
+        /// Line of its first occurrence.
         first_line: u32,
     },
-    /// More entries than a text may have.
+    /// A list or an object has more entries than allowed.
     #[error("{count} entries are too many")]
     TooMany {
-        /// Entries in the text.
+        /// Number of entries in the text.
         count: usize,
-        /// Entries allowed.
+        /// Maximum number of entries.
         limit: usize,
     },
-    /// More dependencies and calls than all services may have together.
+    /// All services together have more dependencies and calls than allowed.
     #[error("all services together have {count} dependencies and calls, inherited ones included")]
     TooManyResolved {
-        /// Dependencies and calls after inheritance.
+        /// Number of dependencies and calls, including inherited ones.
         count: usize,
-        /// Those allowed.
+        /// Maximum number of dependencies and calls.
         limit: usize,
     },
     /// The text lists no service.
     #[error("no service is listed")]
     NoServices,
-    /// A dependency that is not a service of the text.
+    /// A dependency is not a service of the text.
     #[error(
         "service {service} depends on {}, which is not a service of this text{}",
         quoted(dependency),
@@ -189,44 +190,44 @@
     UnknownDependency {
         /// The service, or `defaults`.
         service: String,
-        /// What it depends on, shortened.
+        /// The unknown dependency, shortened.
         dependency: String,
-        /// The service that it resembles.
+        /// The most similar service name, if any is similar enough.
         nearest: Option<String>,
     },
-    /// Services that depend on each other in a circle.
+    /// Services form a dependency cycle.
     #[error("circular dependency: {cycle}")]
     CircularDependency {
         /// The services in order, such as `a -> b -> a`.
         cycle: String,
     },
-    /// A class that does not exist.
+    /// A call class does not exist.
     #[error("unknown class {}{}", quoted(class), suggestion(*nearest))]
     UnknownClass {
         /// The class, shortened.
         class: String,
-        /// The class that it resembles.
+        /// The most similar class, if any is similar enough.
         nearest: Option<&'static str>,
     },
-    /// A call's match that cannot be read.
+    /// The match of a call is malformed.
     #[error("{} does not match calls", quoted(pattern))]
     InvalidMatch {
         /// The match, shortened.
         pattern: String,
     },
-    /// A host that no request can name.
+    /// A host is not a valid host name.
     #[error("{} is no host", quoted(host))]
     InvalidHost {
         /// The host, shortened.
         host: String,
     },
-    /// A prefix that is no whole part of a path.
+    /// A path prefix is malformed or does not end with `/`.
     #[error("{} is no prefix of paths", quoted(prefix))]
     InvalidPrefix {
         /// The prefix, shortened.
         prefix: String,
     },
-    /// A route to a service that the text does not list.
+    /// A destination of a route is not a service of the text.
     #[error(
         "route {route} leads to {}, which is not a service of this text{}",
         quoted(service),
@@ -235,43 +236,44 @@
     UnknownDestination {
         /// Name of the route.
         route: String,
-        /// The service, shortened.
+        /// The unknown service, shortened.
         service: String,
-        /// The service that it resembles.
+        /// The most similar service name, if any is similar enough.
         nearest: Option<String>,
     },
-    /// A route whose parts have no weight at all.
+    /// All destinations of a route have weight 0.
     #[error("route {route} leads nowhere")]
     NoDestination {
         /// Name of the route.
         route: String,
     },
-    /// A distance from or to a data centre that the text does not list.
+    /// A distance is from or to a data centre that the text does not list.
     #[error("unknown data centre {}{}", quoted(data_centre), suggestion(nearest.as_deref()))]
     UnknownDataCentre {
         /// The data centre, shortened.
         data_centre: String,
-        /// The data centre that it resembles.
+        /// The most similar data centre, if any is similar enough.
         nearest: Option<String>,
     },
-    /// The first trial of an ejected target would come after the last.
+    /// The time until the first trial call to an ejected target exceeds the maximum
+    /// time between trial calls.
     #[error("base_ejection_ms {base_ms} is greater than max_ejection_ms {max_ms}")]
     EjectionOrder {
-        /// Time until the first trial in milliseconds.
+        /// Time until the first trial call, in milliseconds.
         base_ms: u64,
-        /// Longest time between trials in milliseconds.
+        /// Maximum time between trial calls, in milliseconds.
         max_ms: u64,
     },
 }
 
 impl FaultKind {
-    /// The name of the kind, for programs that read the faults.
+    /// Returns the name of the kind, for programs that process faults.
     #[must_use]
     pub fn name(&self) -> &'static str {
         self.into()
     }
 
-    /// What is allowed instead.
+    /// Describes what is allowed instead.
     #[must_use]
     pub fn allowed(&self) -> String {
         match self {
@@ -315,7 +317,7 @@
     }
 }
 
-/// Names of all classes.
+/// Returns the names of all call classes.
 pub(crate) fn class_names() -> Vec<&'static str> {
     let mut names = Vec::new();
     for class in CallClass::VARIANTS {
@@ -335,7 +337,7 @@
     }
 }
 
-/// The same as the text of a [`Fault`], in fields.
+/// The serialised form of a [`Fault`].
 #[derive(Serialize)]
 struct FaultRecord<'a> {
     line: u32,
@@ -360,12 +362,12 @@
     }
 }
 
-/// Every fault of a text, ordered by position, with its warnings.
+/// The faults of a text, ordered by position.
 #[derive(Clone, Debug, PartialEq, Error, Serialize)]
 pub struct Faults {
     /// The faults; never empty.
     pub faults: Vec<Fault>,
-    /// Faults beyond those listed.
+    /// Number of further faults that are not listed.
     pub omitted: usize,
 }
 
--- a/crates/text/src/graph.rs
+++ b/crates/text/src/graph.rs
@@ -10,7 +10,8 @@
 use crate::report::Report;
 use crate::warning::WarningKind;
 
-/// Reports dependencies that are unknown or circular, and warns of deep ones.
+/// Reports unknown and circular dependencies, and warns about long dependency
+/// chains.
 pub(crate) fn check(draft: &TextDraft<'_>, report: &mut Report<'_, '_>) {
     let graph = Graph::new(draft);
     graph.check_known(report);
@@ -21,7 +22,7 @@
     search.warn_about_depth(report);
 }
 
-/// Services as numbers, in the order of the text.
+/// The dependency graph. Services are identified by their index in the text.
 struct Graph<'d, 'v> {
     draft: &'d TextDraft<'v>,
     indices: HashMap<&'v str, usize>,
@@ -44,7 +45,8 @@
         self.draft.dependencies(&self.draft.services[service].draft)
     }
 
-    /// Checks each list as written, so that one of `defaults` counts once.
+    /// Checks that all dependencies are listed services. The list of `defaults` is
+    /// checked once, not for each service that inherits it.
     fn check_known(&self, report: &mut Report<'_, '_>) {
         if let Some(list) = &self.draft.defaults.depends_on {
             self.check_list("defaults", "defaults", &list.value, report);
@@ -82,27 +84,28 @@
     }
 }
 
-/// How far the search has come with a service.
+/// The state of a service in the depth-first search.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Progress {
     Unseen,
-    /// On the way from the start; the number is its place on that way.
+    /// The service is on the current path, at this index.
     OnPath(usize),
     Done,
 }
 
-/// One service on the way from the start, with its next edge.
+/// A service on the current path and the index of its next edge to follow.
 struct Visit {
     service: usize,
     next_edge: usize,
 }
 
-/// A depth-first search with a path of its own in place of recursion, so that
-/// a long chain of services cannot exhaust the stack.
+/// A depth-first search with an explicit stack instead of recursion, so that a
+/// long chain of services cannot overflow the thread's stack.
 struct Search<'g, 'd, 'v> {
     graph: &'g Graph<'d, 'v>,
     progress: Vec<Progress>,
-    /// Services on the longest way down from each, itself included.
+    /// For each service, the number of services on its longest dependency chain,
+    /// including itself.
     depths: Vec<usize>,
     is_dependency: Vec<bool>,
     path: Vec<Visit>,
@@ -187,7 +190,8 @@
         description
     }
 
-    /// Warns at services that nothing depends on, where chains begin.
+    /// Warns about long dependency chains, once for each chain's first service,
+    /// on which no other service depends.
     fn warn_about_depth(&self, report: &mut Report<'_, '_>) {
         for (service, depth) in self.depths.iter().copied().enumerate() {
             if depth <= MAX_DEPTH || self.is_dependency[service] {
--- a/crates/text/src/keys.rs
+++ b/crates/text/src/keys.rs
@@ -1,12 +1,12 @@
-//! The keys of each object in a text.
+//! The keys of the objects in a text.
 
 use strum::{IntoStaticStr, VariantArray};
 
 use crate::setting::{Group, Setting};
 
-/// A key that an object may have.
+/// A key that an object can have.
 pub(crate) trait Key: Copy {
-    /// The key as it is written.
+    /// Returns the key as written in the text.
     fn name(self) -> &'static str;
 }
 
@@ -22,7 +22,7 @@
 
 keys!(TextKey, DistanceKey, CallEntryKey, RouteKey, Setting);
 
-/// Keys of the whole text.
+/// Keys of the top-level object.
 #[derive(Clone, Copy, IntoStaticStr, VariantArray)]
 #[strum(serialize_all = "snake_case")]
 pub(crate) enum TextKey {
@@ -92,7 +92,7 @@
 }
 
 impl ServiceKey {
-    /// All keys, in the order of the documentation.
+    /// Returns all keys in the order of the documentation.
     pub(crate) fn all() -> Vec<Self> {
         let mut keys = vec![Self::DependsOn, Self::Calls];
         for setting in Setting::in_group(Group::Service) {
--- a/crates/text/src/lib.rs
+++ b/crates/text/src/lib.rs
@@ -1,12 +1,12 @@
-//! The configuration text: parsing, checks, differences and explanations.
+//! Parses, checks, compares and explains the configuration text.
 //!
 //! Operators write one text in JSON with comments. [`check`] either resolves it
-//! to the policies that the nodes run by, or names every fault with its line,
-//! column, reason and what is allowed instead. [`diff`] says in words what an
+//! to the policies that the nodes apply, or reports every fault with its line,
+//! its column, the reason and the allowed values. [`diff`] describes what an
 //! edit changes, and [`explain`] where each value of a service comes from.
 //!
-//! Nothing here does I/O, and every result depends on the text alone: the
-//! operator's command line and each node come to the same verdict.
+//! This crate does no I/O, and every result depends on the text alone, so that
+//! the operators' command line and each node accept and reject the same texts.
 
 pub mod change;
 pub mod checked;
@@ -50,11 +50,11 @@
 use position::LineIndex;
 use report::Report;
 
-/// Checks a text as it came from a file or the platform.
+/// Checks the bytes of a text, as read from a file or from the platform.
 ///
 /// # Errors
 ///
-/// As [`check`]; bytes that are not UTF-8 are a fault.
+/// Returns the same faults as [`check`], and a fault if the bytes are not UTF-8.
 pub fn check_bytes(bytes: &[u8]) -> Result<CheckedText, Faults> {
     let error = match std::str::from_utf8(bytes) {
         Ok(text) => return check(text),
@@ -68,12 +68,13 @@
     Err(report.into_faults())
 }
 
-/// Checks a whole text and resolves it.
+/// Checks a text and resolves it.
 ///
 /// # Errors
 ///
-/// Every fault found, ordered by position. A text with a syntax error is read
-/// on leniently where that is possible, so that its other faults show too.
+/// Returns every fault found, ordered by position. After a syntax error, the
+/// text is parsed again leniently if possible, so that its other faults are
+/// reported too.
 pub fn check(text: &str) -> Result<CheckedText, Faults> {
     let lines = LineIndex::new(text);
     let mut report = Report::new(&lines);
--- a/crates/text/src/limits.rs
+++ b/crates/text/src/limits.rs
@@ -1,48 +1,49 @@
-//! Sizes that bound a text and the work of checking it.
+//! Limits on the size of a text and on the cost of checking it.
 
-/// Largest text in bytes; the platform holds values up to a megabyte.
+/// Maximum size of a text in bytes. The platform stores values of up to 1 MiB.
 pub const MAX_TEXT_BYTES: usize = 1_048_576;
-/// From this size in bytes on, a text is close enough to the largest to warn.
+/// Size in bytes from which a text causes a warning that it nears the maximum.
 pub(crate) const LARGE_TEXT_BYTES: usize = 900_000;
-/// Levels of nesting; a text as documented has seven.
+/// Maximum nesting depth. Texts that use all documented keys have seven levels.
 pub(crate) const MAX_NESTING: usize = 32;
-/// Services of one text.
+/// Maximum number of services in a text.
 pub(crate) const MAX_SERVICES: usize = 4_096;
-/// Services that one service may depend on.
+/// Maximum number of dependencies of a service.
 pub(crate) const MAX_DEPENDENCIES: usize = 256;
-/// Calls that one service may name.
+/// Maximum number of named calls of a service.
 pub(crate) const MAX_CALLS: usize = 256;
-/// Dependencies and calls of all services together.
+/// Maximum number of dependencies and calls of all services together.
 ///
 /// A list in `defaults` is copied to each service that inherits it. Without a
-/// bound on the copies, a few kilobytes of text could fill a node's memory.
+/// limit on the copies, a few kilobytes of text could fill a node's memory.
 pub(crate) const MAX_RESOLVED_ENTRIES: usize = 200_000;
-/// Routes of one text.
+/// Maximum number of routes in a text.
 pub(crate) const MAX_ROUTES: usize = 4_096;
-/// Services to which one route may be split.
+/// Maximum number of destinations of a route.
 pub(crate) const MAX_DESTINATIONS: usize = 64;
-/// Characters of a host, as DNS allows them.
+/// Maximum length of a host name, which is the limit of DNS.
 pub(crate) const MAX_HOST_CHARS: usize = 253;
-/// Tenants of one text; each has histograms of its own.
+/// Maximum number of tenants in a text. Each tenant has its own histograms.
 pub(crate) const MAX_TENANTS: usize = 256;
-/// Data centres of one text.
+/// Maximum number of data centres in a text.
 pub(crate) const MAX_DATA_CENTRES: usize = 256;
-/// Listed distances of one text.
+/// Maximum number of listed distances in a text.
 pub(crate) const MAX_DISTANCES: usize = 4_096;
-/// Characters of a name.
+/// Maximum length of a name in characters.
 pub(crate) const MAX_NAME_CHARS: usize = 63;
-/// Characters of a call's path prefix.
+/// Maximum length of a path prefix in characters.
 pub(crate) const MAX_PATH_CHARS: usize = 256;
-/// Characters of an HTTP method.
+/// Maximum length of an HTTP method in characters.
 pub(crate) const MAX_METHOD_CHARS: usize = 16;
-/// Faults and warnings that are kept; the rest is only counted.
+/// Maximum number of faults and of warnings in a report. Further faults are only
+/// counted.
 ///
-/// A megabyte of unknown keys would otherwise cost far more memory and time
-/// than the text itself, on every node that reads it.
+/// Without the limit, a megabyte of unknown keys would cost every node that
+/// reads it far more memory and time than the text itself.
 pub(crate) const MAX_REPORTED: usize = 1_000;
-/// Names written out when a long cycle is described.
+/// Maximum number of names in the description of a dependency cycle.
 pub(crate) const MAX_CYCLE_NAMES: usize = 16;
-/// Calls may be this many services deep before a warning.
+/// Longest chain of dependent services that causes no warning.
 pub(crate) const MAX_DEPTH: usize = 8;
-/// Characters of the text that a message quotes.
+/// Maximum number of characters that a message quotes from the text.
 pub(crate) const MAX_QUOTED_CHARS: usize = 64;
--- a/crates/text/src/name.rs
+++ b/crates/text/src/name.rs
@@ -1,12 +1,12 @@
-//! Which names are valid, and how messages quote what they found.
+//! Validation of names, and quoting of text in messages.
 
 use crate::limits::{MAX_NAME_CHARS, MAX_QUOTED_CHARS};
 
-/// What a name stands for, which decides its characters.
+/// The kind of a name, which determines its allowed characters.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, strum::Display)]
 #[strum(serialize_all = "lowercase")]
 pub enum NameKind {
-    /// A service; it is the first segment of a path.
+    /// A service. Its name is the first segment of a path.
     Service,
     /// A call of a service.
     Call,
@@ -20,7 +20,7 @@
 }
 
 impl NameKind {
-    /// The rule in words.
+    /// Describes the names that are allowed.
     #[must_use]
     pub const fn allowed(self) -> &'static str {
         match self {
@@ -67,7 +67,8 @@
         .all(|b| b.is_ascii_alphanumeric() || matches!(b, b'-' | b'_' | b'.'))
 }
 
-/// Quotes a piece of the text for a message: escaped, and cut when long.
+/// Quotes a piece of the text for a message: escapes it and truncates it if it is
+/// long.
 pub(crate) fn quoted(piece: &str) -> String {
     let Some((cut_at, _)) = piece.char_indices().nth(MAX_QUOTED_CHARS) else {
         return format!("{piece:?}");
@@ -75,7 +76,7 @@
     format!("{:?}...", &piece[..cut_at])
 }
 
-/// Cuts a piece of the text that a message keeps.
+/// Truncates a piece of the text that a fault stores.
 pub(crate) fn shortened(piece: &str) -> String {
     let Some((cut_at, _)) = piece.char_indices().nth(MAX_QUOTED_CHARS) else {
         return piece.to_owned();
--- a/crates/text/src/nearest.rs
+++ b/crates/text/src/nearest.rs
@@ -1,11 +1,12 @@
-//! The known name that a misspelt one was probably meant to be.
+//! Suggests the known name closest to a misspelt one.
 
-/// Longer names are not compared; no known name is that long.
+/// Longer names get no suggestion. No known name is that long.
 const MAX_COMPARED_BYTES: usize = 64;
-/// One edit is allowed for each so many bytes, and one in any case.
+/// Number of bytes in a name for each allowed edit. At least one edit is allowed.
 const BYTES_PER_EDIT: usize = 3;
 
-/// Finds the known name with the fewest edits, if it is near at all.
+/// Returns the known name with the smallest edit distance, unless that exceeds
+/// the allowed number of edits.
 pub(crate) fn nearest<'n>(name: &str, known: impl IntoIterator<Item = &'n str>) -> Option<&'n str> {
     if name.len() > MAX_COMPARED_BYTES {
         return None;
@@ -26,7 +27,7 @@
     best
 }
 
-/// Levenshtein's distance in bytes.
+/// Computes the Levenshtein distance in bytes.
 fn edit_distance(left: &[u8], right: &[u8]) -> usize {
     let mut row: Vec<usize> = (0..=right.len()).collect();
     for (i, left_byte) in left.iter().enumerate() {
--- a/crates/text/src/number.rs
+++ b/crates/text/src/number.rs
@@ -1,7 +1,8 @@
-//! Conversions of checked numbers.
+//! Conversions of range-checked numbers.
 //!
-//! The text's numbers are doubles. All ranges of whole numbers lie far below
-//! 2^53 and are checked before, so that these conversions lose nothing.
+//! Numbers in the text are parsed as doubles. The ranges of all whole numbers
+//! are far below 2^53 and are checked before conversion, so these conversions
+//! are exact.
 
 use hornbeamhitch_types::clock::Millis;
 
@@ -17,7 +18,7 @@
     Millis(to_u64(number))
 }
 
-/// Converts milliseconds with fractions to whole microseconds.
+/// Converts fractional milliseconds to whole microseconds.
 pub(crate) fn to_micros(ms: f64) -> u32 {
     const US_PER_MS: f64 = 1_000.0;
     (ms * US_PER_MS).round() as u32
--- a/crates/text/src/position.rs
+++ b/crates/text/src/position.rs
@@ -1,15 +1,15 @@
-//! Lines and columns of byte offsets.
+//! Conversion of byte offsets to lines and columns.
 
 use std::fmt;
 
 use serde::Serialize;
 
-/// A place in a text, both parts counted from 1.
+/// A position in a text. Line and column are counted from 1.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
 pub struct Position {
-    /// Line.
+    /// The line.
     pub line: u32,
-    /// Column in characters.
+    /// The column in characters.
     pub column: u32,
 }
 
@@ -21,10 +21,12 @@
 
 const BLOCK_BYTES: usize = 1_024;
 
-/// Finds the position of an offset without reading the text from its start.
+/// An index that finds the position of an offset without scanning the text from
+/// its start.
 ///
-/// Characters are counted once per block, so that a fault at the end of a
-/// one-line megabyte costs no more than one at its beginning.
+/// The number of characters before each block is computed once. The position of
+/// a fault at the end of a megabyte on one line therefore costs no more than one
+/// at its beginning.
 pub(crate) struct LineIndex<'t> {
     text: &'t str,
     line_starts: Vec<usize>,
--- a/crates/text/src/prelude.rs
+++ b/crates/text/src/prelude.rs
@@ -1,4 +1,4 @@
-//! The types that most modules of this crate need.
+//! Re-exports the types that most modules of this crate use.
 
 pub use hornbeamhitch_types::policy::{Budgets, DeploymentPolicy, Distance, EjectionPolicy};
 pub use hornbeamhitch_types::prelude::*;
--- a/crates/text/src/read.rs
+++ b/crates/text/src/read.rs
@@ -22,7 +22,7 @@
 use crate::report::Report;
 use crate::setting::Range;
 
-/// Distances between data centres, one way, in milliseconds.
+/// Range of one-way latencies between data centres, in milliseconds.
 const DISTANCE_MS: Range = Range::fraction(0.0, 10_000.0);
 
 /// Reads the text from its root value.
@@ -77,7 +77,7 @@
     }
 }
 
-/// Reports required keys that an object lacks.
+/// Reports required keys that are missing in an object.
 pub(crate) fn report_missing<K: Key>(
     reader: &mut Reader<'_, '_, '_, '_>,
     object: &Object<'_>,
@@ -172,7 +172,8 @@
     })
 }
 
-/// A distance holds in both directions, so a pair has one order.
+/// Returns two data centres in alphabetical order. A distance applies in both
+/// directions, so each pair is stored in one order only.
 pub(crate) fn ordered<'v>(one: &'v str, other: &'v str) -> (&'v str, &'v str) {
     if one <= other {
         (one, other)
--- a/crates/text/src/read/call.rs
+++ b/crates/text/src/read/call.rs
@@ -1,4 +1,4 @@
-//! Reads the calls that a service names.
+//! Reads the named calls of a service.
 
 use std::collections::HashMap;
 
@@ -17,10 +17,10 @@
 use crate::reader::Reader;
 use crate::setting::Setting;
 
-/// Any method.
+/// Matches any HTTP method.
 pub(crate) const ANY_METHOD: &str = "*";
 
-/// The calls that a match covers.
+/// The parsed `match` of a call.
 #[derive(Clone, Copy)]
 struct Pattern<'v> {
     method: &'v str,
@@ -28,7 +28,7 @@
     offset: usize,
 }
 
-/// Reads a list of calls; a faulty one is left out.
+/// Reads a list of calls. Faulty calls are reported and left out.
 pub(crate) fn read_all<'v>(
     reader: &mut Reader<'_, '_, '_, 'v>,
     value: &'v Value<'v>,
--- a/crates/text/src/read/route.rs
+++ b/crates/text/src/read/route.rs
@@ -18,19 +18,20 @@
 use crate::report::Report;
 use crate::setting::{Range, Setting};
 
-/// Share of a part; only its relation to the others counts.
+/// Range of a destination's weight, which is relative to the other weights of
+/// the route.
 const WEIGHT: Range = Range::whole(0, 1_000_000);
-/// Targets to which one request may be sent.
+/// Range of the number of targets to which one request may be sent.
 const ATTEMPTS: Range = Range::whole(1, 16);
-/// Ranks of routes that share a target.
+/// Range of the priorities of routes that share a target.
 const PRIORITY: Range = Range::whole(0, 255);
 
-/// Without it, one more target is tried.
+/// By default, a request is tried at one more target after the first one.
 const DEFAULT_ATTEMPTS: f64 = 2.0;
-/// Without it, a route ranks in the middle of the few that are common.
+/// The default is the middle of the few priorities that are in common use.
 const DEFAULT_PRIORITY: f64 = 1.0;
 
-/// Reads the list of routes; a faulty one is left out.
+/// Reads the list of routes. Faulty routes are reported and left out.
 pub(super) fn read_all<'v>(
     reader: &mut Reader<'_, '_, '_, 'v>,
     value: &'v Value<'v>,
@@ -99,7 +100,8 @@
         host: host?,
         prefix: prefix?,
         to: to?,
-        // The strict reading without a word: what may not be repeated is not.
+        // Routes are not idempotent by default, so that requests are only repeated
+        // where the text allows it.
         idempotent: idempotent.is_some_and(|found| found.value),
         timeout_ms,
         objective_ms: objective_ms.map_or(timeout_ms, |found| found.value),
@@ -169,7 +171,8 @@
     None
 }
 
-/// Reports routes that lead to no service of the text.
+/// Reports routes to services that the text does not list, and routes whose
+/// weights are all zero.
 pub(super) fn check_destinations(draft: &TextDraft<'_>, report: &mut Report<'_, '_>) {
     let known: Vec<&str> = draft.services.iter().map(|one| one.name.value).collect();
     for route in &draft.routes {
--- a/crates/text/src/read/service.rs
+++ b/crates/text/src/read/service.rs
@@ -1,4 +1,4 @@
-//! Reads one service, or `defaults`.
+//! Reads one service or `defaults`.
 
 use jsonc_parser::ast::Value;
 use jsonc_parser::common::Ranged;
@@ -11,7 +11,8 @@
 use crate::reader::Reader;
 use crate::setting::{Group, Setting};
 
-/// Reads what a service sets; what is faulty counts as not set.
+/// Reads the values that a service sets. Faulty values are reported and treated
+/// as not set.
 pub(crate) fn read<'v>(
     reader: &mut Reader<'_, '_, '_, 'v>,
     value: &'v Value<'v>,
--- a/crates/text/src/reader.rs
+++ b/crates/text/src/reader.rs
@@ -1,4 +1,4 @@
-//! Walks the tree of values and reports what has the wrong shape.
+//! Reads values from the syntax tree and reports those that are invalid.
 
 use std::collections::HashMap;
 use std::collections::hash_map::Entry;
@@ -14,14 +14,14 @@
 use crate::report::Report;
 use crate::setting::Range;
 
-/// One step on the way from the root to a value.
+/// One step of the path from the root to a value.
 #[derive(Clone, Copy)]
 enum Step<'v> {
     Key(&'v str),
     Index(usize),
 }
 
-/// Reads values at a place in the tree.
+/// Reads values and keeps track of the path to the current one.
 pub(crate) struct Reader<'r, 'i, 't, 'v> {
     report: &'r mut Report<'i, 't>,
     path: Vec<Step<'v>>,
@@ -35,7 +35,7 @@
         }
     }
 
-    /// Reads something that stands under a key.
+    /// Reads the value of a key.
     pub(crate) fn at_key<T>(&mut self, key: &'v str, read: impl FnOnce(&mut Self) -> T) -> T {
         self.path.push(Step::Key(key));
         let result = read(self);
@@ -43,7 +43,7 @@
         result
     }
 
-    /// Reads something that stands at an index of an array.
+    /// Reads the element at an index of an array.
     pub(crate) fn at_index<T>(&mut self, index: usize, read: impl FnOnce(&mut Self) -> T) -> T {
         self.path.push(Step::Index(index));
         let result = read(self);
@@ -51,7 +51,7 @@
         result
     }
 
-    /// Reports a fault at the present place.
+    /// Reports a fault at the current path.
     pub(crate) fn fault(&mut self, offset: usize, kind: impl FnOnce() -> FaultKind) {
         let path = &self.path;
         self.report.fault(offset, || (key_path(path), kind()));
@@ -61,7 +61,8 @@
         self.report.lines().line(offset)
     }
 
-    /// The known keys of an object, each once; all others are reported.
+    /// Returns the properties of an object with known keys. Reports unknown and
+    /// repeated keys.
     pub(crate) fn entries<K: Key>(
         &mut self,
         object: &'v Object<'_>,
@@ -79,7 +80,8 @@
         entries
     }
 
-    /// The properties of an object, without repeated keys, which are reported.
+    /// Returns the properties of an object, the first one of each key. Reports
+    /// repeated keys.
     pub(crate) fn distinct(&mut self, object: &'v Object<'_>) -> Vec<&'v ObjectProp<'v>> {
         let mut first_offsets: HashMap<&str, usize> = HashMap::new();
         let mut properties = Vec::new();
@@ -108,7 +110,7 @@
         Some(object)
     }
 
-    /// An array with at most `limit` elements.
+    /// Reads an array with at most `limit` elements.
     pub(crate) fn array(&mut self, value: &'v Value<'v>, limit: usize) -> Option<&'v Array<'v>> {
         let Value::Array(array) = value else {
             return self.wrong_type(value, Expected::Type(JsonType::Array));
@@ -141,7 +143,7 @@
         })
     }
 
-    /// A number within a range.
+    /// Reads a number and checks its range.
     pub(crate) fn number(&mut self, value: &'v Value<'v>, range: Range) -> Option<Located<f64>> {
         let Value::NumberLit(literal) = value else {
             return self.wrong_type(value, Expected::Number(range));
@@ -161,7 +163,7 @@
         }
     }
 
-    /// A string that is a valid name.
+    /// Reads a string that is a valid name.
     pub(crate) fn name(
         &mut self,
         value: &'v Value<'v>,
@@ -171,7 +173,7 @@
         self.check_name(name, kind).then_some(name)
     }
 
-    /// Reports a name that is not valid.
+    /// Reports an invalid name. Returns whether the name is valid.
     pub(crate) fn check_name(&mut self, name: Located<&'v str>, kind: NameKind) -> bool {
         if kind.accepts(name.value) {
             return true;
@@ -183,7 +185,8 @@
         false
     }
 
-    /// An array of distinct valid names.
+    /// Reads an array of names. Reports invalid and repeated names and leaves them
+    /// out.
     pub(crate) fn names(
         &mut self,
         value: &'v Value<'v>,
@@ -205,7 +208,8 @@
         Some(names)
     }
 
-    /// Reports an entry that a list already has.
+    /// Reports an entry that is already in `seen`, and adds others to it. Returns
+    /// whether the entry is repeated.
     pub(crate) fn is_repeated(
         &mut self,
         seen: &mut HashMap<String, usize>,
@@ -232,11 +236,11 @@
     }
 }
 
-/// Reads a literal; one too large for a double becomes infinite, which no
-/// range contains.
+/// Parses a numeric literal. A literal too large for a double becomes infinite,
+/// which is outside every range.
 fn parse_number(literal: &NumberLit<'_>) -> Option<f64> {
     let number: f64 = literal.value.parse().ok()?;
-    // Adding zero turns -0 into 0, which would otherwise be shown as "-0".
+    // Adding zero turns -0 into 0, which would otherwise be displayed as "-0".
     Some(number + 0.0)
 }
 
--- a/crates/text/src/relations.rs
+++ b/crates/text/src/relations.rs
@@ -1,4 +1,4 @@
-//! Warnings that follow from several resolved values together.
+//! Warnings about combinations of resolved values.
 
 use std::collections::HashMap;
 
@@ -9,7 +9,8 @@
 use crate::report::Report;
 use crate::resolve::is_safe;
 
-/// Warns of values that are allowed each by itself but not meant together.
+/// Warns about values that are each allowed but probably not intended in
+/// combination.
 pub(crate) fn check(draft: &TextDraft<'_>, resolved: &CheckedText, report: &mut Report<'_, '_>) {
     let deadlines = longest_deadlines(resolved);
     for service in &draft.services {
@@ -64,7 +65,8 @@
     });
 }
 
-/// A caller that gives up first leaves its dependency working for nobody.
+/// Warns about dependencies whose deadline is longer than that of their caller:
+/// once the caller has timed out, the dependency's work is wasted.
 fn check_dependencies(
     draft: &TextDraft<'_>,
     service: &NamedService<'_>,
--- a/crates/text/src/report.rs
+++ b/crates/text/src/report.rs
@@ -6,7 +6,7 @@
 use crate::position::LineIndex;
 use crate::prelude::*;
 
-/// Faults and warnings found so far.
+/// The faults and warnings found so far.
 pub(crate) struct Report<'i, 't> {
     lines: &'i LineIndex<'t>,
     faults: Vec<Fault>,
@@ -28,8 +28,8 @@
         self.lines
     }
 
-    /// Adds a fault at a byte offset. Beyond the limit it is only counted, and
-    /// `describe` is not called, which bounds the cost of a hostile text.
+    /// Adds a fault at a byte offset. Faults beyond the limit are only counted,
+    /// without calling `describe`, which bounds the cost of a hostile text.
     pub(crate) fn fault(&mut self, offset: usize, describe: impl FnOnce() -> (KeyPath, FaultKind)) {
         if self.faults.len() >= MAX_REPORTED {
             self.omitted_faults += 1;
@@ -43,7 +43,7 @@
         });
     }
 
-    /// Adds a warning at a byte offset.
+    /// Adds a warning at a byte offset. Warnings beyond the limit are dropped.
     pub(crate) fn warning(
         &mut self,
         offset: usize,
@@ -69,7 +69,7 @@
         }
     }
 
-    /// The verdict on the whole text.
+    /// Returns the resolved text with its warnings, or the faults if there are any.
     pub(crate) fn finish(mut self, mut resolved: CheckedText) -> Result<CheckedText, Faults> {
         if !self.faults.is_empty() {
             return Err(self.into_faults());
--- a/crates/text/src/resolve.rs
+++ b/crates/text/src/resolve.rs
@@ -1,4 +1,4 @@
-//! From a draft to the policies that the nodes run by.
+//! Resolves a draft to the policies that the nodes apply.
 
 use hornbeamhitch_dispatch::routes::{CallKind, Destination, Route};
 use strum::{EnumCount, VariantArray};
@@ -13,7 +13,7 @@
 use crate::read::{ANY_METHOD, ordered};
 use crate::report::Report;
 
-/// One-way time between data centres when the text gives none.
+/// One-way latency between data centres if the text gives none.
 const DEFAULT_DISTANCE_MS: f64 = 1.5;
 
 /// Resolves the whole text.
@@ -38,7 +38,7 @@
     }
 }
 
-/// All services, or none when their copies of inherited lists are too many.
+/// Returns all services, or none if they would inherit too many list entries.
 fn services_to_resolve<'d, 'v>(
     draft: &'d TextDraft<'v>,
     report: &mut Report<'_, '_>,
@@ -127,7 +127,7 @@
     data_centres
 }
 
-/// The numbers of one service with their origins.
+/// The numeric settings of one service with their origins.
 struct ResolvedNumbers {
     values: [f64; Setting::COUNT],
     origins: [Origin; Setting::COUNT],
@@ -170,8 +170,9 @@
     for call in draft.calls(&service.draft) {
         resolved_calls.push(resolve_call(call, own_calls, &numbers, lines));
     }
-    // The first of several matches of one length wins, so a call of one method
-    // must come before one of any method, wherever the text lists them.
+    // Among matching prefixes of equal length, the first call wins. Calls with a
+    // specific method must therefore precede those with any method, regardless of
+    // their order in the text.
     resolved_calls.sort_by_key(|(call, _)| call.method == ANY_METHOD);
     let (calls, call_sources) = resolved_calls.into_iter().unzip();
     let sources = ServiceSources {
@@ -212,7 +213,8 @@
     numbers
 }
 
-/// The service's own value, else that of `defaults`.
+/// Returns the service's own value or otherwise that of `defaults`, with its
+/// origin.
 fn origin_of(
     own: Option<Located<f64>>,
     default: Option<Located<f64>>,
@@ -290,13 +292,15 @@
     (policy, sources)
 }
 
-/// Methods that HTTP defines as safe; the same rule as for unnamed calls.
+/// Returns whether HTTP defines the method as safe. The same rule applies to
+/// calls that the text does not name.
 pub(crate) fn is_safe(method: &str) -> bool {
     matches!(method, "GET" | "HEAD" | "OPTIONS")
 }
 
-/// The first trial must not come after the longest wait between trials. Both
-/// may come from different places, so this is checked once they are resolved.
+/// Checks that the time until the first trial call does not exceed the maximum
+/// time between trials. The two values can come from different objects of the
+/// text, so they are checked after they have been resolved.
 fn check_ejection(
     draft: &TextDraft<'_>,
     service: &NamedService<'_>,
--- a/crates/text/src/setting.rs
+++ b/crates/text/src/setting.rs
@@ -1,4 +1,4 @@
-//! The numbers a service can set: key, range, unit and built-in default.
+//! The numeric settings of a service: key, range, unit and built-in default.
 
 use std::fmt;
 
@@ -6,7 +6,7 @@
 use serde::Serialize;
 use strum::{EnumCount, IntoStaticStr, VariantArray};
 
-/// A number that a service or the text's defaults can set.
+/// A numeric setting that a service or the text's defaults can set.
 #[derive(
     Clone,
     Copy,
@@ -24,66 +24,66 @@
 #[serde(rename_all = "snake_case")]
 #[strum(serialize_all = "snake_case")]
 pub enum Setting {
-    /// Calls that one target runs at the same time.
+    /// Calls that one target runs concurrently.
     Slots,
-    /// Connections that a gate may hold to its target.
+    /// Connections that a gate may open to its target.
     Connections,
     /// Calls that may wait in a gate's queue.
     QueueLimit,
-    /// Deadline of calls that set none.
+    /// Deadline of calls that do not set their own.
     DeadlineMs,
     /// How long a ticket is valid.
     TicketTtlMs,
-    /// Records of non-idempotent calls that a gate may keep.
+    /// Records of non-idempotent calls that a gate may store.
     MaxRecords,
-    /// Largest answer that is stored with a record.
+    /// Largest answer that is stored with a record, in bytes.
     MaxStoredAnswerBytes,
-    /// Largest answer that the entry buffers.
+    /// Largest answer that the entry buffers, in bytes.
     BufferBytes,
-    /// Largest body of a request.
+    /// Largest request body, in bytes.
     MaxRequestBytes,
-    /// Time over which a cold target's share grows.
+    /// Warm-up time over which a cold target's share grows to its full size.
     ColdRampMs,
-    /// Probes a second that one node may send.
+    /// Probes per second that one node may send.
     ProbesPerS,
-    /// Probes that may be sent at once.
+    /// Probes that may be sent in one burst.
     ProbeBurst,
     /// Retries as a share of first attempts.
     RetryShare,
-    /// Hedges as a share of first attempts.
+    /// Hedged requests as a share of first attempts.
     HedgeShare,
-    /// Quantile of recent latency after which a hedge may start.
+    /// Quantile of recent latencies after which a hedged request may start.
     HedgeQuantile,
-    /// Failures in a row that eject a target.
+    /// Consecutive failures that eject a target.
     ConsecutiveFailures,
     /// Share of targets that may be ejected at once.
     MaxEjectedShare,
-    /// Time until the first trial of an ejected target.
+    /// Time until the first trial call to an ejected target.
     BaseEjectionMs,
-    /// Longest time between trials.
+    /// Upper bound on the time between trial calls.
     MaxEjectionMs,
 }
 
-/// The object of a service in which a setting stands.
+/// The object of a service that contains a setting.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, IntoStaticStr)]
 #[strum(serialize_all = "snake_case")]
 pub enum Group {
     /// The service itself.
     Service,
-    /// Its `budgets`.
+    /// The `budgets` object of the service.
     Budgets,
-    /// Its `ejection`.
+    /// The `ejection` object of the service.
     Ejection,
 }
 
-/// Which numbers are allowed.
+/// The range of allowed numbers.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Range {
     /// Smallest value.
     pub min: f64,
     /// Largest value.
     pub max: f64,
-    /// Only whole numbers.
+    /// Whether only whole numbers are allowed.
     pub whole: bool,
 }
 
@@ -125,7 +125,7 @@
 const MIB: u32 = 1_024 * KIB;
 const MINUTE_MS: u32 = 60_000;
 
-/// What the table knows about one setting.
+/// The properties of one setting.
 struct Spec {
     group: Group,
     range: Range,
@@ -153,27 +153,28 @@
 }
 
 impl Setting {
-    /// The key in the text.
+    /// Returns the key of the setting in the text.
     #[must_use]
     pub fn key(self) -> &'static str {
         self.into()
     }
 
-    /// The object in which the key stands.
+    /// Returns the object that contains the key.
     #[must_use]
     pub const fn group(self) -> Group {
         self.spec().group
     }
 
-    /// The values that are allowed.
+    /// Returns the range of allowed values.
     #[must_use]
     pub const fn range(self) -> Range {
         self.spec().range
     }
 
-    /// The value when neither the service nor the text's defaults set one.
+    /// Returns the value that applies if neither the service nor the text's
+    /// defaults set one.
     ///
-    /// `queue_limit` is the exception: without a value it equals `slots`.
+    /// `queue_limit` is an exception: if it is not set, it equals `slots`.
     #[must_use]
     pub const fn built_in(self) -> f64 {
         self.spec().built_in
@@ -203,7 +204,7 @@
         }
     }
 
-    /// Reads the setting's value from a resolved policy.
+    /// Returns the value of the setting in a resolved policy.
     #[must_use]
     pub fn value_in(self, policy: &ServicePolicy) -> f64 {
         match self {
@@ -229,7 +230,7 @@
         }
     }
 
-    /// The settings of one group, in the order of the documentation.
+    /// Returns the settings of one group in the order of the documentation.
     pub(crate) fn in_group(group: Group) -> Vec<Self> {
         let mut settings = Vec::new();
         for setting in Self::VARIANTS {
--- a/crates/text/src/syntax.rs
+++ b/crates/text/src/syntax.rs
@@ -1,4 +1,4 @@
-//! From text to a tree of values with positions.
+//! Parses a text into a syntax tree with positions.
 
 use jsonc_parser::ast::Value;
 use jsonc_parser::errors::ParseError;
@@ -10,9 +10,10 @@
 use crate::report::Report;
 use crate::warning::WarningKind;
 
-/// Comments and trailing commas, and no other leniency: what else the parser
-/// could forgive is more often a slip than a wish. Nodes read their settings by
-/// the same rules.
+/// Parser options of the configuration text and of the nodes' settings.
+///
+/// They allow comments and trailing commas. The parser's other extensions stay
+/// disabled because a text that uses them more likely contains a mistake.
 pub const SYNTAX: ParseOptions = ParseOptions {
     allow_comments: true,
     allow_trailing_commas: true,
@@ -26,10 +27,11 @@
     allow_extended_string_escapes: false,
 };
 
-/// As [`SYNTAX`], but reads on where a comma, a quote or a digit is missing.
+/// Returns options that accept more than [`SYNTAX`], such as missing commas,
+/// unquoted keys and other number formats.
 ///
-/// Strings in single quotes stay refused: [`too_deep`] must find the end of
-/// each string where the parser does.
+/// Single-quoted strings stay disabled, because [`too_deep`] must find the same
+/// end of each string as the parser.
 fn lenient() -> ParseOptions {
     ParseOptions {
         allow_single_quoted_strings: false,
@@ -37,11 +39,11 @@
     }
 }
 
-/// Parses the text; `None` when it cannot be read at all.
+/// Parses the text. Returns `None` if it cannot be parsed at all.
 ///
-/// The parser stops at its first error. Where only a comma or a quote is
-/// missing, a second, lenient run lets the other faults of the text show in
-/// the same check; the syntax error is reported all the same.
+/// The parser stops at its first error. That error is reported, and the text is
+/// then parsed again with lenient options, so that the same check can report the
+/// other faults too if only a comma or a quote is missing.
 pub(crate) fn parse<'t>(text: &'t str, report: &mut Report<'_, '_>) -> Option<Value<'t>> {
     if text.len() > MAX_TEXT_BYTES {
         let size_bytes = text.len();
--- a/crates/text/src/warning.rs
+++ b/crates/text/src/warning.rs
@@ -1,4 +1,4 @@
-//! What is allowed in a text but probably not meant.
+//! Warnings about values that are allowed but probably not intended.
 
 use std::fmt;
 
@@ -10,48 +10,48 @@
 use crate::fault::KeyPath;
 use crate::position::Position;
 
-/// One warning; a text with warnings is accepted.
+/// One warning about a text. A text with warnings is accepted.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Warning {
-    /// Where it stands.
+    /// Position in the text.
     pub position: Position,
-    /// The keys that lead there.
+    /// Path of the value.
     pub path: KeyPath,
-    /// What is doubtful.
+    /// Kind of the warning.
     pub kind: WarningKind,
 }
 
-/// What is doubtful.
+/// The kind of a warning.
 #[derive(Clone, Debug, PartialEq, Error, IntoStaticStr)]
 #[strum(serialize_all = "kebab-case")]
 pub enum WarningKind {
-    /// A dependency may take longer than the call that waits for it.
+    /// The deadline of a dependency exceeds that of the service that calls it.
     #[error(
         "calls of {dependency} may take {dependency_ms} ms, longer than the {caller_ms} ms of \
          calls of {caller}, which wait for them"
     )]
     DependencyDeadline {
-        /// The service that waits.
+        /// The calling service.
         caller: String,
-        /// Its longest deadline in milliseconds.
+        /// Longest deadline of the calling service, in milliseconds.
         caller_ms: u64,
-        /// The service it depends on.
+        /// The service that it depends on.
         dependency: String,
-        /// That one's longest deadline in milliseconds.
+        /// Longest deadline of the dependency, in milliseconds.
         dependency_ms: u64,
     },
-    /// A ticket that expires while its call may still run.
+    /// Tickets can expire while their call is still running.
     #[error(
         "a ticket is valid for {ticket_ttl_ms} ms, but the call may take {deadline_ms} ms; its \
          outcome may be forgotten before the caller can ask"
     )]
     TicketExpiresEarly {
-        /// How long tickets are valid in milliseconds.
+        /// How long tickets are valid, in milliseconds.
         ticket_ttl_ms: u64,
         /// The call's deadline in milliseconds.
         deadline_ms: u64,
     },
-    /// A call that moves money and may be run twice.
+    /// A call that moves money is marked idempotent, so it may run twice.
     #[error("{method} of class {class} is marked idempotent: it may run more than once")]
     IdempotentPayment {
         /// The call's method.
@@ -59,30 +59,30 @@
         /// The call's class.
         class: CallClass,
     },
-    /// Fewer connections than slots.
+    /// A gate may open fewer connections than its target has slots.
     #[error("{connections} connections cannot fill {slots} slots; each call needs a connection")]
     ConnectionsBelowSlots {
-        /// Connections that a gate may hold.
+        /// Connections that a gate may open.
         connections: u32,
-        /// Calls that one target runs at the same time.
+        /// Calls that one target runs concurrently.
         slots: u32,
     },
-    /// A chain of dependencies that is deeper than the system is measured for.
+    /// A dependency chain is longer than those the system has been measured with.
     #[error("calls of {service} may go {depth} services deep; up to {limit} are expected")]
     DeepDependencies {
         /// The first service of the chain.
         service: String,
-        /// Services in the chain.
+        /// Number of services in the chain.
         depth: usize,
-        /// Services expected.
+        /// Expected maximum number of services in a chain.
         limit: usize,
     },
-    /// The text nears the platform's limit.
+    /// The text is close to the platform's size limit.
     #[error("the text is {size_bytes} bytes long; at most {limit_bytes} are accepted")]
     LargeText {
         /// Size of the text in bytes.
         size_bytes: usize,
-        /// Largest size in bytes.
+        /// Maximum size in bytes.
         limit_bytes: usize,
     },
 }
@@ -93,7 +93,7 @@
     }
 }
 
-/// The same as the text of a [`Warning`], in fields.
+/// The serialised form of a [`Warning`].
 #[derive(Serialize)]
 struct WarningRecord<'a> {
     line: u32,
--- a/crates/text/tests/all/differences.rs
+++ b/crates/text/tests/all/differences.rs
@@ -1,4 +1,4 @@
-//! An edit is described in words, with what follows from it.
+//! Tests of the descriptions of edits and their consequences.
 
 use hornbeamhitch_text::change::{Change, grouped};
 use hornbeamhitch_text::{Setting, diff};
@@ -80,9 +80,9 @@
 
 #[test]
 fn a_payment_that_falls_to_another_entry_is_reported() {
-    // An operator deletes the entry of a payment and forgets that a broader
-    // one, meant for searches, covers its path too. No entry that is left has
-    // changed, yet the payment would be retried.
+    // An operator deletes the entry of a payment, whose path is also matched by a
+    // broader entry intended for searches. No remaining entry has changed, but the
+    // payment would now be retried.
     let old = r#"{ "deployment": "d", "services": { "a": { "calls": [
       { "name": "any", "match": "POST /", "idempotent": true },
       { "name": "charge", "match": "POST /charge", "idempotent": false }
--- a/crates/text/tests/all/documentation.rs
+++ b/crates/text/tests/all/documentation.rs
@@ -1,4 +1,5 @@
-//! The operators' documentation names every key with its range and default.
+//! Tests that the operators' documentation lists every setting with its range and
+//! default.
 
 use hornbeamhitch_text::Setting;
 use hornbeamhitch_text::setting::Group;
@@ -42,7 +43,8 @@
     }
 }
 
-/// A number as the page writes it: thousands apart, fractions as they are.
+/// Formats a number like the page: whole numbers with thousands separators,
+/// fractions unchanged.
 fn grouped(number: f64) -> String {
     let plain = number.to_string();
     if plain.contains('.') {
--- a/crates/text/tests/all/examples.rs
+++ b/crates/text/tests/all/examples.rs
@@ -1,4 +1,4 @@
-//! The example texts stay valid and say what the documentation says of them.
+//! Tests that the example texts are valid and match their documentation.
 
 use hornbeamhitch_types::policy::CallClass;
 
--- a/crates/text/tests/all/explanations.rs
+++ b/crates/text/tests/all/explanations.rs
@@ -1,4 +1,4 @@
-//! Each resolved value is explained with where it comes from.
+//! Tests that each resolved value is explained with its origin.
 
 use hornbeamhitch_text::explain;
 use insta::{assert_json_snapshot, assert_snapshot};
@@ -49,9 +49,9 @@
 
 #[test]
 fn a_call_of_one_method_goes_before_one_of_any_method() {
-    // An operator lists "* /x" first and "GET /x" after it. Both match a GET
-    // with a prefix of the same length, and the first of them wins; without an
-    // order of their own the second would never be used.
+    // The text lists "* /x" before "GET /x". Both match a GET with a prefix of the
+    // same length, and the first one wins. Without reordering, the second would
+    // never be used.
     let text = checked(
         r#"{ "deployment": "d", "services": { "a": { "calls": [
             { "name": "any", "match": "* /x" },
--- a/crates/text/tests/all/faults.rs
+++ b/crates/text/tests/all/faults.rs
@@ -1,5 +1,5 @@
-//! Each kind of fault is named with its line, column, place, reason and what
-//! is allowed.
+//! Tests that each kind of fault is reported with its line, column, path, reason
+//! and the allowed values.
 
 use hornbeamhitch_text::{FaultKind, check, check_bytes};
 use insta::assert_snapshot;
@@ -142,9 +142,9 @@
 
 #[test]
 fn a_text_without_services_is_refused() {
-    // The operator empties the text by mistake. Accepted, it would refuse the
-    // calls of every service everywhere within seconds; refused, the version
-    // in force stays.
+    // An operator empties the text by mistake. If it were accepted, all nodes would
+    // reject the calls of every service within seconds. As it is rejected, the
+    // active version stays in use.
     assert_snapshot!(faults(r#"{ "deployment": "d", "services": {} }"#));
 }
 
@@ -160,8 +160,9 @@
 
 #[test]
 fn inherited_lists_that_multiply_are_refused() {
-    // Of 4,000 services 3,750 inherit the 250 dependencies of `defaults`. The
-    // text is small, but resolved it would hold a million names on every node.
+    // Of 4,000 services, 3,750 inherit the 250 dependencies of `defaults`. The text
+    // is small, but the resolved policies would contain almost a million names on
+    // every node.
     let mut names = String::new();
     let mut services = String::new();
     for number in 0..250 {
--- a/crates/text/tests/all/hostile.rs
+++ b/crates/text/tests/all/hostile.rs
@@ -1,9 +1,9 @@
-//! Texts that are meant to exhaust the checker are refused quickly.
+//! Tests that texts designed to exhaust the checker are rejected.
 //!
-//! What the operator sees: a broken or malicious value lands in the platform.
-//! Every node reads it on its control thread, so a check that overflowed the
-//! stack or took minutes would take the whole fleet down at once. Each text
-//! here must be refused on a thread with a small stack.
+//! Every node checks each value of the platform on its control thread. If a
+//! broken or malicious value made the check overflow the stack or run for
+//! minutes, the whole fleet would fail at once. Each text here must be rejected
+//! on a thread with a small stack.
 
 use std::thread;
 
@@ -12,7 +12,7 @@
 
 use crate::support::{BANGKOK, fixed_seed};
 
-/// An eighth of the 2 MiB that the daemon's threads have.
+/// One eighth of the 2 MiB stack of the daemon's threads.
 const STACK_BYTES: usize = 256 * 1_024;
 
 fn check_on_small_stack(text: String) -> Result<CheckedText, Faults> {
@@ -60,8 +60,8 @@
 
 #[test]
 fn brackets_cannot_evade_the_nesting_limit() {
-    // Brackets after something that looks like the start of a string or a
-    // comment to a scan, but not to the parser, would reach its recursion.
+    // If the scan took a prefix for the start of a string or a comment and the
+    // parser did not, the scan would miss the brackets and the parser would recurse.
     let deep = "[".repeat(100_000);
     let prefixes = [
         "'\"' ",
@@ -137,8 +137,8 @@
 
 #[test]
 fn messages_never_carry_control_characters() {
-    // A name with terminal escapes would otherwise rewrite the operator's
-    // screen when the faults are shown.
+    // A name with terminal escape sequences could otherwise alter the operator's
+    // screen when the faults are displayed.
     let text = "{ \"deployment\": \"\\u001b[2J\\u0000\", \"\\u001b\": 1, \"services\": \
                 { \"\\u001b\": { \"depends_on\": [\"\\u0007\"], \"calls\": [{ \"name\": \"a\", \
                 \"match\": \"\\u0007\", \"class\": \"\\u0007\" }] } } }";
--- a/crates/text/tests/all/main.rs
+++ b/crates/text/tests/all/main.rs
@@ -1,4 +1,4 @@
-//! Tests of the configuration text through the crate's public interface.
+//! Tests of the configuration text through the public API of the crate.
 
 mod differences;
 mod documentation;
--- a/crates/text/tests/all/properties.rs
+++ b/crates/text/tests/all/properties.rs
@@ -1,5 +1,5 @@
-//! Whatever text is accepted, its policies are in the ranges that the core
-//! relies on, and the same text always gives the same result.
+//! Property tests: the policies of every accepted text are in the ranges that the
+//! core relies on, and checking the same text again gives the same result.
 
 use hornbeamhitch_text::{CheckedText, Setting, check, diff, explain};
 use hornbeamhitch_types::policy::ServicePolicy;
@@ -8,7 +8,7 @@
 
 use crate::support::fixed_seed;
 
-/// Numbers in and out of range, as an operator may write them.
+/// Generates numbers, some of which are out of range.
 fn number() -> impl Strategy<Value = String> {
     prop_oneof![
         (0_u32..200).prop_map(|n| n.to_string()),
@@ -19,7 +19,7 @@
     ]
 }
 
-/// A number that its setting allows.
+/// Generates numbers in the range of a setting.
 fn allowed_number(setting: Setting) -> BoxedStrategy<String> {
     let range = setting.range();
     if range.whole {
@@ -108,8 +108,8 @@
     }
 }
 
-/// The ranges as the policy's own fields state them, independent of the table
-/// of settings.
+/// Checks the ranges documented at the fields of the policy, independently of the
+/// ranges of the settings.
 fn assert_policy_ranges(policy: &ServicePolicy) {
     assert!((1..=10_000).contains(&policy.slots));
     assert!((1..=100_000).contains(&policy.connections));
--- a/crates/text/tests/all/routes.rs
+++ b/crates/text/tests/all/routes.rs
@@ -1,4 +1,4 @@
-//! Routes by host and path prefix.
+//! Tests of routes by host and path prefix.
 
 use hornbeamhitch_text::{check, diff, explain};
 use insta::assert_snapshot;
--- a/crates/text/tests/all/support.rs
+++ b/crates/text/tests/all/support.rs
@@ -1,4 +1,4 @@
-//! Helpers that several test modules share.
+//! Helpers shared by several test modules.
 
 use hornbeamhitch_text::{CheckedText, check};
 use proptest::test_runner::{Config, RngSeed};
@@ -6,7 +6,7 @@
 pub(crate) const BANGKOK: &str = include_str!("../../../../examples/bangkok.jsonc");
 pub(crate) const LJUBLJANA: &str = include_str!("../../../../examples/ljubljana.jsonc");
 
-/// Checks a text that must be accepted.
+/// Checks a text. Panics if it has faults.
 pub(crate) fn checked(text: &str) -> CheckedText {
     match check(text) {
         Ok(checked) => checked,
@@ -14,7 +14,7 @@
     }
 }
 
-/// The faults of a text that must be refused, one a line.
+/// Returns the faults of a text, one per line. Panics if it is accepted.
 pub(crate) fn faults(text: &str) -> String {
     match check(text) {
         Ok(_) => panic!("the text was accepted"),
@@ -22,13 +22,14 @@
     }
 }
 
-/// Replaces a piece that stands exactly once in a text.
+/// Replaces a piece that must occur exactly once in a text.
 pub(crate) fn edited(text: &str, from: &str, to: &str) -> String {
     assert_eq!(text.matches(from).count(), 1, "{from:?} must stand once");
     text.replace(from, to)
 }
 
-/// Random cases that are the same on every run, so that the verdict is too.
+/// Returns a configuration with a fixed seed, so that each run tests the same
+/// random cases.
 pub(crate) fn fixed_seed() -> Config {
     const SEED: u64 = 0x6865_6467;
     const CASES: u32 = 512;
--- a/crates/text/tests/all/warnings.rs
+++ b/crates/text/tests/all/warnings.rs
@@ -1,4 +1,4 @@
-//! What is allowed but probably not meant is accepted with a warning.
+//! Tests that values that are allowed but probably not intended cause warnings.
 
 use insta::assert_snapshot;
 
