--- a/crates/text/src/change/consequence.rs
+++ b/crates/text/src/change/consequence.rs
@@ -9,28 +9,28 @@
     let consequence = match change {
         Change::Deployment { .. } => "reports and logs carry the new name".to_owned(),
         Change::DataCentreAdded { .. } | Change::DataCentreRemoved { .. } => return None,
-        Change::TenantAdded { .. } => "its calls get histograms of their own".to_owned(),
+        Change::TenantAdded { .. } => "its calls get their own histograms".to_owned(),
         Change::TenantRemoved { .. } => "its calls count as \"other\"".to_owned(),
         Change::DefaultDistance { .. } | Change::Distance { .. } => {
-            "picking weighs targets in other data centres anew".to_owned()
+            "target selection weighs other data centres by the new distance".to_owned()
         }
         Change::ServiceAdded { depends_on, .. } => service_added(depends_on),
         Change::ServiceRemoved { former_callers, .. } => service_removed(former_callers),
         Change::DependencyAdded {
             service,
             dependency,
-        } => format!("nodes of {service} keep the targets of {dependency} ready"),
+        } => format!("nodes of {service} track the targets of {dependency}"),
         Change::DependencyRemoved {
             service,
             dependency,
-        } => format!("nodes of {service} no longer keep the targets of {dependency} ready"),
+        } => format!("nodes of {service} no longer track the targets of {dependency}"),
         Change::Setting {
             setting, old, new, ..
         } => setting_changed(*setting, *old, *new),
         Change::CallAdded { .. } | Change::CallRemoved { .. } => return None,
         Change::RouteAdded { .. } => return None,
         Change::RouteRemoved { .. } => {
-            "a shorter prefix of the host takes its requests, else they end with 404".to_owned()
+            "its requests match a shorter prefix of the host or are answered with 404".to_owned()
         }
         Change::Route { field, new, .. } => return route_changed(field, new),
         Change::Idempotence { new: true, .. } => {
@@ -46,10 +46,12 @@
 
 fn route_changed(field: &str, new: &str) -> Option<String> {
     let consequence = match (field, new) {
-        ("to", _) => "requests are shared out anew; none moves to a part that has more room",
+        ("to", _) => {
+            "requests are split by the new weights, regardless of the load of each service"
+        }
         ("idempotent", "true") => "its requests may run more than once",
         ("idempotent", _) => "each of its requests runs at most once",
-        ("timeout_ms", _) => "requests in hand keep the time that they began with",
+        ("timeout_ms", _) => "requests in flight keep their previous timeout",
         _ => return None,
     };
     Some(consequence.to_owned())
@@ -57,10 +59,10 @@
 
 fn service_added(depends_on: &[ServiceName]) -> String {
     if depends_on.is_empty() {
-        return "its calls are taken; it depends on no service".to_owned();
+        return "its calls are accepted; it depends on no service".to_owned();
     }
     format!(
-        "its calls are taken; it depends on {}",
+        "its calls are accepted; it depends on {}",
         join_names(depends_on)
     )
 }
@@ -106,7 +108,7 @@
 
 fn deadline_changed(old: f64, new: f64) -> String {
     let when = if new < old { "sooner" } else { "later" };
-    format!("calls without a deadline of their own are given up {when}")
+    format!("calls without a deadline of their own time out {when}")
 }
 
 /// Returns `off` if the new value is zero, which disables the feature, and the
@@ -133,7 +135,7 @@
                 .to_owned()
         }
         Setting::Slots => {
-            "each target runs more calls at once; the targets must be able to".to_owned()
+            "each target runs more calls at once; the targets must have the capacity".to_owned()
         }
         Setting::Connections => format!("a gate holds at most {new} connections to its target"),
         Setting::QueueLimit => unless_zero(new, "no call waits for a slot", || {
@@ -141,7 +143,9 @@
         }),
         Setting::DeadlineMs => deadline_changed(old, new),
         Setting::TicketTtlMs => {
-            format!("new tickets are valid for {new} ms; those already issued keep their time")
+            format!(
+                "new tickets are valid for {new} ms; tickets already issued keep their expiry time"
+            )
         }
         Setting::MaxRecords => {
             format!(
@@ -151,12 +155,12 @@
         }
         Setting::MaxStoredAnswerBytes => {
             format!(
-                "larger answers are not kept; a resend then gets {}",
+                "larger answers are not stored; a resend then gets {}",
                 ResultCode::AnswerNotKept
             )
         }
         Setting::BufferBytes => {
-            "a larger answer that is cut cannot be retried for its caller".to_owned()
+            "a call whose larger answer is truncated cannot be retried".to_owned()
         }
         Setting::MaxRequestBytes => {
             format!("larger bodies are refused with {}", ResultCode::TooLarge)
