--- a/crates/hornbeamhitch/examples/embed.rs
+++ b/crates/hornbeamhitch/examples/embed.rs
@@ -1,4 +1,4 @@
-//! Runs a node inside this program until Ctrl-C.
+//! Runs a node inside this program until Ctrl-C is pressed.
 //!
 //!     cargo run -p hornbeamhitch --example embed -- node.json
 
@@ -19,7 +19,7 @@
 async fn serve(config: Config) -> Result<()> {
     let node = Node::start(config)?;
     tokio::signal::ctrl_c().await?;
-    println!("leaving, ready was {}", node.is_ready());
+    println!("draining; the node was ready: {}", node.is_ready());
     println!("{:?}", node.drain().await);
     Ok(())
 }
--- a/crates/text/tests/all/hostile.rs
+++ b/crates/text/tests/all/hostile.rs
@@ -21,7 +21,7 @@
         .spawn(move || check(&text))
         .expect("a thread can be started")
         .join()
-        .expect("the check must neither panic nor overflow")
+        .expect("the check must neither panic nor overflow the stack")
 }
 
 fn refused(text: String) -> Faults {
@@ -91,7 +91,7 @@
     let text = format!(
         "// {brackets}\n/* {brackets} */ {{ \"deployment\": \"d\", \"services\": {{ \"a\": {{}} }} }}"
     );
-    check_on_small_stack(text).expect("comments may hold anything");
+    check_on_small_stack(text).expect("comments may contain anything");
     let text = format!("{{ \"{brackets}\": 1 }}");
     let faults = refused(text);
     assert_eq!(faults.faults[0].kind.name(), "missing-key");
@@ -186,7 +186,7 @@
     }
     services.push_str(&format!("\"s{count}\":{{}}"));
     let text = format!(r#"{{ "deployment": "d", "services": {{ {services} }} }}"#);
-    let checked = check_on_small_stack(text).expect("a chain is no circle");
+    let checked = check_on_small_stack(text).expect("a chain is not a cycle");
     assert_eq!(checked.services.len(), count + 1);
     assert_eq!(checked.warnings.len(), 1);
 }
--- a/crates/text/tests/all/support.rs
+++ b/crates/text/tests/all/support.rs
@@ -24,7 +24,11 @@
 
 /// Replaces a piece that must occur exactly once in a text.
 pub(crate) fn edited(text: &str, from: &str, to: &str) -> String {
-    assert_eq!(text.matches(from).count(), 1, "{from:?} must stand once");
+    assert_eq!(
+        text.matches(from).count(),
+        1,
+        "{from:?} must occur exactly once"
+    );
     text.replace(from, to)
 }
 
--- a/crates/types/tests/result_codes.rs
+++ b/crates/types/tests/result_codes.rs
@@ -32,7 +32,7 @@
         };
         assert!(
             rows.insert(number, row).is_none(),
-            "code {number} stands in the table twice"
+            "code {number} is listed twice in the table"
         );
     }
     rows
--- a/src/ask.rs
+++ b/src/ask.rs
@@ -1,4 +1,4 @@
-//! Asks nodes for their status over their operators' HTTP API.
+//! Queries the status of nodes over their operators' HTTP API.
 
 use std::ops::RangeInclusive;
 use std::time::Duration;
@@ -13,28 +13,30 @@
 use hyper_util::rt::TokioExecutor;
 use tokio::time::timeout;
 
-/// Largest answer in bytes that is read from a node.
+/// Maximum size of a node's answer in bytes.
 const MAX_ANSWER_BYTES: usize = 16 * 1_024 * 1_024;
 
-/// Time limits for one node in milliseconds that an operator may set.
+/// Range of the time limit for one node, in milliseconds.
 const TIMEOUT_MS: RangeInclusive<u64> = 1..=60_000;
 
 type HttpClient = Client<HttpConnector, Empty<Bytes>>;
 
-/// What one node answered.
+/// The answer of one node.
 pub(crate) struct Answer {
-    /// The node's address as the operator gave it.
+    /// The node's address as given on the command line.
     pub(crate) node: String,
-    /// Its status, or why there is none.
+    /// The node's status, or the reason why it could not be fetched.
     pub(crate) status: Result<NodeStatus>,
 }
 
-/// Asks all nodes side by side, each within the time limit, and returns their
-/// answers in the order of `nodes`. One that fails does not hide the others.
+/// Queries all nodes concurrently, each within the time limit, and returns their
+/// answers in the order of `nodes`. A node that fails does not affect the answers
+/// of the others.
 ///
 /// # Errors
 ///
-/// An address that cannot be read, or a runtime that cannot be started.
+/// Fails if the time limit is out of range, no node is given, an address is
+/// invalid, or the runtime cannot be started.
 pub(crate) fn fetch_statuses(nodes: &[String], timeout_ms: u64) -> Result<Vec<Answer>> {
     if !TIMEOUT_MS.contains(&timeout_ms) {
         let (min, max) = (TIMEOUT_MS.start(), TIMEOUT_MS.end());
@@ -88,12 +90,12 @@
     let body = Limited::new(body, MAX_ANSWER_BYTES)
         .collect()
         .await
-        .map_err(|error| eyre!("the answer broke off: {error}"))?
+        .map_err(|error| eyre!("the answer could not be read completely: {error}"))?
         .to_bytes();
     serde_json::from_slice(&body).wrap_err("the answer is not a status")
 }
 
-/// Builds the address of the status from `http://IP:PORT` or `IP:PORT`.
+/// Builds the URI of the status endpoint from `http://IP:PORT` or `IP:PORT`.
 fn status_uri(node: &str) -> Result<Uri> {
     const SCHEME: &str = "http://";
     let authority = node
--- a/src/bin/hornbeamhitch-node.rs
+++ b/src/bin/hornbeamhitch-node.rs
@@ -1,4 +1,4 @@
-//! The node daemon: entry for callers and gate of its own target.
+//! The node daemon: the entry for callers and the gate of its own target.
 
 use std::process::ExitCode;
 
--- a/src/bin/hornbeamhitch-routed.rs
+++ b/src/bin/hornbeamhitch-routed.rs
@@ -1,5 +1,5 @@
-//! The node that routes by host and path: entry for callers and gate of its own
-//! target.
+//! The node daemon that routes by host and path: the entry for callers and the
+//! gate of its own target.
 
 use std::process::ExitCode;
 
--- a/src/commands.rs
+++ b/src/commands.rs
@@ -1,4 +1,4 @@
-//! The subcommands, one file each.
+//! The subcommands of the command line. Each has its own module.
 
 mod check;
 mod code;
@@ -17,7 +17,7 @@
 
 use crate::exit::Exit;
 
-/// Checks, explains and compares configuration texts, and asks nodes.
+/// Checks, explains and compares configuration texts, and queries nodes.
 #[derive(Debug, Options)]
 pub(crate) struct Arguments {
     /// print this help
@@ -33,21 +33,21 @@
     Check(check::Arguments),
     /// show what a service resolves to and where each value comes from
     Explain(explain::Arguments),
-    /// say in words what an edit changes
+    /// describe what an edit changes
     Diff(diff::Arguments),
-    /// ask nodes what is in force, which targets they see and what they spent
+    /// show the configuration in force, the targets and the spent budgets of nodes
     Status(status::Arguments),
     /// show where calls of a service go, and whether nodes agree
     Where(r#where::Arguments),
     /// explain a numbered result code
     Code(code::Arguments),
-    /// tell one request's story from the logs of several nodes
+    /// show what happened to one request, from the logs of several nodes
     Trace(trace::Arguments),
     /// draw outcomes and latencies over time from the logs of nodes
     Plot(plot::Arguments),
 }
 
-/// Runs what the arguments ask for.
+/// Runs the command given by the arguments.
 pub(crate) fn run(arguments: &Arguments, out: &mut dyn Write) -> Result<Exit> {
     if arguments.help_requested() {
         write_help(arguments, out)?;
--- a/src/commands/check.rs
+++ b/src/commands/check.rs
@@ -1,4 +1,4 @@
-//! `hornbeamhitch check`: names every fault of a text.
+//! `hornbeamhitch check`: reports every fault of a text.
 
 use std::io::Write;
 
@@ -23,7 +23,7 @@
     file: String,
 }
 
-/// An accepted file as JSON.
+/// The JSON output for an accepted file.
 #[derive(Serialize)]
 struct AcceptedFile<'a> {
     accepted: bool,
--- a/src/commands/code.rs
+++ b/src/commands/code.rs
@@ -11,7 +11,7 @@
 use crate::exit::Exit;
 use crate::source::write_json;
 
-/// The callers' documentation, which a test holds against the codes.
+/// The callers' documentation. A test compares it with the codes.
 const RESULT_CODES: &str = include_str!("../../docs/callers/result-codes.md");
 
 /// Explains a numbered result code.
@@ -27,7 +27,7 @@
     number: String,
 }
 
-/// One code as JSON.
+/// The JSON output for one code.
 #[derive(Serialize)]
 struct CodeRecord {
     code: u16,
@@ -48,7 +48,7 @@
             .map(|code| code.number().to_string())
             .collect();
         bail!(
-            "{:?} is no result code; there are {}",
+            "{:?} is not a result code; known codes: {}",
             arguments.number,
             known.join(", ")
         );
@@ -90,7 +90,8 @@
     }
 }
 
-/// The cells of the documentation's table row that begins with a word.
+/// Returns the cells of the documentation's first table row whose first cell is
+/// `first`, or no cells if there is none.
 fn documented(first: &str) -> Vec<&'static str> {
     for line in RESULT_CODES.lines() {
         let Some(row) = line.strip_prefix('|') else {
@@ -104,7 +105,8 @@
     Vec::new()
 }
 
-/// A cell without the marks of emphasis and code.
+/// Returns a cell without Markdown emphasis and code marks, or `-` if it is empty
+/// or missing.
 fn cell(cells: &[&str], index: usize) -> String {
     match cells.get(index) {
         Some(text) if !text.is_empty() => text.replace("**", "").replace('`', ""),
--- a/src/commands/diff.rs
+++ b/src/commands/diff.rs
@@ -1,4 +1,4 @@
-//! `hornbeamhitch diff`: what an edit changes, in words.
+//! `hornbeamhitch diff`: describes what an edit changes.
 
 use std::io::Write;
 
@@ -11,7 +11,7 @@
 use crate::exit::Exit;
 use crate::source::{RefusedFile, load, write_faults, write_json};
 
-/// Says in words what an edit changes.
+/// Describes what an edit changes.
 #[derive(Debug, Options)]
 pub(crate) struct Arguments {
     /// print this help
@@ -27,7 +27,7 @@
     new: String,
 }
 
-/// One change as JSON.
+/// The JSON output for one change.
 #[derive(Serialize)]
 struct ChangeRecord<'a> {
     words: String,
@@ -68,7 +68,7 @@
     Ok(Exit::Ok)
 }
 
-/// Both files may have faults; as JSON they make one list.
+/// Writes the faults of one or both files. The JSON output is one list.
 fn write_refused(out: &mut dyn Write, refused: &[(&String, Faults)], json: bool) -> Result<()> {
     if json {
         let mut records = Vec::new();
--- a/src/commands/explain.rs
+++ b/src/commands/explain.rs
@@ -1,4 +1,4 @@
-//! `hornbeamhitch explain`: what a service resolves to.
+//! `hornbeamhitch explain`: shows what a service resolves to.
 
 use std::io::Write;
 
--- a/src/commands/plot.rs
+++ b/src/commands/plot.rs
@@ -13,10 +13,10 @@
 use crate::logs;
 use series::Series;
 
-/// Shows a disturbance of seconds, and has some hundred calls a point at the
-/// rates of a small installation.
+/// One second is short enough to show a disturbance of a few seconds, and long
+/// enough for some hundred calls per point at the rates of a small installation.
 const DEFAULT_STEP_MS: u64 = 1_000;
-/// Points a picture can show apart.
+/// Maximum number of points that can be told apart in a plot.
 const MAX_STEPS: u64 = 5_000;
 
 /// Draws outcomes and latencies over time.
@@ -24,13 +24,13 @@
 pub(crate) struct Arguments {
     /// print this help
     help: bool,
-    /// the picture's file, in SVG
+    /// the output file, in SVG format
     #[options(required, no_short, meta = "FILE")]
     out: String,
     /// only calls of this service
     #[options(no_short, meta = "NAME")]
     service: Option<String>,
-    /// time from one point to the next, in milliseconds (1000)
+    /// interval between points, in milliseconds (1000)
     #[options(no_short, meta = "N")]
     step_ms: Option<u64>,
     /// log files; without files the standard input is read
@@ -50,14 +50,14 @@
     }
     let step_count = series.step_count();
     if step_count == 0 {
-        writeln!(out, "no line of an ended call; nothing is drawn")?;
+        writeln!(out, "the logs contain no ended call; nothing is drawn")?;
         return Ok(Exit::Found);
     }
-    // Checked before the steps are laid out: one line with a wrong clock would
-    // ask for millions.
+    // This is checked before the steps are created, because a single line with a
+    // wrong clock could otherwise create millions of them.
     if step_count > MAX_STEPS {
         bail!(
-            "{step_count} points are more than the {MAX_STEPS} that a picture shows; give a \
+            "{step_count} points exceed the maximum of {MAX_STEPS} for a plot; give a \
              larger --step-ms, or leave out logs of another time"
         );
     }
@@ -75,7 +75,7 @@
     if series.suppressed_lines() > 0 {
         writeln!(
             out,
-            "{} further lines were left out by the nodes; their calls are not in the picture",
+            "{} further lines were left out by the nodes; their calls are missing in the plot",
             series.suppressed_lines()
         )?;
     }
--- a/src/commands/plot/draw.rs
+++ b/src/commands/plot/draw.rs
@@ -1,4 +1,4 @@
-//! The picture: calls a second above, latencies below.
+//! Draws the plot: calls per second in the upper half, latencies in the lower.
 
 use eyre::{Result, eyre};
 use plotters::coord::Shift;
@@ -9,16 +9,17 @@
 
 use super::series::{Outcome, Step};
 
-/// Width and height, in points.
+/// Width and height of the plot, in points.
 const SIZE: (u32, u32) = (1_000, 640);
-/// Names of the latencies' curves, in the order of [`Step::latencies_ms`].
+/// Names and colours of the latency curves, in the order of
+/// [`Step::latencies_ms`].
 const LATENCIES: [(&str, RGBColor); 2] = [("p50", BLUE), ("p99", MAGENTA)];
 
 type Area<'a> = DrawingArea<SVGBackend<'a>, Shift>;
 type Chart<'a, Y> = ChartContext<'a, SVGBackend<'a>, Cartesian2d<RangedCoordf64, Y>>;
 type DrawFault = DrawingAreaErrorKind<std::io::Error>;
 
-/// One curve over the seconds of the picture.
+/// One curve over time in seconds.
 struct Curve {
     name: &'static str,
     colour: RGBColor,
@@ -31,7 +32,7 @@
     {
         let root = SVGBackend::with_string(&mut text, SIZE).into_drawing_area();
         draw(&root, steps, suppressed_lines)
-            .map_err(|error| eyre!("the picture failed: {error}"))?;
+            .map_err(|error| eyre!("cannot draw the plot: {error}"))?;
     }
     Ok(text)
 }
@@ -115,7 +116,7 @@
     draw_curves(&mut chart, curves)
 }
 
-/// Draws the axes, the curves and their names.
+/// Draws the axes, the curves and the legend.
 fn draw_curves<Y>(chart: &mut Chart<'_, Y>, curves: Vec<Curve>) -> Result<(), DrawFault>
 where
     Y: Ranged<ValueType = f64> + ValueFormatter<f64>,
--- a/src/commands/plot/series.rs
+++ b/src/commands/plot/series.rs
@@ -1,4 +1,4 @@
-//! Ended calls, gathered by time.
+//! Aggregates ended calls over time.
 
 use std::collections::BTreeMap;
 
@@ -7,35 +7,37 @@
 
 use crate::logs::LogLine;
 
-/// Longest latency that is told apart, in milliseconds: callers wait no longer.
+/// Largest latency that the histograms can record, in milliseconds. Callers do not
+/// wait longer.
 const MAX_LATENCY_MS: u64 = 600_000;
-/// Digits of a latency that are kept; a picture shows fewer.
+/// Significant digits of recorded latencies. A plot shows fewer.
 const DIGITS: u8 = 2;
-/// Statuses from here on are failures of the target.
+/// Lowest HTTP status that means a failure in the target.
 const FIRST_SERVER_ERROR: u64 = 500;
 
-/// How a call ended, as its caller sees it.
+/// The outcome of a call from its caller's point of view.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, strum::VariantArray, strum::IntoStaticStr)]
 pub(super) enum Outcome {
     /// The target answered.
     #[strum(serialize = "answered")]
     Answered,
-    /// The target answered with a failure of its own.
+    /// The target answered with a server error.
     #[strum(serialize = "failed in the target")]
     Failed,
-    /// Refused; it has not run.
+    /// The call was rejected and did not run.
     #[strum(serialize = "refused, not run")]
     NotRun,
-    /// Nobody can tell whether it ran.
+    /// It is unknown whether the call ran.
     #[strum(serialize = "outcome unknown")]
     Unknown,
 }
 
-/// Kinds of outcome.
+/// Number of [`Outcome`] variants.
 pub(super) const OUTCOMES: usize = 4;
 
 impl Outcome {
-    /// How the call of an entry's line ended; `None` for a line of something else.
+    /// Returns the outcome of the call whose end an entry logged, or `None` if the
+    /// line is about something else.
     fn of(line: &LogLine) -> Option<Self> {
         let number = u16::try_from(line.number("code")?).ok()?;
         let code = ResultCode::from_number(number)?;
@@ -48,15 +50,15 @@
     }
 }
 
-/// What ended within one step of time.
+/// The calls that ended within one time step.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub(super) struct Step {
-    /// Calls a second by [`Outcome`].
+    /// Calls per second by [`Outcome`].
     pub(super) rates: [f64; OUTCOMES],
-    /// Median and 99th percentile of the answered calls' latencies, in
-    /// milliseconds; `None` where none was answered.
+    /// Median and 99th percentile of the latencies of answered calls, in
+    /// milliseconds; `None` if no call was answered.
     pub(super) latencies_ms: Option<[u64; 2]>,
-    /// Since the first step, in seconds.
+    /// Time since the first step, in seconds.
     pub(super) at_s: f64,
 }
 
@@ -76,7 +78,7 @@
     }
 }
 
-/// Ended calls by the number of their step.
+/// Ended calls by the number of their time step.
 #[derive(Debug)]
 pub(super) struct Series<'a> {
     step_ms: u64,
@@ -86,7 +88,7 @@
 }
 
 impl<'a> Series<'a> {
-    /// Of one service, or of all.
+    /// Creates a series for the calls of one service, or of all services.
     pub(super) const fn new(step_ms: u64, service: Option<&'a str>) -> Self {
         Self {
             step_ms,
@@ -96,7 +98,7 @@
         }
     }
 
-    /// Takes in a line; one that tells of no ended call is skipped.
+    /// Adds the ended call of a log line. Skips lines about anything else.
     pub(super) fn take(&mut self, line: &LogLine) {
         let Some(outcome) = Outcome::of(line) else {
             return;
@@ -115,7 +117,7 @@
         }
     }
 
-    /// Calls that were taken in.
+    /// Returns the number of calls added.
     pub(super) fn calls(&self) -> u64 {
         let mut calls = 0;
         for step_data in self.step_data.values() {
@@ -124,19 +126,20 @@
         calls
     }
 
-    /// Lines that nodes left out, because one place wrote too many.
+    /// Returns the number of log lines that nodes suppressed because one log
+    /// statement wrote too many.
     pub(super) const fn suppressed_lines(&self) -> u64 {
         self.suppressed_lines
     }
 
-    /// Steps from the first call to the last.
+    /// Returns the number of steps from the first call to the last.
     pub(super) fn step_count(&self) -> u64 {
         self.first_and_last()
             .map_or(0, |(first, last)| last - first + 1)
     }
 
-    /// All steps from the first to the last, those without a call too: silence
-    /// is what an outage looks like.
+    /// Returns all steps from the first to the last, including those without a
+    /// call, because an outage shows as steps without calls.
     pub(super) fn steps(&self) -> Vec<Step> {
         let mut steps = Vec::new();
         let Some((first, last)) = self.first_and_last() else {
--- a/src/commands/status.rs
+++ b/src/commands/status.rs
@@ -1,4 +1,5 @@
-//! `hornbeamhitch status`: what nodes have in force, see and spent.
+//! `hornbeamhitch status`: shows the configuration in force, the targets and the
+//! spent budgets of nodes.
 
 pub(crate) mod report;
 
@@ -15,7 +16,7 @@
 use crate::exit::Exit;
 use crate::source::write_json;
 
-/// Asks nodes what is in force, which targets they see and what they spent.
+/// Shows the configuration in force, the targets and the spent budgets of nodes.
 #[derive(Debug, Options)]
 pub(crate) struct Arguments {
     /// print this help
@@ -31,7 +32,7 @@
     timeout_ms: u64,
 }
 
-/// The answers of all nodes as JSON.
+/// The JSON output for all nodes.
 #[derive(Serialize)]
 struct StatusReport<'a> {
     /// Whether all nodes that answered have the same version in force.
@@ -39,7 +40,7 @@
     nodes: Vec<NodeRecord<'a>>,
 }
 
-/// One node's answer as JSON.
+/// The JSON output for one node.
 #[derive(Serialize)]
 struct NodeRecord<'a> {
     node: &'a str,
@@ -61,8 +62,9 @@
     Ok(verdict(&answers, agree))
 }
 
-/// A disagreement is certain, while a silent node may only be restarting, so
-/// the first decides the exit code where both are found.
+/// Determines the exit code. If nodes disagree and others do not answer, the
+/// disagreement decides, because a node that does not answer may only be
+/// restarting.
 pub(crate) fn verdict(answers: &[Answer], agree: bool) -> Exit {
     if !agree {
         return Exit::Found;
@@ -73,7 +75,8 @@
     Exit::Ok
 }
 
-/// The nodes that have each version in force; `None` is no version yet.
+/// The nodes by their version in force. `None` means that a node has no version
+/// yet.
 type Versions<'a> = BTreeMap<Option<ConfigVersion>, Vec<&'a str>>;
 
 fn versions_in_force(answers: &[Answer]) -> Versions<'_> {
--- a/src/commands/status/report.rs
+++ b/src/commands/status/report.rs
@@ -1,4 +1,4 @@
-//! The answers of nodes in tables for people.
+//! Writes the answers of nodes as tables.
 
 use std::io::Write;
 
@@ -11,7 +11,7 @@
 use crate::ask::Answer;
 use crate::table::{Table, printable_only};
 
-/// Writes all answers, those of silent nodes included.
+/// Writes all answers, including the errors of nodes without a status.
 pub(super) fn write(
     out: &mut dyn Write,
     answers: &[Answer],
@@ -126,7 +126,8 @@
     ]
 }
 
-/// States that ask for attention stand out in a long table.
+/// Formats a state. All states but `live` are in capitals, so that they stand out
+/// in a long table.
 pub(crate) fn state(state: TargetState) -> String {
     match state {
         TargetState::Live => state.to_string(),
@@ -237,7 +238,7 @@
     Ok(())
 }
 
-/// Names the nodes that gave no answer.
+/// Writes the nodes without a status and the reasons.
 pub(crate) fn write_errors(out: &mut dyn Write, answers: &[Answer]) -> Result<()> {
     for answer in answers {
         let Err(error) = &answer.status else {
@@ -283,7 +284,8 @@
 const MINUTE_MS: u64 = 60 * SECOND_MS;
 const HOUR_MS: u64 = 60 * MINUTE_MS;
 
-/// A span in the two largest units that matter.
+/// Formats a duration in milliseconds, or in seconds with tenths, or in its two
+/// largest units.
 pub(crate) fn age(span: Option<Millis>) -> String {
     let Some(Millis(ms)) = span else {
         return "-".to_owned();
--- a/src/commands/trace.rs
+++ b/src/commands/trace.rs
@@ -1,4 +1,5 @@
-//! `hornbeamhitch trace`: tells one request's story from the logs of nodes.
+//! `hornbeamhitch trace`: shows what happened to one request, from the logs of
+//! nodes.
 
 use std::collections::BTreeMap;
 use std::io::Write;
@@ -12,10 +13,10 @@
 use crate::logs::{self, LogLine};
 use crate::source::write_json;
 
-/// Fields of a line that are shown apart from the others.
+/// Log fields that are not listed with the other fields of a step.
 const OWN_FIELDS: [&str; 6] = ["time_ms", "level", "target", "vm", "message", "request"];
 
-/// Tells one request's story.
+/// Shows what happened to one request.
 #[derive(Debug, Options)]
 pub(crate) struct Arguments {
     /// print this help
@@ -31,7 +32,7 @@
     files: Vec<String>,
 }
 
-/// One step of the story.
+/// One log line of the request.
 #[derive(Debug, Serialize)]
 struct Step {
     time_ms: u64,
@@ -41,13 +42,13 @@
     fields: BTreeMap<String, Value>,
 }
 
-/// The story with what is missing from it.
+/// The log lines of one request, and the reasons why further lines are missing.
 #[derive(Debug, Default, Serialize)]
 struct RequestTrace {
     request: String,
     steps: Vec<Step>,
     missing: Vec<String>,
-    /// Lines that were no JSON of a node.
+    /// Number of lines that are not a node's log lines.
     unread_lines: u64,
 }
 
--- a/src/commands/where.rs
+++ b/src/commands/where.rs
@@ -1,4 +1,4 @@
-//! `hornbeamhitch where`: where calls of a service go, as each node sees it.
+//! `hornbeamhitch where`: shows where each node sends the calls of a service.
 
 use std::collections::BTreeMap;
 use std::io::Write;
@@ -35,24 +35,24 @@
     service: String,
 }
 
-/// What all nodes see of a service.
+/// The views of all nodes on a service.
 #[derive(Serialize)]
 struct Views<'a> {
     service: &'a str,
-    /// Whether the nodes that hold the service see the same targets in the
-    /// same state, and at least one holds it.
+    /// Whether at least one node tracks the service, and all nodes that do see the
+    /// same targets in the same states.
     agree: bool,
     nodes: Vec<NodeView<'a>>,
     disagreements: Vec<Disagreement<'a>>,
 }
 
-/// What one node sees of a service.
+/// The view of one node on a service.
 #[derive(Serialize)]
 struct NodeView<'a> {
     node: &'a str,
     #[serde(skip_serializing_if = "Option::is_none")]
     vm: Option<&'a VmId>,
-    /// The node's view; absent where it does not hold the service.
+    /// The node's view; absent if it does not track the service.
     #[serde(skip_serializing_if = "Option::is_none")]
     view: Option<&'a ServiceStatus>,
     #[serde(skip_serializing_if = "Option::is_none")]
@@ -66,7 +66,8 @@
     seen: Vec<Seen<'a>>,
 }
 
-/// How one node sees a target; without a state it does not know it.
+/// The state of a target as one node sees it. It is absent if the node does not
+/// know the target.
 #[derive(Serialize)]
 struct Seen<'a> {
     by: &'a VmId,
@@ -84,7 +85,8 @@
     Ok(verdict(&answers, views.agree || no_status(&answers)))
 }
 
-/// With no answer at all, nothing is known of an agreement.
+/// Returns whether no node answered. In this case it is unknown whether the nodes
+/// agree.
 fn no_status(answers: &[Answer]) -> bool {
     answers.iter().all(|answer| answer.status.is_err())
 }
@@ -119,7 +121,8 @@
         .find(|service| ServiceName::as_str(&service.name) == name)
 }
 
-/// Targets that not all nodes holding the service see in the same state.
+/// Returns the targets that the nodes tracking the service see in different
+/// states.
 fn disagreements<'a>(nodes: &[NodeView<'a>]) -> Vec<Disagreement<'a>> {
     let mut holders = Vec::new();
     for node in nodes {
--- a/src/exit.rs
+++ b/src/exit.rs
@@ -4,22 +4,22 @@
 
 use strum::VariantArray;
 
-/// What a run of the command line came to.
+/// The result of a run of the command line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, VariantArray)]
 #[repr(u8)]
 pub(crate) enum Exit {
-    /// Nothing was found wrong.
+    /// The command found no problem.
     Ok = 0,
-    /// A text has faults, nodes disagree, or logs hold nothing of what was asked.
+    /// A text has faults, nodes disagree, or the logs have no matching line.
     Found = 1,
-    /// Wrong arguments, or a file that cannot be read.
+    /// The arguments are wrong, or a file cannot be read.
     Usage = 2,
     /// A node did not answer, and nothing worse was found.
     Unreachable = 3,
 }
 
 impl Exit {
-    /// What the code means, for `--help`.
+    /// Describes the code for `--help`.
     pub(crate) const fn meaning(self) -> &'static str {
         match self {
             Self::Ok => "nothing was found wrong",
--- a/src/logs.rs
+++ b/src/logs.rs
@@ -1,4 +1,4 @@
-//! Logs of nodes, as operators collect them.
+//! Reads logs of nodes.
 
 use std::collections::BTreeMap;
 use std::fs::File;
@@ -8,36 +8,36 @@
 use serde::Deserialize;
 use serde_json::Value;
 
-/// A line of a node's log.
+/// One line of a node's log.
 #[derive(Clone, Debug, Deserialize)]
 pub(crate) struct LogLine {
-    /// When it was written, in milliseconds by the VM's wall clock.
+    /// The time of the line in milliseconds, by the VM's wall clock.
     pub(crate) time_ms: u64,
-    /// `info`, `warn` and so on.
+    /// The level, such as `info` or `warn`.
     pub(crate) level: String,
-    /// Name of the VM.
+    /// The name of the VM.
     pub(crate) vm: String,
-    /// What happened.
+    /// The message.
     pub(crate) message: String,
-    /// What it was decided by.
+    /// All other fields.
     #[serde(flatten)]
     pub(crate) fields: BTreeMap<String, Value>,
 }
 
 impl LogLine {
-    /// A field that is a text.
+    /// Returns the value of a field if it is a string.
     pub(crate) fn text(&self, name: &str) -> Option<&str> {
         self.fields.get(name)?.as_str()
     }
 
-    /// A field that is a number.
+    /// Returns the value of a field if it is an unsigned integer.
     pub(crate) fn number(&self, name: &str) -> Option<u64> {
         self.fields.get(name)?.as_u64()
     }
 }
 
-/// Reads the lines of all files, or of the standard input where none is named.
-/// Returns how many lines were no log of a node.
+/// Reads the lines of all files, or of the standard input if no file is given.
+/// Returns the number of lines that are not a node's log lines.
 pub(crate) fn read_all(files: &[String], mut handle_line: impl FnMut(LogLine)) -> Result<u64> {
     if files.is_empty() {
         return read(io::stdin().lock(), &mut handle_line);
@@ -50,7 +50,8 @@
     Ok(unparsed)
 }
 
-/// What stands before a line's JSON, as some collectors put it there, is skipped.
+/// Reads lines. Skips any text before a line's JSON, because some log collectors
+/// add a prefix.
 fn read(lines: impl BufRead, handle_line: &mut impl FnMut(LogLine)) -> Result<u64> {
     let mut unparsed = 0;
     for line in lines.split(b'\n') {
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,7 +1,8 @@
 //! `hornbeamhitch`, the operators' command line.
 //!
-//! It checks, explains and compares configuration texts, and asks nodes what
-//! they see. It changes nothing anywhere.
+//! It checks, explains and compares configuration texts, shows the status of
+//! nodes and evaluates their logs. It never changes the state of a node or of the
+//! platform.
 
 mod ask;
 mod commands;
@@ -44,7 +45,8 @@
     commands::run(&parsed, &mut io::stdout().lock())
 }
 
-/// The reader of the output went away, as `head` does; that is no failure.
+/// Returns whether the error is a closed output pipe. This is no failure: `head`,
+/// for example, closes its input early.
 fn is_closed_pipe(error: &eyre::Report) -> bool {
     for cause in error.chain() {
         let Some(io_error) = cause.downcast_ref::<io::Error>() else {
--- a/src/source.rs
+++ b/src/source.rs
@@ -1,4 +1,4 @@
-//! Texts from files.
+//! Reads configuration texts from files and writes their faults.
 
 use std::fs::File;
 use std::io::{Read, Write};
@@ -7,8 +7,8 @@
 use hornbeamhitch_text::{CheckedText, Fault, Faults, MAX_TEXT_BYTES, Warning, check_bytes};
 use serde::Serialize;
 
-/// Reads and checks a file. One that is too large is read only as far as
-/// needed to say so.
+/// Reads and checks a file. Reads at most one byte more than the maximum size of a
+/// text, which is enough to report that the file is too large.
 pub(crate) fn load(path: &str) -> Result<Result<CheckedText, Faults>> {
     let mut bytes = Vec::new();
     let limit = MAX_TEXT_BYTES as u64 + 1;
@@ -19,7 +19,7 @@
     Ok(check_bytes(&bytes))
 }
 
-/// The faults of a file as JSON.
+/// The JSON output for a file with faults.
 #[derive(Serialize)]
 pub(crate) struct RefusedFile<'a> {
     accepted: bool,
@@ -38,7 +38,7 @@
     }
 }
 
-/// Writes the faults of a file, for people or as JSON.
+/// Writes the faults of a file as plain text or as JSON.
 pub(crate) fn write_faults(
     out: &mut dyn Write,
     file: &str,
@@ -59,7 +59,8 @@
     Ok(())
 }
 
-/// `file:line:column: place: reason; allowed: ...`, which editors can follow.
+/// Formats a fault as `file:line:column: path: reason; allowed: ...`, so that
+/// editors can jump to its position.
 fn fault_line(file: &str, fault: &Fault) -> String {
     let (line, column) = (fault.position.line, fault.position.column);
     let allowed = fault.kind.allowed();
@@ -69,7 +70,7 @@
     )
 }
 
-/// `file:line:column: warning: place: reason`.
+/// Formats a warning as `file:line:column: warning: path: reason`.
 pub(crate) fn warning_line(file: &str, warning: &Warning) -> String {
     let (line, column) = (warning.position.line, warning.position.column);
     format!(
@@ -78,7 +79,7 @@
     )
 }
 
-/// `1 fault`, `2 faults`.
+/// Formats a count with its noun, such as `1 fault` or `2 faults`.
 pub(crate) fn counted(count: usize, what: &str) -> String {
     match count {
         1 => format!("1 {what}"),
@@ -86,7 +87,7 @@
     }
 }
 
-/// Writes a value as indented JSON with a line end.
+/// Writes a value as indented JSON with a trailing newline.
 pub(crate) fn write_json(out: &mut dyn Write, value: &impl Serialize) -> Result<()> {
     serde_json::to_writer_pretty(&mut *out, value)
         .map_err(std::io::Error::from)
--- a/src/table.rs
+++ b/src/table.rs
@@ -1,8 +1,8 @@
-//! Aligned columns for people.
+//! Tables with aligned columns.
 
 use std::fmt;
 
-/// A table with a line of titles.
+/// A table with a header line.
 pub(crate) struct Table {
     titles: &'static [&'static str],
     rows: Vec<Vec<String>>,
@@ -22,7 +22,7 @@
         self.rows.is_empty()
     }
 
-    /// Adds a row with one cell for each title.
+    /// Adds a row. Panics unless it has one cell for each title.
     pub(crate) fn row(&mut self, cells: Vec<String>) {
         assert_eq!(cells.len(), self.titles.len(), "one cell for each title");
         let mut printable = Vec::new();
@@ -70,7 +70,7 @@
     writeln!(f, "{}", line.trim_end())
 }
 
-/// Replaces control characters, so that nothing a node sends can steer the
+/// Replaces control characters, so that text sent by a node cannot control the
 /// operator's terminal.
 pub(crate) fn printable_only(text: &str) -> String {
     text.replace(char::is_control, "?")
