--- a/crates/node/src/body.rs
+++ b/crates/node/src/body.rs
@@ -20,10 +20,10 @@
     TooLarge,
     /// It ended before its end.
     #[error("the body was cut")]
-    Cut,
+    Truncated,
     /// The node holds too much already.
     #[error("no memory is left for the body")]
-    NoRoom,
+    BudgetExhausted,
 }
 
 /// A body without bytes.
@@ -68,7 +68,7 @@
 ///
 /// # Errors
 ///
-/// As [`collect`], and [`CollectError::NoRoom`] when `has_room` says no.
+/// As [`collect`], and [`CollectError::BudgetExhausted`] when `has_room` says no.
 pub async fn collect_while(
     body: NodeBody,
     limit_bytes: u64,
@@ -79,7 +79,7 @@
     let mut first = Bytes::new();
     let mut rest = BytesMut::new();
     while let Some(frame) = body.frame().await {
-        let frame = frame.map_err(|_| CollectError::Cut)?;
+        let frame = frame.map_err(|_| CollectError::Truncated)?;
         let Ok(data) = frame.into_data() else {
             continue;
         };
@@ -87,7 +87,7 @@
             return Err(CollectError::TooLarge);
         }
         if !has_room(first.len() + rest.len() + data.len()) {
-            return Err(CollectError::NoRoom);
+            return Err(CollectError::BudgetExhausted);
         }
         // Most bodies are one frame; it is passed on without a copy.
         if first.is_empty() && rest.is_empty() {
@@ -108,11 +108,11 @@
 
 /// The beginning of a body whose length nobody has told.
 #[derive(Debug)]
-pub enum Beginning {
+pub enum BodyPrefix {
     /// It ended within the limit.
     Whole(Bytes),
     /// It is longer; the rest is still in the stream.
-    Longer(Bytes),
+    Partial(Bytes),
 }
 
 /// Takes in a body until it ends or exceeds `limit_bytes`.
@@ -120,23 +120,23 @@
 /// # Errors
 ///
 /// The stream ended early.
-pub async fn begin<B>(body: &mut B, limit_bytes: u64) -> Result<Beginning, CollectError>
+pub async fn read_prefix<B>(body: &mut B, limit_bytes: u64) -> Result<BodyPrefix, CollectError>
 where
     B: http_body::Body<Data = Bytes> + Unpin,
 {
     let limit = usize::try_from(limit_bytes).unwrap_or(usize::MAX);
-    let mut taken = BytesMut::new();
+    let mut received = BytesMut::new();
     while let Some(frame) = body.frame().await {
-        let frame = frame.map_err(|_| CollectError::Cut)?;
+        let frame = frame.map_err(|_| CollectError::Truncated)?;
         let Ok(data) = frame.into_data() else {
             continue;
         };
-        taken.extend_from_slice(&data);
-        if taken.len() > limit {
-            return Ok(Beginning::Longer(taken.freeze()));
+        received.extend_from_slice(&data);
+        if received.len() > limit {
+            return Ok(BodyPrefix::Partial(received.freeze()));
         }
     }
-    Ok(Beginning::Whole(taken.freeze()))
+    Ok(BodyPrefix::Whole(received.freeze()))
 }
 
 /// Reads a body away, up to `limit_bytes`.
--- a/crates/node/src/callers.rs
+++ b/crates/node/src/callers.rs
@@ -32,7 +32,7 @@
 use call::{CallerCall, MAX_DEPTH, ServicePath};
 
 /// How long a call waits for a service that this node does not hold yet.
-const INTEREST_WAIT_MS: Millis = Millis(1_500);
+const SERVICE_WAIT_MS: Millis = Millis(1_500);
 const NO_CONFIGURATION_RETRY_MS: Millis = Millis(500);
 
 /// Counts of work that the entry adds on its own account.
@@ -172,9 +172,9 @@
         let _in_flight = InFlight::enter(&self.traffic);
         let version = request.version();
         let response = self
-            .dispatch(request.map(|body| self.uploads.guard(body)))
+            .dispatch(request.map(|body| self.uploads.with_idle_timeout(body)))
             .await;
-        Ok(relay::fit_to(version, response))
+        Ok(relay::fit_to_version(version, response))
     }
 
     async fn dispatch(self: &Arc<Self>, request: Request<NodeBody>) -> Response<NodeBody> {
@@ -201,9 +201,9 @@
         to: ServicePath,
         request: Request<NodeBody>,
     ) -> Response<NodeBody> {
-        let (entry, view) = match self.find(&to.service).await {
+        let (entry, view) = match self.find_service(&to.service).await {
             Ok(found) => found,
-            Err(refusal) => return self.refuse_unfound(&to.service, &refusal),
+            Err(refusal) => return self.refuse_unavailable(&to.service, &refusal),
         };
         let (parts, body) = request.into_parts();
         let call = CallerCall::read(&parts, to, Arc::clone(&view.policy), self.clock.now());
@@ -241,10 +241,10 @@
         }
         // An earlier send under this ticket may have run, and only its gate
         // knows. So this entry never says "not run" on its own account here.
-        let Ok((entry, view)) = self.find(&to.service).await else {
+        let Ok((entry, view)) = self.find_service(&to.service).await else {
             let wait = NO_CONFIGURATION_RETRY_MS;
             let refusal = Refusal::retry_after(ResultCode::GateUnreachable, wait);
-            return self.refuse_unfound(&to.service, &refusal);
+            return self.refuse_unavailable(&to.service, &refusal);
         };
         let (parts, body) = request.into_parts();
         let call = CallerCall::read(&parts, to, Arc::clone(&view.policy), self.clock.now());
@@ -263,7 +263,7 @@
         if request.method != http::Method::POST {
             return bad_request("tickets are fetched with POST");
         }
-        match self.find(&ServiceName::new(name)).await {
+        match self.find_service(&ServiceName::new(name)).await {
             Ok((entry, view)) => tickets::batch(&entry, &view.policy, &request.headers, query),
             Err(refusal) => answer::from_refusal(&refusal),
         }
@@ -271,7 +271,10 @@
 
     /// Finds a service, asking the control thread for one that this node does
     /// not hold yet.
-    async fn find(&self, service: &ServiceName) -> Result<(Arc<Entry>, Arc<ServiceView>), Refusal> {
+    async fn find_service(
+        &self,
+        service: &ServiceName,
+    ) -> Result<(Arc<Entry>, Arc<ServiceView>), Refusal> {
         if let Some(found) = self.board.entry(service.as_str()) {
             self.control.sent_to(service);
             return Ok(found);
@@ -286,8 +289,8 @@
         if !routes.service_names.contains(service) {
             return Err(Refusal::fixed(ResultCode::UnknownService));
         }
-        self.control.interest(service);
-        let give_up = self.clock.to_instant(self.clock.now() + INTEREST_WAIT_MS);
+        self.control.service_requested(service);
+        let give_up = self.clock.to_instant(self.clock.now() + SERVICE_WAIT_MS);
         let mut published = self.published.clone();
         loop {
             if let Some(found) = self.board.entry(service.as_str()) {
@@ -306,7 +309,7 @@
 
     /// Refuses a call whose service is not held, and counts it: an outage
     /// without a configuration must be seen in the metrics as well.
-    fn refuse_unfound(&self, service: &ServiceName, refusal: &Refusal) -> Response<NodeBody> {
+    fn refuse_unavailable(&self, service: &ServiceName, refusal: &Refusal) -> Response<NodeBody> {
         self.metrics.call_ended(&CallSample {
             service: service.as_str(),
             class: CallClass::default(),
@@ -318,12 +321,12 @@
     }
 
     /// Passes a load report on to the control thread.
-    fn note_heard(&self, vm: &VmId, headers: &HeaderMap) {
+    fn report_load(&self, vm: &VmId, headers: &HeaderMap) {
         let Some(load) = answer::text(headers, header::LOAD) else {
             return;
         };
         if let Ok(report) = load.parse() {
-            self.control.heard(vm, report);
+            self.control.load_reported(vm, report);
         }
     }
 }
--- a/crates/node/src/callers/call.rs
+++ b/crates/node/src/callers/call.rs
@@ -80,8 +80,8 @@
         let method = parts.method.as_str();
         let kind = policy.call_for(method, to.path());
         let default_ms = kind.map_or(policy.deadline_ms, |call| call.deadline_ms);
-        let asked_ms = answer::number(&parts.headers, header::DEADLINE_MS).map(Millis);
-        let deadline_ms = asked_ms.unwrap_or(default_ms).min(MAX_DEADLINE_MS);
+        let requested_ms = answer::number(&parts.headers, header::DEADLINE_MS).map(Millis);
+        let deadline_ms = requested_ms.unwrap_or(default_ms).min(MAX_DEADLINE_MS);
         Self {
             idempotent: policy.is_idempotent(method, to.path()),
             class: kind.map_or_else(CallClass::default, |call| call.class),
@@ -166,7 +166,7 @@
         &self,
         peer: std::net::SocketAddr,
         attempt: u32,
-        left_ms: Millis,
+        remaining_ms: Millis,
         body: NodeBody,
     ) -> Request<NodeBody> {
         let uri = format!("http://{peer}{}", self.path_and_query);
@@ -179,13 +179,17 @@
         *request.headers_mut() = self.headers.clone();
         let headers = request.headers_mut();
         headers.insert(header::ATTEMPT, HeaderValue::from(attempt));
-        headers.insert(header::DEADLINE_MS, HeaderValue::from(left_ms.0));
+        headers.insert(header::DEADLINE_MS, HeaderValue::from(remaining_ms.0));
         request
     }
 
     /// The request that asks a gate about this call's key, which fences it.
     #[must_use]
-    pub fn fence_request(&self, peer: std::net::SocketAddr, left_ms: Millis) -> Request<NodeBody> {
+    pub fn fence_request(
+        &self,
+        peer: std::net::SocketAddr,
+        remaining_ms: Millis,
+    ) -> Request<NodeBody> {
         let mut request = Request::new(crate::body::empty());
         *request.method_mut() = http::Method::POST;
         *request.uri_mut() = format!("http://{peer}{}", header::FENCE_PATH)
@@ -198,7 +202,7 @@
             };
             headers.insert(name, value.clone());
         }
-        headers.insert(header::DEADLINE_MS, HeaderValue::from(left_ms.0));
+        headers.insert(header::DEADLINE_MS, HeaderValue::from(remaining_ms.0));
         request
     }
 }
--- a/crates/node/src/callers/entries.rs
+++ b/crates/node/src/callers/entries.rs
@@ -41,7 +41,7 @@
 struct EntryState {
     service: EntryService,
     /// The view that `service` was last updated with.
-    seen: Arc<ServiceView>,
+    applied_view: Arc<ServiceView>,
     counts: EntryCounts,
     clocks: GateClocks,
 }
@@ -102,7 +102,7 @@
 
 /// The gate that a ticket names, as this entry knows it.
 #[derive(Debug)]
-pub struct NamedGate {
+pub struct ChosenGate {
     /// The attempt there.
     pub guard: AttemptGuard,
     /// The life last heard of on the VM.
@@ -163,7 +163,7 @@
                 clock: self.clock,
                 state: Mutex::new(EntryState {
                     service,
-                    seen: Arc::clone(view),
+                    applied_view: Arc::clone(view),
                     counts: EntryCounts::default(),
                     clocks: GateClocks::default(),
                 }),
@@ -176,10 +176,10 @@
 impl Entry {
     fn update(&self, view: &Arc<ServiceView>) {
         let mut state = self.state.lock();
-        if Arc::ptr_eq(&state.seen, view) {
+        if Arc::ptr_eq(&state.applied_view, view) {
             return;
         }
-        state.seen = Arc::clone(view);
+        state.applied_view = Arc::clone(view);
         state.service.update(Arc::clone(view), self.clock.now());
         let EntryState {
             service, clocks, ..
@@ -211,18 +211,18 @@
     }
 
     /// Chooses the target on a VM, for a ticketed call.
-    pub fn choose_gate(self: &Arc<Self>, ticket: &Ticket) -> Option<NamedGate> {
+    pub fn choose_gate(self: &Arc<Self>, ticket: &Ticket) -> Option<ChosenGate> {
         let now = self.clock.now();
         let mut state = self.state.lock();
         let vm = &ticket.gate;
         let (index, target) = state.service.target_on(vm)?;
         let incarnation = target.incarnation;
-        let clock_ms = state.clocks.reading(vm, ticket.incarnation, now);
+        let clock_ms = state.clocks.lower_bound(vm, ticket.incarnation, now);
         let pick = state.service.pick_fixed(index, now);
         state.counts.first_attempts += 1;
         let chosen = chosen(&state.service, pick);
         drop(state);
-        Some(NamedGate {
+        Some(ChosenGate {
             guard: self.guard(chosen),
             incarnation,
             clock_ms,
@@ -286,7 +286,7 @@
             started_at: Instant::now(),
             head_latency_us: None,
             load: None,
-            heard_at: Millis::ZERO,
+            load_received_at: Millis::ZERO,
             ended: false,
         }
     }
@@ -313,7 +313,7 @@
     started_at: Instant,
     head_latency_us: Option<u32>,
     load: Option<LoadReport>,
-    heard_at: Millis,
+    load_received_at: Millis,
     ended: bool,
 }
 
@@ -324,7 +324,7 @@
         let latency_us = self.elapsed_us();
         self.head_latency_us = Some(latency_us);
         self.load = load;
-        self.heard_at = self.entry.clock.now();
+        self.load_received_at = self.entry.clock.now();
         latency_us
     }
 
@@ -347,7 +347,9 @@
         let mut state = self.entry.state.lock();
         state.service.finish(&self.target.pick, &outcome, now);
         if let Some(report) = &self.load {
-            state.clocks.observe(&self.target.vm, report, self.heard_at);
+            state
+                .clocks
+                .observe(&self.target.vm, report, self.load_received_at);
         }
         state.counts.note_end(self.target.pick.target, &end);
     }
--- a/crates/node/src/callers/entries/tests.rs
+++ b/crates/node/src/callers/entries/tests.rs
@@ -8,7 +8,7 @@
   "deployment": "test",
   "services": { "cashier": { "slots": 4 } },
 }"#;
-const LIFE: Incarnation = Incarnation(7);
+const INCARNATION: Incarnation = Incarnation(7);
 
 fn report(gate_clock_ms: u64) -> LoadReport {
     LoadReport {
@@ -17,20 +17,20 @@
         limit: 4,
         service_time_us: 0,
         gate_clock_ms: Millis(gate_clock_ms),
-        incarnation: LIFE,
+        incarnation: INCARNATION,
         leaving: false,
     }
 }
 
 /// A board with one target, of which a heartbeat was heard.
-fn board(heartbeat: LoadReport) -> EntryBoard {
+fn board_with_heartbeat(heartbeat: LoadReport) -> EntryBoard {
     let checked = hornbeamhitch_text::check(TEXT).expect("the text is valid");
     let policy = Arc::new(checked.services[0].clone());
     let target = TargetView {
         vm: VmId::new("cashier-1"),
         data_centre: DataCentre::new("a"),
         peer: std::net::SocketAddr::from(([127, 0, 0, 1], 1)),
-        incarnation: Some(LIFE),
+        incarnation: Some(INCARNATION),
         distance_us: 0,
         leaving: false,
         doubtful: false,
@@ -57,12 +57,12 @@
 /// refuses it. Only an answer's report is as new as the answer.
 #[test]
 fn a_gates_clock_is_learned_from_its_answers_only() {
-    let board = board(report(1_000));
+    let board = board_with_heartbeat(report(1_000));
     let (entry, _) = board.entry("cashier").expect("the service is known");
     let ticket = Ticket {
         service: ServiceName::new("cashier"),
         gate: VmId::new("cashier-1"),
-        incarnation: LIFE,
+        incarnation: INCARNATION,
         key: CallKey(1),
         expires_at: Millis(100_000),
     };
--- a/crates/node/src/callers/gate_clocks.rs
+++ b/crates/node/src/callers/gate_clocks.rs
@@ -10,12 +10,12 @@
 
 /// How long the best of the observations counts before it must be renewed: two
 /// clocks drift apart by a few milliseconds in that time at most.
-const TRUSTED_FOR: Millis = Millis::from_secs(30);
+const WINDOW_MS: Millis = Millis::from_secs(30);
 
 /// The clocks of the gates of one service, by VM.
 #[derive(Debug, Default)]
 pub struct GateClocks {
-    by_vm: HashMap<VmId, Reckoning>,
+    by_vm: HashMap<VmId, ClockEstimate>,
 }
 
 /// One gate's clock relative to this node's, in milliseconds.
@@ -23,55 +23,55 @@
 /// Each report was under way for an unknown time, which makes the gate's clock
 /// seem slower by it and never faster. So the greatest difference is the best.
 #[derive(Debug)]
-struct Reckoning {
+struct ClockEstimate {
     incarnation: Incarnation,
-    ahead_ms: i64,
+    offset_ms: i64,
     /// The greatest difference of the span before.
-    ahead_before_ms: i64,
+    previous_offset_ms: i64,
     since: Millis,
 }
 
 impl GateClocks {
-    /// Takes in a report that reached this node at `heard_at`.
-    pub fn observe(&mut self, vm: &VmId, report: &LoadReport, heard_at: Millis) {
-        let ahead_ms = signed(report.gate_clock_ms) - signed(heard_at);
-        let first = Reckoning {
+    /// Takes in a report that reached this node at `received_at`.
+    pub fn observe(&mut self, vm: &VmId, report: &LoadReport, received_at: Millis) {
+        let offset_ms = signed(report.gate_clock_ms) - signed(received_at);
+        let first = ClockEstimate {
             incarnation: report.incarnation,
-            ahead_ms,
-            ahead_before_ms: ahead_ms,
-            since: heard_at,
+            offset_ms,
+            previous_offset_ms: offset_ms,
+            since: received_at,
         };
-        let Some(known) = self.by_vm.get_mut(vm) else {
+        let Some(estimate) = self.by_vm.get_mut(vm) else {
             self.by_vm.insert(vm.clone(), first);
             return;
         };
-        if report.incarnation < known.incarnation {
+        if report.incarnation < estimate.incarnation {
             return;
         }
-        if report.incarnation > known.incarnation {
-            *known = first;
+        if report.incarnation > estimate.incarnation {
+            *estimate = first;
             return;
         }
-        if heard_at.since(known.since) >= TRUSTED_FOR {
-            known.ahead_before_ms = known.ahead_ms;
-            known.ahead_ms = ahead_ms;
-            known.since = heard_at;
+        if received_at.since(estimate.since) >= WINDOW_MS {
+            estimate.previous_offset_ms = estimate.offset_ms;
+            estimate.offset_ms = offset_ms;
+            estimate.since = received_at;
             return;
         }
-        known.ahead_ms = known.ahead_ms.max(ahead_ms);
+        estimate.offset_ms = estimate.offset_ms.max(offset_ms);
     }
 
     /// What the clock of one life of a gate shows at least; `None` when nothing
     /// was heard of that life, or a later one was.
     #[must_use]
-    pub fn reading(&self, vm: &VmId, life: Incarnation, now: Millis) -> Option<Millis> {
-        let known = self.by_vm.get(vm)?;
-        if known.incarnation != life {
+    pub fn lower_bound(&self, vm: &VmId, incarnation: Incarnation, now: Millis) -> Option<Millis> {
+        let estimate = self.by_vm.get(vm)?;
+        if estimate.incarnation != incarnation {
             return None;
         }
-        let ahead_ms = known.ahead_ms.max(known.ahead_before_ms);
-        let reading = signed(now).saturating_add(ahead_ms);
-        Some(Millis(u64::try_from(reading).unwrap_or(0)))
+        let offset_ms = estimate.offset_ms.max(estimate.previous_offset_ms);
+        let lower_bound = signed(now).saturating_add(offset_ms);
+        Some(Millis(u64::try_from(lower_bound).unwrap_or(0)))
     }
 
     /// Forgets gates that are no longer known.
--- a/crates/node/src/callers/gate_clocks/tests.rs
+++ b/crates/node/src/callers/gate_clocks/tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-const LIFE: Incarnation = Incarnation(7);
+const INCARNATION: Incarnation = Incarnation(7);
 
 fn vm() -> VmId {
     VmId::new("cashier-1")
@@ -23,12 +23,12 @@
 /// The gate's clock is truly 1,000 ms ahead. A report that was held up says
 /// less; believed, it would cut every deadline by the time it was held up.
 #[test]
-fn a_report_that_was_held_up_slows_no_clock() {
+fn a_delayed_report_does_not_lower_the_estimate() {
     let mut clocks = GateClocks::default();
-    clocks.observe(&vm(), &report(LIFE, 1_100), Millis(110));
-    clocks.observe(&vm(), &report(LIFE, 1_200), Millis(900));
-    let reading = clocks.reading(&vm(), LIFE, Millis(1_000));
-    assert_eq!(reading, Some(Millis(1_990)));
+    clocks.observe(&vm(), &report(INCARNATION, 1_100), Millis(110));
+    clocks.observe(&vm(), &report(INCARNATION, 1_200), Millis(900));
+    let lower_bound = clocks.lower_bound(&vm(), INCARNATION, Millis(1_000));
+    assert_eq!(lower_bound, Some(Millis(1_990)));
 }
 
 /// The gate's clock falls behind by drift. Its best observation of old ages
@@ -36,23 +36,26 @@
 #[test]
 fn old_observations_age_out() {
     let mut clocks = GateClocks::default();
-    clocks.observe(&vm(), &report(LIFE, 1_000), Millis(0));
+    clocks.observe(&vm(), &report(INCARNATION, 1_000), Millis(0));
     for second in [30, 60] {
         let at = second * 1_000;
-        clocks.observe(&vm(), &report(LIFE, at + 900), Millis(at));
+        clocks.observe(&vm(), &report(INCARNATION, at + 900), Millis(at));
     }
-    let reading = clocks.reading(&vm(), LIFE, Millis(70_000));
-    assert_eq!(reading, Some(Millis(70_900)));
+    let lower_bound = clocks.lower_bound(&vm(), INCARNATION, Millis(70_000));
+    assert_eq!(lower_bound, Some(Millis(70_900)));
 }
 
 /// Each life has its own clock, and late news of an earlier one is nothing.
 #[test]
-fn a_new_life_begins_anew() {
+fn a_new_incarnation_starts_a_new_estimate() {
     let mut clocks = GateClocks::default();
     let next = Incarnation(8);
-    clocks.observe(&vm(), &report(LIFE, 50_000), Millis(0));
+    clocks.observe(&vm(), &report(INCARNATION, 50_000), Millis(0));
     clocks.observe(&vm(), &report(next, 10), Millis(100));
-    clocks.observe(&vm(), &report(LIFE, 50_200), Millis(200));
-    assert_eq!(clocks.reading(&vm(), LIFE, Millis(300)), None);
-    assert_eq!(clocks.reading(&vm(), next, Millis(300)), Some(Millis(210)));
+    clocks.observe(&vm(), &report(INCARNATION, 50_200), Millis(200));
+    assert_eq!(clocks.lower_bound(&vm(), INCARNATION, Millis(300)), None);
+    assert_eq!(
+        clocks.lower_bound(&vm(), next, Millis(300)),
+        Some(Millis(210))
+    );
 }
--- a/crates/node/src/callers/idempotent.rs
+++ b/crates/node/src/callers/idempotent.rs
@@ -18,7 +18,7 @@
 use super::CallerServer;
 use super::call::{CallerCall, Outbound};
 use super::entries::{AttemptGuard, Entry};
-use super::relay::{self, Relayed, Taken};
+use super::relay::{self, RelayOutcome, Relayed};
 use crate::answer;
 use crate::body::{self, NodeBody};
 use crate::fingerprint;
@@ -47,18 +47,18 @@
 ) -> Response<NodeBody> {
     let deadline = server.clock.to_instant(call.deadline_at);
     let (parts, body) = request.into_parts();
-    let content = match tokio::time::timeout_at(deadline, Content::take(body, &call)).await {
+    let content = match tokio::time::timeout_at(deadline, RequestContent::read(body, &call)).await {
         Ok(Ok(content)) => content,
         Ok(Err(refused)) => return refused,
         Err(_) => return answer::from_code(ResultCode::UploadCut, "the deadline passed within"),
     };
-    let standing = standing_of(&server, &call, &parts);
-    if standing == Standing::Convicted {
+    let suspicion = suspicion_of(&server, &call, &parts);
+    if suspicion == Standing::Convicted {
         let refusal = Refusal::retry_after(ResultCode::CrashSuspect, CONVICTED_RETRY_AFTER_MS);
         return answer::from_refusal(&refusal);
     }
     let mut run = CallRun::new(server, entry, call, &parts, content);
-    run.may_hedge = standing == Standing::Clear;
+    run.may_hedge = suspicion == Standing::Clear;
     match tokio::time::timeout_at(deadline, run.run()).await {
         Ok(response) => response,
         Err(_) => {
@@ -69,7 +69,7 @@
 }
 
 /// What the fleet holds against the request, as far as this node has heard.
-fn standing_of(server: &CallerServer, call: &CallerCall, parts: &Parts) -> Standing {
+fn suspicion_of(server: &CallerServer, call: &CallerCall, parts: &Parts) -> Standing {
     let routes = server.board.routes();
     if routes.suspects.is_empty() {
         return Standing::Clear;
@@ -81,17 +81,17 @@
 
 /// The request's body: in hand and good for many attempts, or a stream that
 /// is good for one.
-enum Content {
-    Whole(Bytes),
+enum RequestContent {
+    Buffered(Bytes),
     Stream(Option<NodeBody>),
 }
 
-impl Content {
-    async fn take(body: NodeBody, call: &CallerCall) -> Result<Self, Response<NodeBody>> {
+impl RequestContent {
+    async fn read(body: NodeBody, call: &CallerCall) -> Result<Self, Response<NodeBody>> {
         let buffer_bytes = u64::from(call.policy.buffer_bytes);
         let max_bytes = call.policy.max_request_bytes;
         if body.is_end_stream() {
-            return Ok(Self::Whole(Bytes::new()));
+            return Ok(Self::Buffered(Bytes::new()));
         }
         match body.size_hint().exact() {
             Some(length) if length > max_bytes => Err(answer::from_code(
@@ -100,7 +100,7 @@
             )),
             Some(length) if length <= buffer_bytes => {
                 match body::collect(body, buffer_bytes).await {
-                    Ok(bytes) => Ok(Self::Whole(bytes)),
+                    Ok(bytes) => Ok(Self::Buffered(bytes)),
                     Err(_) => Err(answer::from_code(
                         ResultCode::UploadCut,
                         "the upload ended early",
@@ -113,13 +113,13 @@
 
     fn next(&mut self) -> Option<NodeBody> {
         match self {
-            Self::Whole(bytes) => Some(body::full(bytes.clone())),
+            Self::Buffered(bytes) => Some(body::full(bytes.clone())),
             Self::Stream(stream) => stream.take(),
         }
     }
 
     fn is_repeatable(&self) -> bool {
-        matches!(self, Self::Whole(_))
+        matches!(self, Self::Buffered(_))
     }
 }
 
@@ -128,7 +128,7 @@
     entry: Arc<Entry>,
     call: CallerCall,
     outbound: Outbound,
-    content: Content,
+    content: RequestContent,
     tried: Vec<TargetIndex>,
     started_at: Instant,
     /// Not for a suspect: it waits until it can run alone, so its hedge would
@@ -143,7 +143,7 @@
         entry: Arc<Entry>,
         call: CallerCall,
         parts: &Parts,
-        content: Content,
+        content: RequestContent,
     ) -> Self {
         Self {
             outbound: Outbound::prepare(parts, &call, &server.entry_header),
@@ -172,8 +172,8 @@
         }
         let mut hedge_timer = self.hedge_timer();
         loop {
-            let ended = tokio::select! {
-                ended = attempts.next() => ended,
+            let result = tokio::select! {
+                result = attempts.next() => result,
                 () = wait(&mut hedge_timer) => {
                     hedge_timer = None;
                     if let Some(hedge) = self.hedge(&attempts) {
@@ -182,14 +182,14 @@
                     continue;
                 }
             };
-            let Some(ended) = ended else {
+            let Some(result) = result else {
                 let wait = self.entry.retry_after_ms();
                 return answer::from_refusal(&Refusal::retry_after(
                     ResultCode::AttemptsFailed,
                     wait,
                 ));
             };
-            let (end, fallback) = match ended {
+            let (end, fallback) = match result {
                 Ended::Answer(relayed) => {
                     self.note_answer(&relayed, attempts.len());
                     return relayed.response;
@@ -238,10 +238,13 @@
         self.tried.push(guard.target.pick.target);
         let service = self.call.to.service.as_str();
         self.server.metrics.attempt_sent(service, kind);
-        let left_ms = self.call.deadline_at.since(self.server.clock.now());
-        let request =
-            self.outbound
-                .request(guard.target.peer, self.progress.attempts, left_ms, body);
+        let remaining_ms = self.call.deadline_at.since(self.server.clock.now());
+        let request = self.outbound.request(
+            guard.target.peer,
+            self.progress.attempts,
+            remaining_ms,
+            body,
+        );
         self.progress.attempts += 1;
         Ok(Box::pin(attempt(
             Arc::clone(&self.server),
@@ -278,7 +281,7 @@
         }
         let total_us = self.started_at.elapsed().as_micros();
         let total_us = u64::try_from(total_us).unwrap_or(u64::MAX);
-        let added_us = total_us.saturating_sub(relayed.waited_us.into());
+        let added_us = total_us.saturating_sub(relayed.time_to_head_us.into());
         self.server.metrics.added(Side::Entry, added_us);
     }
 
@@ -326,12 +329,12 @@
             return Ended::Failed { end, answer: None };
         }
     };
-    server.note_heard(&guard.target.vm, response.headers());
+    server.report_load(&guard.target.vm, response.headers());
     let deadline = server.clock.to_instant(call.deadline_at);
     let buffer_bytes = u64::from(call.policy.buffer_bytes);
-    let relayed = match relay::take(response, guard, buffer_bytes, deadline).await {
-        Taken::Answer(relayed) => relayed,
-        Taken::Cut => {
+    let relayed = match relay::receive(response, guard, buffer_bytes, deadline).await {
+        RelayOutcome::Answer(relayed) => relayed,
+        RelayOutcome::Truncated => {
             return Ended::Failed {
                 end: AttemptEnd::Broken,
                 answer: None,
--- a/crates/node/src/callers/relay.rs
+++ b/crates/node/src/callers/relay.rs
@@ -14,7 +14,7 @@
 
 use super::entries::AttemptGuard;
 use crate::answer;
-use crate::body::{self, Beginning, BodyError, NodeBody};
+use crate::body::{self, BodyError, BodyPrefix, NodeBody};
 
 /// A gate's answer that is ready for the caller.
 #[derive(Debug)]
@@ -24,41 +24,41 @@
     /// Result code that the gate wrote.
     pub code: ResultCode,
     /// Time from sending to the head of the gate's answer, in microseconds.
-    pub waited_us: u32,
+    pub time_to_head_us: u32,
 }
 
 /// How a gate's answer was taken in.
 #[derive(Debug)]
-pub enum Taken {
+pub enum RelayOutcome {
     /// Whole in hand, or streaming to the caller from here on.
     Answer(Relayed),
     /// The body was cut while it was taken in.
-    Cut,
+    Truncated,
 }
 
 /// Takes in a gate's answer: small ones whole, so that a cut one can still be
 /// retried and never reaches the caller as whole; large ones as a stream whose
 /// cut the caller sees as a broken connection.
-pub async fn take(
+pub async fn receive(
     response: Response<Incoming>,
     mut attempt: AttemptGuard,
     buffer_bytes: u64,
     deadline: tokio::time::Instant,
-) -> Taken {
+) -> RelayOutcome {
     let (mut head, mut incoming) = response.into_parts();
     let load = answer::text(&head.headers, header::LOAD).and_then(|text| text.parse().ok());
-    let waited_us = attempt.note_head(load);
+    let time_to_head_us = attempt.note_head(load);
     let code = answer::code_of(&head.headers).unwrap_or(ResultCode::Answered);
     head.headers.remove(header::LOAD);
     answer::strip_hop_by_hop(&mut head.headers);
-    let end = end_of(code, &head);
-    let body = match beginning(&mut incoming, buffer_bytes).await {
-        Ok(Beginning::Whole(bytes)) => {
+    let end = attempt_end(code, &head);
+    let body = match read_prefix(&mut incoming, buffer_bytes).await {
+        Ok(BodyPrefix::Whole(bytes)) => {
             attempt.end(end);
             body::full(bytes)
         }
-        Ok(Beginning::Longer(first)) => StreamedAnswer {
-            first: Some(first).filter(|first| !first.is_empty()),
+        Ok(BodyPrefix::Partial(prefix)) => StreamedAnswer {
+            prefix: Some(prefix).filter(|prefix| !prefix.is_empty()),
             inner: incoming,
             attempt: Some(attempt),
             end,
@@ -67,27 +67,27 @@
         .boxed_unsync(),
         Err(_) => {
             attempt.end(AttemptEnd::Broken);
-            return Taken::Cut;
+            return RelayOutcome::Truncated;
         }
     };
-    Taken::Answer(Relayed {
+    RelayOutcome::Answer(Relayed {
         response: Response::from_parts(head, body),
         code,
-        waited_us,
+        time_to_head_us,
     })
 }
 
 /// Takes in what an entry buffers. A body without a stated length is buffered
 /// like any other: it may be small as well.
-async fn beginning(
+async fn read_prefix(
     incoming: &mut Incoming,
     buffer_bytes: u64,
-) -> Result<Beginning, body::CollectError> {
+) -> Result<BodyPrefix, body::CollectError> {
     let stated = incoming.size_hint().exact();
     if stated.is_some_and(|length| length > buffer_bytes) {
-        return Ok(Beginning::Longer(Bytes::new()));
+        return Ok(BodyPrefix::Partial(Bytes::new()));
     }
-    body::begin(incoming, buffer_bytes).await
+    body::read_prefix(incoming, buffer_bytes).await
 }
 
 /// Replaces an answer that cannot be passed on in the caller's version.
@@ -95,7 +95,7 @@
 /// HTTP/1.0 has no chunks. Without a length only the close of the connection
 /// ends the body, so one that is cut on its way would look whole. A visible
 /// failure is better; it comes before the first byte.
-pub fn fit_to(version: http::Version, response: Response<NodeBody>) -> Response<NodeBody> {
+pub fn fit_to_version(version: http::Version, response: Response<NodeBody>) -> Response<NodeBody> {
     let has_length = response.body().size_hint().exact().is_some();
     if version > http::Version::HTTP_10 || has_length {
         return response;
@@ -106,7 +106,7 @@
     )
 }
 
-fn end_of(code: ResultCode, head: &http::response::Parts) -> AttemptEnd {
+fn attempt_end(code: ResultCode, head: &http::response::Parts) -> AttemptEnd {
     match code.certainty() {
         Certainty::Answered => AttemptEnd::Answered {
             failed: head.status.is_server_error(),
@@ -123,7 +123,7 @@
 /// server break the caller's connection or stream: a visible failure.
 struct StreamedAnswer {
     /// What was taken in before the answer proved to be long.
-    first: Option<Bytes>,
+    prefix: Option<Bytes>,
     inner: Incoming,
     attempt: Option<AttemptGuard>,
     end: AttemptEnd,
@@ -150,8 +150,8 @@
             self.finish(AttemptEnd::TimedOut);
             return Poll::Ready(Some(Err("the deadline passed within the answer".into())));
         }
-        if let Some(first) = self.first.take() {
-            return Poll::Ready(Some(Ok(Frame::data(first))));
+        if let Some(prefix) = self.prefix.take() {
+            return Poll::Ready(Some(Ok(Frame::data(prefix))));
         }
         let frame = ready!(Pin::new(&mut self.inner).poll_frame(context));
         match frame {
@@ -169,11 +169,11 @@
     }
 
     fn is_end_stream(&self) -> bool {
-        self.first.is_none() && self.inner.is_end_stream()
+        self.prefix.is_none() && self.inner.is_end_stream()
     }
 
     fn size_hint(&self) -> SizeHint {
-        match self.first {
+        match self.prefix {
             Some(_) => SizeHint::default(),
             None => self.inner.size_hint(),
         }
--- a/crates/node/src/callers/ticketed.rs
+++ b/crates/node/src/callers/ticketed.rs
@@ -12,7 +12,7 @@
 use super::CallerServer;
 use super::call::{CallerCall, Outbound};
 use super::entries::{AttemptGuard, Entry};
-use super::relay::{self, Relayed, Taken};
+use super::relay::{self, RelayOutcome, Relayed};
 use crate::answer;
 use crate::body::{self, NodeBody};
 use crate::peers::SendFailure;
@@ -22,7 +22,7 @@
 const ANSWER_MARGIN_MS: Millis = Millis(20);
 /// How long an entry goes on asking a gate whose stream broke.
 const FENCE_WINDOW_MS: Millis = Millis(1_500);
-const FENCE_PAUSE: Duration = Duration::from_millis(50);
+const FENCE_RETRY_DELAY: Duration = Duration::from_millis(50);
 /// A partition of moments ends; a caller of a gate that cannot be reached
 /// comes back after this.
 const UNREACHABLE_RETRY_MS: Millis = Millis(500);
@@ -41,16 +41,16 @@
     };
     // A later life was heard on this VM: the one that the ticket names has
     // ended. An earlier one only means that this node lags behind the ticket.
-    let known_life = gate.incarnation;
-    if known_life.is_some_and(|life| life > ticket.incarnation) {
+    let known_incarnation = gate.incarnation;
+    if known_incarnation.is_some_and(|known| known > ticket.incarnation) {
         return answer::from_refusal(&Refusal::fixed(ResultCode::GateGone));
     }
     let (parts, body) = request.into_parts();
     let mut outbound = Outbound::prepare(&parts, &call, &server.entry_header);
     outbound.set_ticket(&ticket.encode());
     if let Some(clock_ms) = gate.clock_ms {
-        let left_ms = call.deadline_at.since(server.clock.now());
-        outbound.set_gate_deadline(clock_ms + left_ms);
+        let remaining_ms = call.deadline_at.since(server.clock.now());
+        outbound.set_gate_deadline(clock_ms + remaining_ms);
     }
     let ticketed = TicketedCall {
         server,
@@ -83,7 +83,7 @@
 impl TicketedCall<'_> {
     async fn run(&self, guard: AttemptGuard, body: NodeBody) -> Response<NodeBody> {
         let peer = guard.target.peer;
-        let request = self.outbound.request(peer, 0, self.left_ms(), body);
+        let request = self.outbound.request(peer, 0, self.remaining_ms(), body);
         let response = match self.server.peers.send(peer, request).await {
             Ok(response) => response,
             Err(SendFailure::NotSent(reason)) => {
@@ -100,10 +100,11 @@
                 return self.settle(peer).await;
             }
         };
-        self.server.note_heard(&guard.target.vm, response.headers());
-        match self.take(response, guard).await {
-            Taken::Answer(relayed) => relayed.response,
-            Taken::Cut => self.settle(peer).await,
+        self.server
+            .report_load(&guard.target.vm, response.headers());
+        match self.receive(response, guard).await {
+            RelayOutcome::Answer(relayed) => relayed.response,
+            RelayOutcome::Truncated => self.settle(peer).await,
         }
     }
 
@@ -114,13 +115,13 @@
     async fn settle(&self, peer: std::net::SocketAddr) -> Response<NodeBody> {
         let give_up_at = (self.server.clock.now() + FENCE_WINDOW_MS).min(self.call.deadline_at);
         while self.server.clock.now() < give_up_at {
-            let request = self.outbound.fence_request(peer, self.left_ms());
+            let request = self.outbound.fence_request(peer, self.remaining_ms());
             match self.server.peers.send(peer, request).await {
-                Ok(response) => match self.take_settled(response).await {
-                    Some(relayed) => return certain_after_send(relayed),
-                    None => tokio::time::sleep(FENCE_PAUSE).await,
+                Ok(response) => match self.read_settlement(response).await {
+                    Some(relayed) => return final_answer_after_send(relayed),
+                    None => tokio::time::sleep(FENCE_RETRY_DELAY).await,
                 },
-                Err(_) => tokio::time::sleep(FENCE_PAUSE).await,
+                Err(_) => tokio::time::sleep(FENCE_RETRY_DELAY).await,
             }
         }
         answer::from_refusal(&Refusal::retry_after(
@@ -129,15 +130,15 @@
         ))
     }
 
-    async fn take(&self, response: Response<Incoming>, guard: AttemptGuard) -> Taken {
+    async fn receive(&self, response: Response<Incoming>, guard: AttemptGuard) -> RelayOutcome {
         let buffer_bytes = u64::from(self.call.policy.buffer_bytes);
         let deadline = self.server.clock.to_instant(self.call.deadline_at);
-        relay::take(response, guard, buffer_bytes, deadline).await
+        relay::receive(response, guard, buffer_bytes, deadline).await
     }
 
     /// A settlement is small or streamed from the record; it is taken in whole
     /// because a cut one can be asked for again.
-    async fn take_settled(&self, response: Response<Incoming>) -> Option<Relayed> {
+    async fn read_settlement(&self, response: Response<Incoming>) -> Option<Relayed> {
         let (mut head, incoming) = response.into_parts();
         let code = answer::code_of(&head.headers)?;
         head.headers.remove(header::LOAD);
@@ -147,19 +148,19 @@
         Some(Relayed {
             response: Response::from_parts(head, body::full(bytes)),
             code,
-            waited_us: 0,
+            time_to_head_us: 0,
         })
     }
 
-    fn left_ms(&self) -> Millis {
-        let left_ms = self.call.deadline_at.since(self.server.clock.now());
-        left_ms.minus(ANSWER_MARGIN_MS)
+    fn remaining_ms(&self) -> Millis {
+        let remaining_ms = self.call.deadline_at.since(self.server.clock.now());
+        remaining_ms.minus(ANSWER_MARGIN_MS)
     }
 }
 
 /// "This attempt did not run" is no longer true once the request was sent to a
 /// process that is gone: the earlier life may have run it.
-fn certain_after_send(relayed: Relayed) -> Response<NodeBody> {
+fn final_answer_after_send(relayed: Relayed) -> Response<NodeBody> {
     match relayed.code.certainty() {
         Certainty::TicketDead | Certainty::NotYet => answer::from_refusal(&Refusal::retry_after(
             ResultCode::GateLost,
@@ -181,7 +182,7 @@
     if !is_useful {
         return;
     }
-    let Ok(ticket) = super::tickets::write(entry, call, None) else {
+    let Ok(ticket) = super::tickets::issue(entry, call, None) else {
         return;
     };
     let value = HeaderValue::from_str(&ticket.encode()).expect("a ticket is URL-safe text");
--- a/crates/node/src/callers/tickets.rs
+++ b/crates/node/src/callers/tickets.rs
@@ -26,12 +26,12 @@
 }
 
 /// Writes a ticket for the caller's key, or for a fresh one.
-pub(super) fn write(
+pub(super) fn issue(
     entry: &Entry,
     call: &CallerCall,
     idempotency_key: Option<&str>,
 ) -> Result<Ticket, Refusal> {
-    write_for(
+    issue_for(
         entry,
         &call.to.service,
         call.tenant.as_str(),
@@ -39,7 +39,7 @@
     )
 }
 
-fn write_for(
+fn issue_for(
     entry: &Entry,
     service: &ServiceName,
     tenant: &str,
@@ -77,7 +77,7 @@
     if idempotency_key.is_some_and(|key| key.len() > MAX_IDEMPOTENCY_KEY_BYTES) {
         return answer::from_code(ResultCode::TooLarge, "the idempotency key is too long");
     }
-    let ticket = match write(entry, call, idempotency_key) {
+    let ticket = match issue(entry, call, idempotency_key) {
         Ok(ticket) => ticket,
         Err(refusal) => return answer::from_refusal(&refusal),
     };
@@ -113,8 +113,8 @@
         return;
     }
     let deadline = server.clock.to_instant(call.deadline_at);
-    let reading = body::discard(body, call.policy.max_request_bytes);
-    let _ = tokio::time::timeout_at(deadline, reading).await;
+    let discarding = body::discard(body, call.policy.max_request_bytes);
+    let _ = tokio::time::timeout_at(deadline, discarding).await;
 }
 
 /// Answers a request for tickets ahead of time.
@@ -124,14 +124,14 @@
     headers: &HeaderMap,
     query: Option<&str>,
 ) -> Response<NodeBody> {
-    let count = match count_of(query) {
+    let count = match parse_count(query) {
         Ok(count) => count,
         Err(reason) => return answer::from_code(ResultCode::BadRequest, &reason),
     };
     let tenant = tenant_of(headers);
     let mut tickets = Vec::new();
     for _ in 0..count {
-        match write_for(entry, &policy.service, tenant.as_str(), None) {
+        match issue_for(entry, &policy.service, tenant.as_str(), None) {
             Ok(ticket) => tickets.push(ticket.encode()),
             Err(refusal) => return answer::from_refusal(&refusal),
         }
@@ -150,7 +150,7 @@
     response
 }
 
-fn count_of(query: Option<&str>) -> Result<u32, String> {
+fn parse_count(query: Option<&str>) -> Result<u32, String> {
     for pair in query.unwrap_or_default().split('&') {
         let Some(count) = pair.strip_prefix("count=") else {
             continue;
--- a/crates/node/src/clock.rs
+++ b/crates/node/src/clock.rs
@@ -31,12 +31,12 @@
     #[must_use]
     pub fn to_instant(&self, at: Millis) -> Instant {
         let point = self.origin.checked_add(at.to_duration());
-        point.unwrap_or_else(far_away)
+        point.unwrap_or_else(distant_instant)
     }
 }
 
 /// A deadline beyond what the platform's clock can express is as good as none;
 /// a day is longer than any call may take.
-fn far_away() -> Instant {
+fn distant_instant() -> Instant {
     Instant::now() + std::time::Duration::from_secs(86_400)
 }
--- a/crates/node/src/control_loop.rs
+++ b/crates/node/src/control_loop.rs
@@ -171,7 +171,7 @@
         loop {
             let event = tokio::select! {
                 received = driver.socket.recv_from(&mut buffer) => match received {
-                    Ok((length, from)) => match fleet.take_off(&buffer[..length]) {
+                    Ok((length, from)) => match fleet.strip(&buffer[..length]) {
                         Some(message) => ControlEvent::Datagram {
                             from,
                             bytes: message.to_vec(),
@@ -221,14 +221,14 @@
         self.ticks = self.ticks.wrapping_add(1);
         if self.ticks.is_multiple_of(STATUS_TICKS) {
             let status = self.control.status(self.clock.now());
-            self.tell_changes(&status);
+            self.report_changes(&status);
             self.outputs.status.store(Arc::new(status));
         }
     }
 
     /// Logs and counts what an operator must hear of: a text that was refused,
     /// and that this process is a leftover of an earlier life.
-    fn tell_changes(&mut self, status: &ControlStatus) {
+    fn report_changes(&mut self, status: &ControlStatus) {
         let before = self.outputs.status.load();
         if let Some(refused) = &status.refused
             && before.refused.as_ref() != Some(refused)
@@ -292,7 +292,7 @@
         match action {
             // A full socket buffer drops the datagram, as any network may.
             ControlAction::SendDatagram { to, bytes } => {
-                let tagged = self.bulk_limits.fleet.put_before(&bytes);
+                let tagged = self.bulk_limits.fleet.prepend(&bytes);
                 self.outputs.metrics.datagram_sent(tagged.len());
                 let _ = self.socket.try_send_to(&tagged, to);
             }
@@ -306,7 +306,7 @@
             } => self.platform.read_vms(service, after, wait_ms),
             ControlAction::CancelReads => self.platform.cancel_reads(),
             ControlAction::BulkRequest { to, message } => {
-                bulk::ask(to, message, self.bulk_limits, self.sender.clone());
+                bulk::request(to, message, self.bulk_limits, self.sender.clone());
             }
             ControlAction::BulkAnswer { request, message } => {
                 self.outputs.metrics.bulk_served(message.len());
--- a/crates/node/src/control_loop/bulk.rs
+++ b/crates/node/src/control_loop/bulk.rs
@@ -21,7 +21,7 @@
 const EXCHANGE_TIMEOUT: Duration = Duration::from_secs(3);
 /// After a failed accept (out of descriptors, say) the next is not tried at
 /// once, or the loop would spin.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(100);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(100);
 
 /// What bulk transfers keep to, from the settings.
 #[derive(Clone, Copy, Debug)]
@@ -51,7 +51,7 @@
 pub(super) struct BulkServer {
     events: mpsc::Sender<ControlEvent>,
     pending: Mutex<Pending>,
-    places: Arc<Semaphore>,
+    permits: Arc<Semaphore>,
     limits: BulkLimits,
 }
 
@@ -60,7 +60,7 @@
         Arc::new(Self {
             events,
             pending: Mutex::default(),
-            places: Arc::new(Semaphore::new(limits.max_connections)),
+            permits: Arc::new(Semaphore::new(limits.max_connections)),
             limits,
         })
     }
@@ -68,13 +68,13 @@
     /// Accepts peers until the process ends.
     pub(super) async fn accept(self: Arc<Self>, listener: TcpListener) {
         loop {
-            let place = Arc::clone(&self.places).acquire_owned().await;
-            let place = place.expect("the semaphore is never closed");
+            let permit = Arc::clone(&self.permits).acquire_owned().await;
+            let permit = permit.expect("the semaphore is never closed");
             let stream = match listener.accept().await {
                 Ok((stream, _)) => stream,
                 Err(error) => {
                     log::warn!("cannot accept a bulk connection: {error}");
-                    tokio::time::sleep(ACCEPT_PAUSE).await;
+                    tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
                     continue;
                 }
             };
@@ -84,7 +84,7 @@
                 if let Ok(Err(error)) = served {
                     log::debug!("a bulk request was not served: {error:#}");
                 }
-                drop(place);
+                drop(permit);
             });
         }
     }
@@ -124,7 +124,7 @@
 }
 
 /// Asks a peer; the answer or the failure comes back as an event.
-pub(super) fn ask(
+pub(super) fn request(
     peer: SocketAddr,
     message: Vec<u8>,
     limits: BulkLimits,
@@ -165,13 +165,13 @@
     if message.len() != length {
         bail!("a frame of {length} bytes ended after {}", message.len());
     }
-    let own = limits.fleet.take_off(&message);
+    let own = limits.fleet.strip(&message);
     let own = own.ok_or_else(|| eyre!("a message of another deployment"))?;
     Ok(own.to_vec())
 }
 
 async fn write_frame(stream: &mut TcpStream, message: &[u8], limits: BulkLimits) -> Result<()> {
-    let message = limits.fleet.put_before(message);
+    let message = limits.fleet.prepend(message);
     let length = u32::try_from(message.len()).wrap_err("the message is too long for a frame")?;
     stream.write_u32(length).await?;
     stream.write_all(&message).await?;
--- a/crates/node/src/control_loop/fleet_tag.rs
+++ b/crates/node/src/control_loop/fleet_tag.rs
@@ -27,7 +27,7 @@
 
     /// Puts the tag in front of a message.
     #[must_use]
-    pub fn put_before(self, message: &[u8]) -> Vec<u8> {
+    pub fn prepend(self, message: &[u8]) -> Vec<u8> {
         let mut tagged = Vec::with_capacity(TAG_BYTES + message.len());
         tagged.extend_from_slice(&self.0);
         tagged.extend_from_slice(message);
@@ -36,7 +36,7 @@
 
     /// Takes the tag off; `None` for a message of another deployment.
     #[must_use]
-    pub fn take_off(self, tagged: &[u8]) -> Option<&[u8]> {
+    pub fn strip(self, tagged: &[u8]) -> Option<&[u8]> {
         let (tag, message) = tagged.split_at_checked(TAG_BYTES)?;
         (tag == self.0).then_some(message)
     }
--- a/crates/node/src/control_loop/handle.rs
+++ b/crates/node/src/control_loop/handle.rs
@@ -15,10 +15,10 @@
 
 /// The same fact is passed on at most this often; the control thread must not
 /// see every call.
-const REPEAT_MS: Millis = Millis(250);
+const MIN_REPEAT_INTERVAL_MS: Millis = Millis(250);
 /// Above this many remembered facts the memory starts over, so that a flood of
 /// names cannot grow it.
-const MAX_REMEMBERED: usize = 4_096;
+const MAX_RECENT: usize = 4_096;
 
 /// Sends events to the control thread; never blocks. When the channel is full
 /// an event is dropped: each is repeated or replaced by a later one.
@@ -26,11 +26,11 @@
 pub struct ControlHandle {
     events: mpsc::Sender<ControlEvent>,
     clock: ProcessClock,
-    remembered: Arc<Remembered>,
+    recent_facts: Arc<RecentFacts>,
 }
 
 #[derive(Debug, Default)]
-struct Remembered {
+struct RecentFacts {
     senders: Recent<SocketAddr>,
     reports: Recent<VmId>,
     services: Recent<ServiceName>,
@@ -51,13 +51,13 @@
     fn is_due(&self, key: &K, now: Millis) -> bool {
         let mut recent = self.0.lock();
         if let Some(last) = recent.get_mut(key) {
-            let is_due = now.since(*last) >= REPEAT_MS;
+            let is_due = now.since(*last) >= MIN_REPEAT_INTERVAL_MS;
             if is_due {
                 *last = now;
             }
             return is_due;
         }
-        if recent.len() >= MAX_REMEMBERED {
+        if recent.len() >= MAX_RECENT {
             recent.clear();
         }
         recent.insert(key.clone(), now);
@@ -72,21 +72,21 @@
         Self {
             events,
             clock,
-            remembered: Arc::new(Remembered::default()),
+            recent_facts: Arc::new(RecentFacts::default()),
         }
     }
 
     /// An entry sent work to the own gate.
     pub fn received_from(&self, control: SocketAddr) {
-        if self.remembered.senders.is_due(&control, self.clock.now()) {
+        if self.recent_facts.senders.is_due(&control, self.clock.now()) {
             self.send(ControlEvent::ReceivedFrom { control });
         }
     }
 
     /// A load report came with an answer.
-    pub fn heard(&self, vm: &VmId, load: LoadReport) {
+    pub fn load_reported(&self, vm: &VmId, load: LoadReport) {
         // Leaving must be known at once, whatever was passed on lately.
-        if load.leaving || self.remembered.reports.is_due(vm, self.clock.now()) {
+        if load.leaving || self.recent_facts.reports.is_due(vm, self.clock.now()) {
             self.send(ControlEvent::Heard {
                 vm: vm.clone(),
                 load,
@@ -96,13 +96,13 @@
 
     /// A call is sent to a service.
     pub fn sent_to(&self, service: &ServiceName) {
-        if self.remembered.services.is_due(service, self.clock.now()) {
+        if self.recent_facts.services.is_due(service, self.clock.now()) {
             self.send(ControlEvent::SentTo(service.clone()));
         }
     }
 
     /// A call asks for a service that is not held.
-    pub fn interest(&self, service: &ServiceName) {
+    pub fn service_requested(&self, service: &ServiceName) {
         self.send(ControlEvent::Interest(service.clone()));
     }
 
--- a/crates/node/src/daemon.rs
+++ b/crates/node/src/daemon.rs
@@ -40,7 +40,7 @@
 const GATE_TICK: Duration = Duration::from_millis(5);
 /// How often a gate that holds no call forgets what has expired. The short tick
 /// alone would wake an idle node 200 times a second.
-const QUIET_GATE_TICK: Duration = Duration::from_millis(50);
+const IDLE_GATE_TICK: Duration = Duration::from_millis(50);
 const GAUGE_REFRESH: Duration = Duration::from_secs(1);
 /// A leaving node goes on serving this long, so that the word of its leaving
 /// reaches entries before its addresses close.
@@ -272,7 +272,7 @@
             Arc::clone(&metrics),
         ));
         let routes = Arc::new(ArcSwap::from_pointee(RouteTable::default()));
-        let (published, published_seen) = watch::channel(0);
+        let (published, publications) = watch::channel(0);
         let status = Arc::new(ArcSwap::from_pointee(ControlStatus::default()));
         let (stop_control, stop) = watch::channel(());
         let platform_answered = Arc::new(LastAnswer::default());
@@ -318,7 +318,7 @@
             clock,
             control: control.clone(),
             control_address: config.control_address,
-            published: published_seen,
+            published: publications,
             metrics: Arc::clone(&metrics),
             uploads,
         }));
@@ -426,7 +426,7 @@
 
 async fn tick_gate(gate: Arc<GateServer>) {
     loop {
-        let _ = tokio::time::timeout(QUIET_GATE_TICK, gate.board.call_is_held()).await;
+        let _ = tokio::time::timeout(IDLE_GATE_TICK, gate.board.wait_for_queued_call()).await;
         tokio::time::sleep(GATE_TICK).await;
         gate.tick();
     }
--- a/crates/node/src/gate_server.rs
+++ b/crates/node/src/gate_server.rs
@@ -34,7 +34,7 @@
 /// entry retries within its budget, and a final answer waits this long.
 const SHED_RETRY_MS: Millis = Millis(250);
 /// A target that has answered nothing for this long is asked for its health.
-const HEALTH_SILENCE_MS: Millis = Millis(1_000);
+const HEALTH_CHECK_AFTER_MS: Millis = Millis(1_000);
 
 /// What a gate is put together from.
 #[derive(Debug)]
@@ -63,7 +63,7 @@
     draining: bool,
     reachable: bool,
     /// When an answer of the target last asked for draining.
-    draining_word_at: Option<Millis>,
+    draining_answer_at: Option<Millis>,
     /// When the target last answered anything.
     answered_at: Option<Millis>,
 }
@@ -125,7 +125,7 @@
             target_state: Mutex::new(TargetState {
                 draining: false,
                 reachable: true,
-                draining_word_at: None,
+                draining_answer_at: None,
                 answered_at: None,
             }),
             probes: AtomicU64::new(0),
@@ -145,7 +145,7 @@
         request: Request<Incoming>,
     ) -> Result<Response<NodeBody>, Infallible> {
         let mut response = self
-            .dispatch(request.map(|body| self.uploads.guard(body)))
+            .dispatch(request.map(|body| self.uploads.with_idle_timeout(body)))
             .await;
         if let Some(code) = answer::code_of(response.headers())
             && code.certainty() != Certainty::Answered
@@ -168,7 +168,7 @@
         // process knows nothing, so it may not say "not run" for any reason.
         if ticket
             .as_ref()
-            .is_some_and(|ticket| !self.is_named_by(ticket))
+            .is_some_and(|ticket| !self.is_issued_here(ticket))
         {
             return answer::from_refusal(&Refusal::fixed(ResultCode::WrongGate));
         }
@@ -203,7 +203,7 @@
         }
     }
 
-    fn is_named_by(&self, ticket: &Ticket) -> bool {
+    fn is_issued_here(&self, ticket: &Ticket) -> bool {
         ticket.gate == self.vm
             && ticket.service == self.service
             && ticket.incarnation == self.board.incarnation()
@@ -232,8 +232,8 @@
         headers.remove(header::ENTRY);
         headers.remove(header::SUSPECT);
         headers.remove(header::GATE_DEADLINE_AT_MS);
-        let left_ms = call.deadline_at.since(self.clock.now());
-        headers.insert(header::DEADLINE_MS, HeaderValue::from(left_ms.0));
+        let remaining_ms = call.deadline_at.since(self.clock.now());
+        headers.insert(header::DEADLINE_MS, HeaderValue::from(remaining_ms.0));
         headers.insert(header::DEPTH, HeaderValue::from(call.depth));
         headers.remove(header::KEY);
         if let Some(ticket) = ticket {
@@ -250,7 +250,7 @@
         let mut state = self.target_state.lock();
         state.answered_at = Some(now);
         if draining {
-            state.draining_word_at = Some(now);
+            state.draining_answer_at = Some(now);
         }
         drop(state);
         if draining {
@@ -279,13 +279,13 @@
         }
         state
             .answered_at
-            .is_none_or(|at| now.since(at) >= HEALTH_SILENCE_MS)
+            .is_none_or(|at| now.since(at) >= HEALTH_CHECK_AFTER_MS)
     }
 
     /// Time since an answer last asked for draining.
     #[must_use]
-    pub fn draining_word_age_ms(&self, now: Millis) -> Millis {
-        match self.target_state.lock().draining_word_at {
+    pub fn draining_answer_age_ms(&self, now: Millis) -> Millis {
+        match self.target_state.lock().draining_answer_at {
             Some(at) => now.since(at),
             None => Millis::MAX,
         }
@@ -347,7 +347,7 @@
     ///
     /// Called before the broken run is ended: all runs of the same crash are
     /// then still counted as in flight, whichever of them notices first.
-    async fn notice_broken_run(&self) {
+    async fn handle_broken_run(&self) {
         if self.target.accepts_connections().await {
             return;
         }
@@ -370,7 +370,7 @@
     }
 
     /// Counts what the gate added to a call, its queue included.
-    fn note_added(&self, arrived_at: Instant, run: Duration) {
+    fn note_added_latency(&self, arrived_at: Instant, run: Duration) {
         let added = arrived_at.elapsed().saturating_sub(run);
         let added_us = u64::try_from(added.as_micros()).unwrap_or(u64::MAX);
         self.metrics.added(Side::Gate, added_us);
--- a/crates/node/src/gate_server/board.rs
+++ b/crates/node/src/gate_server/board.rs
@@ -16,7 +16,7 @@
 
 use crate::clock::ProcessClock;
 use crate::metrics::Metrics;
-pub use permit::{HeldCall, RunPermit};
+pub use permit::{QueuedCall, RunPermit};
 use waiting::{Waiting, release};
 
 /// Nobody can come back sooner with success than a configuration spreads.
@@ -30,17 +30,17 @@
     /// The target drains, or the process was told to end.
     leaving: bool,
     /// The control thread knows that this VM takes no new work.
-    told_leaving: bool,
+    control_leaving: bool,
     waiting: Waiting,
 }
 
 impl State {
-    fn takes_no_work(&self) -> bool {
-        self.leaving || self.told_leaving
+    fn refuses_new_work(&self) -> bool {
+        self.leaving || self.control_leaving
     }
 
-    fn pass_on_leaving(&mut self) {
-        let leaving = self.takes_no_work();
+    fn update_gate_leaving(&mut self) {
+        let leaving = self.refuses_new_work();
         if let Some(gate) = self.gate.as_mut() {
             gate.set_leaving(leaving);
         }
@@ -58,7 +58,7 @@
     clock: ProcessClock,
     state: Mutex<State>,
     /// A call was held.
-    call_held: Notify,
+    call_queued: Notify,
     started: AtomicU64,
     refused: AtomicU64,
     metrics: Arc<Metrics>,
@@ -70,7 +70,7 @@
     /// Run it now.
     Run(RunPermit),
     /// Wait for a place.
-    Held(HeldCall),
+    Queued(QueuedCall),
     /// Answer at once.
     Refused(Refusal),
 }
@@ -81,7 +81,7 @@
     /// This arrival starts the run; its settlement comes to `settled`.
     First {
         /// Place in the target, or in the queue for one.
-        place: Admission,
+        admission: Admission,
         /// Settlement of the key.
         settled: oneshot::Receiver<Settlement>,
     },
@@ -113,10 +113,10 @@
                 gate: None,
                 policy: None,
                 leaving: false,
-                told_leaving: false,
+                control_leaving: false,
                 waiting: Waiting::default(),
             }),
-            call_held: Notify::new(),
+            call_queued: Notify::new(),
             started: AtomicU64::new(0),
             refused: AtomicU64::new(0),
             metrics,
@@ -143,7 +143,7 @@
             return;
         }
         let mut gate = Gate::new(self.settings.clone(), Arc::clone(policy), now);
-        gate.set_leaving(state.takes_no_work());
+        gate.set_leaving(state.refuses_new_work());
         state.gate = Some(gate);
     }
 
@@ -177,7 +177,7 @@
         let admission = match gate.arrive(arrival, now) {
             Verdict::Run(run) => Admission::Run(self.permit(run, arrival.class)),
             Verdict::Wait(run) => {
-                Admission::Held(self.hold(&mut state.waiting, run, arrival.class))
+                Admission::Queued(self.enqueue(&mut state.waiting, run, arrival.class))
             }
             Verdict::Refuse(refusal) => Admission::Refused(self.refuse(refusal)),
             Verdict::Join(_) | Verdict::Replay(_) => {
@@ -197,16 +197,16 @@
         let Some(gate) = state.gate.as_mut() else {
             // Nothing can be recorded yet, so nothing is fenced, and a late
             // duplicate may run once there is a policy: never "not run".
-            return RecordedAdmission::Refused(unrecorded());
+            return RecordedAdmission::Refused(cannot_record());
         };
         let admission = match gate.arrive(arrival, now) {
             Verdict::Run(run) => RecordedAdmission::First {
                 settled: state.waiting.join(run),
-                place: Admission::Run(self.permit(run, arrival.class)),
+                admission: Admission::Run(self.permit(run, arrival.class)),
             },
             Verdict::Wait(run) => RecordedAdmission::First {
                 settled: state.waiting.join(run),
-                place: Admission::Held(self.hold(&mut state.waiting, run, arrival.class)),
+                admission: Admission::Queued(self.enqueue(&mut state.waiting, run, arrival.class)),
             },
             Verdict::Join(run) => RecordedAdmission::Joined(state.waiting.join(run)),
             Verdict::Replay(answer) => RecordedAdmission::Replay(answer),
@@ -223,7 +223,7 @@
         let mut state = self.state.lock();
         let state = &mut *state;
         let Some(gate) = state.gate.as_mut() else {
-            return KeyState::Settled(Settlement::Refused(unrecorded()));
+            return KeyState::Settled(Settlement::Refused(cannot_record()));
         };
         let key = match gate.fence(ticket, now) {
             FenceAnswer::Settled(settlement) => KeyState::Settled(settlement),
@@ -235,14 +235,14 @@
     }
 
     /// Returns once a call is held, at once when one is.
-    pub async fn call_is_held(&self) {
+    pub async fn wait_for_queued_call(&self) {
         loop {
             // Taken before the look, so that a call held in between is seen.
-            let held = self.call_held.notified();
-            if !self.state.lock().waiting.held.is_empty() {
+            let queued = self.call_queued.notified();
+            if !self.state.lock().waiting.queued.is_empty() {
                 return;
             }
-            held.await;
+            queued.await;
         }
     }
 
@@ -273,7 +273,7 @@
                 service_time_us: 0,
                 gate_clock_ms: now,
                 incarnation: self.settings.incarnation,
-                leaving: state.takes_no_work(),
+                leaving: state.refuses_new_work(),
             },
         }
     }
@@ -282,7 +282,7 @@
     pub fn set_leaving(&self, leaving: bool) {
         let mut state = self.state.lock();
         state.leaving = leaving;
-        state.pass_on_leaving();
+        state.update_gate_leaving();
     }
 
     /// Takes over whether this VM takes no new work by what the control thread
@@ -292,14 +292,14 @@
     /// that misses them sends work here for ever. The gate refuses it.
     pub fn apply_leaving(&self, leaving: bool) {
         let mut state = self.state.lock();
-        state.told_leaving = leaving;
-        state.pass_on_leaving();
+        state.control_leaving = leaving;
+        state.update_gate_leaving();
     }
 
     /// Whether new work is refused.
     #[must_use]
     pub fn is_leaving(&self) -> bool {
-        self.state.lock().takes_no_work()
+        self.state.lock().refuses_new_work()
     }
 
     /// Calls held or running.
@@ -371,11 +371,16 @@
         RunPermit::new(self, run, class)
     }
 
-    fn hold(self: &Arc<Self>, waiting: &mut Waiting, run: RunId, class: CallClass) -> HeldCall {
+    fn enqueue(
+        self: &Arc<Self>,
+        waiting: &mut Waiting,
+        run: RunId,
+        class: CallClass,
+    ) -> QueuedCall {
         let (sender, release) = oneshot::channel();
-        waiting.held.insert(run, sender);
-        self.call_held.notify_one();
-        HeldCall::new(self, run, class, release)
+        waiting.queued.insert(run, sender);
+        self.call_queued.notify_one();
+        QueuedCall::new(self, run, class, release)
     }
 
     fn finish(&self, run: RunId, end: RunEnd, service_time_us: u32) {
@@ -393,7 +398,7 @@
         let now = self.clock.now();
         let mut state = self.state.lock();
         let state = &mut *state;
-        state.waiting.held.remove(&run);
+        state.waiting.queued.remove(&run);
         let Some(gate) = state.gate.as_mut() else {
             return;
         };
@@ -402,7 +407,7 @@
     }
 }
 
-fn unrecorded() -> Refusal {
+fn cannot_record() -> Refusal {
     Refusal::retry_after(ResultCode::GateUnreachable, NO_CONFIGURATION_RETRY_MS)
 }
 
--- a/crates/node/src/gate_server/board/permit.rs
+++ b/crates/node/src/gate_server/board/permit.rs
@@ -63,16 +63,16 @@
 
 /// A call in the gate's queue.
 #[derive(Debug)]
-pub struct HeldCall {
+pub struct QueuedCall {
     board: Arc<GateBoard>,
     run: RunId,
     class: CallClass,
-    held_at: Instant,
+    queued_at: Instant,
     release: oneshot::Receiver<Release>,
     resolved: bool,
 }
 
-impl HeldCall {
+impl QueuedCall {
     /// A call that the gate holds until `release` says otherwise.
     pub(super) fn new(
         board: &Arc<GateBoard>,
@@ -84,7 +84,7 @@
             board: Arc::clone(board),
             run,
             class,
-            held_at: Instant::now(),
+            queued_at: Instant::now(),
             release,
             resolved: false,
         }
@@ -100,7 +100,7 @@
         self.resolved = true;
         match released {
             Ok(Release::Start) => {
-                let waited_us = self.held_at.elapsed().as_micros();
+                let waited_us = self.queued_at.elapsed().as_micros();
                 let waited_us = u64::try_from(waited_us).unwrap_or(u64::MAX);
                 self.board.metrics.gate_waited(self.class, waited_us);
                 Ok(self.board.permit(self.run, self.class))
@@ -111,7 +111,7 @@
     }
 }
 
-impl Drop for HeldCall {
+impl Drop for QueuedCall {
     /// The caller left. If its start was emitted in the same moment, the place
     /// must be given back; else the call is taken out of the queue.
     fn drop(&mut self) {
--- a/crates/node/src/gate_server/board/waiting.rs
+++ b/crates/node/src/gate_server/board/waiting.rs
@@ -16,7 +16,7 @@
 #[derive(Debug, Default)]
 pub(super) struct Waiting {
     /// Calls in the gate's queue, by run.
-    pub(super) held: HashMap<RunId, oneshot::Sender<Release>>,
+    pub(super) queued: HashMap<RunId, oneshot::Sender<Release>>,
     /// Arrivals that wait for a key's settlement, by run.
     joined: HashMap<RunId, Vec<oneshot::Sender<Settlement>>>,
 }
@@ -43,14 +43,14 @@
     while let Some(wake) = pending.pop() {
         match wake {
             Wake::Start(run) => {
-                let held = waiting.held.remove(&run);
-                let is_taken = held.is_some_and(|call| call.send(Release::Start).is_ok());
+                let queued = waiting.queued.remove(&run);
+                let is_taken = queued.is_some_and(|call| call.send(Release::Start).is_ok());
                 if !is_taken {
                     pending.extend(gate.finish(run, RunEnd::NotRun, 0, now));
                 }
             }
             Wake::Refuse(run, refusal) => {
-                if let Some(call) = waiting.held.remove(&run) {
+                if let Some(call) = waiting.queued.remove(&run) {
                     let _ = call.send(Release::Refused(refusal));
                 }
                 waiting.settle(run, &Settlement::Refused(refusal));
--- a/crates/node/src/gate_server/call.rs
+++ b/crates/node/src/gate_server/call.rs
@@ -36,12 +36,12 @@
         let kind = policy.call_for(method, path);
         let class = kind.map_or_else(CallClass::default, |call| call.class);
         let default_ms = kind.map_or(policy.deadline_ms, |call| call.deadline_ms);
-        let left_ms = answer::number(headers, header::DEADLINE_MS).map_or(default_ms, Millis);
+        let remaining_ms = answer::number(headers, header::DEADLINE_MS).map_or(default_ms, Millis);
         let fixed_at = answer::number(headers, header::GATE_DEADLINE_AT_MS).map(Millis);
         Self {
             arrived_at: Instant::now(),
             class,
-            deadline_at: fixed_at.unwrap_or(Millis::MAX).min(now + left_ms),
+            deadline_at: fixed_at.unwrap_or(Millis::MAX).min(now + remaining_ms),
             depth: answer::number(headers, header::DEPTH).unwrap_or(0),
             policy,
         }
--- a/crates/node/src/gate_server/recorded.rs
+++ b/crates/node/src/gate_server/recorded.rs
@@ -16,7 +16,7 @@
 use crate::answer;
 use crate::body::{self, CollectError, NodeBody};
 use crate::peers::SendFailure;
-use crate::uploads::{HeldUpload, Reservation};
+use crate::uploads::{BufferedUpload, Reservation};
 
 /// How long a run may outlive its caller's deadline. A payment that is under
 /// way is better finished and fetched later than cut and left unknown.
@@ -36,14 +36,14 @@
 ) -> Response<NodeBody> {
     let (parts, body) = request.into_parts();
     let max_bytes = call.policy.max_request_bytes;
-    let HeldUpload { body, reservation } = match server.uploads.hold(body, max_bytes).await {
-        Ok(held) => held,
+    let BufferedUpload { body, reservation } = match server.uploads.buffer(body, max_bytes).await {
+        Ok(buffered) => buffered,
         Err(CollectError::TooLarge) => return refuse_too_large(server, ticket),
-        Err(CollectError::Cut) => {
+        Err(CollectError::Truncated) => {
             return answer::from_code(ResultCode::UploadCut, "the upload ended early");
         }
         // Nothing was recorded, so this is "not yet" and never "not run".
-        Err(CollectError::NoRoom) => {
+        Err(CollectError::BudgetExhausted) => {
             let refusal = server.board.refusal(ResultCode::RecordsFull);
             return answer::from_refusal(&refusal);
         }
@@ -60,7 +60,7 @@
     };
     let deadline_at = call.deadline_at;
     let settled = match server.board.arrive_recorded(&arrival) {
-        RecordedAdmission::First { place, settled } => {
+        RecordedAdmission::First { admission, settled } => {
             let run = RecordedRun {
                 server: Arc::clone(server),
                 call,
@@ -69,7 +69,7 @@
                 body,
                 _reservation: reservation,
             };
-            return first(run, place, settled, deadline_at).await;
+            return run_first_arrival(run, admission, settled, deadline_at).await;
         }
         RecordedAdmission::Joined(settled) => settled,
         RecordedAdmission::Replay(answer) => return replay(&answer, ResultCode::Replayed),
@@ -114,17 +114,18 @@
 
 /// Runs apart from the connection it came on: once started, a payment is run
 /// to its end and recorded, whoever has left meanwhile.
-async fn first(
+async fn run_first_arrival(
     run: RecordedRun,
-    place: Admission,
+    admission: Admission,
     settled: oneshot::Receiver<Settlement>,
     deadline_at: Millis,
 ) -> Response<NodeBody> {
     let server = Arc::clone(&run.server);
-    let (direct, own) = oneshot::channel();
-    server.spawn_tracked(run.run(place, direct));
-    let whole = tokio::time::timeout_at(server.clock.to_instant(deadline_at), own).await;
-    match whole {
+    let (answer_sender, answer_receiver) = oneshot::channel();
+    server.spawn_tracked(run.run(admission, answer_sender));
+    let answered =
+        tokio::time::timeout_at(server.clock.to_instant(deadline_at), answer_receiver).await;
+    match answered {
         Ok(Ok(answer)) => replay(&answer, ResultCode::Answered),
         Ok(Err(_)) => await_settlement(&server, settled, deadline_at).await,
         Err(_) => still_running(),
@@ -186,24 +187,28 @@
 }
 
 impl RecordedRun {
-    async fn run(self, place: Admission, direct: oneshot::Sender<Arc<StoredAnswer>>) {
-        let permit = match place {
+    async fn run(self, admission: Admission, answer_sender: oneshot::Sender<Arc<StoredAnswer>>) {
+        let permit = match admission {
             Admission::Run(permit) => permit,
-            Admission::Held(held) => match held.wait().await {
+            Admission::Queued(queued) => match queued.wait().await {
                 Ok(permit) => permit,
                 // The gate has recorded the refusal and settles whoever waits.
                 Err(_) => return,
             },
             Admission::Refused(_) => return,
         };
-        self.run_in_target(permit, direct).await;
+        self.run_in_target(permit, answer_sender).await;
     }
 
-    async fn run_in_target(self, permit: RunPermit, direct: oneshot::Sender<Arc<StoredAnswer>>) {
+    async fn run_in_target(
+        self,
+        permit: RunPermit,
+        answer_sender: oneshot::Sender<Arc<StoredAnswer>>,
+    ) {
         let server = Arc::clone(&self.server);
         let limit_at = self.call.deadline_at + RUN_GRACE_MS;
         let max_stored_bytes = self.call.policy.max_stored_answer_bytes as usize;
-        let attempt = self.ask_target();
+        let attempt = self.send_to_target();
         let limit = server.clock.to_instant(limit_at);
         let outcome = match tokio::time::timeout_at(limit, attempt).await {
             Ok(outcome) => outcome,
@@ -213,7 +218,7 @@
             Outcome::Answered(answer) => {
                 let failed = answer.status >= StatusCode::INTERNAL_SERVER_ERROR.as_u16();
                 let is_small = answer.body.len() <= max_stored_bytes;
-                let _ = direct.send(Arc::clone(&answer));
+                let _ = answer_sender.send(Arc::clone(&answer));
                 permit.end(RunEnd::Answered {
                     answer: is_small.then_some(answer),
                     failed,
@@ -222,13 +227,13 @@
             Outcome::NotRun => permit.end(RunEnd::NotRun),
             Outcome::Unreachable => permit.end(RunEnd::Unreachable),
             Outcome::Broken => {
-                server.notice_broken_run().await;
+                server.handle_broken_run().await;
                 permit.end(RunEnd::Broken);
             }
         }
     }
 
-    async fn ask_target(self) -> Outcome {
+    async fn send_to_target(self) -> Outcome {
         let server = Arc::clone(&self.server);
         let request = server.request_for_target(
             &self.call,
@@ -259,7 +264,7 @@
         let Ok(body) = body::collect(body::wrap(body), MAX_ANSWER_BYTES).await else {
             return Outcome::Broken;
         };
-        server.target.rest(connection);
+        server.target.put_back(connection);
         answer::strip_hop_by_hop(&mut head.headers);
         let mut headers = Vec::with_capacity(head.headers.len());
         for (name, value) in &head.headers {
--- a/crates/node/src/gate_server/streamed.rs
+++ b/crates/node/src/gate_server/streamed.rs
@@ -42,7 +42,7 @@
     }
     let permit = match server.board.arrive(&arrival) {
         Admission::Run(permit) => permit,
-        Admission::Held(held) => match held.wait().await {
+        Admission::Queued(queued) => match queued.wait().await {
             Ok(permit) => permit,
             Err(refusal) => return answer::from_refusal(&refusal),
         },
@@ -77,16 +77,16 @@
         }
         Err(SendFailure::MaybeSent(reason)) => {
             log::info!("a run broke: {reason}");
-            server.notice_broken_run().await;
+            server.handle_broken_run().await;
             permit.end(RunEnd::Broken);
             return answer::from_code(ResultCode::RunBroken, "the target broke the connection");
         }
     };
-    server.note_added(call.arrived_at, sent_at.elapsed());
+    server.note_added_latency(call.arrived_at, sent_at.elapsed());
     server.note_target_state(response.headers());
     if super::is_not_run(response.status(), response.headers()) {
         permit.end(RunEnd::NotRun);
-        server.target.rest(connection);
+        server.target.put_back(connection);
         return answer::from_refusal(&server.board.refusal(ResultCode::Overloaded));
     }
     if super::ends_by_close(&response) {
@@ -136,7 +136,7 @@
         let Some((permit, connection)) = self.in_use.take() else {
             return;
         };
-        self.server.target.rest(connection);
+        self.server.target.put_back(connection);
         permit.end(RunEnd::Answered {
             answer: None,
             failed: self.failed,
@@ -149,7 +149,7 @@
         };
         let server = Arc::clone(&self.server);
         tokio::spawn(async move {
-            server.notice_broken_run().await;
+            server.handle_broken_run().await;
             permit.end(RunEnd::Broken);
         });
     }
--- a/crates/node/src/health.rs
+++ b/crates/node/src/health.rs
@@ -54,8 +54,8 @@
     let host = http::HeaderValue::from_str(&host).expect("an address is plain ASCII");
     request.headers_mut().insert(http::header::HOST, host);
     gate.note_probe();
-    let asking = gate.target.send(request, false);
-    let answered = tokio::time::timeout(REQUEST_TIMEOUT, asking).await;
+    let sending = gate.target.send(request, false);
+    let answered = tokio::time::timeout(REQUEST_TIMEOUT, sending).await;
     let response = match answered {
         Ok(Ok((response, _connection))) => response,
         Ok(Err(SendFailure::NotSent(_))) => {
@@ -71,8 +71,8 @@
         gate.set_target_draining(true);
         return;
     }
-    let is_well = response.status() == StatusCode::OK;
-    if is_well && gate.draining_word_age_ms(clock.now()) >= DRAINING_HOLD_MS {
+    let is_healthy = response.status() == StatusCode::OK;
+    if is_healthy && gate.draining_answer_age_ms(clock.now()) >= DRAINING_HOLD_MS {
         gate.set_target_draining(false);
     }
 }
--- a/crates/node/src/listener.rs
+++ b/crates/node/src/listener.rs
@@ -22,7 +22,7 @@
 const BACKLOG: i32 = 1_024;
 /// After a failed accept (out of descriptors, say) the next is not tried at
 /// once, or the loop would spin.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 /// A graceful HTTP/2 end waits for the other side's answer to a ping. One that
 /// is frozen or cut off never answers, and the node would hang in its drain
 /// with nothing left to do; after these spans its connection is given up.
@@ -118,19 +118,19 @@
     F: Future<Output = Result<Response<NodeBody>, Infallible>> + Send + 'static,
 {
     let builder = Arc::new(builder(&limits));
-    let places = Arc::new(Semaphore::new(limits.max_connections));
+    let permits = Arc::new(Semaphore::new(limits.max_connections));
     // Every connection holds a sender; the receiver ends with the last one.
     let (open, mut all_closed) = mpsc::channel::<Infallible>(1);
     loop {
         let accepting = async {
-            let place = Arc::clone(&places).acquire_owned().await;
-            let place = place.expect("the semaphore is never closed");
-            (listener.accept().await, place)
+            let permit = Arc::clone(&permits).acquire_owned().await;
+            let permit = permit.expect("the semaphore is never closed");
+            (listener.accept().await, permit)
         };
         // What waits in the backlog is still taken in when the server stops:
         // closing the listener would reset callers that have connected and sent
         // a request already. `biased` puts accepting first.
-        let (accepted, place) = tokio::select! {
+        let (accepted, permit) = tokio::select! {
             biased;
             accepted = accepting => accepted,
             _ = stopped.wait_for(|stopped| *stopped) => break,
@@ -139,7 +139,7 @@
             Ok((stream, _)) => stream,
             Err(error) => {
                 log::warn!("cannot accept a connection: {error}");
-                tokio::time::sleep(ACCEPT_PAUSE).await;
+                tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
                 continue;
             }
         };
@@ -154,7 +154,7 @@
         let open = open.clone();
         tokio::spawn(async move {
             connection.run(stream, serve).await;
-            drop((place, open));
+            drop((permit, open));
         });
     }
     drop((listener, open));
--- a/crates/node/src/peers.rs
+++ b/crates/node/src/peers.rs
@@ -44,7 +44,7 @@
 #[derive(Debug, Default)]
 struct Peer {
     slots: [Slot; CONNECTIONS_PER_PEER],
-    turn: AtomicUsize,
+    next_slot: AtomicUsize,
 }
 
 /// Connections by peer address.
@@ -66,8 +66,8 @@
         request: Request<NodeBody>,
     ) -> Result<Response<Incoming>, SendFailure> {
         let peer = self.peer(address);
-        let turn = peer.turn.fetch_add(1, Ordering::Relaxed) % CONNECTIONS_PER_PEER;
-        let slot = &peer.slots[turn];
+        let next_slot = peer.next_slot.fetch_add(1, Ordering::Relaxed) % CONNECTIONS_PER_PEER;
+        let slot = &peer.slots[next_slot];
         let mut sender = slot.ready(address).await?;
         let mut refused = match sender.try_send_request(request).await {
             Ok(answer) => return Ok(answer),
@@ -78,7 +78,7 @@
         let Some(unsent) = refused.take_message() else {
             return Err(SendFailure::MaybeSent(refused.into_error().to_string()));
         };
-        slot.forget().await;
+        slot.clear().await;
         let mut sender = slot.ready(address).await?;
         let mut refused = match sender.try_send_request(unsent).await {
             Ok(answer) => return Ok(answer),
@@ -105,18 +105,18 @@
 
 impl Slot {
     async fn ready(&self, address: SocketAddr) -> Result<Sender, SendFailure> {
-        let mut kept = self.sender.lock().await;
-        if let Some(sender) = kept.as_ref()
+        let mut current = self.sender.lock().await;
+        if let Some(sender) = current.as_ref()
             && !sender.is_closed()
         {
             return Ok(sender.clone());
         }
         let sender = connect(address).await?;
-        *kept = Some(sender.clone());
+        *current = Some(sender.clone());
         Ok(sender)
     }
 
-    async fn forget(&self) {
+    async fn clear(&self) {
         *self.sender.lock().await = None;
     }
 }
--- a/crates/node/src/platform.rs
+++ b/crates/node/src/platform.rs
@@ -20,7 +20,7 @@
 /// above this is refused.
 const MAX_LIST_BYTES: usize = 4 << 20;
 /// Beyond the wait that was asked for; the platform answers in milliseconds.
-const SLACK: Duration = Duration::from_secs(5);
+const RESPONSE_MARGIN: Duration = Duration::from_secs(5);
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
 const VERSION_HEADER: &str = "platform-version";
 
@@ -97,8 +97,8 @@
         wait_ms: Millis,
     ) -> Result<Option<PublishedText>> {
         let path = format!("/v1/text?after={}&wait_ms={}", after.0, wait_ms.0);
-        let answer = self.get(&path, wait_ms, MAX_TEXT_BYTES).await?;
-        answer.changed()?.map(text).transpose()
+        let response = self.get(&path, wait_ms, MAX_TEXT_BYTES).await?;
+        response.changed()?.map(text).transpose()
     }
 
     /// Reads the VM list, of one service or whole, or watches for a version above
@@ -118,19 +118,22 @@
             path.push_str("&service=");
             path.push_str(service.as_str());
         }
-        let answer = self.get(&path, wait_ms, MAX_LIST_BYTES).await?;
-        answer.changed()?.map(|answer| list(&answer)).transpose()
+        let response = self.get(&path, wait_ms, MAX_LIST_BYTES).await?;
+        response
+            .changed()?
+            .map(|response| list(&response))
+            .transpose()
     }
 
-    async fn get(&self, path: &str, wait_ms: Millis, max_bytes: usize) -> Result<Answer> {
-        let limit = wait_ms.to_duration() + SLACK;
+    async fn get(&self, path: &str, wait_ms: Millis, max_bytes: usize) -> Result<PlatformResponse> {
+        let limit = wait_ms.to_duration() + RESPONSE_MARGIN;
         let read = self.get_unbounded(path, max_bytes);
         tokio::time::timeout(limit, read)
             .await
             .wrap_err("the platform did not answer in time")?
     }
 
-    async fn get_unbounded(&self, path: &str, max_bytes: usize) -> Result<Answer> {
+    async fn get_unbounded(&self, path: &str, max_bytes: usize) -> Result<PlatformResponse> {
         let uri = format!("http://{}{path}", self.address);
         let request = Request::get(uri).body(Empty::new())?;
         let response = self.http.request(request).await?;
@@ -139,7 +142,7 @@
         let version = version.and_then(|text| text.to_str().ok()?.parse().ok());
         let body = Limited::new(response.into_body(), max_bytes);
         let body = body.collect().await.map_err(|error| eyre!(error))?;
-        Ok(Answer {
+        Ok(PlatformResponse {
             status,
             version,
             body: body.to_bytes(),
@@ -147,13 +150,13 @@
     }
 }
 
-struct Answer {
+struct PlatformResponse {
     status: StatusCode,
     version: Option<u64>,
     body: Bytes,
 }
 
-impl Answer {
+impl PlatformResponse {
     /// The answer itself when it brings a value.
     fn changed(self) -> Result<Option<Self>> {
         match self.status {
@@ -164,20 +167,20 @@
     }
 }
 
-fn text(answer: Answer) -> Result<PublishedText> {
-    let version = answer
+fn text(response: PlatformResponse) -> Result<PublishedText> {
+    let version = response
         .version
         .ok_or_else(|| eyre!("the text came without {VERSION_HEADER}"))?;
-    let text = std::str::from_utf8(&answer.body).wrap_err("the text is not UTF-8")?;
+    let text = std::str::from_utf8(&response.body).wrap_err("the text is not UTF-8")?;
     Ok(PublishedText {
         version: ConfigVersion(version),
         text: text.to_owned(),
     })
 }
 
-fn list(answer: &Answer) -> Result<PublishedVms> {
+fn list(response: &PlatformResponse) -> Result<PublishedVms> {
     let list: ListBody =
-        serde_json::from_slice(&answer.body).wrap_err("the VM list is malformed")?;
+        serde_json::from_slice(&response.body).wrap_err("the VM list is malformed")?;
     let mut vms = Vec::with_capacity(list.vms.len());
     for entry in list.vms {
         vms.push(ListedVm {
--- a/crates/node/src/report.rs
+++ b/crates/node/src/report.rs
@@ -186,7 +186,7 @@
         for (name, view) in &routes.services {
             let mut status = match by_name.remove(name) {
                 Some(status) => status,
-                None => untouched(name, view, now),
+                None => unused_service(name, view, now),
             };
             status.budgets.probes_sent = self.probes_sent(control, name);
             services.push(status);
@@ -242,7 +242,7 @@
 }
 
 /// A service that no caller has asked this node for yet.
-fn untouched(name: &ServiceName, view: &ServiceView, now: Millis) -> ServiceStatus {
+fn unused_service(name: &ServiceName, view: &ServiceView, now: Millis) -> ServiceStatus {
     let mut targets = Vec::new();
     for target in &view.targets {
         targets.push(target_status(target, now));
--- a/crates/node/src/target_client.rs
+++ b/crates/node/src/target_client.rs
@@ -24,12 +24,12 @@
 type Sender = http1::SendRequest<NodeBody>;
 
 #[derive(Debug)]
-struct Resting {
+struct IdleConnection {
     sender: Sender,
     since: Instant,
 }
 
-/// A connection in use; give it back with [`TargetClient::rest`] once its
+/// A connection in use; give it back with [`TargetClient::put_back`] once its
 /// answer has been read to the end, or drop it, which closes it and thereby
 /// cancels the run.
 #[derive(Debug)]
@@ -41,7 +41,7 @@
 #[derive(Debug)]
 pub struct TargetClient {
     address: SocketAddr,
-    resting: Mutex<Vec<Resting>>,
+    idle: Mutex<Vec<IdleConnection>>,
 }
 
 impl TargetClient {
@@ -50,7 +50,7 @@
     pub fn new(address: SocketAddr) -> Self {
         Self {
             address,
-            resting: Mutex::new(Vec::new()),
+            idle: Mutex::new(Vec::new()),
         }
     }
 
@@ -76,7 +76,7 @@
         } else {
             MAX_IDLE
         };
-        while let Some(sender) = self.take_rested(max_idle) {
+        while let Some(sender) = self.take_idle(max_idle) {
             match attempt(sender, request).await {
                 Attempt::Done(answer) => return answer,
                 Attempt::Unsent(unsent) => request = *unsent,
@@ -92,11 +92,11 @@
     }
 
     /// Takes back a connection whose answer has been read to the end.
-    pub fn rest(&self, connection: InUse) {
+    pub fn put_back(&self, connection: InUse) {
         if connection.sender.is_closed() {
             return;
         }
-        self.resting.lock().push(Resting {
+        self.idle.lock().push(IdleConnection {
             sender: connection.sender,
             since: Instant::now(),
         });
@@ -111,7 +111,7 @@
     pub async fn accepts_connections(&self) -> bool {
         match self.connect().await {
             Ok(sender) => {
-                self.rest(InUse { sender });
+                self.put_back(InUse { sender });
                 true
             }
             Err(_) => false,
@@ -119,14 +119,14 @@
     }
 
     /// The most recently used connection first, so that spare ones age out.
-    fn take_rested(&self, max_idle: Duration) -> Option<Sender> {
-        let mut resting = self.resting.lock();
-        resting.retain(|kept| kept.since.elapsed() < MAX_IDLE && !kept.sender.is_closed());
-        let newest = resting.last()?;
+    fn take_idle(&self, max_idle: Duration) -> Option<Sender> {
+        let mut idle = self.idle.lock();
+        idle.retain(|conn| conn.since.elapsed() < MAX_IDLE && !conn.sender.is_closed());
+        let newest = idle.last()?;
         if newest.since.elapsed() >= max_idle {
             return None;
         }
-        resting.pop().map(|kept| kept.sender)
+        idle.pop().map(|conn| conn.sender)
     }
 
     async fn connect(&self) -> Result<Sender, SendFailure> {
--- a/crates/node/src/uploads.rs
+++ b/crates/node/src/uploads.rs
@@ -21,7 +21,7 @@
 #[derive(Clone, Debug)]
 pub struct UploadLimits {
     /// Longest silence within a body.
-    silence: Duration,
+    idle_timeout: Duration,
     /// Blocks of bodies that wait whole in the node, all calls together.
     buffered: Arc<Semaphore>,
 }
@@ -53,7 +53,7 @@
 
 /// A body that waits whole in the node, with its share of the budget.
 #[derive(Debug)]
-pub struct HeldUpload {
+pub struct BufferedUpload {
     /// The whole body.
     pub body: Bytes,
     /// Its memory.
@@ -63,11 +63,11 @@
 impl UploadLimits {
     /// Limits for one node.
     #[must_use]
-    pub fn new(silence: Duration, buffered_bytes: u64) -> Self {
+    pub fn new(idle_timeout: Duration, buffered_bytes: u64) -> Self {
         let bytes = usize::try_from(buffered_bytes).unwrap_or(usize::MAX);
         let blocks = bytes / BLOCK_BYTES;
         Self {
-            silence,
+            idle_timeout,
             buffered: Arc::new(Semaphore::new(blocks.min(Semaphore::MAX_PERMITS))),
         }
     }
@@ -87,14 +87,14 @@
     /// word holds its call, its place among the streams and its memory until
     /// the call's deadline or, without one, for ever.
     #[must_use]
-    pub fn guard(&self, body: Incoming) -> NodeBody {
+    pub fn with_idle_timeout(&self, body: Incoming) -> NodeBody {
         if body.is_end_stream() {
             return body::wrap(body);
         }
-        GuardedBody {
+        IdleTimeoutBody {
             inner: body,
-            silence: self.silence,
-            timer: Box::pin(tokio::time::sleep(self.silence)),
+            idle_timeout: self.idle_timeout,
+            timer: Box::pin(tokio::time::sleep(self.idle_timeout)),
         }
         .boxed_unsync()
     }
@@ -105,21 +105,25 @@
     /// # Errors
     ///
     /// The body is too large or cut, or too much is held already.
-    pub async fn hold(&self, body: NodeBody, limit_bytes: u64) -> Result<HeldUpload, CollectError> {
+    pub async fn buffer(
+        &self,
+        body: NodeBody,
+        limit_bytes: u64,
+    ) -> Result<BufferedUpload, CollectError> {
         let mut reservation = self.reserve();
         let body = body::collect_while(body, limit_bytes, |bytes| reservation.grow_to(bytes));
         let body = body.await?;
-        Ok(HeldUpload { body, reservation })
+        Ok(BufferedUpload { body, reservation })
     }
 }
 
-struct GuardedBody {
+struct IdleTimeoutBody {
     inner: Incoming,
-    silence: Duration,
+    idle_timeout: Duration,
     timer: Pin<Box<Sleep>>,
 }
 
-impl Body for GuardedBody {
+impl Body for IdleTimeoutBody {
     type Data = Bytes;
     type Error = BodyError;
 
@@ -129,7 +133,7 @@
     ) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
         match Pin::new(&mut self.inner).poll_frame(context) {
             Poll::Ready(frame) => {
-                let next = Instant::now() + self.silence;
+                let next = Instant::now() + self.idle_timeout;
                 self.timer.as_mut().reset(next);
                 Poll::Ready(frame.map(|frame| frame.map_err(Into::into)))
             }
--- a/tests/all/measuring.rs
+++ b/tests/all/measuring.rs
@@ -272,7 +272,7 @@
         let (mut probes, mut others) = (0, 0);
         let mut buffer = [0; 4_096];
         while let Ok(length) = self.socket.recv(&mut buffer) {
-            let own = FleetTag::of(deployment).take_off(&buffer[..length]);
+            let own = FleetTag::of(deployment).strip(&buffer[..length]);
             let datagram = own.map(Datagram::decode);
             match datagram.map(|datagram| datagram.map(|datagram| datagram.body)) {
                 Some(Ok(DatagramBody::Probe { .. })) => probes += 1,
