--- a/crates/node/src/answer.rs
+++ b/crates/node/src/answer.rs
@@ -1,4 +1,4 @@
-//! Answers that the system itself gives, and headers that are not relayed.
+//! Builds the node's own answers and removes headers that are not relayed.
 
 use hornbeamhitch_core::prelude::*;
 use hornbeamhitch_wire::header;
@@ -10,7 +10,7 @@
 
 const MILLIS_PER_SEC: u64 = 1_000;
 
-/// Headers that belong to one connection and are never passed on.
+/// Hop-by-hop headers, which apply to one connection and are never relayed.
 const HOP_BY_HOP: [HeaderName; 7] = [
     http::header::CONNECTION,
     HeaderName::from_static("keep-alive"),
@@ -21,7 +21,7 @@
     http::header::TRAILER,
 ];
 
-/// JSON body of an answer of the system itself.
+/// The JSON body of an answer that the node creates itself.
 #[derive(Serialize)]
 struct AnswerBody<'a> {
     code: u16,
@@ -32,13 +32,14 @@
     retry_after_ms: Option<u64>,
 }
 
-/// The final answer for a refusal, with when to come back.
+/// Builds the answer for a refusal, with its retry delay if it has one.
 #[must_use]
 pub fn from_refusal(refusal: &Refusal) -> Response<NodeBody> {
     with_message(refusal, message_of(refusal.code))
 }
 
-/// The final answer for a code after which coming back unchanged is no use.
+/// Builds the answer for a code that does not allow a retry of the unchanged
+/// request.
 #[must_use]
 pub fn from_code(code: ResultCode, message: &str) -> Response<NodeBody> {
     with_message(&Refusal::fixed(code), message)
@@ -72,20 +73,20 @@
     answer
 }
 
-/// Writes the code and its certainty into an answer's headers.
+/// Sets the headers for a result code and its certainty.
 pub fn mark(headers: &mut HeaderMap, code: ResultCode) {
     headers.insert(header::CODE, HeaderValue::from(code.number()));
     let certainty: &'static str = code.certainty().into();
     headers.insert(header::CERTAINTY, HeaderValue::from_static(certainty));
 }
 
-/// Reads the result code that a node wrote into an answer.
+/// Reads the result code that a node set in an answer's headers.
 #[must_use]
 pub fn code_of(headers: &HeaderMap) -> Option<ResultCode> {
     ResultCode::from_number(number(headers, header::CODE)?)
 }
 
-/// Reads the refusal that a node wrote into an answer's headers.
+/// Reads the refusal that a node set in an answer's headers.
 #[must_use]
 pub fn refusal_of(headers: &HeaderMap, code: ResultCode) -> Refusal {
     Refusal {
@@ -94,19 +95,19 @@
     }
 }
 
-/// Reads a numeric header; anything else counts as absent.
+/// Reads a numeric header. A value that is not a number counts as absent.
 #[must_use]
 pub fn number<N: std::str::FromStr>(headers: &HeaderMap, name: &str) -> Option<N> {
     headers.get(name)?.to_str().ok()?.trim().parse().ok()
 }
 
-/// Reads a textual header.
+/// Reads a header as text; `None` if it is absent or not visible ASCII.
 #[must_use]
 pub fn text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
     headers.get(name)?.to_str().ok()
 }
 
-/// Removes what belongs to one connection only, also what `Connection` names.
+/// Removes hop-by-hop headers, including those that `Connection` lists.
 pub fn strip_hop_by_hop(headers: &mut HeaderMap) {
     let mut named = Vec::new();
     for value in headers.get_all(http::header::CONNECTION) {
--- a/crates/node/src/body.rs
+++ b/crates/node/src/body.rs
@@ -1,4 +1,4 @@
-//! The one body type of requests and answers inside the node.
+//! The body type of all requests and answers inside the node.
 
 use bytes::{Bytes, BytesMut};
 use http_body_util::combinators::UnsyncBoxBody;
@@ -6,33 +6,34 @@
 use hyper::body::Incoming;
 use thiserror::Error;
 
-/// Error of any body; its kind no longer matters once a stream is broken.
+/// The error of any body. Its kind does not matter, because the stream is
+/// broken in any case.
 pub type BodyError = Box<dyn std::error::Error + Send + Sync>;
 
-/// A body that is relayed or made here.
+/// A body that the node relays or creates.
 pub type NodeBody = UnsyncBoxBody<Bytes, BodyError>;
 
-/// Why a body could not be taken in whole.
+/// Why a body could not be read completely.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum CollectError {
-    /// It is longer than allowed.
-    #[error("the body is longer than allowed")]
+    /// The body exceeds the limit.
+    #[error("the body exceeds the limit")]
     TooLarge,
-    /// It ended before its end.
-    #[error("the body was cut")]
+    /// The stream ended before the end of the body.
+    #[error("the stream ended before the end of the body")]
     Truncated,
-    /// The node holds too much already.
-    #[error("no memory is left for the body")]
+    /// The node's budget for buffered bodies is exhausted.
+    #[error("the budget for buffered bodies is exhausted")]
     BudgetExhausted,
 }
 
-/// A body without bytes.
+/// Creates an empty body.
 #[must_use]
 pub fn empty() -> NodeBody {
     Empty::new().map_err(|never| match never {}).boxed_unsync()
 }
 
-/// A body whose bytes are in hand.
+/// Creates a body from the given bytes.
 #[must_use]
 pub fn full(bytes: impl Into<Bytes>) -> NodeBody {
     Full::new(bytes.into())
@@ -40,35 +41,37 @@
         .boxed_unsync()
 }
 
-/// Wraps a body that comes in over a connection.
+/// Wraps a body that is received over a connection.
 #[must_use]
 pub fn wrap(body: Incoming) -> NodeBody {
     body.map_err(|error| -> BodyError { Box::new(error) })
         .boxed_unsync()
 }
 
-/// Breaks a stream that grows above `limit_bytes`.
+/// Wraps a body so that its stream fails once it exceeds `limit_bytes`.
 #[must_use]
 pub fn limit(body: NodeBody, limit_bytes: u64) -> NodeBody {
     let limit = usize::try_from(limit_bytes).unwrap_or(usize::MAX);
     http_body_util::Limited::new(body, limit).boxed_unsync()
 }
 
-/// Takes in a whole body of at most `limit_bytes`.
+/// Reads a whole body of at most `limit_bytes`.
 ///
 /// # Errors
 ///
-/// A body that is too long, or whose stream ends early, is an error: a short
-/// body must never pass for a whole one.
+/// Fails if the body is too long or its stream ends early: a truncated body
+/// must never pass for a complete one.
 pub async fn collect(body: NodeBody, limit_bytes: u64) -> Result<Bytes, CollectError> {
     collect_while(body, limit_bytes, |_| true).await
 }
 
-/// Takes in a whole body as long as there is room for what has come so far.
+/// Reads a whole body of at most `limit_bytes`, as long as `has_room` accepts
+/// the number of bytes received so far.
 ///
 /// # Errors
 ///
-/// As [`collect`], and [`CollectError::BudgetExhausted`] when `has_room` says no.
+/// As [`collect`], and [`CollectError::BudgetExhausted`] if `has_room` returns
+/// false.
 pub async fn collect_while(
     body: NodeBody,
     limit_bytes: u64,
@@ -89,7 +92,7 @@
         if !has_room(first.len() + rest.len() + data.len()) {
             return Err(CollectError::BudgetExhausted);
         }
-        // Most bodies are one frame; it is passed on without a copy.
+        // Most bodies consist of one frame, which is returned without a copy.
         if first.is_empty() && rest.is_empty() {
             first = data;
             continue;
@@ -106,20 +109,21 @@
     Ok(rest.freeze())
 }
 
-/// The beginning of a body whose length nobody has told.
+/// The first part of a body whose length is unknown.
 #[derive(Debug)]
 pub enum BodyPrefix {
-    /// It ended within the limit.
+    /// The complete body, which is within the limit.
     Whole(Bytes),
-    /// It is longer; the rest is still in the stream.
+    /// The bytes received so far of a body that exceeds the limit. The rest is
+    /// still in the stream.
     Partial(Bytes),
 }
 
-/// Takes in a body until it ends or exceeds `limit_bytes`.
+/// Reads a body until it ends or exceeds `limit_bytes`.
 ///
 /// # Errors
 ///
-/// The stream ended early.
+/// Fails if the stream ends early.
 pub async fn read_prefix<B>(body: &mut B, limit_bytes: u64) -> Result<BodyPrefix, CollectError>
 where
     B: http_body::Body<Data = Bytes> + Unpin,
@@ -139,7 +143,7 @@
     Ok(BodyPrefix::Whole(received.freeze()))
 }
 
-/// Reads a body away, up to `limit_bytes`.
+/// Reads and discards a body, up to `limit_bytes`.
 pub async fn discard(body: NodeBody, limit_bytes: u64) {
     let mut body = limit(body, limit_bytes);
     while let Some(Ok(_)) = body.frame().await {}
--- a/crates/node/src/callers.rs
+++ b/crates/node/src/callers.rs
@@ -1,4 +1,4 @@
-//! The entry: what callers send to this node.
+//! The entry: accepts requests from callers and sends them to gates.
 
 mod call;
 mod entries;
@@ -31,11 +31,12 @@
 use crate::uploads::UploadLimits;
 use call::{CallerCall, MAX_DEPTH, ServicePath};
 
-/// How long a call waits for a service that this node does not hold yet.
+/// How long a call waits for the routes of a service that this node does not
+/// track yet.
 const SERVICE_WAIT_MS: Millis = Millis(1_500);
 const NO_CONFIGURATION_RETRY_MS: Millis = Millis(500);
 
-/// Counts of work that the entry adds on its own account.
+/// Counters of the entry's calls, retries and hedges.
 #[derive(Debug, Default)]
 pub struct Traffic {
     in_flight: AtomicUsize,
@@ -53,32 +54,32 @@
         self.hedges.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// Calls of callers in flight.
+    /// Returns the number of calls in flight.
     #[must_use]
     pub fn in_flight(&self) -> usize {
         self.in_flight.load(Ordering::Acquire)
     }
 
-    /// Calls since the start.
+    /// Returns the number of calls since the process started.
     #[must_use]
     pub fn calls(&self) -> u64 {
         self.calls.load(Ordering::Relaxed)
     }
 
-    /// Retries since the start.
+    /// Returns the number of retries since the process started.
     #[must_use]
     pub fn retries(&self) -> u64 {
         self.retries.load(Ordering::Relaxed)
     }
 
-    /// Hedges since the start.
+    /// Returns the number of hedges since the process started.
     #[must_use]
     pub fn hedges(&self) -> u64 {
         self.hedges.load(Ordering::Relaxed)
     }
 }
 
-/// Counts a call as in flight until it is dropped.
+/// Guard that counts a call as in flight until it is dropped.
 struct InFlight<'a>(&'a Traffic);
 
 impl<'a> InFlight<'a> {
@@ -95,46 +96,46 @@
     }
 }
 
-/// What an entry is put together from.
+/// The dependencies of a [`CallerServer`].
 #[derive(Debug)]
 pub struct CallerParts {
-    /// Decisions by service.
+    /// Routing decisions, by service.
     pub board: EntryBoard,
     /// The process's clock.
     pub clock: ProcessClock,
-    /// The control thread.
+    /// Handle to the control thread.
     pub control: ControlHandle,
-    /// This node's control address, for the gates it sends to.
+    /// This node's control address, which it sends to gates.
     pub control_address: std::net::SocketAddr,
-    /// Ticks with each publication of routes.
+    /// Changes with each publication of routes.
     pub published: watch::Receiver<u64>,
-    /// Counts and histograms.
+    /// Counters and histograms.
     pub metrics: Arc<Metrics>,
-    /// Bounds on uploads.
+    /// Limits on uploads.
     pub uploads: UploadLimits,
 }
 
-/// The entry's side of the daemon.
+/// Serves requests from callers.
 #[derive(Debug)]
 pub struct CallerServer {
-    /// Decisions by service.
+    /// Routing decisions, by service.
     pub board: EntryBoard,
     /// Connections to gates.
     pub peers: PeerPool,
-    /// Counters.
+    /// Counters of calls, retries and hedges.
     pub traffic: Traffic,
     clock: ProcessClock,
     uploads: UploadLimits,
     control: ControlHandle,
-    /// This node's control address, for the gates it sends to.
+    /// Value of the entry header: this node's control address.
     entry_header: HeaderValue,
-    /// Ticks with each publication of routes.
+    /// Changes with each publication of routes.
     published: watch::Receiver<u64>,
     metrics: Arc<Metrics>,
 }
 
 impl CallerServer {
-    /// An entry over the published routes.
+    /// Creates an entry that follows the published routes.
     #[must_use]
     pub fn new(parts: CallerParts) -> Self {
         let CallerParts {
@@ -160,11 +161,11 @@
         }
     }
 
-    /// Answers one request of a caller.
+    /// Serves one request from a caller.
     ///
     /// # Errors
     ///
-    /// Never; the type is what the HTTP server wants.
+    /// Never fails; the HTTP server requires a `Result`.
     pub async fn serve(
         self: Arc<Self>,
         request: Request<Incoming>,
@@ -239,8 +240,9 @@
         if to.service != ticket.service {
             return bad_request("the ticket was written for another service");
         }
-        // An earlier send under this ticket may have run, and only its gate
-        // knows. So this entry never says "not run" on its own account here.
+        // An earlier send under this ticket may have run, and only the ticket's
+        // gate knows whether it did. The entry itself must therefore never
+        // report "not run" here.
         let Ok((entry, view)) = self.find_service(&to.service).await else {
             let wait = NO_CONFIGURATION_RETRY_MS;
             let refusal = Refusal::retry_after(ResultCode::GateUnreachable, wait);
@@ -269,8 +271,8 @@
         }
     }
 
-    /// Finds a service, asking the control thread for one that this node does
-    /// not hold yet.
+    /// Finds the entry of a service. If this node does not track the service
+    /// yet, requests it from the control thread and waits for its routes.
     async fn find_service(
         &self,
         service: &ServiceName,
@@ -307,8 +309,8 @@
         ))
     }
 
-    /// Refuses a call whose service is not held, and counts it: an outage
-    /// without a configuration must be seen in the metrics as well.
+    /// Refuses a call whose service is unavailable and counts it, so that an
+    /// outage for lack of a configuration shows in the metrics.
     fn refuse_unavailable(&self, service: &ServiceName, refusal: &Refusal) -> Response<NodeBody> {
         self.metrics.call_ended(&CallSample {
             service: service.as_str(),
@@ -320,7 +322,7 @@
         answer::from_refusal(refusal)
     }
 
-    /// Passes a load report on to the control thread.
+    /// Forwards the load report of an answer to the control thread.
     fn report_load(&self, vm: &VmId, headers: &HeaderMap) {
         let Some(load) = answer::text(headers, header::LOAD) else {
             return;
@@ -331,7 +333,7 @@
     }
 }
 
-/// A call on its way into the histograms.
+/// Data of a call that is recorded in the metrics when the call ends.
 struct Sample {
     service: ServiceName,
     class: CallClass,
--- a/crates/node/src/callers/call.rs
+++ b/crates/node/src/callers/call.rs
@@ -1,4 +1,4 @@
-//! A call as it arrives from a caller.
+//! Parses calls from callers and builds the requests to gates.
 
 use std::sync::Arc;
 
@@ -10,22 +10,24 @@
 use crate::answer;
 use crate::body::NodeBody;
 
-/// Callers may ask for deadlines up to this.
+/// The longest deadline that a caller may request.
 const MAX_DEADLINE_MS: Millis = Millis::from_secs(600);
-/// Deeper calls are refused: a cycle of services would never end.
+/// The maximum nesting depth of calls. Without it, a cycle of services would
+/// never end.
 pub const MAX_DEPTH: u32 = 16;
 
-/// The service that a path names, and the path that its target sees.
+/// The service named by a request path, and the path that its target receives.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ServicePath {
-    /// First segment.
+    /// The service, which is the first path segment.
     pub service: ServiceName,
-    /// The rest with its query, beginning with `/`.
+    /// The rest of the path with its query; begins with `/`.
     pub path_and_query: String,
 }
 
 impl ServicePath {
-    /// Splits `/service/rest?query`.
+    /// Splits `/service/rest?query`. Returns `None` if the first segment is
+    /// empty.
     #[must_use]
     pub fn split(path_and_query: &str) -> Option<Self> {
         let rest = path_and_query.strip_prefix('/')?;
@@ -44,7 +46,7 @@
         })
     }
 
-    /// The path without its query.
+    /// Returns the path without its query.
     #[must_use]
     pub fn path(&self) -> &str {
         match self.path_and_query.split_once('?') {
@@ -54,27 +56,27 @@
     }
 }
 
-/// What the entry knows of one call.
+/// The parameters of one call.
 #[derive(Clone, Debug)]
 pub struct CallerCall {
-    /// Where it goes.
+    /// The called service and path.
     pub to: ServicePath,
-    /// The service's policy when it arrived.
+    /// The service's policy at the time of arrival.
     pub policy: Arc<ServicePolicy>,
-    /// Running it twice is harmless.
+    /// Whether the call may safely run more than once.
     pub idempotent: bool,
-    /// Rank and histogram label.
+    /// The call's class, which determines its priority and its histogram label.
     pub class: CallClass,
-    /// Whose call it is.
+    /// The tenant that the call belongs to.
     pub tenant: TenantName,
-    /// Depth, 0 at the outermost caller.
+    /// Nesting depth of the call; 0 for the outermost caller.
     pub depth: u32,
-    /// When it must have ended.
+    /// The time by which the call must have ended.
     pub deadline_at: Millis,
 }
 
 impl CallerCall {
-    /// Reads a call against the policy in force.
+    /// Parses a call's headers and applies the defaults of the policy in force.
     #[must_use]
     pub fn read(parts: &Parts, to: ServicePath, policy: Arc<ServicePolicy>, now: Millis) -> Self {
         let method = parts.method.as_str();
@@ -94,13 +96,13 @@
     }
 }
 
-/// The tenant that a caller names; empty when it names none.
+/// Returns the tenant that a caller names, or an empty name if it names none.
 #[must_use]
 pub fn tenant_of(headers: &HeaderMap) -> TenantName {
     TenantName::new(answer::text(headers, header::TENANT).unwrap_or_default())
 }
 
-/// The part of a request to a gate that is the same for every attempt.
+/// The parts of a request to a gate that are the same for every attempt.
 #[derive(Clone, Debug)]
 pub struct Outbound {
     method: http::Method,
@@ -109,7 +111,8 @@
 }
 
 impl Outbound {
-    /// Prepares the caller's request for the way to a gate.
+    /// Builds the common parts from the caller's request: removes hop-by-hop
+    /// and internal headers and adds those of the entry.
     #[must_use]
     pub fn prepare(parts: &Parts, call: &CallerCall, entry: &HeaderValue) -> Self {
         let mut headers = parts.headers.clone();
@@ -126,7 +129,7 @@
             headers.remove(name);
         }
         let service = HeaderValue::from_str(call.to.service.as_str())
-            .expect("a service name of the checked text is plain ASCII");
+            .expect("a service name of the checked configuration is plain ASCII");
         headers.insert(header::SERVICE, service);
         headers.insert(header::ENTRY, entry.clone());
         headers.insert(header::DEPTH, HeaderValue::from(call.depth));
@@ -143,24 +146,25 @@
         self.headers.insert(header::TICKET, value);
     }
 
-    /// Tells the next gate that an earlier attempt broke in its run.
+    /// Tells the next gate that an earlier attempt broke during its run.
     pub fn set_suspect(&mut self) {
         let value = HeaderValue::from_static("1");
         self.headers.insert(header::SUSPECT, value);
     }
 
-    /// Adds the end of the deadline in the gate's clock.
+    /// Adds the deadline as a time of the gate's clock.
     ///
-    /// Time left, counted anew by whoever reads it, grows by all the time that
-    /// a request lies in the socket of a paused gate or in a bad network: a
-    /// payment would start long after its caller has given up. A point in the
-    /// gate's own clock does not move.
+    /// A gate that only knows the remaining time counts it from the moment it
+    /// reads the request. The deadline would move by the time that the request
+    /// spends in the socket of a paused gate or in a bad network, and a payment
+    /// could start long after its caller has given up. A time of the gate's own
+    /// clock does not move.
     pub fn set_gate_deadline(&mut self, at: Millis) {
         let value = HeaderValue::from(at.0);
         self.headers.insert(header::GATE_DEADLINE_AT_MS, value);
     }
 
-    /// The request for one attempt.
+    /// Builds the request for one attempt.
     #[must_use]
     pub fn request(
         &self,
@@ -183,7 +187,8 @@
         request
     }
 
-    /// The request that asks a gate about this call's key, which fences it.
+    /// Builds the request that queries a gate about this call's key and thereby
+    /// fences the key.
     #[must_use]
     pub fn fence_request(
         &self,
--- a/crates/node/src/callers/entries.rs
+++ b/crates/node/src/callers/entries.rs
@@ -1,4 +1,5 @@
-//! The entry's decisions, one lock a service, fed by the published routes.
+//! The entry's routing decisions: one lock per service, updated from the
+//! published routes.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -15,10 +16,10 @@
 use super::gate_clocks::GateClocks;
 use crate::clock::ProcessClock;
 
-/// The routes in force, replaced whole by the control thread.
+/// The routes in force. The control thread replaces the whole table.
 pub type SharedRoutes = Arc<ArcSwap<RouteTable>>;
 
-/// All services that callers have asked this node for.
+/// The state of every service that callers have requested from this node.
 #[derive(Debug)]
 pub struct EntryBoard {
     routes: SharedRoutes,
@@ -27,10 +28,10 @@
     entries: RwLock<HashMap<ServiceName, Arc<Entry>>>,
 }
 
-/// One service as this entry sees it.
+/// The state of one service at this entry.
 ///
-/// Its lock is taken by traffic threads only, for a fraction of a microsecond;
-/// the control thread never holds it.
+/// Only traffic threads take its lock, for a fraction of a microsecond; the
+/// control thread never does.
 #[derive(Debug)]
 pub struct Entry {
     clock: ProcessClock,
@@ -46,30 +47,30 @@
     clocks: GateClocks,
 }
 
-/// Counts of one service at this entry since the start.
+/// Counters of one service at this entry since the process started.
 #[derive(Clone, Debug, Default)]
 pub struct EntryCounts {
-    /// Calls that were sent at least once.
+    /// Number of calls that were sent at least once.
     pub first_attempts: u64,
-    /// Retries that the budget allowed.
+    /// Number of retries that the budget allowed.
     pub retries: u64,
-    /// Hedges that the budget allowed.
+    /// Number of hedges that the budget allowed.
     pub hedges: u64,
-    /// By target.
+    /// Counters by target.
     targets: HashMap<TargetIndex, TargetCounts>,
 }
 
-/// Counts of one target at this entry since the start.
+/// Counters of one target at this entry since the process started.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct TargetCounts {
-    /// Attempts that have ended.
+    /// Number of attempts that have ended.
     pub attempts: u64,
-    /// Attempts that failed; refusals are not failures.
+    /// Number of attempts that failed; refusals do not count as failures.
     pub failures: u64,
 }
 
 impl EntryCounts {
-    /// Counts of one target.
+    /// Returns the counters of one target.
     #[must_use]
     pub fn of(&self, target: TargetIndex) -> TargetCounts {
         self.targets.get(&target).copied().unwrap_or_default()
@@ -89,31 +90,31 @@
     }
 }
 
-/// A target chosen for one attempt, with what is needed to reach it.
+/// A target chosen for one attempt, and its address.
 #[derive(Clone, Debug)]
 pub struct ChosenTarget {
-    /// The entry's count of the attempt.
+    /// The attempt as counted by the entry.
     pub pick: Pick,
-    /// The VM.
+    /// The target's VM.
     pub vm: VmId,
     /// The gate's address.
     pub peer: std::net::SocketAddr,
 }
 
-/// The gate that a ticket names, as this entry knows it.
+/// The gate that a ticket names, and what this entry knows about it.
 #[derive(Debug)]
 pub struct ChosenGate {
-    /// The attempt there.
+    /// Guard of the attempt at this gate.
     pub guard: AttemptGuard,
-    /// The life last heard of on the VM.
+    /// The latest known incarnation on the VM.
     pub incarnation: Option<Incarnation>,
-    /// What the clock of the ticket's life shows at least, once that gate has
-    /// answered this entry.
+    /// A lower bound of the time on the clock of the ticket's incarnation;
+    /// `None` until that gate has answered this entry.
     pub clock_ms: Option<Millis>,
 }
 
 impl EntryBoard {
-    /// A board without entries.
+    /// Creates a board without entries.
     #[must_use]
     pub fn new(routes: SharedRoutes, clock: ProcessClock, seed: u64) -> Self {
         Self {
@@ -124,13 +125,14 @@
         }
     }
 
-    /// The routes in force.
+    /// Returns the routes in force.
     #[must_use]
     pub fn routes(&self) -> Arc<RouteTable> {
         self.routes.load_full()
     }
 
-    /// The entry of a service that the routes hold, brought up to date.
+    /// Returns the entry and the view of a service, after updating the entry to
+    /// that view. Returns `None` if the routes do not contain the service.
     #[must_use]
     pub fn entry(&self, service: &str) -> Option<(Arc<Entry>, Arc<ServiceView>)> {
         let routes = self.routes.load();
@@ -144,7 +146,7 @@
         Some((entry, Arc::clone(view)))
     }
 
-    /// Visits every entry, for status and metrics.
+    /// Calls `visit` for every entry, for status and metrics.
     pub fn visit(&self, mut visit: impl FnMut(&ServiceName, &EntryService, &EntryCounts)) {
         let entries = self.entries.read();
         for (name, entry) in entries.iter() {
@@ -191,7 +193,7 @@
     ///
     /// # Errors
     ///
-    /// A final refusal when no target is usable.
+    /// Returns the final refusal if no target is usable.
     pub fn choose(
         self: &Arc<Self>,
         exclude: &[TargetIndex],
@@ -210,7 +212,8 @@
         Ok(self.guard(chosen))
     }
 
-    /// Chooses the target on a VM, for a ticketed call.
+    /// Chooses the target on the ticket's VM. Returns `None` if this node does
+    /// not know the VM.
     pub fn choose_gate(self: &Arc<Self>, ticket: &Ticket) -> Option<ChosenGate> {
         let now = self.clock.now();
         let mut state = self.state.lock();
@@ -229,7 +232,7 @@
         })
     }
 
-    /// Decides what follows a failed attempt.
+    /// Decides whether a failed attempt is retried or ends the call.
     pub fn after_failure(&self, call: &CallProgress, end: &AttemptEnd) -> Next {
         let now = self.clock.now();
         let mut state = self.state.lock();
@@ -238,13 +241,15 @@
         next
     }
 
-    /// How long to wait before a hedge.
+    /// Returns how long to wait before a hedge; `None` if the call must not be
+    /// hedged.
     #[must_use]
     pub fn hedge_delay_ms(&self, call: &CallProgress) -> Option<Millis> {
         self.state.lock().service.hedge_delay_ms(call)
     }
 
-    /// Spends from the hedge budget.
+    /// Spends from the hedge budget. Returns false if the budget does not allow
+    /// a hedge.
     pub fn try_hedge(&self, call: &CallProgress) -> bool {
         let now = self.clock.now();
         let mut state = self.state.lock();
@@ -253,27 +258,28 @@
         is_allowed
     }
 
-    /// Chooses the gate for a new ticket.
+    /// Chooses the gate for a new ticket with the given key.
     ///
     /// # Errors
     ///
-    /// A refusal when no gate can take new work.
+    /// Returns a refusal if no gate accepts new work.
     pub fn ticket_gate(&self, key: CallKey) -> Result<TicketGate, Refusal> {
         let now = self.clock.now();
         self.state.lock().service.ticket_gate(key, now)
     }
 
-    /// Chooses the gate for a ticket whose key no caller has chosen.
+    /// Chooses the gate for a ticket whose key was not chosen by a caller;
+    /// takes the gates in turn.
     ///
     /// # Errors
     ///
-    /// A refusal when no gate can take new work.
+    /// Returns a refusal if no gate accepts new work.
     pub fn ticket_gate_in_turn(&self) -> Result<TicketGate, Refusal> {
         let now = self.clock.now();
         self.state.lock().service.ticket_gate_in_turn(now)
     }
 
-    /// When a refused caller should come back.
+    /// Returns how long a refused caller should wait before it retries.
     pub fn retry_after_ms(&self) -> Millis {
         let now = self.clock.now();
         self.state.lock().service.retry_after_ms(now)
@@ -295,7 +301,7 @@
 fn chosen(service: &EntryService, pick: Pick) -> ChosenTarget {
     let target = service
         .target(pick.target)
-        .expect("a pick names a target of the present view");
+        .expect("a pick refers to a target of the current view");
     ChosenTarget {
         pick,
         vm: target.vm.clone(),
@@ -304,11 +310,11 @@
 }
 
 /// One attempt in flight. Dropping it counts as a cancellation, so that an
-/// attempt whose caller left can never stay counted as in flight.
+/// attempt whose caller left cannot stay counted as in flight.
 #[derive(Debug)]
 pub struct AttemptGuard {
     entry: Arc<Entry>,
-    /// Where the attempt goes.
+    /// The target of the attempt.
     pub target: ChosenTarget,
     started_at: Instant,
     head_latency_us: Option<u32>,
@@ -318,8 +324,9 @@
 }
 
 impl AttemptGuard {
-    /// Notes the head of the answer; its time, returned in microseconds, is the
-    /// attempt's latency.
+    /// Records that the head of the answer has arrived, with its load report.
+    /// Returns the attempt's latency, which is the time to the head, in
+    /// microseconds.
     pub fn note_head(&mut self, load: Option<LoadReport>) -> u32 {
         let latency_us = self.elapsed_us();
         self.head_latency_us = Some(latency_us);
@@ -328,7 +335,7 @@
         latency_us
     }
 
-    /// Ends the attempt.
+    /// Ends the attempt with the given outcome.
     pub fn end(mut self, end: AttemptEnd) {
         self.finish(end);
     }
--- a/crates/node/src/callers/entries/tests.rs
+++ b/crates/node/src/callers/entries/tests.rs
@@ -1,4 +1,4 @@
-//! What an entry believes of a gate's clock.
+//! Tests of the entry's estimate of a gate's clock.
 
 use hornbeamhitch_core::view::HeardLoad;
 
@@ -22,7 +22,7 @@
     }
 }
 
-/// A board with one target, of which a heartbeat was heard.
+/// Returns a board with one target, whose only load report came in a heartbeat.
 fn board_with_heartbeat(heartbeat: LoadReport) -> EntryBoard {
     let checked = hornbeamhitch_text::check(TEXT).expect("the text is valid");
     let policy = Arc::new(checked.services[0].clone());
@@ -51,10 +51,11 @@
     EntryBoard::new(routes, ProcessClock::start(), 1)
 }
 
-/// The first payment to a gate of which only heartbeats were heard. Their loads
-/// were read earlier than they were sent, so the clock in them lags: taken for
-/// the gate's, it makes a payment come late that has time enough, and the gate
-/// refuses it. Only an answer's report is as new as the answer.
+/// Guards against refusing the first payment to a gate that has only sent
+/// heartbeats so far. Their load reports are read before they are sent, so the
+/// clock in them lags. If the entry took it for the gate's clock, the payment's
+/// deadline would be too early, and the gate would refuse a payment that has
+/// enough time. Only the report in an answer is as recent as the answer.
 #[test]
 fn a_gates_clock_is_learned_from_its_answers_only() {
     let board = board_with_heartbeat(report(1_000));
--- a/crates/node/src/callers/gate_clocks.rs
+++ b/crates/node/src/callers/gate_clocks.rs
@@ -1,38 +1,41 @@
-//! Reckoning on the clocks of gates from the reports on their answers.
+//! Estimates the clocks of gates from the load reports in their answers.
 //!
-//! The reports in heartbeats are not taken. They were read from the gate up to
-//! a heartbeat before they were sent, and would make its clock seem slower by
-//! that: an entry that had nothing else refused payments that had time enough.
+//! Load reports in heartbeats are ignored. They are read from the gate up to
+//! one heartbeat interval before they are sent, which makes its clock seem
+//! slower by that time. An entry that used them refused payments that had
+//! enough time.
 
 use std::collections::HashMap;
 
 use hornbeamhitch_core::prelude::*;
 
-/// How long the best of the observations counts before it must be renewed: two
-/// clocks drift apart by a few milliseconds in that time at most.
+/// How long the highest observed offset is used before it must be observed
+/// again. Two clocks drift apart by a few milliseconds at most in this time.
 const WINDOW_MS: Millis = Millis::from_secs(30);
 
-/// The clocks of the gates of one service, by VM.
+/// Clock estimates of the gates of one service, by VM.
 #[derive(Debug, Default)]
 pub struct GateClocks {
     by_vm: HashMap<VmId, ClockEstimate>,
 }
 
-/// One gate's clock relative to this node's, in milliseconds.
+/// The offset of one gate's clock from this node's clock, in milliseconds.
 ///
-/// Each report was under way for an unknown time, which makes the gate's clock
-/// seem slower by it and never faster. So the greatest difference is the best.
+/// Each report spends an unknown time in transit, which makes the gate's clock
+/// seem slower by that time and never faster. The highest offset is therefore
+/// the most accurate.
 #[derive(Debug)]
 struct ClockEstimate {
     incarnation: Incarnation,
     offset_ms: i64,
-    /// The greatest difference of the span before.
+    /// The highest offset of the previous window.
     previous_offset_ms: i64,
     since: Millis,
 }
 
 impl GateClocks {
-    /// Takes in a report that reached this node at `received_at`.
+    /// Updates the estimate with a report that reached this node at
+    /// `received_at`.
     pub fn observe(&mut self, vm: &VmId, report: &LoadReport, received_at: Millis) {
         let offset_ms = signed(report.gate_clock_ms) - signed(received_at);
         let first = ClockEstimate {
@@ -61,8 +64,9 @@
         estimate.offset_ms = estimate.offset_ms.max(offset_ms);
     }
 
-    /// What the clock of one life of a gate shows at least; `None` when nothing
-    /// was heard of that life, or a later one was.
+    /// Returns a lower bound of the time on the clock of one incarnation of a
+    /// gate; `None` if no report of that incarnation was received, or one of a
+    /// later incarnation was.
     #[must_use]
     pub fn lower_bound(&self, vm: &VmId, incarnation: Incarnation, now: Millis) -> Option<Millis> {
         let estimate = self.by_vm.get(vm)?;
@@ -74,7 +78,7 @@
         Some(Millis(u64::try_from(lower_bound).unwrap_or(0)))
     }
 
-    /// Forgets gates that are no longer known.
+    /// Removes the estimates of gates that are no longer known.
     pub fn retain(&mut self, is_known: impl Fn(&VmId) -> bool) {
         self.by_vm.retain(|vm, _| is_known(vm));
     }
--- a/crates/node/src/callers/gate_clocks/tests.rs
+++ b/crates/node/src/callers/gate_clocks/tests.rs
@@ -1,4 +1,4 @@
-//! A gate's clock as its reports let it be reckoned.
+//! Tests of the estimate of a gate's clock from its load reports.
 
 use super::*;
 
@@ -20,8 +20,8 @@
     }
 }
 
-/// The gate's clock is truly 1,000 ms ahead. A report that was held up says
-/// less; believed, it would cut every deadline by the time it was held up.
+/// The gate's clock is 1,000 ms ahead. A delayed report shows a smaller offset;
+/// using it would shorten every deadline by the delay.
 #[test]
 fn a_delayed_report_does_not_lower_the_estimate() {
     let mut clocks = GateClocks::default();
@@ -31,8 +31,8 @@
     assert_eq!(lower_bound, Some(Millis(1_990)));
 }
 
-/// The gate's clock falls behind by drift. Its best observation of old ages
-/// out, or deadlines would come to lie ever further in its future.
+/// The gate's clock drifts and falls behind. If its highest old offset stayed
+/// in use, deadlines would move ever further into the gate's future.
 #[test]
 fn old_observations_age_out() {
     let mut clocks = GateClocks::default();
@@ -45,7 +45,8 @@
     assert_eq!(lower_bound, Some(Millis(70_900)));
 }
 
-/// Each life has its own clock, and late news of an earlier one is nothing.
+/// Each incarnation has its own clock, and late reports of an earlier one are
+/// ignored.
 #[test]
 fn a_new_incarnation_starts_a_new_estimate() {
     let mut clocks = GateClocks::default();
--- a/crates/node/src/callers/idempotent.rs
+++ b/crates/node/src/callers/idempotent.rs
@@ -1,4 +1,4 @@
-//! Calls that may run more than once: picked, retried and hedged within
+//! Serves idempotent calls: picks targets, retries and hedges within the
 //! budgets and the deadline.
 
 use std::pin::Pin;
@@ -25,11 +25,12 @@
 use crate::metrics::{AttemptKind, Side};
 use crate::peers::SendFailure;
 
-/// How one attempt ended, seen from the call.
+/// The result of one attempt.
 enum Ended {
-    /// Pass this on.
+    /// The answer is relayed to the caller.
     Answer(Relayed),
-    /// Try again if budgets allow; else pass this on, or refuse.
+    /// The call is retried if the budgets allow it. Otherwise the answer, if
+    /// there is one, is relayed, or the call is refused.
     Failed {
         end: AttemptEnd,
         answer: Option<Relayed>,
@@ -68,7 +69,8 @@
     }
 }
 
-/// What the fleet holds against the request, as far as this node has heard.
+/// Returns the fleet's suspicion against the request, as far as this node knows
+/// it.
 fn suspicion_of(server: &CallerServer, call: &CallerCall, parts: &Parts) -> Standing {
     let routes = server.board.routes();
     if routes.suspects.is_empty() {
@@ -79,8 +81,8 @@
     routes.suspects.standing(fingerprint)
 }
 
-/// The request's body: in hand and good for many attempts, or a stream that
-/// is good for one.
+/// The request's body: buffered, which allows several attempts, or a stream,
+/// which allows one.
 enum RequestContent {
     Buffered(Bytes),
     Stream(Option<NodeBody>),
@@ -131,8 +133,8 @@
     content: RequestContent,
     tried: Vec<TargetIndex>,
     started_at: Instant,
-    /// Not for a suspect: it waits until it can run alone, so its hedge would
-    /// only take a second target down.
+    /// False for a crash suspect. It waits until it can run alone, and its
+    /// hedge would only crash a second target.
     may_hedge: bool,
     progress: CallProgress,
 }
@@ -198,7 +200,7 @@
             };
             let ran_before = self.progress.may_have_run;
             if !attempts.is_empty() {
-                // The other attempt of a hedged pair still runs.
+                // The other attempt of a hedged pair is still running.
                 self.progress.may_have_run = ran_before || end.may_have_run();
                 continue;
             }
@@ -211,7 +213,7 @@
         }
     }
 
-    /// Starts the next attempt, or says with what the call ends.
+    /// Starts the next attempt, or returns the refusal that ends the call.
     fn after_failure(&mut self, end: &AttemptEnd) -> Result<AttemptFuture, Refusal> {
         if *end == AttemptEnd::Broken {
             self.outbound.set_suspect();
@@ -254,9 +256,10 @@
         )))
     }
 
-    /// A target's own failed answer goes to the caller as it is; it says more
-    /// than the system could. And "not run" is only said when no attempt at all
-    /// can have run, whatever the last one met.
+    /// Returns the final answer of a failed call. A target's own error answer
+    /// is relayed unchanged, because it says more than a refusal. A refusal
+    /// only states "not run" if none of the attempts can have run, whatever the
+    /// outcome of the last one.
     fn final_answer(&self, fallback: Option<Relayed>, refusal: Refusal) -> Response<NodeBody> {
         if let Some(relayed) = fallback
             && relayed.code == ResultCode::Answered
@@ -270,7 +273,8 @@
         answer::from_refusal(&refusal)
     }
 
-    /// Counts what this node added to the call, and hedges that lost.
+    /// Records the latency that this node added to the call, and counts the
+    /// hedged attempts that lost.
     fn note_answer(&self, relayed: &Relayed, losers: usize) {
         let service = self.call.to.service.as_str();
         for _ in 0..losers {
@@ -303,7 +307,7 @@
     }
 }
 
-/// Never ends when there is no timer.
+/// Waits for the timer; never returns if there is none.
 async fn wait(timer: &mut Option<Pin<Box<tokio::time::Sleep>>>) {
     match timer {
         Some(sleep) => sleep.as_mut().await,
--- a/crates/node/src/callers/relay.rs
+++ b/crates/node/src/callers/relay.rs
@@ -1,4 +1,4 @@
-//! Passing a gate's answer on to the caller.
+//! Relays a gate's answer to the caller.
 
 use std::pin::Pin;
 use std::task::{Context, Poll, ready};
@@ -19,26 +19,28 @@
 /// A gate's answer that is ready for the caller.
 #[derive(Debug)]
 pub struct Relayed {
-    /// The answer.
+    /// The response for the caller.
     pub response: Response<NodeBody>,
-    /// Result code that the gate wrote.
+    /// The result code set by the gate.
     pub code: ResultCode,
-    /// Time from sending to the head of the gate's answer, in microseconds.
+    /// Time from sending the request to receiving the head of the answer, in
+    /// microseconds.
     pub time_to_head_us: u32,
 }
 
-/// How a gate's answer was taken in.
+/// The outcome of receiving a gate's answer.
 #[derive(Debug)]
 pub enum RelayOutcome {
-    /// Whole in hand, or streaming to the caller from here on.
+    /// The answer is buffered completely, or streams to the caller from now on.
     Answer(Relayed),
-    /// The body was cut while it was taken in.
+    /// The body ended early while it was buffered.
     Truncated,
 }
 
-/// Takes in a gate's answer: small ones whole, so that a cut one can still be
-/// retried and never reaches the caller as whole; large ones as a stream whose
-/// cut the caller sees as a broken connection.
+/// Receives a gate's answer. A small answer is buffered completely, so that a
+/// truncated one can still be retried and never reaches the caller as complete.
+/// A large answer is streamed; if it is truncated, the caller sees a broken
+/// connection.
 pub async fn receive(
     response: Response<Incoming>,
     mut attempt: AttemptGuard,
@@ -77,8 +79,8 @@
     })
 }
 
-/// Takes in what an entry buffers. A body without a stated length is buffered
-/// like any other: it may be small as well.
+/// Buffers up to `buffer_bytes` of the body. A body without a stated length is
+/// buffered like any other, because it may be small as well.
 async fn read_prefix(
     incoming: &mut Incoming,
     buffer_bytes: u64,
@@ -90,11 +92,11 @@
     body::read_prefix(incoming, buffer_bytes).await
 }
 
-/// Replaces an answer that cannot be passed on in the caller's version.
+/// Replaces an answer that cannot be relayed in the caller's HTTP version.
 ///
-/// HTTP/1.0 has no chunks. Without a length only the close of the connection
-/// ends the body, so one that is cut on its way would look whole. A visible
-/// failure is better; it comes before the first byte.
+/// HTTP/1.0 has no chunked encoding. Without a length, only the close of the
+/// connection ends the body, so a truncated body would look complete. An error
+/// is better, because it is visible and comes before the first byte.
 pub fn fit_to_version(version: http::Version, response: Response<NodeBody>) -> Response<NodeBody> {
     let has_length = response.body().size_hint().exact().is_some();
     if version > http::Version::HTTP_10 || has_length {
@@ -117,12 +119,13 @@
     }
 }
 
-/// A large answer on its way to the caller.
+/// The body of a large answer that is streamed to the caller.
 ///
-/// An error of the inner stream is passed on as an error, which makes the HTTP
-/// server break the caller's connection or stream: a visible failure.
+/// An error of the inner stream is returned as an error, which makes the HTTP
+/// server break the caller's connection or stream, so that the failure is
+/// visible.
 struct StreamedAnswer {
-    /// What was taken in before the answer proved to be long.
+    /// The bytes received before the answer turned out to be large.
     prefix: Option<Bytes>,
     inner: Incoming,
     attempt: Option<AttemptGuard>,
@@ -148,7 +151,9 @@
     ) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
         if self.deadline.as_mut().poll(context).is_ready() {
             self.finish(AttemptEnd::TimedOut);
-            return Poll::Ready(Some(Err("the deadline passed within the answer".into())));
+            return Poll::Ready(Some(Err(
+                "the deadline passed before the end of the answer".into(),
+            )));
         }
         if let Some(prefix) = self.prefix.take() {
             return Poll::Ready(Some(Ok(Frame::data(prefix))));
--- a/crates/node/src/callers/ticketed.rs
+++ b/crates/node/src/callers/ticketed.rs
@@ -1,4 +1,5 @@
-//! Calls under a ticket: sent to the one gate that may run them, never moved.
+//! Serves ticketed calls. A ticketed call is only sent to the gate that its
+//! ticket names and never moves to another one.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -17,14 +18,14 @@
 use crate::body::{self, NodeBody};
 use crate::peers::SendFailure;
 
-/// The gate answers this much before the caller's deadline, so that its
-/// "still running" arrives in time.
+/// How long before the caller's deadline the gate answers, so that its "still
+/// running" arrives in time.
 const ANSWER_MARGIN_MS: Millis = Millis(20);
-/// How long an entry goes on asking a gate whose stream broke.
+/// How long an entry keeps sending fence requests to a gate whose stream broke.
 const FENCE_WINDOW_MS: Millis = Millis(1_500);
 const FENCE_RETRY_DELAY: Duration = Duration::from_millis(50);
-/// A partition of moments ends; a caller of a gate that cannot be reached
-/// comes back after this.
+/// Retry delay for callers of an unreachable gate. A short network partition
+/// may have ended by then.
 const UNREACHABLE_RETRY_MS: Millis = Millis(500);
 const GATE_LOST_RETRY_MS: Millis = Millis(2_000);
 
@@ -39,8 +40,9 @@
     let Some(gate) = entry.choose_gate(ticket) else {
         return answer::from_refusal(&Refusal::fixed(ResultCode::GateGone));
     };
-    // A later life was heard on this VM: the one that the ticket names has
-    // ended. An earlier one only means that this node lags behind the ticket.
+    // If a later incarnation is known on this VM, the ticket's incarnation has
+    // ended. An earlier one only means that this node's view is older than the
+    // ticket.
     let known_incarnation = gate.incarnation;
     if known_incarnation.is_some_and(|known| known > ticket.incarnation) {
         return answer::from_refusal(&Refusal::fixed(ResultCode::GateGone));
@@ -62,8 +64,8 @@
     {
         Ok(response) => response,
         Err(_) => {
-            // Whether it runs is known to the gate alone, and only the same
-            // ticket can ask it.
+            // Only the gate knows whether the call is running, and it can only
+            // be queried with the same ticket.
             answer::from_refusal(&Refusal::retry_after(
                 ResultCode::GateLost,
                 GATE_LOST_RETRY_MS,
@@ -87,7 +89,7 @@
         let response = match self.server.peers.send(peer, request).await {
             Ok(response) => response,
             Err(SendFailure::NotSent(reason)) => {
-                log::info!("gate {} cannot be reached: {reason}", guard.target.vm);
+                log::info!("gate {} is unreachable: {reason}", guard.target.vm);
                 guard.end(AttemptEnd::Unreachable);
                 return answer::from_refusal(&Refusal::retry_after(
                     ResultCode::GateUnreachable,
@@ -95,7 +97,7 @@
                 ));
             }
             Err(SendFailure::MaybeSent(reason)) => {
-                log::info!("stream to gate {} broke: {reason}", guard.target.vm);
+                log::info!("the stream to gate {} broke: {reason}", guard.target.vm);
                 guard.end(AttemptEnd::Broken);
                 return self.settle(peer).await;
             }
@@ -108,10 +110,11 @@
         }
     }
 
-    /// The stream to the gate broke, so the request may run, may have run, or
-    /// may still be on its way. Asking the gate fences the key: one that has
-    /// not started can never start, which makes "not run" certain even if a
-    /// late packet arrives. Without the gate's word the outcome is unknown.
+    /// Determines the outcome after the stream to the gate broke: the request
+    /// may be running, may have run, or may still be in transit. Querying the
+    /// gate fences the key. A call that has not started can then never start,
+    /// so "not run" is certain even if a late packet arrives. Without the
+    /// gate's answer the outcome is unknown.
     async fn settle(&self, peer: std::net::SocketAddr) -> Response<NodeBody> {
         let give_up_at = (self.server.clock.now() + FENCE_WINDOW_MS).min(self.call.deadline_at);
         while self.server.clock.now() < give_up_at {
@@ -136,8 +139,10 @@
         relay::receive(response, guard, buffer_bytes, deadline).await
     }
 
-    /// A settlement is small or streamed from the record; it is taken in whole
-    /// because a cut one can be asked for again.
+    /// Reads a settlement completely into memory, since a truncated one can be
+    /// requested again. A settlement is either small or an answer from the
+    /// record. Returns `None` if it cannot be read completely or has no result
+    /// code.
     async fn read_settlement(&self, response: Response<Incoming>) -> Option<Relayed> {
         let (mut head, incoming) = response.into_parts();
         let code = answer::code_of(&head.headers)?;
@@ -158,8 +163,9 @@
     }
 }
 
-/// "This attempt did not run" is no longer true once the request was sent to a
-/// process that is gone: the earlier life may have run it.
+/// Replaces "this attempt did not run", which does not hold once the request
+/// was sent to a process that has ended: the earlier incarnation may have run
+/// it.
 fn final_answer_after_send(relayed: Relayed) -> Response<NodeBody> {
     match relayed.code.certainty() {
         Certainty::TicketDead | Certainty::NotYet => answer::from_refusal(&Refusal::retry_after(
@@ -170,7 +176,8 @@
     }
 }
 
-/// Saves the caller a round trip for its next call, or for a fresh try.
+/// Adds a new ticket to the answer, which saves the caller a round trip for its
+/// next call or for another attempt.
 fn add_next_ticket(entry: &Entry, call: &CallerCall, response: &mut Response<NodeBody>) {
     let code = answer::code_of(response.headers());
     let is_useful = code.is_some_and(|code| {
--- a/crates/node/src/callers/tickets.rs
+++ b/crates/node/src/callers/tickets.rs
@@ -1,4 +1,4 @@
-//! Writing tickets: one in a redirect, or a batch ahead of time.
+//! Issues tickets: one in a redirect, or a batch in advance.
 
 use std::sync::Arc;
 
@@ -15,7 +15,7 @@
 use crate::answer;
 use crate::body::{self, NodeBody};
 
-/// Most tickets that one request may fetch.
+/// The maximum number of tickets per request.
 const MAX_BATCH: u32 = 32;
 const MAX_IDEMPOTENCY_KEY_BYTES: usize = 256;
 
@@ -25,7 +25,7 @@
     valid_ms: u64,
 }
 
-/// Writes a ticket for the caller's key, or for a fresh one.
+/// Issues a ticket for the caller's idempotency key, or for a generated key.
 pub(super) fn issue(
     entry: &Entry,
     call: &CallerCall,
@@ -64,8 +64,8 @@
     })
 }
 
-/// Answers a non-idempotent call without a ticket: nothing has run, and the
-/// same request belongs to the ticketed URL.
+/// Answers a non-idempotent call that has no ticket with a redirect to the
+/// ticketed URL. Nothing has run; the caller sends the same request there.
 pub(super) async fn redirect(
     server: &Arc<CallerServer>,
     entry: &Arc<Entry>,
@@ -105,9 +105,9 @@
     response
 }
 
-/// Reads the body away. Many callers send it before they look for an answer;
-/// if the connection were closed on them meanwhile, they would see a reset in
-/// place of the redirect.
+/// Reads and discards the body. Many callers send it before they read the
+/// answer; if the connection were closed meanwhile, they would see a reset
+/// instead of the redirect.
 async fn discard(server: &CallerServer, call: &CallerCall, body: NodeBody) {
     if body.is_end_stream() {
         return;
@@ -117,7 +117,7 @@
     let _ = tokio::time::timeout_at(deadline, discarding).await;
 }
 
-/// Answers a request for tickets ahead of time.
+/// Answers a request for a batch of tickets.
 pub(super) fn batch(
     entry: &Entry,
     policy: &ServicePolicy,
--- a/crates/node/src/clock.rs
+++ b/crates/node/src/clock.rs
@@ -1,19 +1,19 @@
-//! The process's monotonic clock as [`Millis`] since its start.
+//! The process's monotonic clock, as [`Millis`] since it was started.
 
 use hornbeamhitch_types::prelude::*;
 use tokio::time::Instant;
 
-/// Turns the operating system's monotonic clock into the project's clock type.
+/// Converts the operating system's monotonic clock to the project's clock type.
 ///
-/// The monotonic clock goes on while the process is stopped by a signal, so a
-/// process that wakes late sees its deadlines as passed.
+/// The clock keeps running while the process is stopped by a signal, so a
+/// process that resumes late sees its deadlines as passed.
 #[derive(Clone, Copy, Debug)]
 pub struct ProcessClock {
     origin: Instant,
 }
 
 impl ProcessClock {
-    /// A clock that reads zero now.
+    /// Creates a clock that reads zero now.
     #[must_use]
     pub fn start() -> Self {
         Self {
@@ -21,13 +21,13 @@
         }
     }
 
-    /// The present time.
+    /// Returns the current time.
     #[must_use]
     pub fn now(&self) -> Millis {
         Millis::from_duration(self.origin.elapsed())
     }
 
-    /// The same point for the runtime's timers.
+    /// Converts a time of this clock to an instant for the runtime's timers.
     #[must_use]
     pub fn to_instant(&self, at: Millis) -> Instant {
         let point = self.origin.checked_add(at.to_duration());
@@ -35,8 +35,9 @@
     }
 }
 
-/// A deadline beyond what the platform's clock can express is as good as none;
-/// a day is longer than any call may take.
+/// Returns an instant in place of a deadline that the platform's clock cannot
+/// express. One day is longer than any call may take, so this equals no
+/// deadline.
 fn distant_instant() -> Instant {
     Instant::now() + std::time::Duration::from_secs(86_400)
 }
--- a/crates/node/src/fingerprint.rs
+++ b/crates/node/src/fingerprint.rs
@@ -1,11 +1,12 @@
-//! What two sends of one idempotent request have in common, for crash
-//! suspicion.
+//! Fingerprints that identify repeated sends of one idempotent request, for
+//! crash suspicion.
 
 use http::{HeaderMap, HeaderValue, Method};
 use xxhash_rust::xxh3::Xxh3;
 
-/// Hashes method, path with query, and stated length. Entry and gate compute
-/// it apart from each other and must agree, so both use this.
+/// Hashes the method, the path with its query, and the stated length. The entry
+/// and the gate compute fingerprints independently and must agree, so both use
+/// this function.
 #[must_use]
 pub fn of_request(method: &Method, path_and_query: &str, headers: &HeaderMap) -> u64 {
     let mut hash = Xxh3::new();
--- a/crates/node/src/gate_server.rs
+++ b/crates/node/src/gate_server.rs
@@ -1,4 +1,4 @@
-//! The gate: what other nodes send to this node's target.
+//! The gate: admits calls from other nodes and runs them in this node's target.
 
 mod board;
 mod call;
@@ -30,77 +30,78 @@
 use crate::uploads::UploadLimits;
 use call::GateCall;
 
-/// After a target's own shedding, a caller does better elsewhere at once; the
-/// entry retries within its budget, and a final answer waits this long.
+/// Retry delay in a final answer, for example after the target shed the call.
+/// An entry does not wait for it: another target is the better choice, so the
+/// entry retries at once within its budget.
 const SHED_RETRY_MS: Millis = Millis(250);
-/// A target that has answered nothing for this long is asked for its health.
+/// Time without an answer after which the target's health is checked.
 const HEALTH_CHECK_AFTER_MS: Millis = Millis(1_000);
 
-/// What a gate is put together from.
+/// The dependencies of a [`GateServer`].
 #[derive(Debug)]
 pub struct GateParts {
     /// This node's VM.
     pub vm: VmId,
-    /// The service of the target.
+    /// The target's service.
     pub service: ServiceName,
-    /// The decisions.
+    /// The gate's decisions.
     pub board: Arc<GateBoard>,
     /// The target's address.
     pub target: SocketAddr,
     /// The process's clock.
     pub clock: ProcessClock,
-    /// The control thread.
+    /// Handle to the control thread.
     pub control: ControlHandle,
-    /// Counts and histograms.
+    /// Counters and histograms.
     pub metrics: Arc<Metrics>,
-    /// Bounds on uploads.
+    /// Limits on uploads.
     pub uploads: UploadLimits,
 }
 
-/// The target's own state as the gate has seen it.
+/// The target's state as observed by the gate.
 #[derive(Debug)]
 struct TargetState {
     draining: bool,
     reachable: bool,
-    /// When an answer of the target last asked for draining.
+    /// When an answer of the target last requested draining.
     draining_answer_at: Option<Millis>,
-    /// When the target last answered anything.
+    /// When the target last answered a request.
     answered_at: Option<Millis>,
 }
 
-/// The gate's side of the daemon.
+/// Serves requests from other nodes.
 #[derive(Debug)]
 pub struct GateServer {
     /// This node's VM.
     vm: VmId,
-    /// The service of the target.
+    /// The target's service.
     service: ServiceName,
-    /// The decisions.
+    /// The gate's decisions.
     pub board: Arc<GateBoard>,
     /// Connections to the target.
     pub target: TargetClient,
     /// The process's clock.
     clock: ProcessClock,
-    /// Bounds on uploads.
+    /// Limits on uploads.
     uploads: UploadLimits,
-    /// The control thread.
+    /// Handle to the control thread.
     control: ControlHandle,
-    /// Counts and histograms.
+    /// Counters and histograms.
     metrics: Arc<Metrics>,
-    /// What is known of the target's own state.
+    /// The observed state of the target.
     target_state: Mutex<TargetState>,
-    /// Health checks sent to the target.
+    /// Number of health checks sent to the target.
     probes: AtomicU64,
-    /// The process was told to end.
+    /// Whether the process is shutting down.
     shutting_down: AtomicBool,
-    /// Ticketed runs that go on apart from any connection.
+    /// Number of ticketed runs, which do not depend on a connection.
     tracked_runs: AtomicUsize,
-    /// Wakes who waits for the tracked runs to end.
+    /// Notifies tasks that wait for the tracked runs to end.
     tracked_ended: Notify,
 }
 
 impl GateServer {
-    /// A gate in front of the target at `target`.
+    /// Creates a gate in front of the target at `parts.target`.
     #[must_use]
     pub fn new(parts: GateParts) -> Self {
         let GateParts {
@@ -135,11 +136,11 @@
         }
     }
 
-    /// Answers one request of another node.
+    /// Serves one request from another node.
     ///
     /// # Errors
     ///
-    /// Never; the type is what the HTTP server wants.
+    /// Never fails; the HTTP server requires a `Result`.
     pub async fn serve(
         self: Arc<Self>,
         request: Request<Incoming>,
@@ -164,8 +165,9 @@
             Ok(ticket) => ticket,
             Err(reason) => return answer::from_code(ResultCode::BadRequest, &reason),
         };
-        // Before anything else: about a ticket of another gate or life, this
-        // process knows nothing, so it may not say "not run" for any reason.
+        // This check must come first: the process knows nothing about a ticket
+        // of another gate or incarnation, so it must not report "not run" for
+        // any reason.
         if ticket
             .as_ref()
             .is_some_and(|ticket| !self.is_issued_here(ticket))
@@ -192,9 +194,8 @@
             };
             return recorded::serve_fence(self, &ticket, call.deadline_at).await;
         }
-        // The entry's view of what is idempotent may be older than this one's.
-        // The stricter of the two wins: a call that needs a ticket here is
-        // never run without one.
+        // The entry's policy may be older than this gate's. The stricter of the
+        // two applies: a call that needs a ticket here never runs without one.
         let is_idempotent = call.policy.is_idempotent(method, path);
         match ticket {
             Some(ticket) => recorded::serve(self, call, &ticket, request).await,
@@ -209,7 +210,7 @@
             && ticket.incarnation == self.board.incarnation()
     }
 
-    /// Builds the request that the target sees.
+    /// Builds the request that is sent to the target.
     fn request_for_target(
         &self,
         call: &GateCall,
@@ -243,7 +244,7 @@
         Request::from_parts(parts, body)
     }
 
-    /// Learns from an answer whether the target wants no new work.
+    /// Updates the target's state from an answer, which may request draining.
     fn note_target_state(&self, headers: &HeaderMap) {
         let now = self.clock.now();
         let draining = answer::text(headers, header::STATE) == Some(header::STATE_DRAINING);
@@ -258,18 +259,19 @@
         }
     }
 
-    /// The target began or ended draining. Ending needs the health endpoint's
-    /// word; a single answer without the header proves nothing.
+    /// Records that the target has begun or ended draining. Only the health
+    /// endpoint can end it; a single answer without the header proves nothing.
     pub fn set_target_draining(&self, draining: bool) {
         self.change_target_state(|state| state.draining = draining);
     }
 
-    /// Connections to the target can be had, or not.
+    /// Records whether the target accepts connections.
     pub fn set_target_reachable(&self, reachable: bool) {
         self.change_target_state(|state| state.reachable = reachable);
     }
 
-    /// Health is asked for while the target is in doubt, or silent.
+    /// Whether to check the target's health: the target is draining, is
+    /// unreachable, or has not answered recently.
     #[must_use]
     pub fn needs_health_check(&self) -> bool {
         let now = self.clock.now();
@@ -282,7 +284,8 @@
             .is_none_or(|at| now.since(at) >= HEALTH_CHECK_AFTER_MS)
     }
 
-    /// Time since an answer last asked for draining.
+    /// Returns the time since an answer last requested draining; `Millis::MAX`
+    /// if none has.
     #[must_use]
     pub fn draining_answer_age_ms(&self, now: Millis) -> Millis {
         match self.target_state.lock().draining_answer_at {
@@ -297,20 +300,21 @@
         self.metrics.probe_sent(self.service.as_str());
     }
 
-    /// Health checks sent to the target since the start.
+    /// Returns the number of health checks sent to the target since the process
+    /// started.
     #[must_use]
     pub fn probes(&self) -> u64 {
         self.probes.load(Ordering::Relaxed)
     }
 
-    /// The process shuts down: refuses new work from now on, whatever the
-    /// target's own state.
+    /// Begins the shutdown: the gate refuses new work from now on, whatever the
+    /// target's state.
     pub fn start_leaving(&self) {
         self.shutting_down.store(true, Ordering::Release);
         self.board.set_leaving(true);
     }
 
-    /// Whether the process was told to end.
+    /// Whether the process is shutting down.
     #[must_use]
     pub fn is_shutting_down(&self) -> bool {
         self.shutting_down.load(Ordering::Acquire)
@@ -324,14 +328,18 @@
         if before == after {
             return;
         }
-        log::info!("the target: draining {}, reachable {}", after.0, after.1);
+        log::info!(
+            "the target's state has changed: draining {}, reachable {}",
+            after.0,
+            after.1
+        );
         let leaving = after.0 || self.shutting_down.load(Ordering::Acquire);
         self.board.set_leaving(leaving);
         self.control.target_state(after.0, after.1);
     }
 
-    /// Tells the control thread which entry sent work lately, so that leaving
-    /// can be announced to it first.
+    /// Reports the sending entry to the control thread, so that this node's
+    /// leaving is announced to recent senders first.
     fn note_sender(&self, headers: &HeaderMap) {
         let Some(entry) = answer::text(headers, header::ENTRY) else {
             return;
@@ -342,11 +350,11 @@
         self.control.received_from(address);
     }
 
-    /// A run broke. When the target also refuses new connections it has
-    /// crashed, and what was in flight is suspected.
+    /// Handles a broken run. If the target also refuses new connections, it has
+    /// crashed, and the requests in flight become crash suspects.
     ///
-    /// Called before the broken run is ended: all runs of the same crash are
-    /// then still counted as in flight, whichever of them notices first.
+    /// Must be called before the broken run is ended: all runs of the same
+    /// crash then still count as in flight, whichever of them detects it first.
     async fn handle_broken_run(&self) {
         if self.target.accepts_connections().await {
             return;
@@ -361,22 +369,24 @@
         }
     }
 
-    /// Takes an entry's word that an earlier attempt of a request broke, and
-    /// spreads it: the gate of that attempt may have gone down with its target.
+    /// Accepts an entry's report that an earlier attempt of a request broke,
+    /// and spreads the suspicion: the gate of that attempt may have gone down
+    /// with its target.
     fn accuse(&self, fingerprint: u64) {
         if let Some(entry) = self.board.accuse(fingerprint) {
             self.control.suspicion(entry);
         }
     }
 
-    /// Counts what the gate added to a call, its queue included.
+    /// Records the latency that the gate added to a call, including its queue.
     fn note_added_latency(&self, arrived_at: Instant, run: Duration) {
         let added = arrived_at.elapsed().saturating_sub(run);
         let added_us = u64::try_from(added.as_micros()).unwrap_or(u64::MAX);
         self.metrics.added(Side::Gate, added_us);
     }
 
-    /// Lets held calls expire, and passes on whom the gate has cleared.
+    /// Expires queued calls and reports the requests that the gate has cleared
+    /// of suspicion.
     pub fn tick(&self) {
         self.board.tick();
         for entry in self.board.take_cleared() {
@@ -384,7 +394,7 @@
         }
     }
 
-    /// Spawns a run that outlives its connection and is waited for at exit.
+    /// Spawns a run that may outlive its connection. The drain waits for it.
     fn spawn_tracked(self: &Arc<Self>, run: impl Future<Output = ()> + Send + 'static) {
         self.tracked_runs.fetch_add(1, Ordering::AcqRel);
         let tracked = TrackedRun(Arc::clone(self));
@@ -394,7 +404,7 @@
         });
     }
 
-    /// Waits until nothing is held or running.
+    /// Waits until no call is queued or running.
     pub async fn drained(&self) {
         const POLL: Millis = Millis(10);
         loop {
@@ -402,19 +412,19 @@
             if is_empty && self.tracked_runs.load(Ordering::Acquire) == 0 {
                 return;
             }
-            // Streamed calls end without a notification, so look again soon.
+            // Streamed calls end without a notification, so this also polls.
             let _ = tokio::time::timeout(POLL.to_duration(), self.tracked_ended.notified()).await;
         }
     }
 
-    /// The VM of this gate.
+    /// Returns the VM of this gate.
     #[must_use]
     pub fn vm(&self) -> &VmId {
         &self.vm
     }
 }
 
-/// Counts a tracked run until it is dropped, also when it panics.
+/// Guard that counts a tracked run until it is dropped, even if the run panics.
 struct TrackedRun(Arc<GateServer>);
 
 impl Drop for TrackedRun {
@@ -433,15 +443,15 @@
     Ok(Some(ticket))
 }
 
-/// A target's own statement that it did not run the request.
+/// Whether the target states that it did not run the request.
 fn is_not_run(status: StatusCode, headers: &HeaderMap) -> bool {
     status == StatusCode::SERVICE_UNAVAILABLE && headers.contains_key(header::NOT_RUN)
 }
 
-/// Whether only the closing of the connection ends the answer's body.
+/// Whether only the close of the connection ends the answer's body.
 ///
-/// Such an answer looks whole when the target dies in the middle of it. It is
-/// refused, so that a short body can never reach a caller as a whole one.
+/// Such an answer looks complete if the target crashes in the middle of it. It
+/// is refused, so that a truncated body never reaches a caller as complete.
 fn ends_by_close<B: http_body::Body>(response: &Response<B>) -> bool {
     if response.body().is_end_stream() || response.body().size_hint().exact().is_some() {
         return false;
--- a/crates/node/src/gate_server/board.rs
+++ b/crates/node/src/gate_server/board.rs
@@ -1,4 +1,5 @@
-//! The gate's decisions behind one lock, and the calls that wait on them.
+//! The gate's decision logic behind one lock, and the calls that wait for its
+//! decisions.
 
 mod permit;
 mod waiting;
@@ -19,17 +20,18 @@
 pub use permit::{QueuedCall, RunPermit};
 use waiting::{Waiting, release};
 
-/// Nobody can come back sooner with success than a configuration spreads.
+/// Retry delay while no configuration is known. An earlier retry would not
+/// succeed, because a configuration takes this long to spread.
 const NO_CONFIGURATION_RETRY_MS: Millis = Millis(500);
 
 #[derive(Debug)]
 struct State {
-    /// `None` until a configuration names the service.
+    /// `None` until a configuration contains the service.
     gate: Option<Gate>,
     policy: Option<Arc<ServicePolicy>>,
-    /// The target drains, or the process was told to end.
+    /// Whether the target is draining or the process is shutting down.
     leaving: bool,
-    /// The control thread knows that this VM takes no new work.
+    /// Whether the control thread has found that this VM takes no new work.
     control_leaving: bool,
     waiting: Waiting,
 }
@@ -47,63 +49,63 @@
     }
 }
 
-/// The gate of this node: decisions in, waiting calls released.
+/// The gate of this node: decides about calls and releases queued ones.
 ///
-/// A decision and the registration of the call that waits on it happen under
-/// one lock. Otherwise a release could be emitted before its call is known
-/// here, and that call would wait for ever.
+/// A decision and the registration of the call that waits for it happen under
+/// one lock. Otherwise a call could be released before it is registered, and
+/// would then wait forever.
 #[derive(Debug)]
 pub struct GateBoard {
     settings: GateSettings,
     clock: ProcessClock,
     state: Mutex<State>,
-    /// A call was held.
+    /// Notifies that a call was queued.
     call_queued: Notify,
     started: AtomicU64,
     refused: AtomicU64,
     metrics: Arc<Metrics>,
 }
 
-/// What becomes of a call that streams through the gate.
+/// The decision about a streamed call.
 #[derive(Debug)]
 pub enum Admission {
-    /// Run it now.
+    /// The call runs now.
     Run(RunPermit),
-    /// Wait for a place.
+    /// The call waits for a slot.
     Queued(QueuedCall),
-    /// Answer at once.
+    /// The call is refused at once.
     Refused(Refusal),
 }
 
-/// What becomes of a ticketed call.
+/// The decision about a ticketed call.
 #[derive(Debug)]
 pub enum RecordedAdmission {
-    /// This arrival starts the run; its settlement comes to `settled`.
+    /// This arrival starts the run.
     First {
-        /// Place in the target, or in the queue for one.
+        /// Permission to run in the target, or a position in its queue.
         admission: Admission,
-        /// Settlement of the key.
+        /// Receives the settlement of the key.
         settled: oneshot::Receiver<Settlement>,
     },
-    /// Another arrival runs it; its settlement comes here too.
+    /// Another arrival runs the call; this receives the settlement too.
     Joined(oneshot::Receiver<Settlement>),
-    /// Answer from the record.
+    /// The answer is replayed from the record.
     Replay(Arc<StoredAnswer>),
-    /// Answer at once.
+    /// The call is refused at once.
     Refused(Refusal),
 }
 
-/// What is known of a key that was asked about.
+/// The state of a key, as returned to a fence request.
 #[derive(Debug)]
 pub enum KeyState {
-    /// Settled for good.
+    /// The key has its final settlement.
     Settled(Settlement),
-    /// Running; the settlement comes here.
+    /// The call is running; this receives its settlement.
     Running(oneshot::Receiver<Settlement>),
 }
 
 impl GateBoard {
-    /// A gate that refuses everything until a policy is known.
+    /// Creates a gate that refuses all calls until a policy is known.
     #[must_use]
     pub fn new(settings: GateSettings, clock: ProcessClock, metrics: Arc<Metrics>) -> Self {
         Self {
@@ -123,7 +125,7 @@
         }
     }
 
-    /// Takes over the policy in force for the service.
+    /// Applies the policy in force for the service.
     pub fn apply_policy(&self, policy: &Arc<ServicePolicy>) {
         let now = self.clock.now();
         let mut state = self.state.lock();
@@ -147,26 +149,26 @@
         state.gate = Some(gate);
     }
 
-    /// Takes over what the fleet suspects.
+    /// Applies the fleet's set of crash suspects.
     pub fn apply_suspects(&self, suspects: &Arc<SuspectSet>) {
         if let Some(gate) = self.state.lock().gate.as_mut() {
             gate.update_suspects(Arc::clone(suspects));
         }
     }
 
-    /// This life of the process.
+    /// Returns the incarnation of this process.
     #[must_use]
     pub fn incarnation(&self) -> Incarnation {
         self.settings.incarnation
     }
 
-    /// The service's policy, once known.
+    /// Returns the service's policy; `None` until it is known.
     #[must_use]
     pub fn policy(&self) -> Option<Arc<ServicePolicy>> {
         self.state.lock().policy.clone()
     }
 
-    /// Decides about a call that streams through.
+    /// Decides about a streamed call.
     pub fn arrive(self: &Arc<Self>, arrival: &Arrival<'_>) -> Admission {
         let now = self.clock.now();
         let mut state = self.state.lock();
@@ -189,14 +191,15 @@
         admission
     }
 
-    /// Decides about a ticketed call whose whole body is in hand.
+    /// Decides about a ticketed call whose body is completely buffered.
     pub fn arrive_recorded(self: &Arc<Self>, arrival: &Arrival<'_>) -> RecordedAdmission {
         let now = self.clock.now();
         let mut state = self.state.lock();
         let state = &mut *state;
         let Some(gate) = state.gate.as_mut() else {
-            // Nothing can be recorded yet, so nothing is fenced, and a late
-            // duplicate may run once there is a policy: never "not run".
+            // Without a policy nothing is recorded and no key is fenced, so a
+            // late duplicate may run once there is one. The refusal must not
+            // state "not run".
             return RecordedAdmission::Refused(cannot_record());
         };
         let admission = match gate.arrive(arrival, now) {
@@ -217,7 +220,8 @@
         admission
     }
 
-    /// Settles a key as far as it can be settled, which fences one not started.
+    /// Returns the state of a key. A key that has not started is fenced, so it
+    /// can never start.
     pub fn fence(&self, ticket: &Ticket) -> KeyState {
         let now = self.clock.now();
         let mut state = self.state.lock();
@@ -234,10 +238,11 @@
         key
     }
 
-    /// Returns once a call is held, at once when one is.
+    /// Returns once a call is queued, immediately if one is queued already.
     pub async fn wait_for_queued_call(&self) {
         loop {
-            // Taken before the look, so that a call held in between is seen.
+            // Created before the check, so that a call queued in between is not
+            // missed.
             let queued = self.call_queued.notified();
             if !self.state.lock().waiting.queued.is_empty() {
                 return;
@@ -246,8 +251,9 @@
         }
     }
 
-    /// Expires what waits too long; call every few milliseconds while calls
-    /// are held, and now and then to forget what has expired.
+    /// Expires calls that wait too long, and removes expired records. Must be
+    /// called every few milliseconds while calls are queued, and occasionally
+    /// otherwise.
     pub fn tick(&self) {
         let now = self.clock.now();
         let mut state = self.state.lock();
@@ -259,7 +265,7 @@
         release(gate, &mut state.waiting, wakes, now);
     }
 
-    /// The report for answers and control messages.
+    /// Returns the load report for answers and control messages.
     #[must_use]
     pub fn load(&self) -> LoadReport {
         let now = self.clock.now();
@@ -278,18 +284,19 @@
         }
     }
 
-    /// From now on (or no longer) refuses new work.
+    /// Sets whether the gate refuses new work because its target drains or the
+    /// process shuts down.
     pub fn set_leaving(&self, leaving: bool) {
         let mut state = self.state.lock();
         state.leaving = leaving;
         state.update_gate_leaving();
     }
 
-    /// Takes over whether this VM takes no new work by what the control thread
-    /// has heard, such as the platform's VM list.
+    /// Sets whether the gate refuses new work because of what the control
+    /// thread has learned, for example from the platform's VM list.
     ///
-    /// Announcements alone would leave the promise to the network: an entry
-    /// that misses them sends work here for ever. The gate refuses it.
+    /// Announcements to entries alone are not sufficient: an entry that misses
+    /// them would send work here forever. The gate refuses such work.
     pub fn apply_leaving(&self, leaving: bool) {
         let mut state = self.state.lock();
         state.control_leaving = leaving;
@@ -302,7 +309,7 @@
         self.state.lock().refuses_new_work()
     }
 
-    /// Calls held or running.
+    /// Returns the number of calls that are queued or running.
     #[must_use]
     pub fn in_hand(&self) -> usize {
         match self.state.lock().gate.as_ref() {
@@ -311,12 +318,12 @@
         }
     }
 
-    /// Reads the gate, for status and metrics.
+    /// Calls `read` with the gate, for status and metrics.
     pub fn inspect<T>(&self, read: impl FnOnce(Option<&Gate>) -> T) -> T {
         read(self.state.lock().gate.as_ref())
     }
 
-    /// The target has crashed; says what is suspected now.
+    /// Records that the target has crashed and returns the new suspicions.
     pub fn target_crashed(&self) -> Vec<SuspectEntry> {
         let now = self.clock.now();
         match self.state.lock().gate.as_mut() {
@@ -325,13 +332,15 @@
         }
     }
 
-    /// An entry saw an earlier attempt of this request break.
+    /// Records an entry's report that an earlier attempt of this request broke.
+    /// Returns the suspicion to spread, if any.
     pub fn accuse(&self, fingerprint: u64) -> Option<SuspectEntry> {
         let now = self.clock.now();
         self.state.lock().gate.as_mut()?.accuse(fingerprint, now)
     }
 
-    /// Requests that were cleared since the last call.
+    /// Returns the requests that were cleared of suspicion since the previous
+    /// call.
     #[must_use]
     pub fn take_cleared(&self) -> Vec<SuspectEntry> {
         match self.state.lock().gate.as_mut() {
@@ -340,7 +349,8 @@
         }
     }
 
-    /// A refusal that the driver gives, with the gate's time to stay away.
+    /// Creates a refusal outside the decision logic, with the gate's retry
+    /// delay.
     #[must_use]
     pub fn refusal(&self, code: ResultCode) -> Refusal {
         match self.state.lock().gate.as_mut() {
@@ -349,13 +359,14 @@
         }
     }
 
-    /// Runs started since the start of the process.
+    /// Returns the number of runs started since the process started.
     #[must_use]
     pub fn started(&self) -> u64 {
         self.started.load(Ordering::Relaxed)
     }
 
-    /// Calls refused at arrival since the start of the process.
+    /// Returns the number of calls refused at arrival since the process
+    /// started.
     #[must_use]
     pub fn refused(&self) -> u64 {
         self.refused.load(Ordering::Relaxed)
--- a/crates/node/src/gate_server/board/permit.rs
+++ b/crates/node/src/gate_server/board/permit.rs
@@ -1,4 +1,4 @@
-//! The right to run a call, and a call that waits for it.
+//! Permits to run calls, and queued calls that wait for a permit.
 
 use std::sync::Arc;
 use std::time::Instant;
@@ -10,10 +10,10 @@
 use super::GateBoard;
 use super::waiting::Release;
 
-/// The right to run one call in the target.
+/// Permission to run one call in the target.
 ///
-/// Ending it is the only way to free the place; dropping it counts as a
-/// cancellation, so a caller that leaves can never leak a slot.
+/// Only ending it frees the slot. Dropping it counts as a cancellation, so a
+/// caller that disconnects cannot leak a slot.
 #[derive(Debug)]
 pub struct RunPermit {
     board: Arc<GateBoard>,
@@ -24,7 +24,7 @@
 }
 
 impl RunPermit {
-    /// The right to run a call that the gate has started.
+    /// Creates the permit of a run that the gate has started.
     pub(super) fn new(board: &Arc<GateBoard>, run: RunId, class: CallClass) -> Self {
         Self {
             board: Arc::clone(board),
@@ -35,7 +35,7 @@
         }
     }
 
-    /// Ends the run.
+    /// Ends the run with the given outcome and frees the slot.
     pub fn end(mut self, end: RunEnd) {
         self.finish(end);
     }
@@ -73,7 +73,7 @@
 }
 
 impl QueuedCall {
-    /// A call that the gate holds until `release` says otherwise.
+    /// Creates a call that stays queued until a decision arrives on `release`.
     pub(super) fn new(
         board: &Arc<GateBoard>,
         run: RunId,
@@ -90,11 +90,11 @@
         }
     }
 
-    /// Waits for a place.
+    /// Waits for a slot.
     ///
     /// # Errors
     ///
-    /// The gate's refusal, when none can be had in time.
+    /// Returns the gate's refusal if no slot is available in time.
     pub async fn wait(mut self) -> Result<RunPermit, Refusal> {
         let released = (&mut self.release).await;
         self.resolved = true;
@@ -112,8 +112,9 @@
 }
 
 impl Drop for QueuedCall {
-    /// The caller left. If its start was emitted in the same moment, the place
-    /// must be given back; else the call is taken out of the queue.
+    /// Handles a caller that disconnected while its call was queued. If the
+    /// call was started at the same moment, its slot is freed; otherwise the
+    /// call is removed from the queue.
     fn drop(&mut self) {
         if self.resolved {
             return;
--- a/crates/node/src/gate_server/board/waiting.rs
+++ b/crates/node/src/gate_server/board/waiting.rs
@@ -1,4 +1,4 @@
-//! Calls that wait on the gate's decisions, and their release.
+//! Calls that wait for the gate's decisions, and their release.
 
 use std::collections::HashMap;
 
@@ -6,7 +6,7 @@
 use hornbeamhitch_core::prelude::*;
 use tokio::sync::oneshot;
 
-/// What a held call is told.
+/// The gate's decision about a queued call.
 #[derive(Debug)]
 pub(super) enum Release {
     Start,
@@ -30,14 +30,16 @@
 
     pub(super) fn settle(&mut self, run: RunId, settlement: &Settlement) {
         for joined in self.joined.remove(&run).unwrap_or_default() {
-            // Whoever no longer listens has left; nothing is owed to it.
+            // A closed receiver means that its caller has left and needs no
+            // answer.
             let _ = joined.send(settlement.clone());
         }
     }
 }
 
-/// Hands out releases. A start whose call has left in the same moment is ended
-/// at once, which may free further calls, hence the loop.
+/// Delivers the gate's decisions to the waiting calls. A run whose caller has
+/// left at the same moment is ended at once, which may release further calls,
+/// hence the loop.
 pub(super) fn release(gate: &mut Gate, waiting: &mut Waiting, wakes: Vec<Wake>, now: Millis) {
     let mut pending = wakes;
     while let Some(wake) = pending.pop() {
--- a/crates/node/src/gate_server/call.rs
+++ b/crates/node/src/gate_server/call.rs
@@ -1,4 +1,4 @@
-//! A call as it arrives at the gate from an entry.
+//! Parses calls that arrive at the gate from an entry.
 
 use std::sync::Arc;
 use std::time::Instant;
@@ -9,23 +9,23 @@
 
 use crate::answer;
 
-/// What the gate needs to know of a call besides its bytes.
+/// The parameters of a call, apart from its content.
 #[derive(Clone, Debug)]
 pub(super) struct GateCall {
-    /// The policy in force when it arrived.
+    /// The service's policy at the time of arrival.
     pub policy: Arc<ServicePolicy>,
-    /// Rank and histogram label.
+    /// The call's class, which determines its priority and its histogram label.
     pub class: CallClass,
-    /// When it arrived, for the measure of what the gate adds.
+    /// When the call arrived, to measure the latency that the gate adds.
     pub arrived_at: Instant,
-    /// When it must have ended, in this process's clock.
+    /// The time by which the call must have ended, on this process's clock.
     pub deadline_at: Millis,
-    /// Depth, 0 at the outermost caller.
+    /// Nesting depth of the call; 0 for the outermost caller.
     pub depth: u32,
 }
 
 impl GateCall {
-    /// Reads a call's headers against the policy in force.
+    /// Parses a call's headers and applies the defaults of the policy in force.
     pub(super) fn read(
         policy: Arc<ServicePolicy>,
         method: &str,
--- a/crates/node/src/gate_server/recorded.rs
+++ b/crates/node/src/gate_server/recorded.rs
@@ -1,4 +1,5 @@
-//! Ticketed calls at the gate: run at most once, answered from the record.
+//! Serves ticketed calls at the gate: runs them at most once and answers
+//! repeats from the record.
 
 use std::sync::Arc;
 
@@ -18,16 +19,18 @@
 use crate::peers::SendFailure;
 use crate::uploads::{BufferedUpload, Reservation};
 
-/// How long a run may outlive its caller's deadline. A payment that is under
-/// way is better finished and fetched later than cut and left unknown.
+/// How long a run may continue after its caller's deadline. It is better to
+/// finish a payment that is running and let the caller fetch its answer later
+/// than to abort it with an unknown outcome.
 const RUN_GRACE_MS: Millis = Millis::from_secs(30);
-/// Answers above this are cut off as broken; no caller of a non-idempotent
-/// call has use for more.
+/// Larger answers are treated as broken; no caller of a non-idempotent call
+/// needs them.
 const MAX_ANSWER_BYTES: u64 = 16 << 20;
-/// When to fetch the answer of a run that goes on.
+/// Delay after which a caller should fetch the answer of a run that is still in
+/// progress.
 const STILL_RUNNING_RETRY_MS: Millis = Millis(200);
 
-/// Takes in a ticketed call and answers it by its record.
+/// Serves one ticketed call according to its record.
 pub(super) async fn serve(
     server: &Arc<GateServer>,
     call: GateCall,
@@ -42,7 +45,7 @@
         Err(CollectError::Truncated) => {
             return answer::from_code(ResultCode::UploadCut, "the upload ended early");
         }
-        // Nothing was recorded, so this is "not yet" and never "not run".
+        // Nothing was recorded, so the result is "not yet" and never "not run".
         Err(CollectError::BudgetExhausted) => {
             let refusal = server.board.refusal(ResultCode::RecordsFull);
             return answer::from_refusal(&refusal);
@@ -54,8 +57,9 @@
         deadline_at: call.deadline_at,
         ticket: Some(ticket),
         digest,
-        // The content without the key: a caller that resends the same content
-        // under a new key still meets the suspicion against it.
+        // The fingerprint covers the content without the key, so that the
+        // suspicion also applies when a caller resends the same content under a
+        // new key.
         fingerprint: digest,
     };
     let deadline_at = call.deadline_at;
@@ -78,12 +82,13 @@
     await_settlement(server, settled, deadline_at).await
 }
 
-/// Refusing as "not run" is only true once the key is fenced: an earlier send
-/// under the ticket may have run, or a late one may yet arrive.
+/// Refuses a body above the limit. "Not run" is only true once the key is
+/// fenced: an earlier send under the ticket may have run, or a late one may
+/// still arrive.
 ///
-/// Where the key has run, so may have this very body, before an edit of the
-/// text lowered the limit: it is not read to its end, so nothing tells. Then
-/// only this attempt is denied.
+/// If the key has run, it may have run with this very body, before a new
+/// configuration lowered the limit. The body is not read to its end, so this
+/// cannot be determined. In that case only this attempt is refused.
 fn refuse_too_large(server: &GateServer, ticket: &Ticket) -> Response<NodeBody> {
     let is_fenced = match server.board.fence(ticket) {
         KeyState::Settled(Settlement::Refused(refusal)) => {
@@ -100,7 +105,7 @@
     )
 }
 
-/// Answers an entry that asks about a key.
+/// Answers an entry's fence request.
 pub(super) async fn serve_fence(
     server: &Arc<GateServer>,
     ticket: &Ticket,
@@ -112,8 +117,9 @@
     }
 }
 
-/// Runs apart from the connection it came on: once started, a payment is run
-/// to its end and recorded, whoever has left meanwhile.
+/// Runs a call independently of the connection on which it arrived: once
+/// started, a payment runs to its end and is recorded, even if all callers have
+/// disconnected.
 async fn run_first_arrival(
     run: RecordedRun,
     admission: Admission,
@@ -175,14 +181,14 @@
     response
 }
 
-/// One ticketed call on its way through the target.
+/// One ticketed call that runs in the target.
 struct RecordedRun {
     server: Arc<GateServer>,
     call: GateCall,
     ticket: Ticket,
     parts: Parts,
     body: Bytes,
-    /// Memory for the body, held until the run has ended.
+    /// Share of the upload budget for the body, kept until the run has ended.
     _reservation: Reservation,
 }
 
@@ -192,7 +198,8 @@
             Admission::Run(permit) => permit,
             Admission::Queued(queued) => match queued.wait().await {
                 Ok(permit) => permit,
-                // The gate has recorded the refusal and settles whoever waits.
+                // The gate has recorded the refusal and sends it to all waiting
+                // arrivals.
                 Err(_) => return,
             },
             Admission::Refused(_) => return,
@@ -244,12 +251,12 @@
         let (response, connection) = match server.target.send(request, true).await {
             Ok(answered) => answered,
             Err(SendFailure::NotSent(reason)) => {
-                log::warn!("the target cannot be reached: {reason}");
+                log::warn!("the target is unreachable: {reason}");
                 server.set_target_reachable(false);
                 return Outcome::Unreachable;
             }
             Err(SendFailure::MaybeSent(reason)) => {
-                log::warn!("a ticketed run broke: {reason}");
+                log::warn!("the exchange with the target failed during a ticketed run: {reason}");
                 return Outcome::Broken;
             }
         };
@@ -288,7 +295,8 @@
     Broken,
 }
 
-/// Content of a request without its key: method, path and body.
+/// Hashes the content of a request without its key: method, path, query and
+/// body.
 fn digest(parts: &Parts, body: &[u8]) -> u64 {
     let mut hash = Xxh3::new();
     hash.update(parts.method.as_str().as_bytes());
--- a/crates/node/src/gate_server/streamed.rs
+++ b/crates/node/src/gate_server/streamed.rs
@@ -1,5 +1,5 @@
-//! Idempotent calls at the gate: streamed through, cancelled when the entry
-//! leaves.
+//! Serves idempotent calls at the gate: streams them, and cancels them when the
+//! entry disconnects.
 
 use std::pin::Pin;
 use std::sync::Arc;
@@ -70,13 +70,13 @@
     let (response, connection) = match server.target.send(request, false).await {
         Ok(answered) => answered,
         Err(SendFailure::NotSent(reason)) => {
-            log::warn!("the target cannot be reached: {reason}");
+            log::warn!("the target is unreachable: {reason}");
             permit.end(RunEnd::Unreachable);
             server.set_target_reachable(false);
             return answer::from_refusal(&server.board.refusal(ResultCode::NoTarget));
         }
         Err(SendFailure::MaybeSent(reason)) => {
-            log::info!("a run broke: {reason}");
+            log::info!("the exchange with the target failed during a run: {reason}");
             server.handle_broken_run().await;
             permit.end(RunEnd::Broken);
             return answer::from_code(ResultCode::RunBroken, "the target broke the connection");
@@ -121,9 +121,9 @@
     Response::from_parts(head, body.boxed_unsync())
 }
 
-/// The target's answer on its way to the entry; it holds the place in the
-/// target until its last byte. Dropping it early closes the connection, which
-/// cancels the run in the target.
+/// The body of the target's answer, streamed to the entry. It keeps its slot in
+/// the target until the last byte. Dropping it early closes the connection,
+/// which cancels the run in the target.
 struct RunBody {
     server: Arc<GateServer>,
     inner: Incoming,
--- a/crates/node/src/health.rs
+++ b/crates/node/src/health.rs
@@ -1,7 +1,8 @@
-//! Watching the own target's health, within the measuring budget.
+//! Watches the health of this node's target, within the probe budget.
 //!
-//! Health endpoints lag or mislead, so they are hints: answers to real calls
-//! come first, and the endpoint is only asked while no call has brought news.
+//! Health endpoints lag or mislead, so they are only hints: answers to real
+//! calls take precedence, and the endpoint is only queried while the calls give
+//! no current information.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -20,11 +21,11 @@
 const HEALTH_PATH: &str = "/.health";
 const CHECK_INTERVAL: Duration = Duration::from_millis(250);
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(1);
-/// An answer that asked for draining is believed this long against a health
-/// endpoint that says all is well.
+/// How long an answer that requested draining takes precedence over a health
+/// endpoint that reports no problem.
 const DRAINING_HOLD_MS: Millis = Millis::from_secs(5);
 
-/// Watches until the process ends.
+/// Watches the target until the process ends.
 pub async fn watch(gate: Arc<GateServer>, clock: ProcessClock) {
     let mut budget: Option<TokenBucket> = None;
     let mut interval = tokio::time::interval(CHECK_INTERVAL);
@@ -62,7 +63,7 @@
             gate.set_target_reachable(false);
             return;
         }
-        // No answer in time says nothing certain; the next check comes soon.
+        // A missing answer is not conclusive; the next check follows soon.
         Ok(Err(SendFailure::MaybeSent(_))) | Err(_) => return,
     };
     gate.set_target_reachable(true);
--- a/crates/node/src/listener.rs
+++ b/crates/node/src/listener.rs
@@ -20,47 +20,50 @@
 use crate::body::NodeBody;
 
 const BACKLOG: i32 = 1_024;
-/// After a failed accept (out of descriptors, say) the next is not tried at
-/// once, or the loop would spin.
+/// Delay after a failed accept, for example for lack of file descriptors.
+/// Without it the loop would spin.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
-/// A graceful HTTP/2 end waits for the other side's answer to a ping. One that
-/// is frozen or cut off never answers, and the node would hang in its drain
-/// with nothing left to do; after these spans its connection is given up.
+/// A graceful HTTP/2 shutdown waits for the peer's answer to a ping. A frozen
+/// or partitioned peer never answers, and the node would hang in its drain
+/// without any work left. Its connection is closed after the interval plus the
+/// timeout.
 const PING_INTERVAL: Duration = Duration::from_secs(3);
 const PING_TIMEOUT: Duration = Duration::from_secs(3);
 const STREAM_WINDOW_BYTES: u32 = 1 << 20;
 const CONNECTION_WINDOW_BYTES: u32 = 8 << 20;
 
-/// Bounds on one listener.
+/// Limits of one listener.
 #[derive(Clone, Copy, Debug)]
 pub struct ServerLimits {
-    /// Connections at the same time; further ones wait in the backlog.
+    /// Maximum number of concurrent connections; further ones wait in the
+    /// backlog.
     pub max_connections: usize,
-    /// Bytes of one request's head.
+    /// Maximum size of a request's head in bytes.
     pub header_bytes: usize,
-    /// Headers of one HTTP/1.1 request.
+    /// Maximum number of headers of an HTTP/1.1 request.
     pub header_count: usize,
-    /// Time in which a head must have arrived.
+    /// Time within which the head of a request must arrive.
     pub head_timeout: Duration,
-    /// A connection without a request for this long is closed.
+    /// Time after which a connection without a request is closed.
     pub idle_timeout: Duration,
-    /// Concurrent HTTP/2 streams a connection.
+    /// Maximum number of concurrent HTTP/2 streams per connection.
     pub max_streams: u32,
 }
 
-/// Binds a listening socket that a replaced process can take over at once.
+/// Binds a listening socket such that a restarted process can bind its address
+/// again at once.
 ///
 /// # Errors
 ///
-/// The address is taken or not this VM's.
+/// Fails if the address is in use or does not belong to this VM.
 pub fn bind_std(address: SocketAddr) -> Result<std::net::TcpListener> {
     let socket = Socket::new(
         Domain::for_address(address),
         Type::STREAM,
         Some(Protocol::TCP),
     )?;
-    // Without it, connections of the previous life in TIME_WAIT would keep a
-    // restarted node from its own address for a minute.
+    // Without this option, connections of the previous process in TIME_WAIT
+    // would keep a restarted node from binding its own address for a minute.
     socket.set_reuse_address(true)?;
     socket.set_nonblocking(true)?;
     socket
@@ -82,7 +85,7 @@
     ///
     /// # Errors
     ///
-    /// The socket cannot be registered with the runtime.
+    /// Fails if the socket cannot be registered with the runtime.
     pub fn start<S, F>(
         listener: std::net::TcpListener,
         limits: ServerLimits,
@@ -98,12 +101,12 @@
         Ok(Self { stop, task })
     }
 
-    /// Accepts no more, lets every connection finish what it has in flight and
-    /// closes it, and waits until all are closed.
+    /// Stops accepting connections, closes each connection once its requests in
+    /// flight are finished, and waits until all are closed.
     pub async fn shut_down(self) {
         let _ = self.stop.send(true);
         if let Err(error) = self.task.await {
-            log::error!("a server ended badly: {error}");
+            log::error!("a server task failed: {error}");
         }
     }
 }
@@ -119,7 +122,8 @@
 {
     let builder = Arc::new(builder(&limits));
     let permits = Arc::new(Semaphore::new(limits.max_connections));
-    // Every connection holds a sender; the receiver ends with the last one.
+    // Every connection holds a sender, so the receiver ends when the last
+    // connection is closed.
     let (open, mut all_closed) = mpsc::channel::<Infallible>(1);
     loop {
         let accepting = async {
@@ -127,9 +131,9 @@
             let permit = permit.expect("the semaphore is never closed");
             (listener.accept().await, permit)
         };
-        // What waits in the backlog is still taken in when the server stops:
-        // closing the listener would reset callers that have connected and sent
-        // a request already. `biased` puts accepting first.
+        // Connections in the backlog are still accepted when the server stops:
+        // closing the listener would reset callers that have already connected
+        // and sent a request. `biased` gives accepting priority.
         let (accepted, permit) = tokio::select! {
             biased;
             accepted = accepting => accepted,
@@ -161,7 +165,7 @@
     let _ = all_closed.recv().await;
 }
 
-/// Requests of one connection.
+/// Request counters of one connection.
 #[derive(Debug, Default)]
 struct Activity {
     in_flight: AtomicUsize,
@@ -175,7 +179,7 @@
     }
 }
 
-/// Counts a request as in flight until it is dropped.
+/// Guard that counts a request as in flight until it is dropped.
 struct InFlight(Arc<Activity>);
 
 impl InFlight {
@@ -192,7 +196,7 @@
     }
 }
 
-/// One connection from its first byte to its last.
+/// Serves one connection from its first byte to its last.
 struct Connection {
     builder: Arc<auto::Builder<TokioExecutor>>,
     idle_timeout: Duration,
@@ -201,9 +205,10 @@
 }
 
 impl Connection {
-    /// Serves until the peer closes, the connection rests for too long, or the
-    /// server stops. The last two end it gracefully: what is in flight is
-    /// finished, and the peer is told to send nothing more.
+    /// Serves until the peer closes the connection, the connection is idle for
+    /// too long, or the server stops. In the last two cases the connection is
+    /// shut down gracefully: requests in flight are finished, and the peer is
+    /// asked to send no more.
     async fn run<S, F>(self, stream: TcpStream, serve: S)
     where
         S: Fn(Request<Incoming>) -> F + Clone + Send + Sync + 'static,
@@ -213,8 +218,8 @@
         let activity = Arc::clone(&self.activity);
         let service = service_fn(move |request| {
             let in_flight = InFlight::enter(&activity);
-            // The state of a call is some kilobytes; in its own box it is not
-            // copied each time that a future around it is moved.
+            // The future of a call takes several kilobytes. Boxing it avoids
+            // copying it each time a future around it is moved.
             let serving = Box::pin(serve(request));
             async move {
                 let response = serving.await;
@@ -231,7 +236,7 @@
             tokio::select! {
                 ended = serving.as_mut() => {
                     if let Err(error) = ended {
-                        log::debug!("a connection ended: {error}");
+                        log::debug!("a connection failed: {error}");
                     }
                     return;
                 }
--- a/crates/node/src/peers.rs
+++ b/crates/node/src/peers.rs
@@ -1,4 +1,4 @@
-//! Kept HTTP/2 connections to other nodes.
+//! Pool of HTTP/2 connections to other nodes.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -15,10 +15,11 @@
 
 use crate::body::NodeBody;
 
-/// Two connections let two traffic threads drive one peer's streams.
+/// With two connections, two traffic threads can serve the streams of one peer.
 const CONNECTIONS_PER_PEER: usize = 2;
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(750);
-/// A peer behind a partition is noticed after this and the ping's timeout.
+/// A peer behind a network partition is detected after this interval plus the
+/// ping timeout.
 const PING_INTERVAL: Duration = Duration::from_secs(1);
 const PING_TIMEOUT: Duration = Duration::from_secs(2);
 const STREAM_WINDOW_BYTES: u32 = 1 << 20;
@@ -27,7 +28,7 @@
 /// Why a request to a peer got no answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SendFailure {
-    /// Certain: no byte of the request was sent.
+    /// No byte of the request was sent; this is certain.
     NotSent(String),
     /// The request may have reached the peer.
     MaybeSent(String),
@@ -37,7 +38,8 @@
 
 #[derive(Debug, Default)]
 struct Slot {
-    /// The lock is held while connecting, so that a burst opens one connection.
+    /// The lock is held while connecting, so that a burst of requests opens
+    /// only one connection.
     sender: tokio::sync::Mutex<Option<Sender>>,
 }
 
@@ -58,8 +60,8 @@
     ///
     /// # Errors
     ///
-    /// The failure says whether the request can have reached the peer. Only
-    /// what the HTTP library hands back unsent counts as not sent.
+    /// The failure states whether the request may have reached the peer. Only a
+    /// request that the HTTP library returns unsent counts as not sent.
     pub async fn send(
         &self,
         address: SocketAddr,
@@ -73,8 +75,8 @@
             Ok(answer) => return Ok(answer),
             Err(error) => error,
         };
-        // The connection ended before the request was written: one more try on
-        // a fresh connection is free of the risk of a second run.
+        // The connection ended before the request was written, so a retry on a
+        // new connection cannot cause a second run.
         let Some(unsent) = refused.take_message() else {
             return Err(SendFailure::MaybeSent(refused.into_error().to_string()));
         };
--- a/crates/node/src/target_client.rs
+++ b/crates/node/src/target_client.rs
@@ -14,11 +14,13 @@
 use crate::peers::SendFailure;
 
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// A connection that rested longer may just be closed by the target.
+/// A connection that was idle for longer is not used, because the target may be
+/// closing it.
 const MAX_IDLE: Duration = Duration::from_secs(20);
-/// Ticketed calls take only connections that rested briefly: on one that the
-/// target closes at the same moment, the call would end as "outcome unknown"
-/// although it did not run. A fresh connection costs about a millisecond.
+/// Ticketed calls only use connections that were idle briefly. If the target
+/// closes the connection at the moment of sending, the call ends as "outcome
+/// unknown" although it did not run. A new connection costs about a
+/// millisecond.
 const MAX_IDLE_TICKETED: Duration = Duration::from_millis(500);
 
 type Sender = http1::SendRequest<NodeBody>;
@@ -29,15 +31,15 @@
     since: Instant,
 }
 
-/// A connection in use; give it back with [`TargetClient::put_back`] once its
-/// answer has been read to the end, or drop it, which closes it and thereby
+/// A connection in use. Return it with [`TargetClient::put_back`] once its
+/// answer has been read to the end. Dropping it closes the connection, which
 /// cancels the run.
 #[derive(Debug)]
 pub struct InUse {
     sender: Sender,
 }
 
-/// Connections to the one target of this node.
+/// The connections to this node's target.
 #[derive(Debug)]
 pub struct TargetClient {
     address: SocketAddr,
@@ -45,7 +47,7 @@
 }
 
 impl TargetClient {
-    /// A client without connections.
+    /// Creates a client without connections.
     #[must_use]
     pub fn new(address: SocketAddr) -> Self {
         Self {
@@ -54,7 +56,7 @@
         }
     }
 
-    /// The target's address.
+    /// Returns the target's address.
     #[must_use]
     pub fn address(&self) -> SocketAddr {
         self.address
@@ -64,7 +66,7 @@
     ///
     /// # Errors
     ///
-    /// The failure says whether the request can have reached the target.
+    /// The failure states whether the request may have reached the target.
     pub async fn send(
         &self,
         request: Request<NodeBody>,
@@ -91,7 +93,8 @@
         }
     }
 
-    /// Takes back a connection whose answer has been read to the end.
+    /// Returns a connection to the pool after its answer has been read to the
+    /// end.
     pub fn put_back(&self, connection: InUse) {
         if connection.sender.is_closed() {
             return;
@@ -102,12 +105,14 @@
         });
     }
 
-    /// Whether the target accepts a connection now. A refusal right after runs
-    /// broke tells a crash from a single cut connection.
+    /// Checks whether the target accepts a connection now. A refused connection
+    /// right after a broken run distinguishes a crash from a single broken
+    /// connection.
     ///
-    /// The connection is kept for the next call, which needs one in place of
-    /// the broken one. Opened for the question alone, each broken run would
-    /// cost the target a connection that no measuring budget bounds.
+    /// The new connection is put into the pool for the next call, which needs
+    /// one in place of the broken one. If it were opened for the check alone,
+    /// each broken run would cost the target a connection that no probe budget
+    /// limits.
     pub async fn accepts_connections(&self) -> bool {
         match self.connect().await {
             Ok(sender) => {
@@ -118,7 +123,7 @@
         }
     }
 
-    /// The most recently used connection first, so that spare ones age out.
+    /// Takes the most recently used connection, so that surplus ones expire.
     fn take_idle(&self, max_idle: Duration) -> Option<Sender> {
         let mut idle = self.idle.lock();
         idle.retain(|conn| conn.since.elapsed() < MAX_IDLE && !conn.sender.is_closed());
@@ -151,7 +156,8 @@
 
 enum Attempt {
     Done(Result<(Response<Incoming>, InUse), SendFailure>),
-    /// Boxed because a request is far larger than the other case.
+    /// The request was not sent. It is boxed because it is much larger than the
+    /// other variant.
     Unsent(Box<Request<NodeBody>>),
 }
 
--- a/crates/node/src/uploads.rs
+++ b/crates/node/src/uploads.rs
@@ -1,4 +1,4 @@
-//! Bounds on what callers and peers can make a node hold by their uploads.
+//! Limits on the memory and time that uploads of callers and peers can occupy.
 
 use std::pin::Pin;
 use std::sync::Arc;
@@ -14,19 +14,19 @@
 
 use crate::body::{self, BodyError, CollectError, NodeBody};
 
-/// Grain of the budget of buffered bodies.
+/// Unit of the budget for buffered bodies.
 const BLOCK_BYTES: usize = 1_024;
 
-/// What uploads may take of a node, from its settings.
+/// Limits on uploads, from the node's settings. Clones share the budget.
 #[derive(Clone, Debug)]
 pub struct UploadLimits {
-    /// Longest silence within a body.
+    /// Maximum time without data within a body.
     idle_timeout: Duration,
-    /// Blocks of bodies that wait whole in the node, all calls together.
+    /// Budget for the buffered bodies of all calls, in blocks of `BLOCK_BYTES`.
     buffered: Arc<Semaphore>,
 }
 
-/// A share of the budget, free again when it is dropped.
+/// A reserved share of the budget, which is released when it is dropped.
 #[derive(Debug)]
 pub struct Reservation {
     blocks: OwnedSemaphorePermit,
@@ -34,7 +34,7 @@
 }
 
 impl Reservation {
-    /// Grows the share to `bytes`; false when too much is held already.
+    /// Grows the share to `bytes`. Returns false if the budget is exhausted.
     pub fn grow_to(&mut self, bytes: usize) -> bool {
         let wanted = bytes.div_ceil(BLOCK_BYTES);
         let missing = wanted.saturating_sub(self.blocks.num_permits());
@@ -51,17 +51,18 @@
     }
 }
 
-/// A body that waits whole in the node, with its share of the budget.
+/// A completely buffered body with its share of the budget.
 #[derive(Debug)]
 pub struct BufferedUpload {
     /// The whole body.
     pub body: Bytes,
-    /// Its memory.
+    /// The share of the budget that covers the body.
     pub reservation: Reservation,
 }
 
 impl UploadLimits {
-    /// Limits for one node.
+    /// Creates the limits of one node from the idle timeout within a body and
+    /// the budget for buffered bodies.
     #[must_use]
     pub fn new(idle_timeout: Duration, buffered_bytes: u64) -> Self {
         let bytes = usize::try_from(buffered_bytes).unwrap_or(usize::MAX);
@@ -72,20 +73,21 @@
         }
     }
 
-    /// An empty share of the budget, to be grown as a body arrives.
+    /// Reserves an empty share of the budget, which grows as a body arrives.
     #[must_use]
     pub fn reserve(&self) -> Reservation {
         let budget = Arc::clone(&self.buffered);
         let blocks = Arc::clone(&budget).try_acquire_many_owned(0);
-        let blocks = blocks.expect("the budget is never closed, and nothing is asked of it yet");
+        let blocks =
+            blocks.expect("the budget is never closed, and acquiring zero permits never fails");
         Reservation { blocks, budget }
     }
 
-    /// A body that breaks when nothing of it arrives for too long.
+    /// Wraps a body so that it fails when no data arrives for the idle timeout.
     ///
-    /// Failure answered: an uploader that is cut off from the network without a
-    /// word holds its call, its place among the streams and its memory until
-    /// the call's deadline or, without one, for ever.
+    /// Without this, an uploader that silently loses its network connection
+    /// would occupy its call, its HTTP stream and its memory until the call's
+    /// deadline, or forever if there is none.
     #[must_use]
     pub fn with_idle_timeout(&self, body: Incoming) -> NodeBody {
         if body.is_end_stream() {
@@ -99,12 +101,13 @@
         .boxed_unsync()
     }
 
-    /// Takes in a whole body and holds memory for it, growing as it arrives: a
-    /// body of unknown length must not reserve the largest one.
+    /// Buffers a whole body and reserves memory for it as it arrives, because a
+    /// body of unknown length must not reserve the maximum size.
     ///
     /// # Errors
     ///
-    /// The body is too large or cut, or too much is held already.
+    /// Fails if the body is too large or truncated, or if the budget is
+    /// exhausted.
     pub async fn buffer(
         &self,
         body: NodeBody,
@@ -137,9 +140,9 @@
                 self.timer.as_mut().reset(next);
                 Poll::Ready(frame.map(|frame| frame.map_err(Into::into)))
             }
-            Poll::Pending if self.timer.as_mut().poll(context).is_ready() => {
-                Poll::Ready(Some(Err("the upload fell silent".into())))
-            }
+            Poll::Pending if self.timer.as_mut().poll(context).is_ready() => Poll::Ready(Some(
+                Err("no data of the upload arrived within the idle timeout".into()),
+            )),
             Poll::Pending => Poll::Pending,
         }
     }
