--- a/crates/node/src/callers/ticketed.rs
+++ b/crates/node/src/callers/ticketed.rs
@@ -89,7 +89,7 @@
         let response = match self.server.peers.send(peer, request).await {
             Ok(response) => response,
             Err(SendFailure::NotSent(reason)) => {
-                log::info!("gate {} is unreachable: {reason}", guard.target.vm);
+                log::info!("gate {} cannot be reached: {reason}", guard.target.vm);
                 guard.end(AttemptEnd::Unreachable);
                 return answer::from_refusal(&Refusal::retry_after(
                     ResultCode::GateUnreachable,
@@ -97,7 +97,7 @@
                 ));
             }
             Err(SendFailure::MaybeSent(reason)) => {
-                log::info!("the stream to gate {} broke: {reason}", guard.target.vm);
+                log::info!("stream to gate {} broke: {reason}", guard.target.vm);
                 guard.end(AttemptEnd::Broken);
                 return self.settle(peer).await;
             }
--- a/crates/node/src/control_loop.rs
+++ b/crates/node/src/control_loop.rs
@@ -1,8 +1,8 @@
-//! The control thread: turns sockets and timers into events for the core's
-//! control half and its actions into I/O.
+//! The control thread: converts network input and timers to events for the
+//! core's control half, and performs the actions that it returns.
 //!
-//! It runs on a thread of its own with a single-threaded runtime. Traffic
-//! threads only ever send it events over a bounded channel and read what it
+//! It runs on its own thread with a single-threaded runtime. Traffic threads
+//! only send it events over a bounded channel and read the state that it
 //! publishes; neither side waits for the other.
 
 mod bulk;
@@ -36,14 +36,15 @@
 pub use fleet_tag::FleetTag;
 use platform::PlatformClient;
 
-/// The core expects a tick about this often.
+/// Interval between ticks of the core.
 const TICK: Duration = Duration::from_millis(50);
-/// Operators see a status at most this old.
+/// Number of ticks between two updates of the operators' status.
 const STATUS_TICKS: u32 = 4;
-/// Label of probes to gates, which are counted over all services; health checks
-/// of the own target carry the service's name.
+/// Metric label of probes to gates, which are counted over all services. Health
+/// checks of this node's target carry the service's name.
 const PROBED_GATES: &str = "other";
-/// Larger than any datagram of this build, to see that one was too long.
+/// Larger than any datagram of this version, so that an oversized one is
+/// detected.
 const RECEIVE_BUFFER_BYTES: usize = 2_048;
 
 /// What the control thread shares with the rest of the process.
@@ -51,24 +52,25 @@
 pub struct ControlOutputs {
     /// The routes in force.
     pub routes: SharedRoutes,
-    /// Counts publications, so that waiting calls look again.
+    /// Incremented with each publication, so that waiting calls check the
+    /// routes again.
     pub published: watch::Sender<u64>,
     /// The latest status for operators.
     pub status: Arc<ArcSwap<ControlStatus>>,
-    /// The gate that takes over policies and suspects.
+    /// The gate to which policies and suspects are applied.
     pub gate: Arc<GateBoard>,
-    /// Counts what control costs.
+    /// Metrics, which include the costs of the control thread.
     pub metrics: Arc<Metrics>,
     /// When the platform last answered.
     pub platform_answered: Arc<LastAnswer>,
 }
 
-/// When the platform last answered, in the process's clock.
+/// When the platform last answered, on the process's clock.
 #[derive(Debug, Default)]
 pub struct LastAnswer(AtomicU64);
 
 impl LastAnswer {
-    /// The time, or `None` before the first answer.
+    /// Returns the time of the last answer, or `None` before the first one.
     #[must_use]
     pub fn at(&self) -> Option<Millis> {
         match self.0.load(Ordering::Relaxed) {
@@ -78,13 +80,14 @@
     }
 
     fn note(&self, now: Millis) {
-        // Zero stands for never; the first millisecond of a life is no loss.
+        // Zero means never, so an answer within the first millisecond is stored
+        // as 1 ms.
         self.0.store(now.0.max(1), Ordering::Relaxed);
     }
 }
 
-/// Sockets that are bound before the thread starts, so that a taken address
-/// is reported at start.
+/// Sockets that are bound before the thread starts, so that an address in use
+/// is reported at startup.
 #[derive(Debug)]
 pub struct ControlSockets {
     datagrams: std::net::UdpSocket,
@@ -96,7 +99,7 @@
     ///
     /// # Errors
     ///
-    /// The address is taken or not this VM's.
+    /// Fails if the address is in use or does not belong to this VM.
     pub fn bind(address: SocketAddr) -> Result<Self> {
         let datagrams = std::net::UdpSocket::bind(address)
             .wrap_err_with(|| format!("cannot bind the control address {address} (UDP)"))?;
@@ -107,9 +110,9 @@
     }
 }
 
-/// Everything that the control thread needs.
+/// The dependencies of the control thread.
 pub struct ControlThread {
-    /// What the node knows about itself.
+    /// Settings of the core's control half, such as the node's own identity.
     pub settings: ControlSettings,
     /// Checks configuration texts.
     pub checker: Box<dyn TextChecker + Send>,
@@ -119,11 +122,12 @@
     pub clock: ProcessClock,
     /// Bound sockets.
     pub sockets: ControlSockets,
-    /// Events from traffic, and their sender for the thread's own tasks.
+    /// The channel of events from traffic threads. The thread's own tasks use
+    /// the sender.
     pub events: (mpsc::Sender<ControlEvent>, mpsc::Receiver<ControlEvent>),
-    /// What is shared.
+    /// State shared with the rest of the process.
     pub outputs: ControlOutputs,
-    /// Bounds on bulk transfers.
+    /// Limits on bulk transfers.
     pub bulk_limits: BulkLimits,
     /// Ends the thread when its sender is dropped.
     pub stop: watch::Receiver<()>,
@@ -134,7 +138,8 @@
     ///
     /// # Errors
     ///
-    /// The runtime cannot be built or a socket cannot be registered with it.
+    /// Fails if the runtime cannot be built or a socket cannot be registered
+    /// with it.
     pub fn run(self) -> Result<()> {
         let runtime = tokio::runtime::Builder::new_current_thread()
             .enable_all()
@@ -181,8 +186,9 @@
                             continue;
                         }
                     },
-                    // Loopback reports a closed peer here; the sender's next
-                    // heartbeat is what counts.
+                    // On the loopback interface, a closed peer is reported as
+                    // an error here. It is ignored, because a peer is judged by
+                    // its heartbeats.
                     Err(_) => continue,
                 },
                 _ = stop.changed() => return Ok(()),
@@ -210,7 +216,7 @@
     outputs: ControlOutputs,
     ticks: u32,
     bulk_limits: BulkLimits,
-    /// The service of the own target.
+    /// The service of this node's target.
     service: ServiceName,
 }
 
@@ -226,22 +232,23 @@
         }
     }
 
-    /// Logs and counts what an operator must hear of: a text that was refused,
-    /// and that this process is a leftover of an earlier life.
+    /// Logs and counts changes that operators must know: a rejected
+    /// configuration text, and that this process is superseded by a later
+    /// incarnation. Also counts the probes sent.
     fn report_changes(&mut self, status: &ControlStatus) {
         let before = self.outputs.status.load();
         if let Some(refused) = &status.refused
             && before.refused.as_ref() != Some(refused)
         {
             log::error!(
-                "text {} is refused whole: {}",
+                "rejected the configuration text {}: {}",
                 refused.version,
                 refused.reason
             );
             self.outputs.metrics.config_refused(refused.version);
         }
         if status.superseded && !before.superseded {
-            log::error!("a later life of this VM was heard of; this process takes no new work");
+            log::error!("this VM has a later incarnation; this process takes no new work");
         }
         let probes = status.counters.probes_sent;
         for _ in before.counters.probes_sent..probes {
@@ -290,7 +297,7 @@
 
     fn perform(&mut self, action: ControlAction) {
         match action {
-            // A full socket buffer drops the datagram, as any network may.
+            // A full socket buffer drops the datagram, as the network may.
             ControlAction::SendDatagram { to, bytes } => {
                 let tagged = self.bulk_limits.fleet.prepend(&bytes);
                 self.outputs.metrics.datagram_sent(tagged.len());
--- a/crates/node/src/control_loop/bulk.rs
+++ b/crates/node/src/control_loop/bulk.rs
@@ -1,6 +1,6 @@
-//! Bulk messages between nodes: one request and one answer a TCP connection.
+//! Bulk messages between nodes: one request and one answer per TCP connection.
 //!
-//! A frame is its length as a big-endian `u32`, then the message.
+//! A frame consists of its length as a big-endian `u32` and the message.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -17,20 +17,20 @@
 
 use super::fleet_tag::FleetTag;
 
-/// One exchange, from connecting to the last byte.
+/// Time limit of one exchange, from connecting to the last byte.
 const EXCHANGE_TIMEOUT: Duration = Duration::from_secs(3);
-/// After a failed accept (out of descriptors, say) the next is not tried at
-/// once, or the loop would spin.
+/// Delay after a failed accept, for example for lack of file descriptors.
+/// Without it the loop would spin.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// What bulk transfers keep to, from the settings.
+/// Limits on bulk transfers, from the settings.
 #[derive(Clone, Copy, Debug)]
 pub struct BulkLimits {
-    /// Bytes of one message, either way.
+    /// Maximum size of one message in either direction, in bytes.
     pub max_bytes: usize,
-    /// Keeps other deployments' messages out.
+    /// The tag by which messages of other deployments are rejected.
     pub fleet: FleetTag,
-    /// Peers that are served at the same time; further ones wait.
+    /// Maximum number of peers that are served concurrently; further ones wait.
     pub max_connections: usize,
 }
 
@@ -82,17 +82,17 @@
             tokio::task::spawn_local(async move {
                 let served = tokio::time::timeout(EXCHANGE_TIMEOUT, server.serve(stream)).await;
                 if let Ok(Err(error)) = served {
-                    log::debug!("a bulk request was not served: {error:#}");
+                    log::debug!("cannot serve a bulk request: {error:#}");
                 }
                 drop(permit);
             });
         }
     }
 
-    /// Hands the core's answer to the connection that waits for it.
+    /// Sends the core's answer to the connection that waits for it.
     pub(super) fn answer(&self, request: RequestId, message: Vec<u8>) {
         if let Some(waiting) = self.pending.lock().answers.remove(&request) {
-            // A peer that hung up meanwhile asks again by itself.
+            // A peer that has disconnected meanwhile repeats its request.
             let _ = waiting.send(message);
         }
     }
@@ -108,8 +108,8 @@
         };
         self.pending.lock().answers.remove(&request);
         let message = answered
-            .wrap_err("the core took too long")?
-            .wrap_err("the core did not answer")?;
+            .wrap_err("the core did not answer in time")?
+            .wrap_err("the core dropped the request")?;
         write_frame(&mut stream, &message, self.limits).await
     }
 
@@ -123,7 +123,8 @@
     }
 }
 
-/// Asks a peer; the answer or the failure comes back as an event.
+/// Sends a request to a peer. The answer or the failure is delivered as an
+/// event.
 pub(super) fn request(
     peer: SocketAddr,
     message: Vec<u8>,
@@ -153,12 +154,13 @@
 
 async fn read_frame(stream: &mut TcpStream, limits: BulkLimits) -> Result<Vec<u8>> {
     let limit = limits.bytes();
-    let length = stream.read_u32().await.wrap_err("no frame came")?;
+    let length = stream.read_u32().await.wrap_err("no frame was received")?;
     let length = usize::try_from(length).unwrap_or(usize::MAX);
     if length > limit {
-        bail!("a frame of {length} bytes is above the limit of {limit}");
+        bail!("a frame of {length} bytes exceeds the limit of {limit}");
     }
-    // Grown as bytes arrive: a false length must not reserve memory.
+    // The buffer grows as bytes arrive, so that a false length does not reserve
+    // memory.
     let mut message = Vec::new();
     let limit = u64::try_from(length).unwrap_or(u64::MAX);
     stream.take(limit).read_to_end(&mut message).await?;
--- a/crates/node/src/control_loop/handle.rs
+++ b/crates/node/src/control_loop/handle.rs
@@ -1,4 +1,4 @@
-//! How traffic threads tell the control thread what they see.
+//! Reports the observations of traffic threads to the control thread.
 
 use std::collections::HashMap;
 use std::hash::Hash;
@@ -13,15 +13,16 @@
 
 use crate::clock::ProcessClock;
 
-/// The same fact is passed on at most this often; the control thread must not
-/// see every call.
+/// Minimum interval between two reports of the same fact, so that the control
+/// thread does not get an event for every call.
 const MIN_REPEAT_INTERVAL_MS: Millis = Millis(250);
-/// Above this many remembered facts the memory starts over, so that a flood of
-/// names cannot grow it.
+/// Maximum number of remembered facts of each kind. At this number the memory
+/// is cleared, so that a flood of names cannot make it grow.
 const MAX_RECENT: usize = 4_096;
 
-/// Sends events to the control thread; never blocks. When the channel is full
-/// an event is dropped: each is repeated or replaced by a later one.
+/// Sends events to the control thread. It does not block, except in
+/// [`Self::leave`]: when the channel is full, an event is dropped. Each event
+/// is repeated or replaced by a later one.
 #[derive(Clone, Debug)]
 pub struct ControlHandle {
     events: mpsc::Sender<ControlEvent>,
@@ -36,7 +37,7 @@
     services: Recent<ServiceName>,
 }
 
-/// When each fact was last passed on.
+/// When each fact was last reported.
 #[derive(Debug)]
 struct Recent<K>(Mutex<HashMap<K, Millis>>);
 
@@ -47,7 +48,8 @@
 }
 
 impl<K: Clone + Eq + Hash> Recent<K> {
-    /// Whether the fact is due to be passed on, which notes that it is.
+    /// Returns whether the fact is due to be reported, and if it is, records it
+    /// as reported.
     fn is_due(&self, key: &K, now: Millis) -> bool {
         let mut recent = self.0.lock();
         if let Some(last) = recent.get_mut(key) {
@@ -66,7 +68,7 @@
 }
 
 impl ControlHandle {
-    /// A handle over the control thread's channel.
+    /// Creates a handle for the control thread's channel.
     #[must_use]
     pub fn new(events: mpsc::Sender<ControlEvent>, clock: ProcessClock) -> Self {
         Self {
@@ -76,16 +78,16 @@
         }
     }
 
-    /// An entry sent work to the own gate.
+    /// Reports that an entry sent work to this node's gate.
     pub fn received_from(&self, control: SocketAddr) {
         if self.recent_facts.senders.is_due(&control, self.clock.now()) {
             self.send(ControlEvent::ReceivedFrom { control });
         }
     }
 
-    /// A load report came with an answer.
+    /// Reports the load that a gate sent with its answer.
     pub fn load_reported(&self, vm: &VmId, load: LoadReport) {
-        // Leaving must be known at once, whatever was passed on lately.
+        // Leaving must be known at once, even if a report was sent recently.
         if load.leaving || self.recent_facts.reports.is_due(vm, self.clock.now()) {
             self.send(ControlEvent::Heard {
                 vm: vm.clone(),
@@ -94,19 +96,19 @@
         }
     }
 
-    /// A call is sent to a service.
+    /// Reports that a call is sent to a service.
     pub fn sent_to(&self, service: &ServiceName) {
         if self.recent_facts.services.is_due(service, self.clock.now()) {
             self.send(ControlEvent::SentTo(service.clone()));
         }
     }
 
-    /// A call asks for a service that is not held.
+    /// Reports that a call requests a service that this node does not track.
     pub fn service_requested(&self, service: &ServiceName) {
         self.send(ControlEvent::Interest(service.clone()));
     }
 
-    /// The own target's state changed.
+    /// Reports a changed state of this node's target.
     pub fn target_state(&self, draining: bool, reachable: bool) {
         self.send(ControlEvent::TargetState {
             draining,
@@ -114,19 +116,21 @@
         });
     }
 
-    /// The own gate holds something against a request.
+    /// Reports a suspicion against a request, or that this node's gate has
+    /// cleared it.
     pub fn suspicion(&self, note: SuspectEntry) {
         self.send(ControlEvent::Suspicion(note));
     }
 
-    /// The process shuts down; this one must arrive, so it waits for room.
+    /// Reports that the process is shutting down. This event must not be
+    /// dropped, so it waits for room in the channel.
     pub async fn leave(&self) {
         let _ = self.events.send(ControlEvent::LeaveRequested).await;
     }
 
     fn send(&self, event: ControlEvent) {
         if self.events.try_send(event).is_err() {
-            log::debug!("the control thread is behind; an event was dropped");
+            log::debug!("dropped an event because the control thread is behind");
         }
     }
 }
--- a/crates/node/src/control_loop/platform.rs
+++ b/crates/node/src/control_loop/platform.rs
@@ -1,4 +1,4 @@
-//! Reads and watches of the platform, whose answers come back as events.
+//! Reads and watches the platform on behalf of the control thread.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -11,12 +11,12 @@
 
 use crate::platform::PlatformReader;
 
-/// Reads the platform; answers come back as events.
+/// Reads the platform and delivers the results as events.
 #[derive(Debug)]
 pub(super) struct PlatformClient {
     reader: PlatformReader,
     events: mpsc::Sender<ControlEvent>,
-    /// Reads that are on their way.
+    /// Reads in flight.
     reads: JoinSet<()>,
 }
 
@@ -29,22 +29,22 @@
         }
     }
 
-    /// Gives up all reads; the platform sees their connections end.
+    /// Cancels all reads, which closes their connections to the platform.
     pub(super) fn cancel_reads(&mut self) {
         self.reads.abort_all();
     }
 
-    /// Runs one read, whose outcome becomes an event.
+    /// Spawns a read and delivers its result as an event.
     fn spawn(&mut self, read: impl Future<Output = ControlEvent> + 'static) {
         while self.reads.try_join_next().is_some() {}
         let events = self.events.clone();
         self.reads.spawn_local(async move {
-            // The receiver is gone only when the control loop has ended.
+            // The receiver is closed only after the control loop has ended.
             let _ = events.send(read.await).await;
         });
     }
 
-    /// Reads the text, or watches for a version above `after`.
+    /// Reads the configuration text, or watches for a version above `after`.
     pub(super) fn read_text(&mut self, after: ConfigVersion, wait_ms: Millis) {
         let reader = self.reader.clone();
         self.spawn(async move {
@@ -55,7 +55,7 @@
                 },
                 Ok(None) => ControlEvent::TextUnchanged,
                 Err(error) => {
-                    log::warn!("cannot read the text from the platform: {error:#}");
+                    log::warn!("cannot read the configuration text from the platform: {error:#}");
                     ControlEvent::PlatformFailed(PlatformRead::Text)
                 }
             }
--- a/crates/node/src/daemon.rs
+++ b/crates/node/src/daemon.rs
@@ -1,4 +1,4 @@
-//! Putting a node together, running it, and ending it gracefully.
+//! Assembles a node, runs it and shuts it down gracefully.
 
 use std::convert::Infallible;
 use std::sync::Arc;
@@ -34,29 +34,29 @@
 use crate::settings::Config;
 use crate::uploads::UploadLimits;
 
-/// Events that may wait for the control thread.
+/// Capacity of the control thread's event channel.
 const EVENT_CAPACITY: usize = 4_096;
-/// How often held calls are checked against their deadlines.
+/// How often queued calls are checked against their deadlines.
 const GATE_TICK: Duration = Duration::from_millis(5);
-/// How often a gate that holds no call forgets what has expired. The short tick
-/// alone would wake an idle node 200 times a second.
+/// How often a gate without queued calls removes expired state. With the short
+/// tick alone, an idle node would wake up 200 times a second.
 const IDLE_GATE_TICK: Duration = Duration::from_millis(50);
 const GAUGE_REFRESH: Duration = Duration::from_secs(1);
-/// A leaving node goes on serving this long, so that the word of its leaving
-/// reaches entries before its addresses close.
+/// How long a leaving node continues to serve, so that the announcement reaches
+/// the entries before its addresses close.
 const LEAVING_NOTICE: Duration = Duration::from_millis(1_500);
 
 /// How a node ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Ended {
-    /// Everything in flight was finished.
+    /// All work in flight was finished.
     Drained,
     /// The drain timeout passed with calls still in flight.
     DrainTimedOut,
 }
 
-/// Sockets bound before anything is started, so that a taken address is a
-/// start-up error and not a half-running node.
+/// Sockets that are bound before anything is started, so that an address in use
+/// is a startup error and does not leave a partially running node.
 struct Sockets {
     callers: std::net::TcpListener,
     peers: std::net::TcpListener,
@@ -73,7 +73,7 @@
     }
 }
 
-/// Checks texts with the text crate.
+/// Checks configuration texts with the text crate.
 struct Checker;
 
 impl TextChecker for Checker {
@@ -101,7 +101,7 @@
     status: Arc<ArcSwap<ControlStatus>>,
     metrics: Arc<Metrics>,
     platform_answered: Arc<LastAnswer>,
-    /// Dropped, it ends the control thread.
+    /// Ends the control thread when it is dropped.
     stop_control: watch::Sender<()>,
 }
 
@@ -109,7 +109,7 @@
 ///
 /// # Errors
 ///
-/// A node that cannot bind its addresses or start its threads fails at once.
+/// Fails if the node cannot bind its addresses or start its threads.
 pub fn run(config: Config) -> Result<Ended> {
     let sockets = Sockets::bind(&config)?;
     let runtime = tokio::runtime::Builder::new_multi_thread()
@@ -119,7 +119,8 @@
         .build()
         .wrap_err("cannot build the traffic runtime")?;
     let ended = runtime.block_on(serve(config, sockets));
-    // What is left now is past its drain timeout, or a kept connection.
+    // Remaining tasks have exceeded the drain timeout or belong to idle
+    // connections.
     runtime.shutdown_timeout(Duration::from_millis(200));
     ended
 }
@@ -146,8 +147,8 @@
     }
 }
 
-/// Tasks that go on beside the servers; they end when this is dropped, so that
-/// a program which embeds a node is rid of it after draining.
+/// Background tasks. They are aborted when this is dropped, so that none is
+/// left after draining in a program that embeds a node.
 struct Background(Vec<AbortHandle>);
 
 impl Drop for Background {
@@ -158,7 +159,7 @@
     }
 }
 
-/// A node that serves, inside the runtime it was started in.
+/// A running node, within the runtime in which it was started.
 pub struct Node {
     parts: Parts,
     reporter: Arc<Reporter>,
@@ -173,7 +174,7 @@
     ///
     /// # Errors
     ///
-    /// An address is taken, or a thread cannot be had.
+    /// Fails if an address is in use or a thread cannot be started.
     pub fn start(config: Config) -> Result<Self> {
         let sockets = Sockets::bind(&config)?;
         Self::serve(config, sockets)
@@ -221,23 +222,25 @@
         })
     }
 
-    /// What operators see of the node.
+    /// Returns the status of the node for operators.
     #[must_use]
     pub fn status(&self) -> NodeStatus {
         self.reporter.status()
     }
 
-    /// A configuration is in force and the node is not leaving.
+    /// Returns whether a configuration is in force and the node is not leaving.
     #[must_use]
     pub fn is_ready(&self) -> bool {
         self.reporter.is_ready()
     }
 
-    /// Ends gracefully. The order matters: the word of leaving goes out while
-    /// everything is still served; then the runs in hand end, during which the
-    /// target may call on through this node; then callers' connections, since
-    /// their calls need the peers; the peers go last, because answers are owed
-    /// to them until nothing is in hand.
+    /// Shuts down gracefully. The order matters: the node first announces that
+    /// it is leaving, while it still serves everything. Then it waits until the
+    /// gate has no calls left; meanwhile the target may still call other
+    /// services through this node. Then it closes the callers' connections,
+    /// because their calls need the peers. The peers' connections are closed
+    /// last, because the node owes them answers until the gate has no calls
+    /// left.
     pub async fn drain(self) {
         self.parts.gate.start_leaving();
         self.parts.control.leave().await;
@@ -364,9 +367,10 @@
     }
 }
 
-/// Serves a caller. While this node leaves, each answer over HTTP/1 ends its
-/// connection, so that active callers move elsewhere between two requests.
-/// Closing connections that look idle would race with a request on its way.
+/// Serves a request of a caller. While this node is leaving, each HTTP/1 answer
+/// closes its connection, so that active callers move to another node between
+/// two requests. Closing connections that look idle would race with requests in
+/// transit.
 async fn serve_caller(
     callers: Arc<CallerServer>,
     gate: Arc<GateServer>,
@@ -396,8 +400,9 @@
     }
 }
 
-/// A node without its control thread would serve on facts that grow old for
-/// ever, so the process ends with it and is replaced.
+/// Starts the control thread. If that thread fails, the process exits and is
+/// replaced: without it, a node would keep serving on state that becomes ever
+/// more stale.
 fn start_control(thread: ControlThread) -> Result<()> {
     const EXIT_CONTROL_ENDED: i32 = 3;
     std::thread::Builder::new()
--- a/crates/node/src/gate_server/recorded.rs
+++ b/crates/node/src/gate_server/recorded.rs
@@ -251,7 +251,7 @@
         let (response, connection) = match server.target.send(request, true).await {
             Ok(answered) => answered,
             Err(SendFailure::NotSent(reason)) => {
-                log::warn!("the target is unreachable: {reason}");
+                log::warn!("the target cannot be reached: {reason}");
                 server.set_target_reachable(false);
                 return Outcome::Unreachable;
             }
--- a/crates/node/src/gate_server/streamed.rs
+++ b/crates/node/src/gate_server/streamed.rs
@@ -70,7 +70,7 @@
     let (response, connection) = match server.target.send(request, false).await {
         Ok(answered) => answered,
         Err(SendFailure::NotSent(reason)) => {
-            log::warn!("the target is unreachable: {reason}");
+            log::warn!("the target cannot be reached: {reason}");
             permit.end(RunEnd::Unreachable);
             server.set_target_reachable(false);
             return answer::from_refusal(&server.board.refusal(ResultCode::NoTarget));
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -1,9 +1,9 @@
-//! The node daemon: turns sockets into events for the decision core and the
-//! core's decisions into I/O.
+//! The node daemon: converts network input to events for the decision core, and
+//! performs the core's decisions.
 //!
-//! Every policy lives in `hornbeamhitch-core`; what stands here is the way
-//! bytes take. [`callers`] serves callers, [`gate_server`] serves other nodes,
-//! [`control_loop`] drives the control half on a thread of its own.
+//! All policies are in `hornbeamhitch-core`; this crate contains the I/O.
+//! [`callers`] serves callers, [`gate_server`] serves other nodes, and
+//! [`control_loop`] drives the control half on its own thread.
 
 pub mod answer;
 pub mod body;
--- a/crates/node/src/platform.rs
+++ b/crates/node/src/platform.rs
@@ -1,4 +1,4 @@
-//! The client of the platform's service, over HTTP/1.1.
+//! Client of the platform's service, over HTTP/1.1.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -14,38 +14,39 @@
 use hyper_util::rt::TokioExecutor;
 use serde::Deserialize;
 
-/// The platform's limit on one value.
+/// The platform's size limit of one value.
 const MAX_TEXT_BYTES: usize = 1 << 20;
-/// A list of all VMs of a large fleet is read in parts by service; a whole one
-/// above this is refused.
+/// Maximum size of a VM list. The list of a large fleet is read by service; a
+/// complete list above this size is rejected.
 const MAX_LIST_BYTES: usize = 4 << 20;
-/// Beyond the wait that was asked for; the platform answers in milliseconds.
+/// Time allowed for a response beyond the requested wait. The platform itself
+/// answers within milliseconds.
 const RESPONSE_MARGIN: Duration = Duration::from_secs(5);
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
 const VERSION_HEADER: &str = "platform-version";
 
-/// Reads the text and the VM list.
+/// Reads the configuration text and the VM list.
 #[derive(Clone, Debug)]
 pub struct PlatformReader {
     address: SocketAddr,
     http: Client<HttpConnector, Empty<Bytes>>,
 }
 
-/// A text under its version, not checked yet.
+/// A configuration text with its version. It has not been checked yet.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PublishedText {
-    /// Its version.
+    /// The version of the text.
     pub version: ConfigVersion,
-    /// The text itself.
+    /// The configuration text.
     pub text: String,
 }
 
-/// A VM list under its version.
+/// A VM list with its version.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PublishedVms {
-    /// Its version.
+    /// The version of the list.
     pub version: ListVersion,
-    /// All VMs, or those of one service.
+    /// All VMs, or the VMs of one service.
     pub vms: Vec<ListedVm>,
 }
 
@@ -73,7 +74,7 @@
 }
 
 impl PlatformReader {
-    /// A reader that connects on need.
+    /// Creates a reader that connects on demand.
     #[must_use]
     pub fn new(address: SocketAddr) -> Self {
         let mut connector = HttpConnector::new();
@@ -85,12 +86,13 @@
         }
     }
 
-    /// Reads the text, or watches for a version above `after`; `None` when there
-    /// is none after `wait_ms`.
+    /// Reads the configuration text, or watches for a version above `after`.
+    /// Returns `None` if there is none within `wait_ms`.
     ///
     /// # Errors
     ///
-    /// No answer in time, or one that is no text.
+    /// Fails if the platform does not answer in time or its answer is not a
+    /// valid text.
     pub async fn text(
         &self,
         after: ConfigVersion,
@@ -101,12 +103,13 @@
         response.changed()?.map(text).transpose()
     }
 
-    /// Reads the VM list, of one service or whole, or watches for a version above
-    /// `after`; `None` when there is none after `wait_ms`.
+    /// Reads the VM list, complete or of one service, or watches for a version
+    /// above `after`. Returns `None` if there is none within `wait_ms`.
     ///
     /// # Errors
     ///
-    /// No answer in time, or one that is no list.
+    /// Fails if the platform does not answer in time or its answer is not a
+    /// valid list.
     pub async fn vms(
         &self,
         service: Option<&ServiceName>,
@@ -157,7 +160,8 @@
 }
 
 impl PlatformResponse {
-    /// The answer itself when it brings a value.
+    /// Returns the response if it contains a value, and `None` if there is no
+    /// new one.
     fn changed(self) -> Result<Option<Self>> {
         match self.status {
             StatusCode::NOT_MODIFIED | StatusCode::NOT_FOUND => Ok(None),
@@ -170,7 +174,7 @@
 fn text(response: PlatformResponse) -> Result<PublishedText> {
     let version = response
         .version
-        .ok_or_else(|| eyre!("the text came without {VERSION_HEADER}"))?;
+        .ok_or_else(|| eyre!("the text has no {VERSION_HEADER} header"))?;
     let text = std::str::from_utf8(&response.body).wrap_err("the text is not UTF-8")?;
     Ok(PublishedText {
         version: ConfigVersion(version),
--- a/crates/node/src/program.rs
+++ b/crates/node/src/program.rs
@@ -1,4 +1,4 @@
-//! The daemon as a program: arguments in, exit status out.
+//! The daemon's program: parses the arguments and returns the exit status.
 
 use std::path::Path;
 
@@ -9,10 +9,11 @@
 use crate::options::{self, Action, ExitStatus};
 use crate::settings::Config;
 
-/// Time to write out the last lines of the log at exit.
+/// Time limit for writing the last log lines at exit.
 const LOG_FLUSH_MS: Millis = Millis(1_000);
 
-/// Follows the arguments after the program's name until the node has ended.
+/// Runs the command given by the arguments after the program's name. Returns
+/// once the node has ended.
 #[must_use]
 pub fn run<S: AsRef<str>>(args: &[S]) -> ExitStatus {
     match options::parse(args) {
@@ -70,7 +71,7 @@
             ExitStatus::StartFailed
         }
     };
-    // When nobody reads standard error there is nobody to tell.
+    // If standard error cannot be written, there is no way to report it.
     let _ = log.flush(LOG_FLUSH_MS);
     status
 }
--- a/crates/node/src/report.rs
+++ b/crates/node/src/report.rs
@@ -1,4 +1,4 @@
-//! What operators see of a node: status, readiness, and gauges of metrics.
+//! The status, readiness and metric gauges of a node, for operators.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -23,11 +23,11 @@
 use crate::operators::OperatorsSource;
 use crate::settings::Config;
 
-/// Reads a node's parts for operators.
+/// Collects the state of a node's parts for operators.
 pub struct Reporter {
     /// The settings.
     pub config: Config,
-    /// This life.
+    /// The incarnation of this process.
     pub incarnation: Incarnation,
     /// The process's clock.
     pub clock: ProcessClock,
@@ -37,7 +37,7 @@
     pub callers: Arc<CallerServer>,
     /// The control half's latest status.
     pub control: Arc<ArcSwap<ControlStatus>>,
-    /// Gauges to refresh.
+    /// The metrics whose gauges are refreshed.
     pub metrics: Arc<Metrics>,
     /// When the platform last answered this node.
     pub platform_answered: Arc<LastAnswer>,
@@ -47,7 +47,7 @@
     pub seen: parking_lot::Mutex<SeenVersions>,
 }
 
-/// When versions were first seen by the reporter, in the process's clock.
+/// When the reporter first saw versions, on the process's clock.
 #[derive(Debug, Default)]
 pub struct SeenVersions {
     in_force: Option<(ConfigVersion, Millis)>,
@@ -99,7 +99,7 @@
 }
 
 impl Reporter {
-    /// Refreshes the gauges; called about once a second.
+    /// Refreshes the gauges. Called about once a second.
     pub fn refresh_gauges(&self) {
         let control = self.control.load();
         let routes = self.callers.board.routes();
@@ -122,7 +122,8 @@
             }
         }
         self.metrics.members(&levels);
-        // Notes since when the versions have been in force, before anybody asks.
+        // Records since when the versions have been in force, also if no status
+        // is requested.
         let _ = self.config_status(&control, &routes);
         for service in self.services(&control, &routes) {
             self.refresh_targets(&service);
@@ -241,7 +242,8 @@
     }
 }
 
-/// A service that no caller has asked this node for yet.
+/// Returns the status of a service that no caller has requested from this node
+/// yet.
 fn unused_service(name: &ServiceName, view: &ServiceView, now: Millis) -> ServiceStatus {
     let mut targets = Vec::new();
     for target in &view.targets {
