--- a/crates/node/src/callers/idempotent.rs
+++ b/crates/node/src/callers/idempotent.rs
@@ -286,7 +286,7 @@
         let total_us = self.started_at.elapsed().as_micros();
         let total_us = u64::try_from(total_us).unwrap_or(u64::MAX);
         let added_us = total_us.saturating_sub(relayed.time_to_head_us.into());
-        self.server.metrics.added(Side::Entry, added_us);
+        self.server.metrics.latency_added(Side::Entry, added_us);
     }
 
     fn hedge_timer(&self) -> Option<Pin<Box<tokio::time::Sleep>>> {
--- a/crates/node/src/gate_server.rs
+++ b/crates/node/src/gate_server.rs
@@ -382,7 +382,7 @@
     fn note_added_latency(&self, arrived_at: Instant, run: Duration) {
         let added = arrived_at.elapsed().saturating_sub(run);
         let added_us = u64::try_from(added.as_micros()).unwrap_or(u64::MAX);
-        self.metrics.added(Side::Gate, added_us);
+        self.metrics.latency_added(Side::Gate, added_us);
     }
 
     /// Expires queued calls and reports the requests that the gate has cleared
--- a/crates/node/src/logs.rs
+++ b/crates/node/src/logs.rs
@@ -37,7 +37,7 @@
     Thread(#[from] io::Error),
     /// The process has a logger already.
     #[error("another logger is in place: {0}")]
-    InPlace(#[from] log::SetLoggerError),
+    AlreadySet(#[from] log::SetLoggerError),
 }
 
 /// The running log; see [`LogHandle::flush`].
@@ -134,7 +134,7 @@
 
     fn log(&self, record: &Record<'_>) {
         let now_ms = Millis::from_duration(self.started.elapsed());
-        let suppressed = match self.repeats.ask(record, now_ms) {
+        let suppressed = match self.repeats.check(record, now_ms) {
             Permit::Write { suppressed } => suppressed,
             Permit::Suppress => {
                 LINES_SUPPRESSED.fetch_add(1, Ordering::Relaxed);
--- a/crates/node/src/logs/line.rs
+++ b/crates/node/src/logs/line.rs
@@ -13,7 +13,7 @@
 const MAX_VALUE_BYTES: usize = 1024;
 /// Further fields of a record are left out.
 const MAX_FIELDS: usize = 32;
-const CUT_MARK: &str = "...";
+const TRUNCATION_MARK: &str = "...";
 /// Keys of the line itself. A field of the same name gets [`FIELD_PREFIX`]:
 /// two equal keys in an object would hide one of them from most readers.
 const RESERVED: [&str; 6] = ["time_ms", "level", "target", "vm", "message", "suppressed"];
@@ -50,9 +50,9 @@
         let mut map = serializer.serialize_map(None)?;
         map.serialize_entry("time_ms", &self.wall_clock_ms)?;
         map.serialize_entry("level", level_name(self.record.level()))?;
-        map.serialize_entry("target", &cut(self.record.target(), MAX_VALUE_BYTES))?;
+        map.serialize_entry("target", &truncate(self.record.target(), MAX_VALUE_BYTES))?;
         map.serialize_entry("vm", self.vm)?;
-        map.serialize_entry("message", &cut(self.record.args(), MAX_MESSAGE_BYTES))?;
+        map.serialize_entry("message", &truncate(self.record.args(), MAX_MESSAGE_BYTES))?;
         if self.suppressed > 0 {
             map.serialize_entry("suppressed", &self.suppressed)?;
         }
@@ -87,7 +87,7 @@
         if self.seen.len() == MAX_FIELDS {
             return Err(Error::msg("too many fields"));
         }
-        let mut name = cut(key.as_str(), MAX_VALUE_BYTES);
+        let mut name = truncate(key.as_str(), MAX_VALUE_BYTES);
         if RESERVED.contains(&name.as_str()) {
             name.insert_str(0, FIELD_PREFIX);
         }
@@ -117,7 +117,7 @@
 
 impl<M: SerializeMap> VisitValue<'_> for Field<'_, M> {
     fn visit_any(&mut self, value: Value<'_>) -> Result<(), Error> {
-        self.put(&cut(value, MAX_VALUE_BYTES))
+        self.put(&truncate(value, MAX_VALUE_BYTES))
     }
 
     fn visit_null(&mut self) -> Result<(), Error> {
@@ -145,30 +145,30 @@
 ///
 /// `to_string` would panic where a value's own formatting fails, and a log
 /// must never end the thread that writes to it.
-fn cut(value: impl fmt::Display, max_bytes: usize) -> String {
-    let mut cutter = Cutter {
+fn truncate(value: impl fmt::Display, max_bytes: usize) -> String {
+    let mut truncator = Truncator {
         text: String::new(),
         max_bytes,
     };
-    if write!(cutter, "{value}").is_err() {
-        cutter.text.push_str(CUT_MARK);
+    if write!(truncator, "{value}").is_err() {
+        truncator.text.push_str(TRUNCATION_MARK);
     }
-    cutter.text
+    truncator.text
 }
 
-struct Cutter {
+struct Truncator {
     text: String,
     max_bytes: usize,
 }
 
-impl fmt::Write for Cutter {
+impl fmt::Write for Truncator {
     fn write_str(&mut self, part: &str) -> fmt::Result {
-        let left = self.max_bytes - self.text.len();
-        if part.len() <= left {
+        let room = self.max_bytes - self.text.len();
+        if part.len() <= room {
             self.text.push_str(part);
             return Ok(());
         }
-        self.text.push_str(&part[..part.floor_char_boundary(left)]);
+        self.text.push_str(&part[..part.floor_char_boundary(room)]);
         self.max_bytes = self.text.len();
         Err(fmt::Error)
     }
--- a/crates/node/src/logs/queue.rs
+++ b/crates/node/src/logs/queue.rs
@@ -24,7 +24,7 @@
 #[derive(Clone, Debug)]
 pub(super) struct Queue {
     sender: SyncSender<Item>,
-    waiting_bytes: Arc<AtomicUsize>,
+    queued_bytes: Arc<AtomicUsize>,
 }
 
 enum Item {
@@ -36,29 +36,29 @@
 impl Queue {
     pub(super) fn start(sink: Box<dyn Write + Send>) -> std::io::Result<Self> {
         let (sender, receiver) = sync_channel(MAX_LINES);
-        let waiting_bytes = Arc::new(AtomicUsize::new(0));
+        let queued_bytes = Arc::new(AtomicUsize::new(0));
         let writer = Writer {
             sink,
             receiver,
-            waiting_bytes: Arc::clone(&waiting_bytes),
+            queued_bytes: Arc::clone(&queued_bytes),
         };
         thread::Builder::new()
             .name("log".to_owned())
             .spawn(move || writer.run())?;
         Ok(Self {
             sender,
-            waiting_bytes,
+            queued_bytes,
         })
     }
 
     /// Hands over a line, or drops it; never waits.
     pub(super) fn push(&self, line: Vec<u8>) {
         let size_bytes = line.len();
-        let before = self.waiting_bytes.fetch_add(size_bytes, Ordering::Relaxed);
+        let before = self.queued_bytes.fetch_add(size_bytes, Ordering::Relaxed);
         if before + size_bytes <= MAX_BYTES && self.sender.try_send(Item::Line(line)).is_ok() {
             return;
         }
-        self.waiting_bytes.fetch_sub(size_bytes, Ordering::Relaxed);
+        self.queued_bytes.fetch_sub(size_bytes, Ordering::Relaxed);
         count_dropped(1);
     }
 
@@ -74,7 +74,7 @@
 struct Writer {
     sink: Box<dyn Write + Send>,
     receiver: Receiver<Item>,
-    waiting_bytes: Arc<AtomicUsize>,
+    queued_bytes: Arc<AtomicUsize>,
 }
 
 impl Writer {
@@ -91,7 +91,7 @@
     }
 
     fn write(&mut self, line: &[u8]) {
-        self.waiting_bytes.fetch_sub(line.len(), Ordering::Relaxed);
+        self.queued_bytes.fetch_sub(line.len(), Ordering::Relaxed);
         if self.sink.write_all(line).is_err() {
             count_dropped(1);
         }
--- a/crates/node/src/logs/repeats.rs
+++ b/crates/node/src/logs/repeats.rs
@@ -40,7 +40,7 @@
 #[derive(Debug, Default)]
 struct Slot {
     /// Hash of the place; 0 while the slot is free.
-    place: AtomicU64,
+    call_site: AtomicU64,
     /// Window in the upper 32 bits, lines asked for in it in the lower.
     count: AtomicU64,
 }
@@ -53,19 +53,19 @@
         }
     }
 
-    pub(super) fn ask(&self, record: &Record<'_>, now: Millis) -> Permit {
+    pub(super) fn check(&self, record: &Record<'_>, now: Millis) -> Permit {
         let window = now.0 / WINDOW_MS;
-        self.slot(place_of(record))
-            .ask(window as u32, self.max_lines)
+        self.slot(call_site_of(record))
+            .check(window as u32, self.max_lines)
     }
 
     /// The place's slot. Beyond `MAX_PROBES` collisions it shares one, which
     /// can silence it too early but never lets through more.
-    fn slot(&self, place: u64) -> &Slot {
-        let mut index = place as usize % SLOTS;
+    fn slot(&self, call_site: u64) -> &Slot {
+        let mut index = call_site as usize % SLOTS;
         for _ in 0..MAX_PROBES {
             let slot = &self.slots[index];
-            if slot.take(place) {
+            if slot.claim(call_site) {
                 return slot;
             }
             index = (index + 1) % SLOTS;
@@ -76,17 +76,17 @@
 
 impl Slot {
     /// Whether the slot belongs to the place, now or already.
-    fn take(&self, place: u64) -> bool {
-        let taken = self
-            .place
-            .compare_exchange(0, place, Ordering::Relaxed, Ordering::Relaxed);
-        match taken {
+    fn claim(&self, call_site: u64) -> bool {
+        let claimed =
+            self.call_site
+                .compare_exchange(0, call_site, Ordering::Relaxed, Ordering::Relaxed);
+        match claimed {
             Ok(_) => true,
-            Err(owner) => owner == place,
+            Err(owner) => owner == call_site,
         }
     }
 
-    fn ask(&self, window: u32, max_lines: u32) -> Permit {
+    fn check(&self, window: u32, max_lines: u32) -> Permit {
         let mut before = self.count.load(Ordering::Relaxed);
         loop {
             let after = next_count(before, window);
@@ -133,7 +133,7 @@
 }
 
 /// Never 0, which stands for a free slot.
-fn place_of(record: &Record<'_>) -> u64 {
+fn call_site_of(record: &Record<'_>) -> u64 {
     let mut hash = Xxh3::new();
     hash.update(record.target().as_bytes());
     hash.update(&[record.level() as u8]);
--- a/crates/node/src/logs/tests.rs
+++ b/crates/node/src/logs/tests.rs
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn a_line_has_the_promised_keys_and_fields() {
+fn a_line_has_the_documented_keys_and_fields() {
     let (logger, handle, sink) = logger(&settings());
     let fields = [
         ("service", "ledger".to_value()),
@@ -147,7 +147,7 @@
 }
 
 #[test]
-fn long_and_unprintable_messages_are_cut() {
+fn long_and_unprintable_messages_are_truncated() {
     let (logger, handle, sink) = logger(&settings());
     write(&*logger, Level::Info, "long", &"é".repeat(100_000));
     logger.log(
@@ -168,7 +168,7 @@
 }
 
 #[test]
-fn levels_hold_for_a_target_and_what_is_below_it() {
+fn levels_apply_to_a_target_and_its_submodules() {
     let mut settings = settings();
     settings.level = LevelFilter::Warn;
     settings
@@ -187,7 +187,7 @@
 }
 
 #[test]
-fn a_place_that_repeats_is_silenced_and_others_are_not() {
+fn a_repetitive_call_site_is_suppressed_and_others_are_not() {
     // The platform is down, and one place warns on every read of every watch.
     // The log store would be flooded during the outage. Its first lines must
     // come through, and an error of another place must not be lost to it.
@@ -208,28 +208,28 @@
 }
 
 #[test]
-fn the_next_window_tells_what_was_left_out() {
+fn the_next_window_reports_suppressed_lines() {
     let repeats = Repeats::new(2);
     let record = Record::builder().target("platform").build();
-    let ask = |now_ms| repeats.ask(&record, Millis(now_ms));
-    assert_eq!(ask(0), Permit::Write { suppressed: 0 });
-    assert_eq!(ask(5_000), Permit::Write { suppressed: 0 });
-    assert_eq!(ask(9_998), Permit::Suppress);
-    assert_eq!(ask(9_999), Permit::Suppress);
-    assert_eq!(ask(10_000), Permit::Write { suppressed: 2 });
-    assert_eq!(ask(10_001), Permit::Write { suppressed: 0 });
-    assert_eq!(ask(90_000), Permit::Write { suppressed: 0 });
+    let check = |now_ms| repeats.check(&record, Millis(now_ms));
+    assert_eq!(check(0), Permit::Write { suppressed: 0 });
+    assert_eq!(check(5_000), Permit::Write { suppressed: 0 });
+    assert_eq!(check(9_998), Permit::Suppress);
+    assert_eq!(check(9_999), Permit::Suppress);
+    assert_eq!(check(10_000), Permit::Write { suppressed: 2 });
+    assert_eq!(check(10_001), Permit::Write { suppressed: 0 });
+    assert_eq!(check(90_000), Permit::Write { suppressed: 0 });
 }
 
 #[test]
-fn more_places_than_slots_never_write_more_than_allowed() {
+fn more_call_sites_than_slots_never_write_more_than_allowed() {
     let repeats = Repeats::new(1);
     let mut written = 0;
     for number in 0..10_000 {
         let target = format!("place-{number}");
         for _ in 0..2 {
             let record = Record::builder().target(&target).build();
-            if repeats.ask(&record, Millis(0)) != Permit::Suppress {
+            if repeats.check(&record, Millis(0)) != Permit::Suppress {
                 written += 1;
             }
         }
@@ -257,7 +257,7 @@
 }
 
 #[test]
-fn a_stalled_reader_holds_up_nobody_who_logs() {
+fn a_stalled_reader_does_not_block_logging() {
     // The log collector stops reading, and the pipe fills up. The writing
     // thread then hangs in its write. Every call that logs would hang with it
     // if it wrote by itself; instead the queue fills, and lines are counted as
@@ -299,7 +299,7 @@
 }
 
 #[test]
-fn a_closed_standard_error_costs_lines_only() {
+fn a_closed_standard_error_only_loses_lines() {
     // The log collector has died, and each write fails with EPIPE. `eprintln`
     // would panic on it, in the middle of a call. Here the line is counted,
     // and the log goes on for the case that the next write succeeds.
--- a/crates/node/src/metrics.rs
+++ b/crates/node/src/metrics.rs
@@ -194,7 +194,7 @@
 
     /// What one half of the node added to a call, without the target's run and
     /// the way between data centres.
-    pub fn added(&self, side: Side, added_us: u64) {
+    pub fn latency_added(&self, side: Side, added_us: u64) {
         let side = KeyValue::new("side", <&'static str>::from(side));
         self.instruments.added_latency.record(ms(added_us), &[side]);
     }
--- a/crates/node/src/metrics/instruments.rs
+++ b/crates/node/src/metrics/instruments.rs
@@ -235,25 +235,25 @@
 }
 
 /// Figures that are computed at the scrape; left out while they are undefined.
-const COST_FIGURES: [CostFigure; 3] = [
-    CostFigure {
+const COST_GAUGES: [CostGauge; 3] = [
+    CostGauge {
         name: "hitch.measuring.messages_per_call",
         description: "Messages sent for measuring and control per call since the start.",
         read: MeasuringCost::messages_per_call,
     },
-    CostFigure {
+    CostGauge {
         name: "hitch.control.core_share",
         description: "Share of one core that the control thread took since the start.",
         read: MeasuringCost::control_core_share,
     },
-    CostFigure {
+    CostGauge {
         name: "hitch.control.bytes_per_s",
         description: "Bytes of control traffic a second since the start, both ways with bulk.",
         read: MeasuringCost::control_bytes_per_s,
     },
 ];
 
-struct CostFigure {
+struct CostGauge {
     name: &'static str,
     description: &'static str,
     read: fn(&MeasuringCost) -> Option<f64>,
@@ -268,13 +268,13 @@
             .with_callback(move |observer| observer.observe((counter.read)(&cost.read()), &[]))
             .build();
     }
-    for figure in COST_FIGURES {
+    for gauge in COST_GAUGES {
         let cost = Arc::clone(cost);
         meter
-            .f64_observable_gauge(figure.name)
-            .with_description(figure.description)
+            .f64_observable_gauge(gauge.name)
+            .with_description(gauge.description)
             .with_callback(move |observer| {
-                if let Some(value) = (figure.read)(&cost.read()) {
+                if let Some(value) = (gauge.read)(&cost.read()) {
                     observer.observe(value, &[]);
                 }
             })
--- a/crates/node/src/metrics/labels.rs
+++ b/crates/node/src/metrics/labels.rs
@@ -24,22 +24,22 @@
 /// process count as `other`, so the number of values is bounded for good.
 #[derive(Debug)]
 pub(super) struct Labels {
-    now: ArcSwap<Names>,
-    ever: Mutex<Ever>,
+    current: ArcSwap<CurrentNames>,
+    seen: Mutex<SeenNames>,
     other_service: KeyValue,
     other_tenant: KeyValue,
 }
 
 /// Names of the configuration in force, with ready labels.
 #[derive(Debug, Default)]
-struct Names {
+struct CurrentNames {
     services: BTreeMap<ServiceName, KeyValue>,
     tenants: BTreeMap<TenantName, KeyValue>,
 }
 
 /// Names of all configurations since the start.
 #[derive(Debug, Default)]
-struct Ever {
+struct SeenNames {
     services: BTreeSet<ServiceName>,
     tenants: BTreeSet<TenantName>,
 }
@@ -47,8 +47,8 @@
 impl Default for Labels {
     fn default() -> Self {
         Self {
-            now: ArcSwap::default(),
-            ever: Mutex::default(),
+            current: ArcSwap::default(),
+            seen: Mutex::default(),
             other_service: KeyValue::new("service", OTHER),
             other_tenant: KeyValue::new("tenant", OTHER),
         }
@@ -57,28 +57,28 @@
 
 impl Labels {
     pub(super) fn set(&self, services: &[ServiceName], tenants: &[TenantName]) {
-        let mut ever = self.ever.lock();
-        let mut names = Names::default();
+        let mut seen = self.seen.lock();
+        let mut names = CurrentNames::default();
         for service in services {
-            if !admit(&mut ever.services, service, MAX_SERVICES) {
+            if !admit(&mut seen.services, service, MAX_SERVICES) {
                 continue;
             }
             let label = KeyValue::new("service", std::sync::Arc::<str>::from(service.as_str()));
             names.services.insert(service.clone(), label);
         }
         for tenant in tenants {
-            if !admit(&mut ever.tenants, tenant, MAX_TENANTS) {
+            if !admit(&mut seen.tenants, tenant, MAX_TENANTS) {
                 continue;
             }
             let label = KeyValue::new("tenant", std::sync::Arc::<str>::from(tenant.as_str()));
             names.tenants.insert(tenant.clone(), label);
         }
-        self.now.store(std::sync::Arc::new(names));
+        self.current.store(std::sync::Arc::new(names));
     }
 
     /// The label of a service; a clone of it only counts a reference.
     pub(super) fn service(&self, name: &str) -> KeyValue {
-        let names = self.now.load();
+        let names = self.current.load();
         names
             .services
             .get(name)
@@ -88,7 +88,7 @@
 
     /// The label of a tenant; a clone of it only counts a reference.
     pub(super) fn tenant(&self, name: &str) -> KeyValue {
-        let names = self.now.load();
+        let names = self.current.load();
         names
             .tenants
             .get(name)
@@ -98,12 +98,12 @@
 }
 
 /// Whether a name is known or there is room to make it so.
-fn admit<T: Clone + Ord>(ever: &mut BTreeSet<T>, name: &T, max: usize) -> bool {
-    if ever.contains(name) {
+fn admit<T: Clone + Ord>(seen: &mut BTreeSet<T>, name: &T, max: usize) -> bool {
+    if seen.contains(name) {
         return true;
     }
-    if ever.len() >= max {
+    if seen.len() >= max {
         return false;
     }
-    ever.insert(name.clone())
+    seen.insert(name.clone())
 }
--- a/crates/node/src/metrics/tests.rs
+++ b/crates/node/src/metrics/tests.rs
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn recorded_values_stand_in_the_text() {
+fn recorded_values_are_exported() {
     let metrics = metrics();
     metrics.call_ended(&sample("district-7"));
     metrics.call_ended(&CallSample {
@@ -57,8 +57,8 @@
         latency_us: 90,
         ..sample("district-7")
     });
-    metrics.added(Side::Entry, 980);
-    metrics.added(Side::Gate, 120);
+    metrics.latency_added(Side::Entry, 980);
+    metrics.latency_added(Side::Gate, 120);
     metrics.attempt_sent("cashier", AttemptKind::First);
     metrics.attempt_sent("cashier", AttemptKind::Retry);
     metrics.attempt_sent("cashier", AttemptKind::Hedge);
@@ -91,24 +91,24 @@
     metrics.targets("ledger", TargetState::Ejected, 1);
     metrics.suspects(SuspectState::Convicted, 1);
 
-    insta::assert_snapshot!(without_moving_figures(&render(&metrics)));
+    insta::assert_snapshot!(without_varying_lines(&render(&metrics)));
 }
 
 /// Leaves out what differs from run to run: shares of the time since the
 /// start, and the log's counters, which belong to the whole process.
-fn without_moving_figures(text: &str) -> String {
-    let mut kept = String::new();
+fn without_varying_lines(text: &str) -> String {
+    let mut stable = String::new();
     for line in text.lines() {
-        let moving = line.starts_with("hitch_control_core_share ")
+        let varies = line.starts_with("hitch_control_core_share ")
             || line.starts_with("hitch_control_bytes_per_s ")
             || line.starts_with("hitch_log_lines_");
-        if moving {
+        if varies {
             continue;
         }
-        kept.push_str(line);
-        kept.push('\n');
+        stable.push_str(line);
+        stable.push('\n');
     }
-    kept
+    stable
 }
 
 #[test]
@@ -133,7 +133,7 @@
 }
 
 #[test]
-fn edits_of_the_text_cannot_add_tenants_without_end() {
+fn configuration_edits_cannot_add_unlimited_tenants() {
     // Each edit of the text renames a tenant, for as long as the process
     // lives. Old names stay in the metrics library, so without a bound over
     // the life of the process they would pile up.
@@ -156,7 +156,7 @@
 }
 
 #[test]
-fn a_tenant_that_left_the_text_counts_as_other() {
+fn a_tenant_removed_from_the_configuration_counts_as_other() {
     let metrics = metrics();
     metrics.set_names(&[ServiceName::new("cashier")], &[]);
     metrics.call_ended(&sample("district-7"));
@@ -164,7 +164,7 @@
 }
 
 #[test]
-fn hostile_names_of_the_text_stay_within_their_label() {
+fn hostile_names_are_escaped_in_labels() {
     let metrics = metrics();
     let hostile = "a\"} 1\nforged{b=\"\\";
     metrics.set_names(&[ServiceName::new("cashier")], &[TenantName::new(hostile)]);
@@ -175,7 +175,7 @@
 }
 
 #[test]
-fn the_cost_of_measuring_is_a_figure() {
+fn the_measuring_cost_is_exported() {
     let metrics = metrics();
     assert_eq!(metrics.measuring_cost().messages_per_call(), None);
     assert!(!render(&metrics).contains("hitch_measuring_messages_per_call "));
@@ -222,7 +222,7 @@
 /// Names that the registry declares, without the prefix of all metrics.
 fn declared() -> BTreeSet<&'static str> {
     let snapshot = include_str!(
-        "snapshots/hornbeamhitch_node__metrics__tests__recorded_values_stand_in_the_text.snap"
+        "snapshots/hornbeamhitch_node__metrics__tests__recorded_values_are_exported.snap"
     );
     let mut names = BTreeSet::new();
     for line in snapshot.lines() {
--- a/crates/node/src/operators/tests.rs
+++ b/crates/node/src/operators/tests.rs
@@ -125,7 +125,7 @@
 }
 
 #[tokio::test]
-async fn status_reads_back_as_it_was() {
+async fn status_round_trips() {
     let fixture = Fixture::start();
     let answer = fixture.get("/v1/status").await;
     assert_eq!(answer.status, StatusCode::OK);
@@ -152,11 +152,11 @@
 }
 
 #[tokio::test]
-async fn where_answers_for_services_held_and_for_no_others() {
+async fn where_answers_for_tracked_services_only() {
     let fixture = Fixture::start();
-    let held = fixture.get("/v1/where/ledger").await;
-    assert_eq!(held.status, StatusCode::OK);
-    assert_eq!(held.json()["name"], "ledger");
+    let tracked = fixture.get("/v1/where/ledger").await;
+    assert_eq!(tracked.status, StatusCode::OK);
+    assert_eq!(tracked.json()["name"], "ledger");
     let unknown = fixture.get("/v1/where/no%0Asuch").await;
     assert_eq!(unknown.status, StatusCode::NOT_FOUND);
     assert_eq!(unknown.json()["error_code"], "UnknownService");
@@ -177,7 +177,7 @@
 }
 
 #[tokio::test]
-async fn nothing_can_be_written() {
+async fn no_endpoint_accepts_writes() {
     let fixture = Fixture::start();
     for path in [
         "/v1/status",
@@ -217,7 +217,7 @@
 }
 
 #[tokio::test]
-async fn an_address_in_use_is_named() {
+async fn an_address_in_use_is_reported() {
     let fixture = Fixture::start();
     let taken = fixture.server.local_addr();
     let second = start(taken, fixture.node, fixture.metrics);
--- a/crates/node/src/settings.rs
+++ b/crates/node/src/settings.rs
@@ -26,7 +26,7 @@
 
 pub use self::fault::{Fault, FaultKind, SettingsFaults};
 use self::reader::Section;
-use self::units::{BoundAddress, CountIn, HostAddress, ListenAddress, MillisIn, Name, OneLevel};
+use self::units::{BoundAddress, CountIn, HostAddress, ListenAddress, LogLevel, MillisIn, Name};
 
 /// Larger files are refused unread: no settings file is near this size, so it
 /// is a wrong path.
@@ -296,8 +296,8 @@
 
 fn read_log(log: &mut Section<'_>) -> LogSettings {
     let mut read = LogSettings::default();
-    log.replace::<_, OneLevel>("level", &mut read.level);
-    read.targets = log.map::<_, OneLevel>("targets");
+    log.replace::<_, LogLevel>("level", &mut read.level);
+    read.targets = log.map::<_, LogLevel>("targets");
     log.replace::<_, CountIn<1, 1_000_000>>("repeats_per_10_s", &mut read.repeats_per_10_s);
     read
 }
--- a/crates/node/src/settings/reader.rs
+++ b/crates/node/src/settings/reader.rs
@@ -18,7 +18,7 @@
 use super::units::Allowed;
 
 /// Values longer than this are shortened in faults.
-const MAX_SHOWN_CHARS: usize = 60;
+const MAX_DISPLAYED_CHARS: usize = 60;
 
 /// A parsed settings file with its text.
 pub(super) struct Document<'a> {
@@ -231,7 +231,7 @@
         };
         Fault {
             kind: FaultKind::Unknown,
-            key: self.path_of(&shown(key)),
+            key: self.path_of(&sanitized(key)),
             problem,
             allowed,
             ..fault_at(self.text, prop.range.start)
@@ -249,7 +249,7 @@
             }
             self.faults.push(Fault {
                 kind: FaultKind::Repeated,
-                key: join(path, &shown(key)),
+                key: join(path, &sanitized(key)),
                 problem: "stands twice".to_owned(),
                 allowed: "each key once".to_owned(),
                 ..fault_at(self.text, prop.range.start)
@@ -289,8 +289,8 @@
     fn refuse(&mut self, path: &str, value: &Value<'_>, allowed: String) {
         self.faults.push(Fault {
             kind: FaultKind::Value,
-            key: shown(path),
-            problem: format!("{} is not allowed", shown(value.text(self.text))),
+            key: sanitized(path),
+            problem: format!("{} is not allowed", sanitized(value.text(self.text))),
             allowed,
             ..fault_at(self.text, value.range().start)
         });
@@ -321,10 +321,10 @@
 
 /// A value or key as faults show it: on one line, without control characters,
 /// so that a hostile file cannot forge further faults, and not too long.
-fn shown(source: &str) -> String {
+fn sanitized(source: &str) -> String {
     let mut line = String::new();
     for (index, c) in source.chars().enumerate() {
-        if index == MAX_SHOWN_CHARS {
+        if index == MAX_DISPLAYED_CHARS {
             line.push_str("...");
             break;
         }
--- a/crates/node/src/settings/units.rs
+++ b/crates/node/src/settings/units.rs
@@ -165,15 +165,15 @@
 }
 
 /// A level of the log.
-pub(super) struct OneLevel;
+pub(super) struct LogLevel;
 
-impl Allowed for OneLevel {
+impl Allowed for LogLevel {
     fn allowed() -> String {
         "one of \"off\", \"error\", \"warn\", \"info\", \"debug\", \"trace\"".to_owned()
     }
 }
 
-impl<'de> DeserializeAs<'de, LevelFilter> for OneLevel {
+impl<'de> DeserializeAs<'de, LevelFilter> for LogLevel {
     fn deserialize_as<D: Deserializer<'de>>(deserializer: D) -> Result<LevelFilter, D::Error> {
         let text = String::deserialize(deserializer)?;
         for level in LevelFilter::iter() {
