--- a/crates/node/src/logs.rs
+++ b/crates/node/src/logs.rs
@@ -1,10 +1,9 @@
 //! The log: JSON lines on standard error or standard output.
 //!
-//! `fern` decides by level and target, then each line passes two safeguards
-//! for the traffic threads. A place in the code that writes too often is
-//! silenced for a while (`repeats`), and lines travel over a bounded queue
-//! to a thread of their own (`queue`), so that nobody else ever waits for
-//! standard error.
+//! `fern` filters by level and target. Two safeguards then protect the traffic
+//! threads: call sites that log too often are suppressed for a while
+//! (`repeats`), and lines are written by a separate thread behind a bounded
+//! queue (`queue`), so that no other thread ever waits for standard error.
 
 mod line;
 mod queue;
@@ -29,55 +28,57 @@
 static LINES_DROPPED: AtomicU64 = AtomicU64::new(0);
 static LINES_SUPPRESSED: AtomicU64 = AtomicU64::new(0);
 
-/// The log could not be started.
+/// Why the log could not be started.
 #[derive(Debug, thiserror::Error)]
 pub enum LogsError {
-    /// The thread that writes could not be started.
+    /// The writer thread could not be started.
     #[error("the log's thread cannot be started: {0}")]
     Thread(#[from] io::Error),
-    /// The process has a logger already.
-    #[error("another logger is in place: {0}")]
+    /// The process already has a logger.
+    #[error("the process already has a logger: {0}")]
     AlreadySet(#[from] log::SetLoggerError),
 }
 
-/// The running log; see [`LogHandle::flush`].
+/// Handle to the running log; see [`LogHandle::flush`].
 #[derive(Clone, Debug)]
 pub struct LogHandle {
     queue: Queue,
 }
 
 impl LogHandle {
-    /// Waits until the lines so far are written, or for `timeout_ms`. Returns
-    /// whether they are; `false` at once when the queue is full, because then
-    /// nobody reads standard error.
+    /// Waits until the lines so far are written, for at most `timeout_ms`.
+    /// Returns whether they are. Returns `false` at once if the queue is full,
+    /// because standard error is then not being read.
     #[must_use]
     pub fn flush(&self, timeout_ms: Millis) -> bool {
         self.queue.flush(timeout_ms.to_duration())
     }
 }
 
-/// Lines lost in this process because standard error was full or closed.
+/// Returns the number of lines that this process lost because standard error
+/// was full or closed.
 #[must_use]
 pub fn lines_dropped() -> u64 {
     LINES_DROPPED.load(Ordering::Relaxed)
 }
 
-/// Lines left out in this process because one place wrote too many.
+/// Returns the number of lines that this process suppressed because one call
+/// site logged too often.
 #[must_use]
 pub fn lines_suppressed() -> u64 {
     LINES_SUPPRESSED.load(Ordering::Relaxed)
 }
 
-/// Starts the log of the process on standard error and sends panics to it.
+/// Starts the log of the process on standard error and redirects panics to it.
 ///
 /// # Errors
 ///
-/// When a logger is in place already or no thread can be had.
+/// Fails if a logger is already set or the writer thread cannot be started.
 pub fn start(settings: &LogSettings, vm: &VmId) -> Result<LogHandle, LogsError> {
     install(settings, vm, Box::new(io::stderr()))
 }
 
-/// The same on standard output, where some platforms collect logs.
+/// Starts the log on standard output, from which some platforms collect logs.
 ///
 /// # Errors
 ///
@@ -98,7 +99,7 @@
     Ok(handle)
 }
 
-/// The same without touching the process, for any sink.
+/// Builds the logger for any sink without installing it in the process.
 fn build(
     settings: &LogSettings,
     vm: &VmId,
@@ -119,7 +120,7 @@
     Ok((level, logger, LogHandle { queue }))
 }
 
-/// Turns records into lines and hands them to the queue.
+/// Converts records to lines and puts them into the queue.
 struct JsonLines {
     vm: VmId,
     queue: Queue,
--- a/crates/node/src/logs/line.rs
+++ b/crates/node/src/logs/line.rs
@@ -1,4 +1,4 @@
-//! One line of the log.
+//! Formats one line of the log.
 
 use std::collections::BTreeSet;
 use std::fmt::{self, Write as _};
@@ -7,37 +7,40 @@
 use log::kv::{Error, Key, Value, VisitSource, VisitValue};
 use serde::ser::{SerializeMap, Serializer as _};
 
-/// Longer messages are cut, so that one caller's input cannot fill the queue.
+/// Longer messages are truncated, so that the input of one caller cannot fill
+/// the queue.
 const MAX_MESSAGE_BYTES: usize = 4 * 1024;
-/// Longer values of a field are cut.
+/// Longer field values are truncated.
 const MAX_VALUE_BYTES: usize = 1024;
-/// Further fields of a record are left out.
+/// Further fields of a record are omitted.
 const MAX_FIELDS: usize = 32;
 const TRUNCATION_MARK: &str = "...";
-/// Keys of the line itself. A field of the same name gets [`FIELD_PREFIX`]:
-/// two equal keys in an object would hide one of them from most readers.
+/// Keys of the line itself. A field of the same name gets [`FIELD_PREFIX`],
+/// because most readers would hide one of two equal keys in an object.
 const RESERVED: [&str; 6] = ["time_ms", "level", "target", "vm", "message", "suppressed"];
 const FIELD_PREFIX: &str = "field_";
 
-/// What goes into a line beside the record.
+/// The content of a line.
 pub(super) struct Line<'a> {
-    /// Milliseconds since 1970, for people and log stores only.
+    /// Milliseconds since 1970, only for display and log stores.
     pub(super) wall_clock_ms: u64,
     /// The node's VM.
     pub(super) vm: &'a str,
-    /// Lines of the same place that were left out just before.
+    /// Number of lines of the same call site that were suppressed just before.
     pub(super) suppressed: u32,
-    /// The record itself.
+    /// The logged record.
     pub(super) record: &'a Record<'a>,
 }
 
 impl Line<'_> {
-    /// The line as JSON, ended by its only newline.
+    /// Returns the line as JSON, with a newline at its end and no other
+    /// newline.
     pub(super) fn to_bytes(&self) -> Vec<u8> {
         let mut bytes = Vec::with_capacity(256);
         if self.write(&mut bytes).is_err() {
-            // Memory cannot fail to be written to, and no value here refuses
-            // its serialisation; an empty line would be lost on its reader.
+            // This is not expected: writing to memory does not fail, and every
+            // value here can be serialised. A reader learns more from this line
+            // than from an empty one.
             bytes.clear();
             bytes.extend_from_slice(br#"{"message":"a log line could not be written"}"#);
         }
@@ -60,7 +63,7 @@
             map: &mut map,
             seen: BTreeSet::new(),
         };
-        // A visitor fails only beyond MAX_FIELDS, and then the line is good.
+        // The visitor only fails beyond MAX_FIELDS, and then the line is valid.
         let _ = self.record.key_values().visit(&mut fields);
         map.end()
     }
@@ -76,7 +79,7 @@
     }
 }
 
-/// Writes the fields of a record after the line's own.
+/// Writes the fields of a record after the keys of the line itself.
 struct Fields<'a, M> {
     map: &'a mut M,
     seen: BTreeSet<String>,
@@ -101,7 +104,7 @@
     }
 }
 
-/// Writes one field in its own JSON type.
+/// Writes one field as its own JSON type.
 struct Field<'a, M> {
     map: &'a mut M,
     name: &'a str,
@@ -141,10 +144,10 @@
     }
 }
 
-/// Formats a value up to a number of bytes.
+/// Formats a value, truncated to `max_bytes`.
 ///
-/// `to_string` would panic where a value's own formatting fails, and a log
-/// must never end the thread that writes to it.
+/// `to_string` would panic if the value's own formatting fails, and logging
+/// must never end the calling thread.
 fn truncate(value: impl fmt::Display, max_bytes: usize) -> String {
     let mut truncator = Truncator {
         text: String::new(),
--- a/crates/node/src/logs/queue.rs
+++ b/crates/node/src/logs/queue.rs
@@ -1,4 +1,4 @@
-//! The queue between those who log and the one thread that writes.
+//! The queue between the logging threads and the writer thread.
 
 use std::io::Write;
 use std::sync::Arc;
@@ -9,18 +9,18 @@
 
 use super::count_dropped;
 
-/// Lines that may wait.
+/// Maximum number of queued lines.
 const MAX_LINES: usize = 4_096;
-/// Bytes that may wait; reached first when lines are long.
+/// Maximum number of queued bytes; reached first when lines are long.
 const MAX_BYTES: usize = 4 * 1024 * 1024;
 
 /// The sending end; clones share the queue.
 ///
-/// Standard error is often a pipe. Once its reader stalls, a write blocks
-/// without end; once it is gone, each write fails. Written from a traffic
-/// thread, the first would freeze every call of the node for as long as the
-/// log collector sleeps. Here only the writing thread waits; all others find
-/// the queue full, drop their line and count it.
+/// Standard error is often a pipe. If its reader stalls, a write blocks
+/// indefinitely; if its reader has ended, each write fails. A blocked write in
+/// a traffic thread would freeze every call of the node for as long as the log
+/// collector does not read. Here only the writer thread waits; the other
+/// threads find the queue full, drop their line and count it.
 #[derive(Clone, Debug)]
 pub(super) struct Queue {
     sender: SyncSender<Item>,
@@ -29,7 +29,7 @@
 
 enum Item {
     Line(Vec<u8>),
-    /// Answer once everything before is written.
+    /// Reply once all lines before this item are written.
     Flush(SyncSender<()>),
 }
 
@@ -51,7 +51,7 @@
         })
     }
 
-    /// Hands over a line, or drops it; never waits.
+    /// Queues a line or drops it; never blocks.
     pub(super) fn push(&self, line: Vec<u8>) {
         let size_bytes = line.len();
         let before = self.queued_bytes.fetch_add(size_bytes, Ordering::Relaxed);
@@ -78,13 +78,14 @@
 }
 
 impl Writer {
-    /// Runs until the last sender is gone. A failed write loses its line only:
-    /// the next may succeed, for instance once a full file system has room.
+    /// Runs until the last sender is dropped. A failed write only loses its own
+    /// line, because the next may succeed, for example once a full file system
+    /// has space again.
     fn run(mut self) {
         while let Ok(item) = self.receiver.recv() {
             match item {
                 Item::Line(line) => self.write(&line),
-                // Whoever asked may have given up waiting.
+                // The requester may have stopped waiting.
                 Item::Flush(done) => drop(done.try_send(())),
             }
         }
--- a/crates/node/src/logs/repeats.rs
+++ b/crates/node/src/logs/repeats.rs
@@ -1,4 +1,4 @@
-//! Silences places in the code that write too often.
+//! Suppresses lines of call sites that log too often.
 
 use std::array;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -8,40 +8,43 @@
 use xxhash_rust::xxh3::Xxh3;
 
 const WINDOW_MS: u64 = 10_000;
-/// Far more places than the daemon and its libraries have.
+/// Far more than the number of call sites in the daemon and its libraries.
 const SLOTS: usize = 1_024;
 const MAX_PROBES: usize = 16;
 
 /// Whether a line may be written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Permit {
-    /// Write it, and say how many of its place were left out before.
+    /// Write the line, with the number of lines suppressed before.
     Write {
-        /// Lines left out in the last window in which the place wrote.
+        /// Number of lines suppressed in the last window in which the call site
+        /// logged.
         suppressed: u32,
     },
-    /// Leave it out.
+    /// Suppress the line.
     Suppress,
 }
 
-/// Counts lines by target, level and place, in windows of ten seconds.
+/// Counts lines by target, level and call site in windows of ten seconds.
 ///
-/// During an outage each call fails in the same way and logs it. Without a
-/// bound, the log store is flooded when it is needed most, and formatting
-/// takes the cores that the calls need. Each place keeps its first lines of a
-/// window, so a rare line is never lost to a frequent one of another place.
+/// During an outage every call fails in the same way and logs it. Without a
+/// limit, the log store is flooded when it is needed most, and formatting takes
+/// the CPU time that calls need. Each call site may write its first lines of a
+/// window, so a frequent line never displaces a rare one of another call site.
 #[derive(Debug)]
 pub(super) struct Repeats {
     max_lines: u32,
     slots: Box<[Slot; SLOTS]>,
 }
 
-/// One place; lock-free, because traffic threads pass here at once.
+/// The counter of one call site. It is lock-free because traffic threads use it
+/// concurrently.
 #[derive(Debug, Default)]
 struct Slot {
-    /// Hash of the place; 0 while the slot is free.
+    /// Hash of the call site; 0 while the slot is free.
     call_site: AtomicU64,
-    /// Window in the upper 32 bits, lines asked for in it in the lower.
+    /// The window in the upper 32 bits, the number of lines in it in the lower
+    /// 32 bits.
     count: AtomicU64,
 }
 
@@ -59,8 +62,9 @@
             .check(window as u32, self.max_lines)
     }
 
-    /// The place's slot. Beyond `MAX_PROBES` collisions it shares one, which
-    /// can silence it too early but never lets through more.
+    /// Returns the slot of a call site. After `MAX_PROBES` collisions the call
+    /// site shares a slot, which may suppress it too early but never allows
+    /// more lines.
     fn slot(&self, call_site: u64) -> &Slot {
         let mut index = call_site as usize % SLOTS;
         for _ in 0..MAX_PROBES {
@@ -75,7 +79,8 @@
 }
 
 impl Slot {
-    /// Whether the slot belongs to the place, now or already.
+    /// Claims the slot if it is free. Returns whether it belongs to the call
+    /// site.
     fn claim(&self, call_site: u64) -> bool {
         let claimed =
             self.call_site
@@ -132,7 +137,7 @@
     ((count >> u32::BITS) as u32, count as u32)
 }
 
-/// Never 0, which stands for a free slot.
+/// Never 0, which marks a free slot.
 fn call_site_of(record: &Record<'_>) -> u64 {
     let mut hash = Xxh3::new();
     hash.update(record.target().as_bytes());
--- a/crates/node/src/logs/tests.rs
+++ b/crates/node/src/logs/tests.rs
@@ -1,5 +1,5 @@
-//! Lines stay JSON whatever is logged, and a dead or slow reader of standard
-//! error costs lines only.
+//! Lines stay valid JSON whatever is logged, and a stalled or closed standard
+//! error only loses lines.
 
 use std::sync::mpsc::{Receiver, Sender, channel};
 use std::sync::{Arc, Mutex};
@@ -12,7 +12,7 @@
 
 const TIMEOUT_MS: Millis = Millis(10_000);
 
-/// A sink whose content can be read by the test.
+/// A sink whose content the test can read.
 #[derive(Clone, Default)]
 struct Sink(Arc<Mutex<Vec<u8>>>);
 
@@ -50,7 +50,7 @@
 fn logger(settings: &LogSettings) -> (Box<dyn Log>, LogHandle, Sink) {
     let sink = Sink::default();
     let (_, logger, handle) = build(settings, &VmId::new("cashier-1"), Box::new(sink.clone()))
-        .expect("a thread can be had");
+        .expect("a thread can be started");
     (logger, handle, sink)
 }
 
@@ -99,9 +99,10 @@
 
 #[test]
 fn hostile_content_cannot_break_or_forge_a_line() {
-    // A caller puts quotes, newlines and control characters into a path that
-    // is logged. Unescaped, its newline would end the line, and what follows
-    // would pass for a line of the node in the auditors' log store.
+    // Guards against forged log lines: a caller puts quotes, newlines and
+    // control characters into a path that is logged. An unescaped newline would
+    // end the line, and the rest would pass for a line of the node in the log
+    // store.
     let (logger, handle, sink) = logger(&settings());
     let hostile =
         "\"}\n{\"level\":\"error\",\"message\":\"forged\"}\r\t\u{0}\u{1b}[31m\\\u{2028}ภาพ";
@@ -188,9 +189,9 @@
 
 #[test]
 fn a_repetitive_call_site_is_suppressed_and_others_are_not() {
-    // The platform is down, and one place warns on every read of every watch.
-    // The log store would be flooded during the outage. Its first lines must
-    // come through, and an error of another place must not be lost to it.
+    // Guards against flooding the log store while the platform is down and one
+    // call site warns on every read of every watch. Its first lines must be
+    // written, and an error of another call site must not be suppressed.
     let mut settings = settings();
     settings.repeats_per_10_s = 3;
     let (logger, handle, sink) = logger(&settings);
@@ -201,7 +202,7 @@
     write(&*logger, Level::Error, "platform", "the one that counts");
     assert!(handle.flush(TIMEOUT_MS));
     let lines = sink.lines();
-    // The loop may cross from one window into the next, but not into a third.
+    // The loop may run into the next window, but not into a third.
     assert!((4..=7).contains(&lines.len()), "{} lines", lines.len());
     assert_eq!(lines[lines.len() - 1]["message"], "the one that counts");
     assert!(lines_suppressed() - suppressed_before >= 994);
@@ -237,7 +238,7 @@
     assert!((900..=1_024).contains(&written), "{written}");
 }
 
-/// A reader that stalls: each write waits until the test lets it go.
+/// A stalled reader: each write blocks until the test releases it.
 struct StalledSink {
     entered: Sender<()>,
     release: Receiver<()>,
@@ -246,7 +247,7 @@
 impl Write for StalledSink {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
         let _ = self.entered.send(());
-        // Once the test has dropped its end, writes go through at once.
+        // Once the test has dropped its end, writes return at once.
         let _ = self.release.recv();
         Ok(bytes.len())
     }
@@ -258,17 +259,17 @@
 
 #[test]
 fn a_stalled_reader_does_not_block_logging() {
-    // The log collector stops reading, and the pipe fills up. The writing
-    // thread then hangs in its write. Every call that logs would hang with it
-    // if it wrote by itself; instead the queue fills, and lines are counted as
-    // dropped. The test would not end if a log call waited.
+    // Guards against blocking calls when the log collector stops reading and
+    // the pipe is full. The writer thread blocks in its write. A logging call
+    // must not block too; instead the queue fills up and lines are counted as
+    // dropped. If a call to the log blocked, the test would not end.
     let (entered, has_entered) = channel();
     let (go, release) = channel::<()>();
     let sink = StalledSink { entered, release };
     let mut settings = settings();
     settings.repeats_per_10_s = 1_000_000;
     let (_, logger, handle) =
-        build(&settings, &VmId::new("a"), Box::new(sink)).expect("a thread can be had");
+        build(&settings, &VmId::new("a"), Box::new(sink)).expect("a thread can be started");
     write(&*logger, Level::Info, "stalled", "the first");
     has_entered.recv().expect("the writer takes the first line");
 
@@ -277,7 +278,10 @@
         write(&*logger, Level::Info, "stalled", "one more");
     }
     assert!(lines_dropped() - dropped_before >= 15_000);
-    assert!(!handle.flush(TIMEOUT_MS), "a full queue is told at once");
+    assert!(
+        !handle.flush(TIMEOUT_MS),
+        "a full queue is reported at once"
+    );
 
     drop(go);
     while !handle.flush(TIMEOUT_MS) {
@@ -285,7 +289,7 @@
     }
 }
 
-/// A reader that is gone: each write fails as on a closed pipe.
+/// A closed reader: each write fails as on a closed pipe.
 struct ClosedSink;
 
 impl Write for ClosedSink {
@@ -300,11 +304,11 @@
 
 #[test]
 fn a_closed_standard_error_only_loses_lines() {
-    // The log collector has died, and each write fails with EPIPE. `eprintln`
-    // would panic on it, in the middle of a call. Here the line is counted,
-    // and the log goes on for the case that the next write succeeds.
+    // Guards against a panic of `eprintln` in the middle of a call when the log
+    // collector has exited and each write fails with EPIPE. The line is counted
+    // as dropped, and later lines are still tried.
     let (_, logger, handle) =
-        build(&settings(), &VmId::new("a"), Box::new(ClosedSink)).expect("a thread can be had");
+        build(&settings(), &VmId::new("a"), Box::new(ClosedSink)).expect("a thread can be started");
     let dropped_before = lines_dropped();
     write(&*logger, Level::Info, "closed", "one");
     write(&*logger, Level::Info, "closed", "two");
--- a/crates/node/src/metrics.rs
+++ b/crates/node/src/metrics.rs
@@ -1,8 +1,9 @@
 //! Metrics of one node, scraped by operators as Prometheus text.
 //!
-//! Recording is meant for the traffic path: no locks but the read locks of the
-//! metrics library, no allocation for label sets that were seen before, and a
-//! bounded number of label sets whatever callers send.
+//! Recording is designed for the traffic path: it takes no locks except the
+//! read locks of the metrics library, it allocates nothing for label sets that
+//! were used before, and callers cannot make the number of label sets grow
+//! without limit.
 
 mod cost;
 mod instruments;
@@ -50,7 +51,7 @@
     pub tenant: &'a str,
     /// How the call ended.
     pub code: ResultCode,
-    /// From the whole head received to the whole answer sent.
+    /// Time from receiving the complete head to sending the complete answer.
     pub latency_us: u64,
 }
 
@@ -62,7 +63,7 @@
     First,
     /// Sent after an attempt that failed or did not run.
     Retry,
-    /// Sent beside an attempt that takes long.
+    /// Sent in parallel to an attempt that takes long.
     Hedge,
 }
 
@@ -70,9 +71,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, IntoStaticStr)]
 #[strum(serialize_all = "kebab-case")]
 pub enum Side {
-    /// Between caller and gate.
+    /// The entry, between caller and gate.
     Entry,
-    /// Between entry and target, the queue included.
+    /// The gate, between entry and target, including its queue.
     Gate,
 }
 
@@ -80,24 +81,24 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, IntoStaticStr)]
 #[strum(serialize_all = "kebab-case")]
 pub enum PlatformRead {
-    /// Answered with a newer version.
+    /// The platform answered with a newer version.
     Changed,
-    /// Answered that nothing is newer, or has nothing yet.
+    /// The platform has no newer version, or none at all yet.
     Unchanged,
-    /// Answered with an older version than the one in force.
+    /// The platform answered with an older version than the one in force.
     Stale,
-    /// Failed or timed out.
+    /// The read failed or timed out.
     Failed,
 }
 
-/// Levels of the gate at this moment.
+/// Current levels of the gate.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct GateLevels {
     /// Calls running in the target.
     pub in_flight: u32,
     /// Calls waiting for a slot.
     pub queued: u32,
-    /// The present concurrency limit.
+    /// The current concurrency limit.
     pub limit: u32,
     /// Records of non-idempotent calls.
     pub records: u32,
@@ -105,18 +106,18 @@
     pub stored_bytes: u64,
 }
 
-/// Members that this node knows, by state.
+/// Number of members known to this node, by state.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct MemberLevels {
-    /// Heard from lately.
+    /// Members heard from recently.
     pub live: u32,
-    /// Taking no new work.
+    /// Members that take no new work.
     pub leaving: u32,
-    /// Silent for long.
+    /// Members not heard from for long.
     pub doubtful: u32,
 }
 
-/// All metrics of one node. Shared by all threads.
+/// All metrics of one node, shared by all threads.
 #[derive(Debug)]
 pub struct Metrics {
     registry: Registry,
@@ -128,11 +129,11 @@
 }
 
 impl Metrics {
-    /// Metrics whose `target_info` names the node.
+    /// Creates metrics whose `target_info` identifies the node.
     ///
     /// # Errors
     ///
-    /// When the metrics library refuses its set-up.
+    /// Fails if the metrics library rejects its setup.
     pub fn new(
         vm: &VmId,
         service: &ServiceName,
@@ -171,7 +172,7 @@
         self.labels.set(services, tenants);
     }
 
-    /// A call has ended at the entry.
+    /// Records a call that has ended at the entry.
     pub fn call_ended(&self, call: &CallSample<'_>) {
         self.cost.count_call();
         let service = self.labels.service(call.service);
@@ -192,14 +193,14 @@
             .record(latency_ms, &[certainty, tenant]);
     }
 
-    /// What one half of the node added to a call, without the target's run and
-    /// the way between data centres.
+    /// Records the latency that one half of the node added to a call, without
+    /// the target's run and the transit between data centres.
     pub fn latency_added(&self, side: Side, added_us: u64) {
         let side = KeyValue::new("side", <&'static str>::from(side));
         self.instruments.added_latency.record(ms(added_us), &[side]);
     }
 
-    /// An attempt was sent to a gate.
+    /// Counts an attempt that was sent to a gate.
     pub fn attempt_sent(&self, service: &str, kind: AttemptKind) {
         let kind = KeyValue::new("kind", <&'static str>::from(kind));
         self.instruments
@@ -207,31 +208,33 @@
             .add(1, &[kind, self.labels.service(service)]);
     }
 
-    /// The loser of a hedge was cancelled.
+    /// Counts a hedged attempt that was cancelled because another one won.
     pub fn loser_cancelled(&self, service: &str) {
         self.instruments
             .losers_cancelled
             .add(1, &[self.labels.service(service)]);
     }
 
-    /// The target ran a call; the time is from its start to its whole answer.
+    /// Records the time that the target ran a call, from its start to the
+    /// complete answer.
     pub fn gate_ran(&self, class: CallClass, run_us: u64) {
         let class = KeyValue::new("class", <&'static str>::from(class));
         self.instruments.gate_run.record(ms(run_us), &[class]);
     }
 
-    /// A call waited in the gate's queue before it started or was refused.
+    /// Records the time that a call waited in the gate's queue before it
+    /// started or was refused.
     pub fn gate_waited(&self, class: CallClass, waited_us: u64) {
         let class = KeyValue::new("class", <&'static str>::from(class));
         self.instruments.gate_wait.record(ms(waited_us), &[class]);
     }
 
-    /// The gate refused a call.
+    /// Counts a call that the gate refused.
     pub fn gate_refused(&self, code: ResultCode) {
         self.instruments.gate_refused.add(1, &code_labels(code));
     }
 
-    /// The gate's levels have changed.
+    /// Sets the gauges of the gate.
     pub fn gate_levels(&self, levels: &GateLevels) {
         let gauges = &self.instruments;
         gauges.gate_in_flight.record(levels.in_flight.into(), &[]);
@@ -241,7 +244,7 @@
         gauges.gate_stored_bytes.record(levels.stored_bytes, &[]);
     }
 
-    /// A probe was sent to a gate of the service.
+    /// Counts a probe sent to a gate of the service.
     pub fn probe_sent(&self, service: &str) {
         self.cost.count_probe();
         self.instruments
@@ -249,55 +252,56 @@
             .add(1, &[self.labels.service(service)]);
     }
 
-    /// A control datagram was sent.
+    /// Counts a control datagram that was sent.
     pub fn datagram_sent(&self, size_bytes: usize) {
         self.cost.count_sent(size_bytes);
     }
 
-    /// A control datagram was received, well formed or not.
+    /// Counts a control datagram that was received, valid or not.
     pub fn datagram_received(&self, size_bytes: usize) {
         self.cost.count_received(size_bytes);
     }
 
-    /// A bulk transfer was fetched from another node.
+    /// Counts a bulk transfer fetched from another node.
     pub fn bulk_pulled(&self, size_bytes: usize) {
         self.cost.count_pull(size_bytes);
     }
 
-    /// A bulk transfer was served to another node.
+    /// Counts a bulk transfer served to another node.
     pub fn bulk_served(&self, size_bytes: usize) {
         self.cost.count_serve(size_bytes);
     }
 
-    /// The platform was read; a waiting watch counts as one.
+    /// Counts a read of the platform; a long-polling watch counts as one read.
     pub fn platform_read(&self, outcome: PlatformRead) {
         self.cost.count_platform_read();
         let outcome = KeyValue::new("outcome", <&'static str>::from(outcome));
         self.instruments.platform_reads.add(1, &[outcome]);
     }
 
-    /// The control thread was busy for this long.
+    /// Adds to the time that the control thread was busy.
     pub fn control_busy(&self, busy_us: u64) {
         self.cost.count_busy(busy_us);
     }
 
-    /// Everything that was published so long ago is known.
+    /// Sets the age of the node's knowledge: everything published at least this
+    /// long ago is known.
     pub fn known_age(&self, age_ms: u64) {
         self.instruments.known_age.record(age_ms, &[]);
     }
 
-    /// A configuration came into force.
+    /// Sets the version of the configuration in force.
     pub fn config_in_force(&self, version: ConfigVersion) {
         self.instruments.config_in_force.record(version.0, &[]);
     }
 
-    /// A configuration was refused.
+    /// Counts a refused configuration and sets its version.
     pub fn config_refused(&self, version: ConfigVersion) {
         self.instruments.config_refused.record(version.0, &[]);
         self.instruments.config_refusals.add(1, &[]);
     }
 
-    /// The number of members has changed.
+    /// Sets the number of members by state.
     pub fn members(&self, levels: &MemberLevels) {
         for (state, count) in [
             ("live", levels.live),
@@ -310,7 +314,8 @@
         }
     }
 
-    /// How many targets of a service are in a state; ejected ones, above all.
+    /// Sets the number of a service's targets in a state. The most important
+    /// state is ejected.
     pub fn targets(&self, service: &str, state: TargetState, count: u32) {
         let state = KeyValue::new("state", <&'static str>::from(state));
         self.instruments
@@ -318,36 +323,38 @@
             .record(count.into(), &[self.labels.service(service), state]);
     }
 
-    /// How many requests are suspected of crashing targets, or convicted.
+    /// Sets the number of requests that are suspected or convicted of crashing
+    /// targets.
     pub fn suspects(&self, state: SuspectState, count: u32) {
         let state = KeyValue::new("state", <&'static str>::from(state));
         self.instruments.suspects.record(count.into(), &[state]);
     }
 
-    /// What measuring and control have cost since the start.
+    /// Returns the cost of measuring and control since the process started.
     #[must_use]
     pub fn measuring_cost(&self) -> MeasuringCost {
         self.cost.read()
     }
 
-    /// The same for the operators' status.
+    /// Returns the cost counters for the operators' status.
     #[must_use]
     pub fn control_counters(&self) -> ControlCounters {
         self.cost.read().control_counters()
     }
 
-    /// The text for a scrape.
+    /// Returns the text for a scrape.
     ///
     /// # Errors
     ///
-    /// When the metrics library cannot write its own state.
+    /// Fails if the metrics library cannot encode its state.
     pub fn render(&self) -> Result<String, MetricsError> {
         Ok(TextEncoder::new().encode_to_string(&self.registry.gather())?)
     }
 }
 
-/// The number as in headers and the name as in the documentation; one follows
-/// from the other, so together they make no more label sets than one.
+/// The labels of a result code: its number as in headers, and its name as in
+/// the documentation. Each determines the other, so together they create no
+/// more label sets than one alone.
 fn code_labels(code: ResultCode) -> [KeyValue; 2] {
     [
         KeyValue::new("code", i64::from(code.number())),
--- a/crates/node/src/metrics/cost.rs
+++ b/crates/node/src/metrics/cost.rs
@@ -1,14 +1,14 @@
-//! What measuring and control cost, as counts and as shares.
+//! The cost of measuring and control, as counts and as ratios.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Instant;
 
 use hornbeamhitch_types::status::ControlCounters;
 
-/// What a node has spent on measuring and control since it started.
+/// The cost of a node's measuring and control since the process started.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct MeasuringCost {
-    /// Calls that ended at this entry, for comparison.
+    /// Number of calls that ended at this entry, for comparison.
     pub calls: u64,
     /// Probes sent.
     pub probes: u64,
@@ -28,7 +28,7 @@
     pub bulk_serves: u64,
     /// Bytes of bulk transfers served.
     pub bulk_served_bytes: u64,
-    /// Reads of the platform, waiting watches included.
+    /// Reads of the platform, including long-polling watches.
     pub platform_reads: u64,
     /// Time that the control thread was busy.
     pub control_busy_us: u64,
@@ -37,22 +37,23 @@
 }
 
 impl MeasuringCost {
-    /// Messages that this node sent for measuring and control, per call that
-    /// it took; `None` before the first call.
+    /// Returns the number of messages sent for measuring and control per call;
+    /// `None` before the first call.
     #[must_use]
     pub fn messages_per_call(&self) -> Option<f64> {
         let messages = self.probes + self.datagrams_sent + self.bulk_pulls + self.platform_reads;
         ratio(messages, self.calls)
     }
 
-    /// Share of one core that the control thread took; `None` at the start.
+    /// Returns the share of one core that the control thread used; `None` if no
+    /// time has passed since the start.
     #[must_use]
     pub fn control_core_share(&self) -> Option<f64> {
         ratio(self.control_busy_us, self.elapsed_us)
     }
 
-    /// Bytes of control traffic a second, both ways, bulk included; `None` at
-    /// the start.
+    /// Returns the bytes of control traffic per second in both directions,
+    /// including bulk transfers; `None` if no time has passed since the start.
     #[must_use]
     pub fn control_bytes_per_s(&self) -> Option<f64> {
         const US_PER_S: f64 = 1_000_000.0;
@@ -75,7 +76,7 @@
 
 #[expect(
     clippy::cast_precision_loss,
-    reason = "a ratio for people needs no more than 52 bits"
+    reason = "a displayed ratio needs no more than 52 bits"
 )]
 fn ratio(part: u64, whole: u64) -> Option<f64> {
     if whole == 0 {
@@ -86,8 +87,8 @@
 
 /// The counters behind [`MeasuringCost`].
 ///
-/// They stand beside the metrics library because shares are computed from
-/// several of them, and the library's counters cannot be read back.
+/// They are kept apart from the metrics library, because ratios are computed
+/// from several of them and the library's counters cannot be read.
 #[derive(Debug)]
 pub(super) struct CostCounters {
     started: Instant,
@@ -180,7 +181,7 @@
     }
 }
 
-/// Each counter stands for itself, so no order among them is needed.
+/// The counters are independent, so relaxed ordering is sufficient.
 fn add(counter: &AtomicU64, amount: u64) {
     counter.fetch_add(amount, Ordering::Relaxed);
 }
--- a/crates/node/src/metrics/instruments.rs
+++ b/crates/node/src/metrics/instruments.rs
@@ -10,15 +10,17 @@
 
 const METER: &str = "hornbeamhitch";
 
-/// Bounds in milliseconds for whole calls: 0.05 ms to 10 s, each at most 2.5
-/// times the one before, closest where lookups are expected.
+/// Bucket bounds for the latency of whole calls, in milliseconds: 0.05 ms to
+/// 10 s. Each bound is at most 2.5 times the previous one, and they are closest
+/// where lookups are expected.
 const LATENCY_BOUNDS_MS: [f64; 24] = [
     0.05, 0.1, 0.2, 0.5, 1.0, 2.0, 3.0, 5.0, 7.5, 10.0, 15.0, 20.0, 30.0, 50.0, 75.0, 100.0, 150.0,
     200.0, 300.0, 500.0, 1_000.0, 2_000.0, 5_000.0, 10_000.0,
 ];
 
-/// Bounds in milliseconds for what the system adds. One bound is the budget
-/// of 0.98 ms itself, so the share of calls within it is read off exactly.
+/// Bucket bounds for the latency that the system adds, in milliseconds. One
+/// bound is the budget of 0.98 ms, so that the share of calls within the budget
+/// is exact.
 const ADDED_BOUNDS_MS: [f64; 22] = [
     0.02, 0.05, 0.1, 0.15, 0.2, 0.3, 0.4, 0.5, 0.6, 0.7, 0.8, 0.98, 1.2, 1.5, 2.0, 3.0, 5.0, 10.0,
     50.0, 200.0, 1_000.0, 10_000.0,
@@ -179,7 +181,7 @@
         .build()
 }
 
-/// Counts that are read at the scrape from [`CostCounters`].
+/// Counters that are read from [`CostCounters`] at each scrape.
 const COST_COUNTERS: [CostCounter; 9] = [
     CostCounter {
         name: "hitch.control.datagrams_sent",
@@ -234,7 +236,8 @@
     read: fn(&MeasuringCost) -> u64,
 }
 
-/// Figures that are computed at the scrape; left out while they are undefined.
+/// Gauges that are computed at each scrape and omitted while they are
+/// undefined.
 const COST_GAUGES: [CostGauge; 3] = [
     CostGauge {
         name: "hitch.measuring.messages_per_call",
--- a/crates/node/src/metrics/labels.rs
+++ b/crates/node/src/metrics/labels.rs
@@ -1,4 +1,4 @@
-//! Bounds the label values that callers could otherwise invent.
+//! Limits the number of label values that callers can cause.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -7,21 +7,22 @@
 use opentelemetry::KeyValue;
 use parking_lot::Mutex;
 
-/// Services that one process ever counts by name. A node holds its own service
-/// and its dependencies, so this is far above what is usual.
+/// Maximum number of services that one process counts by name. A node tracks
+/// its own service and its dependencies, so this is far above the usual number.
 pub(super) const MAX_SERVICES: usize = 64;
-/// Tenants that one process ever counts by name.
+/// Maximum number of tenants that one process counts by name.
 pub(super) const MAX_TENANTS: usize = 100;
-/// Everyone else.
+/// Label value of all other services and tenants.
 pub(super) const OTHER: &str = "other";
 
-/// The names that are counted apart.
+/// The services and tenants that are counted by name.
 ///
-/// A label value lives in the metrics library until the process ends. Without
-/// a bound, a caller that makes up a tenant for each call would fill the VM's
-/// memory, and a long series of edits to the text would do so slowly. Names
-/// come from the configuration only, and names beyond the first `MAX_*` of one
-/// process count as `other`, so the number of values is bounded for good.
+/// The metrics library keeps a label value until the process ends. Without a
+/// limit, a caller that invents a tenant for each call would fill the VM's
+/// memory, and a long series of configuration edits would do so slowly. Names
+/// only come from the configuration, and names beyond the first `MAX_*` of a
+/// process count as `other`, so the number of label values is limited for the
+/// lifetime of the process.
 #[derive(Debug)]
 pub(super) struct Labels {
     current: ArcSwap<CurrentNames>,
@@ -30,14 +31,14 @@
     other_tenant: KeyValue,
 }
 
-/// Names of the configuration in force, with ready labels.
+/// Names of the configuration in force, with prepared labels.
 #[derive(Debug, Default)]
 struct CurrentNames {
     services: BTreeMap<ServiceName, KeyValue>,
     tenants: BTreeMap<TenantName, KeyValue>,
 }
 
-/// Names of all configurations since the start.
+/// Names of all configurations since the process started.
 #[derive(Debug, Default)]
 struct SeenNames {
     services: BTreeSet<ServiceName>,
@@ -76,7 +77,8 @@
         self.current.store(std::sync::Arc::new(names));
     }
 
-    /// The label of a service; a clone of it only counts a reference.
+    /// Returns the label of a service. Cloning it only increments a reference
+    /// count.
     pub(super) fn service(&self, name: &str) -> KeyValue {
         let names = self.current.load();
         names
@@ -86,7 +88,8 @@
             .clone()
     }
 
-    /// The label of a tenant; a clone of it only counts a reference.
+    /// Returns the label of a tenant. Cloning it only increments a reference
+    /// count.
     pub(super) fn tenant(&self, name: &str) -> KeyValue {
         let names = self.current.load();
         names
@@ -97,7 +100,8 @@
     }
 }
 
-/// Whether a name is known or there is room to make it so.
+/// Returns whether a name may be counted by name: it is known already, or there
+/// is room to add it.
 fn admit<T: Clone + Ord>(seen: &mut BTreeSet<T>, name: &T, max: usize) -> bool {
     if seen.contains(name) {
         return true;
--- a/crates/node/src/metrics/tests.rs
+++ b/crates/node/src/metrics/tests.rs
@@ -1,4 +1,4 @@
-//! What was recorded stands in the text, and label sets stay bounded.
+//! Recorded values are exported, and the number of label sets is limited.
 
 use std::collections::BTreeSet;
 
@@ -28,7 +28,7 @@
     }
 }
 
-/// The value of the one line that begins with `series`.
+/// Returns the value of the only line that begins with `series`.
 fn value_of(text: &str, series: &str) -> f64 {
     let mut found = None;
     for line in text.lines() {
@@ -38,7 +38,7 @@
         let Some(value) = rest.strip_prefix(' ') else {
             continue;
         };
-        assert!(found.is_none(), "{series} stands twice in\n{text}");
+        assert!(found.is_none(), "{series} appears twice in\n{text}");
         found = value.parse().ok();
     }
     found.unwrap_or_else(|| panic!("{series} is missing in\n{text}"))
@@ -94,8 +94,8 @@
     insta::assert_snapshot!(without_varying_lines(&render(&metrics)));
 }
 
-/// Leaves out what differs from run to run: shares of the time since the
-/// start, and the log's counters, which belong to the whole process.
+/// Removes lines that vary between runs: ratios to the elapsed time, and the
+/// log's counters, which are global to the process.
 fn without_varying_lines(text: &str) -> String {
     let mut stable = String::new();
     for line in text.lines() {
@@ -113,9 +113,10 @@
 
 #[test]
 fn callers_cannot_add_label_values() {
-    // A faulty caller makes up a tenant and a service for each call. If each
-    // became a label, the node's memory and the text would grow with every
-    // call, until the VM had none left. All of them must count as `other`.
+    // Guards against a faulty caller that invents a tenant and a service for
+    // each call. If each became a label value, memory and the exported text
+    // would grow with every call until the VM had no memory left. All of them
+    // must count as `other`.
     let metrics = metrics();
     for number in 0..5_000 {
         let tenant = format!("made-up-{number}");
@@ -134,9 +135,9 @@
 
 #[test]
 fn configuration_edits_cannot_add_unlimited_tenants() {
-    // Each edit of the text renames a tenant, for as long as the process
-    // lives. Old names stay in the metrics library, so without a bound over
-    // the life of the process they would pile up.
+    // Guards against configuration edits that keep renaming a tenant while the
+    // process runs. Old names stay in the metrics library, so without a limit
+    // for the lifetime of the process they would accumulate.
     let metrics = metrics();
     for number in 0..3 * labels::MAX_TENANTS {
         let tenant = format!("district-{number}");
@@ -219,7 +220,7 @@
     assert!((counted - f64::from(THREADS * CALLS)).abs() < f64::EPSILON);
 }
 
-/// Names that the registry declares, without the prefix of all metrics.
+/// Returns the names that the registry declares, without the common prefix.
 fn declared() -> BTreeSet<&'static str> {
     let snapshot = include_str!(
         "snapshots/hornbeamhitch_node__metrics__tests__recorded_values_are_exported.snap"
@@ -252,7 +253,8 @@
 
 #[test]
 fn the_documentation_names_no_other_metric() {
-    // An alarm on a name that does not exist never fires, and nobody notices.
+    // An alert on a name that does not exist never fires, and this goes
+    // unnoticed.
     let declared = declared();
     for (page, at_least) in [
         ("logs-and-metrics.md", 30),
@@ -272,7 +274,7 @@
                 .or(name.strip_suffix("_count"));
             let is_declared =
                 declared.contains(name) || series_of.is_some_and(|name| declared.contains(name));
-            // The module paths in examples of the log begin alike.
+            // Module paths in log examples have the same prefix.
             let is_module = name.starts_with("node");
             assert!(is_declared || is_module, "{page}: hitch_{name}");
             found += usize::from(is_declared);
--- a/crates/node/src/operators.rs
+++ b/crates/node/src/operators.rs
@@ -1,7 +1,7 @@
-//! The operators' address: status, readiness and metrics, all read-only.
+//! The operators' server: status, readiness and metrics, all read-only.
 //!
-//! Operators steer by the text and not by this address, so nothing here
-//! changes anything, and no request has a body.
+//! Operators control the system by the configuration text and not by this
+//! server, so no request changes anything or has a body.
 
 mod log_drain;
 
@@ -26,23 +26,24 @@
 use self::log_drain::LogDrain;
 use crate::metrics::Metrics;
 
-/// No endpoint reads a body; what a client sends beyond this is refused.
+/// No endpoint reads a body; larger bodies are rejected.
 const MAX_BODY_BYTES: usize = 1024;
-/// Requests here are answered at once, so only a stalled client needs longer.
+/// Requests are answered at once, so only a stalled client needs longer.
 const CLOSE_TIMEOUT_MS: Millis = Millis(2_000);
 
-/// What the operators' address asks of the node.
+/// The node's state as the operators' server needs it.
 ///
-/// Both are called on an async thread, so they must not wait for control.
+/// Both methods are called on an async thread, so they must not wait for the
+/// control thread.
 pub trait OperatorsSource: Send + Sync {
-    /// The node's state at this moment.
+    /// Returns the current state of the node.
     fn status(&self) -> NodeStatus;
 
-    /// Whether a configuration is in force and all listeners are up.
+    /// Returns whether a configuration is in force and all listeners are up.
     fn is_ready(&self) -> bool;
 }
 
-/// The operators' address could not be served.
+/// Why the operators' server could not be started.
 #[derive(Debug, thiserror::Error)]
 pub enum OperatorsError {
     /// The address could not be bound.
@@ -50,34 +51,36 @@
     Bind {
         /// The address in the settings.
         address: SocketAddr,
-        /// Why.
+        /// The cause.
         #[source]
         error: std::io::Error,
     },
-    /// The HTTP library refused its set-up.
+    /// The HTTP library rejected its setup.
     #[error("the operators' server cannot be set up: {0}")]
     Setup(String),
 }
 
-/// The running server; it stops when this value is closed or dropped.
+/// The running server. It stops when this value is closed or dropped.
 pub struct OperatorsServer {
     server: HttpServer<Context>,
 }
 
 impl OperatorsServer {
-    /// The bound address, with the port that the kernel chose for port 0.
+    /// Returns the bound address, with the port that the kernel chose for
+    /// port 0.
     #[must_use]
     pub fn local_addr(&self) -> SocketAddr {
         self.server.local_addr()
     }
 
-    /// Takes no more requests and waits up to two seconds for those in hand.
+    /// Stops accepting requests and waits up to two seconds for those in
+    /// flight.
     pub async fn close(self) {
         let closed = self.server.close();
         match tokio::time::timeout(CLOSE_TIMEOUT_MS.to_duration(), closed).await {
             Ok(Ok(())) => {}
             Ok(Err(reason)) => log::warn!(reason; "the operators' server ended with an error"),
-            Err(_) => log::warn!("a client held the operators' server open; it was cut off"),
+            Err(_) => log::warn!("closed the operators' server with a client still connected"),
         }
     }
 }
@@ -86,11 +89,11 @@
 ///
 /// # Errors
 ///
-/// When the address cannot be bound or the library refuses its set-up.
+/// Fails if the address cannot be bound or the library rejects its setup.
 ///
 /// # Panics
 ///
-/// Outside a tokio runtime.
+/// Panics outside a tokio runtime.
 pub fn start(
     address: SocketAddr,
     source: Arc<dyn OperatorsSource>,
--- a/crates/node/src/operators/log_drain.rs
+++ b/crates/node/src/operators/log_drain.rs
@@ -1,7 +1,7 @@
-//! Carries what the HTTP library logs by `slog` over to `log`.
+//! Forwards the HTTP library's `slog` records to `log`.
 //!
-//! The ready-made bridge keeps the library's levels and glues all values to
-//! the message. A scrape a second would then fill the log at `info`, and log
+//! The existing bridge keeps the library's levels and appends all values to the
+//! message. One scrape per second would then fill the log at `info`, and log
 //! stores could not search by field.
 
 use std::fmt::Arguments;
@@ -10,10 +10,10 @@
 use log::{Level, Metadata};
 use slog::{Drain, KV, Never, OwnedKVList, Serializer};
 
-/// All lines of the server have this target.
+/// Target of all log lines of the server.
 const TARGET: &str = "hornbeamhitch_node::operators";
 
-/// A drain that never fails: a line that cannot be had is left out.
+/// A drain that never fails; a value that cannot be formatted is omitted.
 pub(super) struct LogDrain;
 
 impl Drain for LogDrain {
@@ -28,7 +28,8 @@
             return Ok(());
         }
         let mut fields = Fields::default();
-        // Only a value's own formatting can fail; the fields before it stay.
+        // Only the formatting of a value can fail; the fields before it are
+        // kept.
         let _ = of_logger.serialize(record, &mut fields);
         let _ = record.kv().serialize(record, &mut fields);
         logger.log(
@@ -44,7 +45,8 @@
     }
 }
 
-/// One level below the library's, as one request is no news to an operator.
+/// Maps to one level below the library's, because a single request is of no
+/// interest to an operator.
 fn level_of(level: slog::Level) -> Level {
     match level {
         slog::Level::Critical | slog::Level::Error => Level::Error,
@@ -54,7 +56,7 @@
     }
 }
 
-/// Fields of one line, as text.
+/// The fields of one line, as text.
 #[derive(Default)]
 struct Fields(Vec<(String, String)>);
 
--- a/crates/node/src/operators/tests.rs
+++ b/crates/node/src/operators/tests.rs
@@ -1,4 +1,4 @@
-//! The endpoints as an operator's HTTP client sees them, over loopback.
+//! Tests the endpoints with an HTTP client over loopback.
 
 use std::sync::atomic::{AtomicBool, Ordering};
 
@@ -16,7 +16,7 @@
 use super::*;
 use crate::metrics::{AttemptKind, Metrics};
 
-/// A node that holds one service and becomes ready when told.
+/// A node that tracks one service and whose readiness the test sets.
 #[derive(Default)]
 struct FakeNode {
     ready: AtomicBool,
@@ -200,10 +200,11 @@
 
 #[tokio::test]
 async fn a_large_head_is_refused() {
-    // A faulty scraper sends a head of a megabyte. The server gives up long
-    // before its end and closes; depending on how much was still being sent,
-    // the client reads 431 or finds the connection reset. It is never served,
-    // and the server goes on.
+    // Guards against a faulty scraper that sends a head of one megabyte. The
+    // server stops reading long before its end and closes the connection.
+    // Depending on how much was still being sent, the client reads 431 or sees
+    // a connection reset. The request is never served, and the server continues
+    // to work.
     let fixture = Fixture::start();
     let request = Request::builder()
         .uri(format!("http://{}/v1/live", fixture.server.local_addr()))
@@ -233,7 +234,7 @@
     let fixture = Fixture::start();
     assert_eq!(fixture.get("/v1/live").await.status, StatusCode::OK);
     let address = fixture.server.local_addr();
-    // The client keeps its connection alive, as scrapers do.
+    // The client keeps its connection open, as scrapers do.
     fixture.server.close().await;
     assert!(tokio::net::TcpStream::connect(address).await.is_err());
 }
--- a/crates/node/src/options.rs
+++ b/crates/node/src/options.rs
@@ -8,7 +8,7 @@
 use gumdrop::Options as _;
 use strum::{EnumIter, IntoStaticStr, VariantArray};
 
-/// Name in the usage text and in front of messages.
+/// Name in the usage text and at the beginning of error messages.
 pub const PROGRAM: &str = "hornbeamhitch-node";
 
 /// Runs a node: the entry for callers and the gate of its VM's target.
@@ -32,7 +32,7 @@
     pub version: bool,
 }
 
-/// What the daemon was asked to do.
+/// The action that the command line selects.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
     /// Run with these settings.
@@ -44,7 +44,7 @@
     Print(String),
 }
 
-/// A command line that cannot be followed; exits with [`ExitStatus::Usage`].
+/// An invalid command line; the process exits with [`ExitStatus::Usage`].
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{PROGRAM}: {problem}\n{}", usage())]
 pub struct UsageError {
@@ -52,22 +52,23 @@
     pub problem: String,
 }
 
-/// How the daemon ends; the table in `docs/operators/install.md` is held
-/// against this enum by a test.
+/// The daemon's exit status. A test compares the table in
+/// `docs/operators/install.md` with this enum.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, EnumIter, IntoStaticStr, VariantArray)]
 #[strum(serialize_all = "kebab-case")]
 #[repr(u8)]
 pub enum ExitStatus {
-    /// All calls in flight were finished, or the settings are good.
+    /// All calls in flight were finished, or the settings are valid.
     Done = 0,
-    /// The settings have faults; they stand on standard error.
+    /// The settings have faults, which are printed on standard error.
     SettingsFaults = 1,
-    /// The command line cannot be followed.
+    /// The command line is invalid.
     Usage = 2,
-    /// The node could not start, for instance because an address is in use, or
-    /// its control thread ended, without which a node must not go on.
+    /// The node could not start, for example because an address is in use, or
+    /// its control thread ended, without which a node must not run.
     StartFailed = 3,
-    /// The node left, but calls outlasted `drain_timeout_ms` and were cut off.
+    /// The node drained, but calls took longer than `drain_timeout_ms` and were
+    /// aborted.
     DrainTimedOut = 4,
 }
 
@@ -77,11 +78,11 @@
     }
 }
 
-/// Reads the arguments after the program's name.
+/// Parses the arguments after the program's name.
 ///
 /// # Errors
 ///
-/// An unknown option, a missing value, or no settings.
+/// Fails on an unknown option, a missing value, or missing settings.
 pub fn parse<S: AsRef<str>>(args: &[S]) -> Result<Action, UsageError> {
     let options = Options::parse_args_default(args).map_err(|error| UsageError {
         problem: error.to_string(),
@@ -103,7 +104,7 @@
     Ok(Action::Run(settings))
 }
 
-/// The usage text, without a newline at its end.
+/// Returns the usage text, without a newline at its end.
 #[must_use]
 pub fn usage() -> String {
     format!(
--- a/crates/node/src/options/tests.rs
+++ b/crates/node/src/options/tests.rs
@@ -1,4 +1,4 @@
-//! The command line is followed or refused, and exit codes are documented.
+//! Command lines are parsed or rejected, and all exit codes are documented.
 
 use std::path::Path;
 
--- a/crates/node/src/settings.rs
+++ b/crates/node/src/settings.rs
@@ -1,9 +1,9 @@
-//! The node's settings: JSON with comments, checked whole at start.
+//! The node's settings: JSON with comments, checked completely at startup.
 //!
-//! [`Config::parse`] reads every key through an adapter that knows what it
-//! allows, collects all faults, and only then builds the one [`Config`] that
-//! the rest of the daemon borrows from. Nothing is read again later, so a node
-//! never runs on half of a changed file.
+//! [`Config::parse`] reads every key through an adapter that checks its value,
+//! collects all faults, and only then builds the [`Config`] that the rest of
+//! the daemon uses. Settings are never read again later, so a node never runs
+//! on a partially changed file.
 
 mod check;
 mod fault;
@@ -28,107 +28,115 @@
 use self::reader::Section;
 use self::units::{BoundAddress, CountIn, HostAddress, ListenAddress, LogLevel, MillisIn, Name};
 
-/// Larger files are refused unread: no settings file is near this size, so it
-/// is a wrong path.
+/// Larger files are rejected unread: no settings file comes near this size, so
+/// the path must be wrong.
 const MAX_FILE_BYTES: u64 = 1024 * 1024;
-/// More traffic threads than this add only contention on one small VM.
+/// More traffic threads than this only add contention on one small VM.
 const MAX_TRAFFIC_THREADS: u64 = 64;
-/// Threads taken by default on VMs with many cores, which belong to the target.
+/// Default number of traffic threads on VMs with many cores, because the cores
+/// belong to the target.
 const DEFAULT_TRAFFIC_THREADS: usize = 4;
 const DEFAULT_DRAIN_TIMEOUT_MS: Millis = Millis(30_000);
 
-/// Everything that a node is told at start.
+/// All settings of a node.
 ///
-/// `docs/operators/settings.md` has the same table for operators, with the
-/// consequence of each choice.
+/// `docs/operators/settings.md` lists them for operators, with the consequences
+/// of each choice.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Config {
-    /// The deployment that the node belongs to. Nodes of two deployments ignore
-    /// each other, also when an address has passed from one to the other.
+    /// The deployment that the node belongs to. Nodes of different deployments
+    /// ignore each other, even if an address has moved from one to the other.
     /// Default: `default`.
     pub deployment: String,
-    /// The VM's name as the platform's VM list has it. Required.
+    /// The VM's name as in the platform's VM list. Required.
     pub vm: VmId,
-    /// The service of the target beside this node. Required.
+    /// The service of this VM's target. Required.
     pub service: ServiceName,
-    /// Where the VM stands; distances in the text refer to it. Required.
+    /// The VM's data centre, to which distances in the configuration text
+    /// refer. Required.
     pub data_centre: DataCentre,
-    /// Where callers are served, HTTP/1.1 and HTTP/2. Required.
+    /// Address that serves callers, over HTTP/1.1 and HTTP/2. Required.
     pub callers_address: SocketAddr,
-    /// Where other nodes are served, HTTP/2. Others connect to it, so it must
-    /// be the VM's own address and not `0.0.0.0`. Required.
+    /// Address that serves other nodes, over HTTP/2. They connect to it, so it
+    /// must be the VM's own address and not `0.0.0.0`. Required.
     pub peer_address: SocketAddr,
-    /// Control messages by UDP, bulk by TCP on the same port. Others send to
-    /// it, so it must be the VM's own address. Required.
+    /// Address for control messages over UDP and bulk transfers over TCP. Other
+    /// nodes send to it, so it must be the VM's own address. Required.
     pub control_address: SocketAddr,
-    /// Where operators are served: status, readiness and metrics. Required.
+    /// Address that serves operators with status, readiness and metrics.
+    /// Required.
     pub operators_address: SocketAddr,
-    /// The target beside this node. Required.
+    /// Address of this VM's target. Required.
     pub target_address: SocketAddr,
-    /// The platform's configuration service. Required.
+    /// Address of the platform's configuration service. Required.
     pub platform_address: SocketAddr,
-    /// Control addresses of other nodes that are asked first while the
+    /// Control addresses of other nodes that are contacted first while the
     /// platform is down. Default: none.
     pub seeds: Vec<SocketAddr>,
-    /// Threads for traffic, besides the one for control (1 to 64). Default:
-    /// the VM's cores, at most 4.
+    /// Number of traffic threads, in addition to the control thread (1 to 64).
+    /// Default: the VM's cores, at most 4.
     pub traffic_threads: usize,
     /// How long a leaving node waits for calls in flight (100 ms to 1 hour).
-    /// Calls that last longer are cut off. Default: 30 s.
+    /// Calls that take longer are aborted. Default: 30 s.
     pub drain_timeout_ms: Millis,
-    /// Bounds on what others can make this node hold.
+    /// Limits on the resources that others can occupy on this node.
     pub limits: Limits,
-    /// What is logged.
+    /// Settings of the log.
     pub log: LogSettings,
 }
 
-/// Bounds on memory and time that callers and peers can take from the node.
+/// Limits on the memory and time that callers and peers can take from the node.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// Bytes of one request's head (8,192 to 1,048,576). Larger ones are
-    /// refused by the HTTP library with status 431. Default: 16,384.
+    /// Maximum size of a request's head in bytes (8,192 to 1,048,576). The HTTP
+    /// library rejects larger ones with status 431. Default: 16,384.
     pub header_bytes: usize,
-    /// Headers of one request (16 to 1,000). Default: 100.
+    /// Maximum number of headers of one request (16 to 1,000). Default: 100.
     pub header_count: usize,
-    /// Callers' connections at the same time (1 to 100,000). Further ones wait
-    /// in the kernel's backlog. Default: 1,000.
+    /// Maximum number of concurrent connections of callers (1 to 100,000).
+    /// Further ones wait in the kernel's backlog. Default: 1,000.
     pub max_connections: usize,
-    /// Other nodes' connections at the same time (1 to 100,000). Default: 1,000.
+    /// Maximum number of concurrent connections of other nodes (1 to 100,000).
+    /// Default: 1,000.
     pub max_peer_connections: usize,
-    /// Concurrent HTTP/2 streams of one connection (1 to 10,000). Default: 256.
+    /// Maximum number of concurrent HTTP/2 streams per connection (1 to
+    /// 10,000). Default: 256.
     pub streams_per_connection: u32,
-    /// Time in which a head must have arrived (100 ms to 10 min). Default: 10 s.
+    /// Time within which a request's head must arrive (100 ms to 10 min).
+    /// Default: 10 s.
     pub head_timeout_ms: Millis,
-    /// Longest silence within a body (100 ms to 10 min); then an upload counts
-    /// as cut and has not run. Default: 30 s.
+    /// Maximum time without data within a body (100 ms to 10 min). After it the
+    /// upload counts as truncated and has not run. Default: 30 s.
     pub body_timeout_ms: Millis,
-    /// Idle time after which a connection is closed (1 s to 1 hour). Default: 60 s.
+    /// Idle time after which a connection is closed (1 s to 1 hour). Default:
+    /// 60 s.
     pub idle_timeout_ms: Millis,
-    /// Bytes of bodies that wait whole in the node, all calls together (1 MiB
-    /// to 16 GiB). Further ticketed calls are refused as `records-full`.
-    /// Default: 64 MiB.
+    /// Maximum size in bytes of the buffered bodies of all calls (1 MiB to
+    /// 16 GiB). Further ticketed calls are refused as `records-full`. Default:
+    /// 64 MiB.
     pub buffered_bodies_bytes: u64,
-    /// Bytes of answers stored for replay (64 KiB to 16 GiB). Beyond them an
-    /// answer is not kept, and whoever comes back for it is told
-    /// `answer-not-kept`. Default: 64 MiB.
+    /// Maximum size in bytes of the answers stored for replay (64 KiB to
+    /// 16 GiB). Further answers are not stored, and callers that request them
+    /// again get `answer-not-kept`. Default: 64 MiB.
     pub stored_answers_bytes: u64,
-    /// Bytes of one bulk transfer between nodes (1 MiB to 64 MiB). Larger ones
-    /// are cut off. Default: 4 MiB.
+    /// Maximum size of one bulk transfer between nodes in bytes (1 MiB to
+    /// 64 MiB). Larger ones are rejected. Default: 4 MiB.
     pub bulk_bytes: usize,
-    /// Bulk transfers served at the same time (1 to 1,000). Default: 16.
+    /// Maximum number of bulk transfers served concurrently (1 to 1,000).
+    /// Default: 16.
     pub bulk_connections: usize,
 }
 
-/// What is logged, as JSON lines on standard error.
+/// Settings of the log, which is written as JSON lines to standard error.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LogSettings {
     /// The least severe level that is written. Default: `info`.
     pub level: LevelFilter,
-    /// Levels of single targets (module paths), which also hold for what is
-    /// below them. Default: none.
+    /// Levels of individual targets (module paths), which also apply to their
+    /// submodules. Default: none.
     pub targets: BTreeMap<String, LevelFilter>,
-    /// Lines that one place in the code may write every ten seconds (1 to
-    /// 1,000,000); further ones are counted and left out. Default: 50.
+    /// Number of lines that one call site may write per ten seconds (1 to
+    /// 1,000,000). Further ones are counted and suppressed. Default: 50.
     pub repeats_per_10_s: u32,
 }
 
@@ -137,7 +145,8 @@
     ///
     /// # Errors
     ///
-    /// Every fault of the file at once; a file that cannot be read is one.
+    /// Returns all faults of the file at once, or a single fault if it cannot
+    /// be read.
     pub fn load(path: &Path) -> Result<Self, SettingsFaults> {
         let text = read_file(path).map_err(|fault| SettingsFaults::unreadable(path, fault))?;
         Self::parse(&text).map_err(|faults| faults.in_file(path))
@@ -147,7 +156,7 @@
     ///
     /// # Errors
     ///
-    /// Every fault of the text at once, ordered by line and column.
+    /// Returns all faults of the text at once, ordered by line and column.
     pub fn parse(text: &str) -> Result<Self, SettingsFaults> {
         let document = reader::Document::parse(text)?;
         let mut root = document.root()?;
@@ -161,7 +170,7 @@
     }
 }
 
-/// Settings of which some may be missing because their values were refused.
+/// Settings of which some may be missing because their values were rejected.
 struct Draft {
     deployment: String,
     vm: Option<String>,
@@ -227,7 +236,7 @@
     }
 }
 
-/// Defaults of [`Limits`]; the bounds stand beside them in `read_limits`.
+/// Defaults of [`Limits`]; `read_limits` has the allowed ranges.
 impl Default for Limits {
     fn default() -> Self {
         Self {
@@ -253,7 +262,7 @@
 const MIB: u64 = 1024 * KIB;
 const GIB: u64 = 1024 * MIB;
 
-/// A memory bound between a floor and 16 GiB.
+/// A memory limit between `MIN` and 16 GiB.
 type BytesFrom<const MIN: u64> = CountIn<MIN, { 16 * GIB }>;
 /// A number of connections or streams.
 type ConnectionCount = CountIn<1, 100_000>;
@@ -262,7 +271,7 @@
 
 fn read_limits(limits: &mut Section<'_>) -> Limits {
     let mut read = Limits::default();
-    // hyper refuses buffers below 8 KiB for a head.
+    // hyper does not accept buffers below 8 KiB for a head.
     limits.replace::<_, CountIn<8_192, MIB>>("header_bytes", &mut read.header_bytes);
     limits.replace::<_, CountIn<16, 1_000>>("header_count", &mut read.header_count);
     limits.replace::<_, ConnectionCount>("max_connections", &mut read.max_connections);
--- a/crates/node/src/settings/check.rs
+++ b/crates/node/src/settings/check.rs
@@ -1,4 +1,4 @@
-//! Checks that concern several settings at once.
+//! Checks that involve several settings.
 
 use std::net::SocketAddr;
 
@@ -6,8 +6,9 @@
 use super::fault::Fault;
 use super::reader::Document;
 
-/// Two servers cannot share an address. Found here, an operator sees both
-/// keys; found by the kernel, only "address in use" on whichever came second.
+/// Checks that no two servers share an address. Reported here, the fault names
+/// both keys; the kernel would only report "address in use" for the second
+/// server.
 pub(super) fn check_addresses(document: &Document<'_>, draft: &Draft, faults: &mut Vec<Fault>) {
     let local = [
         ("callers_address", draft.callers_address),
@@ -30,8 +31,9 @@
     }
 }
 
-/// An unspecified address takes its port on every address of the VM. Ports
-/// given as 0 never clash: the kernel hands out different ones.
+/// Returns whether two addresses conflict. An unspecified address occupies its
+/// port on every address of the VM. Ports given as 0 never conflict, because
+/// the kernel assigns different ones.
 fn overlap(left: &SocketAddr, right: &SocketAddr) -> bool {
     if left.port() != right.port() || left.port() == 0 {
         return false;
--- a/crates/node/src/settings/fault.rs
+++ b/crates/node/src/settings/fault.rs
@@ -1,11 +1,11 @@
-//! Faults of a settings file, as operators read them.
+//! Faults of a settings file, as shown to operators.
 
 use std::fmt;
 use std::path::{Path, PathBuf};
 
 use strum::IntoStaticStr;
 
-/// What kind of fault was found.
+/// The kind of a fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, IntoStaticStr)]
 #[strum(serialize_all = "kebab-case")]
 pub enum FaultKind {
@@ -15,24 +15,25 @@
     Syntax,
     /// A required key is missing.
     Missing,
-    /// No setting has this key.
+    /// The key is not a setting.
     Unknown,
-    /// The key stands twice in one object.
+    /// The key appears twice in one object.
     Repeated,
     /// The value is not one of those allowed.
     Value,
-    /// The value is fine by itself but clashes with another setting.
+    /// The value is valid by itself but conflicts with another setting.
     Clash,
 }
 
 /// One fault of a settings file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Fault {
-    /// What kind of fault it is.
+    /// The kind of the fault.
     pub kind: FaultKind,
-    /// Path of the key, such as `limits.header_bytes`; empty for the whole file.
+    /// Path of the key, such as `limits.header_bytes`; empty for the whole
+    /// file.
     pub key: String,
-    /// What is wrong, with the value as the file has it.
+    /// The problem, with the value as in the file.
     pub problem: String,
     /// What is allowed instead; may be empty.
     pub allowed: String,
@@ -61,7 +62,7 @@
 /// All faults of one settings file, ordered by line and column.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub struct SettingsFaults {
-    /// The file, when the settings came from one.
+    /// The file, if the settings came from one.
     pub file: Option<PathBuf>,
     /// The faults; never empty.
     pub faults: Vec<Fault>,
@@ -91,7 +92,7 @@
     }
 }
 
-/// One line for each fault, each with the file in front, as compilers do.
+/// Writes one line per fault, each preceded by the file, as compilers do.
 impl fmt::Display for SettingsFaults {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         for (index, fault) in self.faults.iter().enumerate() {
--- a/crates/node/src/settings/nearest.rs
+++ b/crates/node/src/settings/nearest.rs
@@ -1,9 +1,10 @@
-//! Finds the known key that a mistyped one was meant to be.
+//! Suggests the known key that a mistyped key was probably meant to be.
 
-/// More edits than this are another word rather than a slip.
+/// With more edits than this, the key is a different word and not a typing
+/// error.
 const MAX_EDITS: usize = 3;
 
-/// The known key closest to `key`, if any is close enough to be meant.
+/// Returns the known key closest to `key`, if one is close enough.
 pub(super) fn nearest<'a>(key: &str, known: &[&'a str]) -> Option<&'a str> {
     let mut best: Option<(usize, &'a str)> = None;
     for candidate in known {
@@ -19,7 +20,7 @@
     best.map(|(_, candidate)| candidate)
 }
 
-/// Levenshtein distance in characters, one row at a time.
+/// Computes the Levenshtein distance in characters, one row at a time.
 fn edit_distance(left: &str, right: &str) -> usize {
     let right: Vec<char> = right.chars().collect();
     let mut row: Vec<usize> = (0..=right.len()).collect();
--- a/crates/node/src/settings/reader.rs
+++ b/crates/node/src/settings/reader.rs
@@ -1,7 +1,8 @@
-//! Reads a document key by key and remembers every fault.
+//! Reads a document key by key and collects all faults.
 //!
-//! `serde` alone stops at the first fault and knows no position, so the walk
-//! goes over the parsed tree, and `serde` reads only the single values.
+//! `serde` alone stops at the first fault and reports no position. The reader
+//! therefore walks the parsed tree, and `serde` only deserialises single
+//! values.
 
 use std::collections::BTreeMap;
 
@@ -17,7 +18,7 @@
 use super::nearest::nearest;
 use super::units::Allowed;
 
-/// Values longer than this are shortened in faults.
+/// Longer values are truncated in faults.
 const MAX_DISPLAYED_CHARS: usize = 60;
 
 /// A parsed settings file with its text.
@@ -27,7 +28,7 @@
 }
 
 impl<'a> Document<'a> {
-    /// Parses the text; a syntax error is the only fault then.
+    /// Parses the text. A syntax error is returned as the only fault.
     pub(super) fn parse(text: &'a str) -> Result<Self, SettingsFaults> {
         match parse_to_ast(text, &CollectOptions::default(), &SYNTAX) {
             Ok(parsed) => Ok(Self {
@@ -38,7 +39,7 @@
         }
     }
 
-    /// The outermost object.
+    /// Returns the outermost object.
     pub(super) fn root(&self) -> Result<Section<'_>, SettingsFaults> {
         match &self.value {
             Some(Value::Object(object)) => Ok(Section::new(self.text, String::new(), object)),
@@ -56,7 +57,8 @@
         }
     }
 
-    /// A fault at the value of a top-level key, which must exist.
+    /// Creates a conflict fault at the value of a top-level key, which must
+    /// exist.
     pub(super) fn clash(&self, key: &str, problem: String, allowed: &str) -> Fault {
         let mut start = 0;
         if let Some(Value::Object(object)) = &self.value
@@ -74,7 +76,7 @@
     }
 }
 
-/// One object of the document while it is being read.
+/// One object of the document while it is read.
 pub(super) struct Section<'a> {
     text: &'a str,
     path: String,
@@ -114,7 +116,7 @@
         None
     }
 
-    /// Reads a key if it is there; `None` also after a fault.
+    /// Reads an optional key; returns `None` if it is missing or faulty.
     pub(super) fn optional<T, A>(&mut self, key: &'static str) -> Option<T>
     where
         A: for<'de> DeserializeAs<'de, T> + Allowed,
@@ -124,7 +126,7 @@
         self.value::<T, A>(&self.path_of(key), &prop.value)
     }
 
-    /// Reads a key if it is there and replaces the default by it.
+    /// Reads an optional key, which replaces the default if it is present.
     pub(super) fn replace<T, A>(&mut self, key: &'static str, default: &mut T)
     where
         A: for<'de> DeserializeAs<'de, T> + Allowed,
@@ -134,7 +136,8 @@
         }
     }
 
-    /// Reads an array, empty by default; each element may have a fault.
+    /// Reads an array, which is empty by default. Each element can have a fault
+    /// of its own.
     pub(super) fn list<T, A>(&mut self, key: &'static str) -> Vec<T>
     where
         A: for<'de> DeserializeAs<'de, T> + Allowed,
@@ -156,7 +159,7 @@
         read
     }
 
-    /// Reads an object with free keys, empty by default.
+    /// Reads an object with arbitrary keys, which is empty by default.
     pub(super) fn map<T, A>(&mut self, key: &'static str) -> BTreeMap<String, T>
     where
         A: for<'de> DeserializeAs<'de, T> + Allowed,
@@ -179,7 +182,7 @@
         read
     }
 
-    /// Reads a nested object; a missing one reads as an empty one.
+    /// Reads a nested object; a missing one is read as empty.
     pub(super) fn section<T>(
         &mut self,
         key: &'static str,
@@ -201,7 +204,7 @@
         value
     }
 
-    /// Reports unknown and repeated keys and hands over all faults.
+    /// Adds faults for unknown and repeated keys and returns all faults.
     pub(super) fn finish(mut self) -> Vec<Fault> {
         let Some(object) = self.object else {
             return self.faults;
@@ -238,8 +241,9 @@
         }
     }
 
-    /// The parser keeps both of two equal keys, and the reader would silently
-    /// take the first: an operator who appended a line would edit in vain.
+    /// Reports repeated keys. The parser keeps both of two equal keys, and the
+    /// reader would silently use the first, so a line appended by an operator
+    /// would have no effect.
     fn report_repeated(&mut self, path: &str, object: &Object<'_>) {
         for (index, prop) in object.properties.iter().enumerate() {
             let key = prop.name.as_str();
@@ -250,7 +254,7 @@
             self.faults.push(Fault {
                 kind: FaultKind::Repeated,
                 key: join(path, &sanitized(key)),
-                problem: "stands twice".to_owned(),
+                problem: "appears twice".to_owned(),
                 allowed: "each key once".to_owned(),
                 ..fault_at(self.text, prop.range.start)
             });
@@ -319,8 +323,8 @@
     format!("{path}.{key}")
 }
 
-/// A value or key as faults show it: on one line, without control characters,
-/// so that a hostile file cannot forge further faults, and not too long.
+/// Formats a value or key for a fault: on one line, without control characters,
+/// so that a hostile file cannot forge further faults, and truncated.
 fn sanitized(source: &str) -> String {
     let mut line = String::new();
     for (index, c) in source.chars().enumerate() {
@@ -343,7 +347,7 @@
     }
 }
 
-/// A fault without words at a byte position of the text.
+/// Creates a fault without a message at a byte position of the text.
 fn fault_at(text: &str, start: usize) -> Fault {
     let before = text.get(..start).unwrap_or(text);
     let line_start = before.rfind('\n').map_or(0, |newline| newline + 1);
--- a/crates/node/src/settings/tests.rs
+++ b/crates/node/src/settings/tests.rs
@@ -1,4 +1,5 @@
-//! Good settings are read as written; bad ones name each fault exactly.
+//! Valid settings are read as written, and each fault of invalid ones is
+//! reported.
 
 use std::fs;
 
--- a/crates/node/src/settings/units.rs
+++ b/crates/node/src/settings/units.rs
@@ -1,7 +1,7 @@
-//! Adapters for single values: how each is read, and what it allows.
+//! Adapters for single values: how each is read and what it allows.
 //!
-//! They are `serde_with` adapters, so the unit and range of a key stand in its
-//! type, and the words in a fault come from the same constants as the check.
+//! They are `serde_with` adapters, so a key's type contains its unit and range,
+//! and the message of a fault is built from the same constants as the check.
 
 use std::net::SocketAddr;
 
@@ -12,13 +12,13 @@
 
 const MAX_NAME_CHARS: usize = 64;
 
-/// An adapter that can say what it allows.
+/// An adapter that describes the values it allows.
 pub(super) trait Allowed {
-    /// Ends the sentence "allowed: ...".
+    /// Returns the description that follows "allowed: ".
     fn allowed() -> String;
 }
 
-/// A whole number from `MIN` to `MAX`, in the unit that the key names.
+/// A whole number from `MIN` to `MAX`, in the unit given by the key.
 pub(super) struct CountIn<const MIN: u64, const MAX: u64>;
 
 impl<const MIN: u64, const MAX: u64> Allowed for CountIn<MIN, MAX> {
@@ -66,8 +66,8 @@
 
 /// The name of a VM, service or data centre.
 ///
-/// Names stand in URLs, headers and metric labels, so nothing in them may need
-/// escaping there.
+/// Names are used in URLs, headers and metric labels, so they must not contain
+/// characters that need escaping there.
 pub(super) struct Name;
 
 impl Allowed for Name {
@@ -97,7 +97,7 @@
         .all(|c| c.is_ascii_alphanumeric() || matches!(c, '-' | '_' | '.'))
 }
 
-/// An address that this node listens on and that only needs to be bound.
+/// An address on which this node listens, and which only needs to be bound.
 pub(super) struct ListenAddress;
 
 impl Allowed for ListenAddress {
@@ -112,10 +112,11 @@
     }
 }
 
-/// An address that this node listens on and names to other nodes.
+/// An address on which this node listens, and which it announces to other
+/// nodes.
 ///
-/// An unspecified address can be bound but not sent to: peers would send to
-/// themselves, and the node would look dead to all others.
+/// An unspecified address can be bound but not connected to: peers would
+/// connect to themselves, and the node would seem to be down to all others.
 pub(super) struct BoundAddress;
 
 impl Allowed for BoundAddress {
@@ -164,7 +165,7 @@
     text.parse().map_err(Error::custom)
 }
 
-/// A level of the log.
+/// A log level.
 pub(super) struct LogLevel;
 
 impl Allowed for LogLevel {
