--- a/crates/node/src/gate_server.rs
+++ b/crates/node/src/gate_server.rs
@@ -30,10 +30,10 @@
 use crate::uploads::UploadLimits;
 use call::GateCall;
 
-/// Retry delay in a final answer, for example after the target shed the call.
-/// An entry does not wait for it: another target is the better choice, so the
-/// entry retries at once within its budget.
-const SHED_RETRY_MS: Millis = Millis(250);
+/// Retry delay in the final answer to a call that the gate refuses because it
+/// has no policy yet. An entry that retries does not wait for it: another
+/// target is the better choice, so it retries there at once, within its budget.
+const NO_POLICY_RETRY_MS: Millis = Millis(250);
 /// Time without an answer after which the target's health is checked.
 const HEALTH_CHECK_AFTER_MS: Millis = Millis(1_000);
 
@@ -179,7 +179,7 @@
                 Some(_) => ResultCode::GateUnreachable,
                 None => ResultCode::NoConfiguration,
             };
-            return answer::from_refusal(&Refusal::retry_after(code, SHED_RETRY_MS));
+            return answer::from_refusal(&Refusal::retry_after(code, NO_POLICY_RETRY_MS));
         };
         if answer::text(headers, header::SERVICE) != Some(self.service.as_str()) {
             return answer::from_code(ResultCode::NoTarget, "this VM runs another service");
