--- a/crates/text/src/read/service.rs
+++ b/crates/text/src/read/service.rs
@@ -1,4 +1,4 @@
-//! Reads one service, or `defaults`.
+//! Reads one service or `defaults`.
 
 use jsonc_parser::ast::Value;
 use jsonc_parser::common::Ranged;
@@ -11,7 +11,8 @@
 use crate::reader::Reader;
 use crate::setting::{Group, Setting};
 
-/// Reads what a service sets; what is faulty counts as not set.
+/// Reads the values that a service sets. Faulty values are reported and treated
+/// as not set.
 pub(crate) fn read<'v>(
     reader: &mut Reader<'_, '_, '_, 'v>,
     value: &'v Value<'v>,
@@ -21,7 +22,7 @@
         return draft;
     };
     for (key, prop) in reader.entries(object, &ServiceKey::all()) {
-        reader.under(key.name(), |reader| {
+        reader.at_key(key.name(), |reader| {
             read_key(reader, key, &prop.value, &mut draft);
         });
     }
@@ -59,7 +60,7 @@
         return;
     };
     for (setting, prop) in reader.entries(object, &Setting::in_group(group)) {
-        reader.under(setting.key(), |reader| {
+        reader.at_key(setting.key(), |reader| {
             number(reader, setting, &prop.value, numbers);
         });
     }
--- a/crates/text/tests/all/faults.rs
+++ b/crates/text/tests/all/faults.rs
@@ -1,5 +1,5 @@
-//! Each kind of fault is named with its line, column, place, reason and what
-//! is allowed.
+//! Tests that each kind of fault is reported with its line, column, path, reason
+//! and the allowed values.
 
 use hornbeamhitch_text::{FaultKind, check, check_bytes};
 use insta::assert_snapshot;
@@ -7,7 +7,7 @@
 use crate::support::faults;
 
 #[test]
-fn every_fault_of_a_text_is_named_in_one_check() {
+fn every_fault_of_a_text_is_reported_in_one_check() {
     let text = r#"{
   "deploymnet": "bangkok",
   "data_centres": ["bkk-1", "bkk-1", "bkk 2", 3],
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn a_long_circle_is_described_in_part() {
+fn a_long_cycle_is_abbreviated() {
     let mut services = String::new();
     for number in 0..40 {
         let next = (number + 1) % 40;
@@ -136,15 +136,15 @@
 }
 
 #[test]
-fn required_keys_are_asked_for() {
+fn missing_required_keys_are_reported() {
     assert_snapshot!(faults("{}"));
 }
 
 #[test]
 fn a_text_without_services_is_refused() {
-    // The operator empties the text by mistake. Accepted, it would refuse the
-    // calls of every service everywhere within seconds; refused, the version
-    // in force stays.
+    // An operator empties the text by mistake. If it were accepted, all nodes would
+    // reject the calls of every service within seconds. As it is rejected, the
+    // active version stays in use.
     assert_snapshot!(faults(r#"{ "deployment": "d", "services": {} }"#));
 }
 
@@ -159,9 +159,10 @@
 }
 
 #[test]
-fn lists_of_defaults_that_multiply_are_refused() {
-    // Of 4,000 services 3,750 inherit the 250 dependencies of `defaults`. The
-    // text is small, but resolved it would hold a million names on every node.
+fn inherited_lists_that_multiply_are_refused() {
+    // Of 4,000 services, 3,750 inherit the 250 dependencies of `defaults`. The text
+    // is small, but the resolved policies would contain almost a million names on
+    // every node.
     let mut names = String::new();
     let mut services = String::new();
     for number in 0..250 {
