--- a/crates/node/src/callers/idempotent.rs
+++ b/crates/node/src/callers/idempotent.rs
@@ -1,4 +1,4 @@
-//! Calls that may run more than once: picked, retried and hedged within
+//! Serves idempotent calls: picks targets, retries and hedges within the
 //! budgets and the deadline.
 
 use std::pin::Pin;
@@ -18,18 +18,19 @@
 use super::CallerServer;
 use super::call::{CallerCall, Outbound};
 use super::entries::{AttemptGuard, Entry};
-use super::relay::{self, Relayed, Taken};
+use super::relay::{self, RelayOutcome, Relayed};
 use crate::answer;
 use crate::body::{self, NodeBody};
 use crate::fingerprint;
 use crate::metrics::{AttemptKind, Side};
 use crate::peers::SendFailure;
 
-/// How one attempt ended, seen from the call.
+/// The result of one attempt.
 enum Ended {
-    /// Pass this on.
+    /// The answer is relayed to the caller.
     Answer(Relayed),
-    /// Try again if budgets allow; else pass this on, or refuse.
+    /// The call is retried if the budgets allow it. Otherwise the answer, if
+    /// there is one, is relayed, or the call is refused.
     Failed {
         end: AttemptEnd,
         answer: Option<Relayed>,
@@ -47,18 +48,18 @@
 ) -> Response<NodeBody> {
     let deadline = server.clock.to_instant(call.deadline_at);
     let (parts, body) = request.into_parts();
-    let content = match tokio::time::timeout_at(deadline, Content::take(body, &call)).await {
+    let content = match tokio::time::timeout_at(deadline, RequestContent::read(body, &call)).await {
         Ok(Ok(content)) => content,
         Ok(Err(refused)) => return refused,
         Err(_) => return answer::from_code(ResultCode::UploadCut, "the deadline passed within"),
     };
-    let standing = standing_of(&server, &call, &parts);
-    if standing == Standing::Convicted {
+    let suspicion = suspicion_of(&server, &call, &parts);
+    if suspicion == Standing::Convicted {
         let refusal = Refusal::retry_after(ResultCode::CrashSuspect, CONVICTED_RETRY_AFTER_MS);
         return answer::from_refusal(&refusal);
     }
     let mut run = CallRun::new(server, entry, call, &parts, content);
-    run.may_hedge = standing == Standing::Clear;
+    run.may_hedge = suspicion == Standing::Clear;
     match tokio::time::timeout_at(deadline, run.run()).await {
         Ok(response) => response,
         Err(_) => {
@@ -68,8 +69,9 @@
     }
 }
 
-/// What the fleet holds against the request, as far as this node has heard.
-fn standing_of(server: &CallerServer, call: &CallerCall, parts: &Parts) -> Standing {
+/// Returns the fleet's suspicion against the request, as far as this node knows
+/// it.
+fn suspicion_of(server: &CallerServer, call: &CallerCall, parts: &Parts) -> Standing {
     let routes = server.board.routes();
     if routes.suspects.is_empty() {
         return Standing::Clear;
@@ -79,19 +81,19 @@
     routes.suspects.standing(fingerprint)
 }
 
-/// The request's body: in hand and good for many attempts, or a stream that
-/// is good for one.
-enum Content {
-    Whole(Bytes),
+/// The request's body: buffered, which allows several attempts, or a stream,
+/// which allows one.
+enum RequestContent {
+    Buffered(Bytes),
     Stream(Option<NodeBody>),
 }
 
-impl Content {
-    async fn take(body: NodeBody, call: &CallerCall) -> Result<Self, Response<NodeBody>> {
+impl RequestContent {
+    async fn read(body: NodeBody, call: &CallerCall) -> Result<Self, Response<NodeBody>> {
         let buffer_bytes = u64::from(call.policy.buffer_bytes);
         let max_bytes = call.policy.max_request_bytes;
         if body.is_end_stream() {
-            return Ok(Self::Whole(Bytes::new()));
+            return Ok(Self::Buffered(Bytes::new()));
         }
         match body.size_hint().exact() {
             Some(length) if length > max_bytes => Err(answer::from_code(
@@ -100,7 +102,7 @@
             )),
             Some(length) if length <= buffer_bytes => {
                 match body::collect(body, buffer_bytes).await {
-                    Ok(bytes) => Ok(Self::Whole(bytes)),
+                    Ok(bytes) => Ok(Self::Buffered(bytes)),
                     Err(_) => Err(answer::from_code(
                         ResultCode::UploadCut,
                         "the upload ended early",
@@ -113,13 +115,13 @@
 
     fn next(&mut self) -> Option<NodeBody> {
         match self {
-            Self::Whole(bytes) => Some(body::full(bytes.clone())),
+            Self::Buffered(bytes) => Some(body::full(bytes.clone())),
             Self::Stream(stream) => stream.take(),
         }
     }
 
     fn is_repeatable(&self) -> bool {
-        matches!(self, Self::Whole(_))
+        matches!(self, Self::Buffered(_))
     }
 }
 
@@ -128,11 +130,11 @@
     entry: Arc<Entry>,
     call: CallerCall,
     outbound: Outbound,
-    content: Content,
+    content: RequestContent,
     tried: Vec<TargetIndex>,
     started_at: Instant,
-    /// Not for a suspect: it waits until it can run alone, so its hedge would
-    /// only take a second target down.
+    /// False for a crash suspect. It waits until it can run alone, and its
+    /// hedge would only crash a second target.
     may_hedge: bool,
     progress: CallProgress,
 }
@@ -143,7 +145,7 @@
         entry: Arc<Entry>,
         call: CallerCall,
         parts: &Parts,
-        content: Content,
+        content: RequestContent,
     ) -> Self {
         Self {
             outbound: Outbound::prepare(parts, &call, &server.entry_header),
@@ -172,8 +174,8 @@
         }
         let mut hedge_timer = self.hedge_timer();
         loop {
-            let ended = tokio::select! {
-                ended = attempts.next() => ended,
+            let result = tokio::select! {
+                result = attempts.next() => result,
                 () = wait(&mut hedge_timer) => {
                     hedge_timer = None;
                     if let Some(hedge) = self.hedge(&attempts) {
@@ -182,14 +184,14 @@
                     continue;
                 }
             };
-            let Some(ended) = ended else {
+            let Some(result) = result else {
                 let wait = self.entry.retry_after_ms();
                 return answer::from_refusal(&Refusal::retry_after(
                     ResultCode::AttemptsFailed,
                     wait,
                 ));
             };
-            let (end, fallback) = match ended {
+            let (end, fallback) = match result {
                 Ended::Answer(relayed) => {
                     self.note_answer(&relayed, attempts.len());
                     return relayed.response;
@@ -198,7 +200,7 @@
             };
             let ran_before = self.progress.may_have_run;
             if !attempts.is_empty() {
-                // The other attempt of a hedged pair still runs.
+                // The other attempt of a hedged pair is still running.
                 self.progress.may_have_run = ran_before || end.may_have_run();
                 continue;
             }
@@ -211,7 +213,7 @@
         }
     }
 
-    /// Starts the next attempt, or says with what the call ends.
+    /// Starts the next attempt, or returns the refusal that ends the call.
     fn after_failure(&mut self, end: &AttemptEnd) -> Result<AttemptFuture, Refusal> {
         if *end == AttemptEnd::Broken {
             self.outbound.set_suspect();
@@ -238,10 +240,13 @@
         self.tried.push(guard.target.pick.target);
         let service = self.call.to.service.as_str();
         self.server.metrics.attempt_sent(service, kind);
-        let left_ms = self.call.deadline_at.since(self.server.clock.now());
-        let request =
-            self.outbound
-                .request(guard.target.peer, self.progress.attempts, left_ms, body);
+        let remaining_ms = self.call.deadline_at.since(self.server.clock.now());
+        let request = self.outbound.request(
+            guard.target.peer,
+            self.progress.attempts,
+            remaining_ms,
+            body,
+        );
         self.progress.attempts += 1;
         Ok(Box::pin(attempt(
             Arc::clone(&self.server),
@@ -251,9 +256,10 @@
         )))
     }
 
-    /// A target's own failed answer goes to the caller as it is; it says more
-    /// than the system could. And "not run" is only said when no attempt at all
-    /// can have run, whatever the last one met.
+    /// Returns the final answer of a failed call. A target's own error answer
+    /// is relayed unchanged, because it says more than a refusal. A refusal
+    /// only states "not run" if none of the attempts can have run, whatever the
+    /// outcome of the last one.
     fn final_answer(&self, fallback: Option<Relayed>, refusal: Refusal) -> Response<NodeBody> {
         if let Some(relayed) = fallback
             && relayed.code == ResultCode::Answered
@@ -267,7 +273,8 @@
         answer::from_refusal(&refusal)
     }
 
-    /// Counts what this node added to the call, and hedges that lost.
+    /// Records the latency that this node added to the call, and counts the
+    /// hedged attempts that lost.
     fn note_answer(&self, relayed: &Relayed, losers: usize) {
         let service = self.call.to.service.as_str();
         for _ in 0..losers {
@@ -278,8 +285,8 @@
         }
         let total_us = self.started_at.elapsed().as_micros();
         let total_us = u64::try_from(total_us).unwrap_or(u64::MAX);
-        let added_us = total_us.saturating_sub(relayed.waited_us.into());
-        self.server.metrics.added(Side::Entry, added_us);
+        let added_us = total_us.saturating_sub(relayed.time_to_head_us.into());
+        self.server.metrics.latency_added(Side::Entry, added_us);
     }
 
     fn hedge_timer(&self) -> Option<Pin<Box<tokio::time::Sleep>>> {
@@ -300,7 +307,7 @@
     }
 }
 
-/// Never ends when there is no timer.
+/// Waits for the timer; never returns if there is none.
 async fn wait(timer: &mut Option<Pin<Box<tokio::time::Sleep>>>) {
     match timer {
         Some(sleep) => sleep.as_mut().await,
@@ -326,12 +333,12 @@
             return Ended::Failed { end, answer: None };
         }
     };
-    server.note_heard(&guard.target.vm, response.headers());
+    server.report_load(&guard.target.vm, response.headers());
     let deadline = server.clock.to_instant(call.deadline_at);
     let buffer_bytes = u64::from(call.policy.buffer_bytes);
-    let relayed = match relay::take(response, guard, buffer_bytes, deadline).await {
-        Taken::Answer(relayed) => relayed,
-        Taken::Cut => {
+    let relayed = match relay::receive(response, guard, buffer_bytes, deadline).await {
+        RelayOutcome::Answer(relayed) => relayed,
+        RelayOutcome::Truncated => {
             return Ended::Failed {
                 end: AttemptEnd::Broken,
                 answer: None,
--- a/crates/node/src/gate_server/board/waiting.rs
+++ b/crates/node/src/gate_server/board/waiting.rs
@@ -1,4 +1,4 @@
-//! Calls that wait on the gate's decisions, and their release.
+//! Calls that wait for the gate's decisions, and their release.
 
 use std::collections::HashMap;
 
@@ -6,7 +6,7 @@
 use hornbeamhitch_core::prelude::*;
 use tokio::sync::oneshot;
 
-/// What a held call is told.
+/// The gate's decision about a queued call.
 #[derive(Debug)]
 pub(super) enum Release {
     Start,
@@ -16,7 +16,7 @@
 #[derive(Debug, Default)]
 pub(super) struct Waiting {
     /// Calls in the gate's queue, by run.
-    pub(super) held: HashMap<RunId, oneshot::Sender<Release>>,
+    pub(super) queued: HashMap<RunId, oneshot::Sender<Release>>,
     /// Arrivals that wait for a key's settlement, by run.
     joined: HashMap<RunId, Vec<oneshot::Sender<Settlement>>>,
 }
@@ -30,27 +30,29 @@
 
     pub(super) fn settle(&mut self, run: RunId, settlement: &Settlement) {
         for joined in self.joined.remove(&run).unwrap_or_default() {
-            // Whoever no longer listens has left; nothing is owed to it.
+            // A closed receiver means that its caller has left and needs no
+            // answer.
             let _ = joined.send(settlement.clone());
         }
     }
 }
 
-/// Hands out releases. A start whose call has left in the same moment is ended
-/// at once, which may free further calls, hence the loop.
+/// Delivers the gate's decisions to the waiting calls. A run whose caller has
+/// left at the same moment is ended at once, which may release further calls,
+/// hence the loop.
 pub(super) fn release(gate: &mut Gate, waiting: &mut Waiting, wakes: Vec<Wake>, now: Millis) {
     let mut pending = wakes;
     while let Some(wake) = pending.pop() {
         match wake {
             Wake::Start(run) => {
-                let held = waiting.held.remove(&run);
-                let is_taken = held.is_some_and(|call| call.send(Release::Start).is_ok());
+                let queued = waiting.queued.remove(&run);
+                let is_taken = queued.is_some_and(|call| call.send(Release::Start).is_ok());
                 if !is_taken {
                     pending.extend(gate.finish(run, RunEnd::NotRun, 0, now));
                 }
             }
             Wake::Refuse(run, refusal) => {
-                if let Some(call) = waiting.held.remove(&run) {
+                if let Some(call) = waiting.queued.remove(&run) {
                     let _ = call.send(Release::Refused(refusal));
                 }
                 waiting.settle(run, &Settlement::Refused(refusal));
--- a/crates/node/src/gate_server/recorded.rs
+++ b/crates/node/src/gate_server/recorded.rs
@@ -1,4 +1,5 @@
-//! Ticketed calls at the gate: run at most once, answered from the record.
+//! Serves ticketed calls at the gate: runs them at most once and answers
+//! repeats from the record.
 
 use std::sync::Arc;
 
@@ -16,18 +17,20 @@
 use crate::answer;
 use crate::body::{self, CollectError, NodeBody};
 use crate::peers::SendFailure;
-use crate::uploads::{HeldUpload, Reservation};
+use crate::uploads::{BufferedUpload, Reservation};
 
-/// How long a run may outlive its caller's deadline. A payment that is under
-/// way is better finished and fetched later than cut and left unknown.
+/// How long a run may continue after its caller's deadline. It is better to
+/// finish a payment that is running and let the caller fetch its answer later
+/// than to abort it with an unknown outcome.
 const RUN_GRACE_MS: Millis = Millis::from_secs(30);
-/// Answers above this are cut off as broken; no caller of a non-idempotent
-/// call has use for more.
+/// Larger answers are treated as broken; no caller of a non-idempotent call
+/// needs them.
 const MAX_ANSWER_BYTES: u64 = 16 << 20;
-/// When to fetch the answer of a run that goes on.
+/// Delay after which a caller should fetch the answer of a run that is still in
+/// progress.
 const STILL_RUNNING_RETRY_MS: Millis = Millis(200);
 
-/// Takes in a ticketed call and answers it by its record.
+/// Serves one ticketed call according to its record.
 pub(super) async fn serve(
     server: &Arc<GateServer>,
     call: GateCall,
@@ -36,14 +39,14 @@
 ) -> Response<NodeBody> {
     let (parts, body) = request.into_parts();
     let max_bytes = call.policy.max_request_bytes;
-    let HeldUpload { body, reservation } = match server.uploads.hold(body, max_bytes).await {
-        Ok(held) => held,
+    let BufferedUpload { body, reservation } = match server.uploads.buffer(body, max_bytes).await {
+        Ok(buffered) => buffered,
         Err(CollectError::TooLarge) => return refuse_too_large(server, ticket),
-        Err(CollectError::Cut) => {
+        Err(CollectError::Truncated) => {
             return answer::from_code(ResultCode::UploadCut, "the upload ended early");
         }
-        // Nothing was recorded, so this is "not yet" and never "not run".
-        Err(CollectError::NoRoom) => {
+        // Nothing was recorded, so the result is "not yet" and never "not run".
+        Err(CollectError::BudgetExhausted) => {
             let refusal = server.board.refusal(ResultCode::RecordsFull);
             return answer::from_refusal(&refusal);
         }
@@ -54,13 +57,14 @@
         deadline_at: call.deadline_at,
         ticket: Some(ticket),
         digest,
-        // The content without the key: a caller that resends the same content
-        // under a new key still meets the suspicion against it.
+        // The fingerprint covers the content without the key, so that the
+        // suspicion also applies when a caller resends the same content under a
+        // new key.
         fingerprint: digest,
     };
     let deadline_at = call.deadline_at;
     let settled = match server.board.arrive_recorded(&arrival) {
-        RecordedAdmission::First { place, settled } => {
+        RecordedAdmission::First { admission, settled } => {
             let run = RecordedRun {
                 server: Arc::clone(server),
                 call,
@@ -69,7 +73,7 @@
                 body,
                 _reservation: reservation,
             };
-            return first(run, place, settled, deadline_at).await;
+            return run_first_arrival(run, admission, settled, deadline_at).await;
         }
         RecordedAdmission::Joined(settled) => settled,
         RecordedAdmission::Replay(answer) => return replay(&answer, ResultCode::Replayed),
@@ -78,12 +82,13 @@
     await_settlement(server, settled, deadline_at).await
 }
 
-/// Refusing as "not run" is only true once the key is fenced: an earlier send
-/// under the ticket may have run, or a late one may yet arrive.
+/// Refuses a body above the limit. "Not run" is only true once the key is
+/// fenced: an earlier send under the ticket may have run, or a late one may
+/// still arrive.
 ///
-/// Where the key has run, so may have this very body, before an edit of the
-/// text lowered the limit: it is not read to its end, so nothing tells. Then
-/// only this attempt is denied.
+/// If the key has run, it may have run with this very body, before a new
+/// configuration lowered the limit. The body is not read to its end, so this
+/// cannot be determined. In that case only this attempt is refused.
 fn refuse_too_large(server: &GateServer, ticket: &Ticket) -> Response<NodeBody> {
     let is_fenced = match server.board.fence(ticket) {
         KeyState::Settled(Settlement::Refused(refusal)) => {
@@ -100,7 +105,7 @@
     )
 }
 
-/// Answers an entry that asks about a key.
+/// Answers an entry's fence request.
 pub(super) async fn serve_fence(
     server: &Arc<GateServer>,
     ticket: &Ticket,
@@ -112,19 +117,21 @@
     }
 }
 
-/// Runs apart from the connection it came on: once started, a payment is run
-/// to its end and recorded, whoever has left meanwhile.
-async fn first(
+/// Runs a call independently of the connection on which it arrived: once
+/// started, a payment runs to its end and is recorded, even if all callers have
+/// disconnected.
+async fn run_first_arrival(
     run: RecordedRun,
-    place: Admission,
+    admission: Admission,
     settled: oneshot::Receiver<Settlement>,
     deadline_at: Millis,
 ) -> Response<NodeBody> {
     let server = Arc::clone(&run.server);
-    let (direct, own) = oneshot::channel();
-    server.spawn_tracked(run.run(place, direct));
-    let whole = tokio::time::timeout_at(server.clock.to_instant(deadline_at), own).await;
-    match whole {
+    let (answer_sender, answer_receiver) = oneshot::channel();
+    server.spawn_tracked(run.run(admission, answer_sender));
+    let answered =
+        tokio::time::timeout_at(server.clock.to_instant(deadline_at), answer_receiver).await;
+    match answered {
         Ok(Ok(answer)) => replay(&answer, ResultCode::Answered),
         Ok(Err(_)) => await_settlement(&server, settled, deadline_at).await,
         Err(_) => still_running(),
@@ -174,36 +181,41 @@
     response
 }
 
-/// One ticketed call on its way through the target.
+/// One ticketed call that runs in the target.
 struct RecordedRun {
     server: Arc<GateServer>,
     call: GateCall,
     ticket: Ticket,
     parts: Parts,
     body: Bytes,
-    /// Memory for the body, held until the run has ended.
+    /// Share of the upload budget for the body, kept until the run has ended.
     _reservation: Reservation,
 }
 
 impl RecordedRun {
-    async fn run(self, place: Admission, direct: oneshot::Sender<Arc<StoredAnswer>>) {
-        let permit = match place {
+    async fn run(self, admission: Admission, answer_sender: oneshot::Sender<Arc<StoredAnswer>>) {
+        let permit = match admission {
             Admission::Run(permit) => permit,
-            Admission::Held(held) => match held.wait().await {
+            Admission::Queued(queued) => match queued.wait().await {
                 Ok(permit) => permit,
-                // The gate has recorded the refusal and settles whoever waits.
+                // The gate has recorded the refusal and sends it to all waiting
+                // arrivals.
                 Err(_) => return,
             },
             Admission::Refused(_) => return,
         };
-        self.run_in_target(permit, direct).await;
+        self.run_in_target(permit, answer_sender).await;
     }
 
-    async fn run_in_target(self, permit: RunPermit, direct: oneshot::Sender<Arc<StoredAnswer>>) {
+    async fn run_in_target(
+        self,
+        permit: RunPermit,
+        answer_sender: oneshot::Sender<Arc<StoredAnswer>>,
+    ) {
         let server = Arc::clone(&self.server);
         let limit_at = self.call.deadline_at + RUN_GRACE_MS;
         let max_stored_bytes = self.call.policy.max_stored_answer_bytes as usize;
-        let attempt = self.ask_target();
+        let attempt = self.send_to_target();
         let limit = server.clock.to_instant(limit_at);
         let outcome = match tokio::time::timeout_at(limit, attempt).await {
             Ok(outcome) => outcome,
@@ -213,7 +225,7 @@
             Outcome::Answered(answer) => {
                 let failed = answer.status >= StatusCode::INTERNAL_SERVER_ERROR.as_u16();
                 let is_small = answer.body.len() <= max_stored_bytes;
-                let _ = direct.send(Arc::clone(&answer));
+                let _ = answer_sender.send(Arc::clone(&answer));
                 permit.end(RunEnd::Answered {
                     answer: is_small.then_some(answer),
                     failed,
@@ -222,13 +234,13 @@
             Outcome::NotRun => permit.end(RunEnd::NotRun),
             Outcome::Unreachable => permit.end(RunEnd::Unreachable),
             Outcome::Broken => {
-                server.notice_broken_run().await;
+                server.handle_broken_run().await;
                 permit.end(RunEnd::Broken);
             }
         }
     }
 
-    async fn ask_target(self) -> Outcome {
+    async fn send_to_target(self) -> Outcome {
         let server = Arc::clone(&self.server);
         let request = server.request_for_target(
             &self.call,
@@ -244,7 +256,7 @@
                 return Outcome::Unreachable;
             }
             Err(SendFailure::MaybeSent(reason)) => {
-                log::warn!("a ticketed run broke: {reason}");
+                log::warn!("the exchange with the target failed during a ticketed run: {reason}");
                 return Outcome::Broken;
             }
         };
@@ -259,7 +271,7 @@
         let Ok(body) = body::collect(body::wrap(body), MAX_ANSWER_BYTES).await else {
             return Outcome::Broken;
         };
-        server.target.rest(connection);
+        server.target.put_back(connection);
         answer::strip_hop_by_hop(&mut head.headers);
         let mut headers = Vec::with_capacity(head.headers.len());
         for (name, value) in &head.headers {
@@ -283,7 +295,8 @@
     Broken,
 }
 
-/// Content of a request without its key: method, path and body.
+/// Hashes the content of a request without its key: method, path, query and
+/// body.
 fn digest(parts: &Parts, body: &[u8]) -> u64 {
     let mut hash = Xxh3::new();
     hash.update(parts.method.as_str().as_bytes());
--- a/crates/node/src/gate_server/streamed.rs
+++ b/crates/node/src/gate_server/streamed.rs
@@ -1,5 +1,5 @@
-//! Idempotent calls at the gate: streamed through, cancelled when the entry
-//! leaves.
+//! Serves idempotent calls at the gate: streams them, and cancels them when the
+//! entry disconnects.
 
 use std::pin::Pin;
 use std::sync::Arc;
@@ -42,7 +42,7 @@
     }
     let permit = match server.board.arrive(&arrival) {
         Admission::Run(permit) => permit,
-        Admission::Held(held) => match held.wait().await {
+        Admission::Queued(queued) => match queued.wait().await {
             Ok(permit) => permit,
             Err(refusal) => return answer::from_refusal(&refusal),
         },
@@ -76,17 +76,17 @@
             return answer::from_refusal(&server.board.refusal(ResultCode::NoTarget));
         }
         Err(SendFailure::MaybeSent(reason)) => {
-            log::info!("a run broke: {reason}");
-            server.notice_broken_run().await;
+            log::info!("the exchange with the target failed during a run: {reason}");
+            server.handle_broken_run().await;
             permit.end(RunEnd::Broken);
             return answer::from_code(ResultCode::RunBroken, "the target broke the connection");
         }
     };
-    server.note_added(call.arrived_at, sent_at.elapsed());
+    server.note_added_latency(call.arrived_at, sent_at.elapsed());
     server.note_target_state(response.headers());
     if super::is_not_run(response.status(), response.headers()) {
         permit.end(RunEnd::NotRun);
-        server.target.rest(connection);
+        server.target.put_back(connection);
         return answer::from_refusal(&server.board.refusal(ResultCode::Overloaded));
     }
     if super::ends_by_close(&response) {
@@ -121,9 +121,9 @@
     Response::from_parts(head, body.boxed_unsync())
 }
 
-/// The target's answer on its way to the entry; it holds the place in the
-/// target until its last byte. Dropping it early closes the connection, which
-/// cancels the run in the target.
+/// The body of the target's answer, streamed to the entry. It keeps its slot in
+/// the target until the last byte. Dropping it early closes the connection,
+/// which cancels the run in the target.
 struct RunBody {
     server: Arc<GateServer>,
     inner: Incoming,
@@ -136,7 +136,7 @@
         let Some((permit, connection)) = self.in_use.take() else {
             return;
         };
-        self.server.target.rest(connection);
+        self.server.target.put_back(connection);
         permit.end(RunEnd::Answered {
             answer: None,
             failed: self.failed,
@@ -149,7 +149,7 @@
         };
         let server = Arc::clone(&self.server);
         tokio::spawn(async move {
-            server.notice_broken_run().await;
+            server.handle_broken_run().await;
             permit.end(RunEnd::Broken);
         });
     }
--- a/crates/node/src/logs/line.rs
+++ b/crates/node/src/logs/line.rs
@@ -1,4 +1,4 @@
-//! One line of the log.
+//! Formats one line of the log.
 
 use std::collections::BTreeSet;
 use std::fmt::{self, Write as _};
@@ -7,37 +7,40 @@
 use log::kv::{Error, Key, Value, VisitSource, VisitValue};
 use serde::ser::{SerializeMap, Serializer as _};
 
-/// Longer messages are cut, so that one caller's input cannot fill the queue.
+/// Longer messages are truncated, so that the input of one caller cannot fill
+/// the queue.
 const MAX_MESSAGE_BYTES: usize = 4 * 1024;
-/// Longer values of a field are cut.
+/// Longer field values are truncated.
 const MAX_VALUE_BYTES: usize = 1024;
-/// Further fields of a record are left out.
+/// Further fields of a record are omitted.
 const MAX_FIELDS: usize = 32;
-const CUT_MARK: &str = "...";
-/// Keys of the line itself. A field of the same name gets [`FIELD_PREFIX`]:
-/// two equal keys in an object would hide one of them from most readers.
+const TRUNCATION_MARK: &str = "...";
+/// Keys of the line itself. A field of the same name gets [`FIELD_PREFIX`],
+/// because most readers would hide one of two equal keys in an object.
 const RESERVED: [&str; 6] = ["time_ms", "level", "target", "vm", "message", "suppressed"];
 const FIELD_PREFIX: &str = "field_";
 
-/// What goes into a line beside the record.
+/// The content of a line.
 pub(super) struct Line<'a> {
-    /// Milliseconds since 1970, for people and log stores only.
+    /// Milliseconds since 1970, only for display and log stores.
     pub(super) wall_clock_ms: u64,
     /// The node's VM.
     pub(super) vm: &'a str,
-    /// Lines of the same place that were left out just before.
+    /// Number of lines of the same call site that were suppressed just before.
     pub(super) suppressed: u32,
-    /// The record itself.
+    /// The logged record.
     pub(super) record: &'a Record<'a>,
 }
 
 impl Line<'_> {
-    /// The line as JSON, ended by its only newline.
+    /// Returns the line as JSON, with a newline at its end and no other
+    /// newline.
     pub(super) fn to_bytes(&self) -> Vec<u8> {
         let mut bytes = Vec::with_capacity(256);
         if self.write(&mut bytes).is_err() {
-            // Memory cannot fail to be written to, and no value here refuses
-            // its serialisation; an empty line would be lost on its reader.
+            // This is not expected: writing to memory does not fail, and every
+            // value here can be serialised. A reader learns more from this line
+            // than from an empty one.
             bytes.clear();
             bytes.extend_from_slice(br#"{"message":"a log line could not be written"}"#);
         }
@@ -50,9 +53,9 @@
         let mut map = serializer.serialize_map(None)?;
         map.serialize_entry("time_ms", &self.wall_clock_ms)?;
         map.serialize_entry("level", level_name(self.record.level()))?;
-        map.serialize_entry("target", &cut(self.record.target(), MAX_VALUE_BYTES))?;
+        map.serialize_entry("target", &truncate(self.record.target(), MAX_VALUE_BYTES))?;
         map.serialize_entry("vm", self.vm)?;
-        map.serialize_entry("message", &cut(self.record.args(), MAX_MESSAGE_BYTES))?;
+        map.serialize_entry("message", &truncate(self.record.args(), MAX_MESSAGE_BYTES))?;
         if self.suppressed > 0 {
             map.serialize_entry("suppressed", &self.suppressed)?;
         }
@@ -60,7 +63,7 @@
             map: &mut map,
             seen: BTreeSet::new(),
         };
-        // A visitor fails only beyond MAX_FIELDS, and then the line is good.
+        // The visitor only fails beyond MAX_FIELDS, and then the line is valid.
         let _ = self.record.key_values().visit(&mut fields);
         map.end()
     }
@@ -76,7 +79,7 @@
     }
 }
 
-/// Writes the fields of a record after the line's own.
+/// Writes the fields of a record after the keys of the line itself.
 struct Fields<'a, M> {
     map: &'a mut M,
     seen: BTreeSet<String>,
@@ -87,7 +90,7 @@
         if self.seen.len() == MAX_FIELDS {
             return Err(Error::msg("too many fields"));
         }
-        let mut name = cut(key.as_str(), MAX_VALUE_BYTES);
+        let mut name = truncate(key.as_str(), MAX_VALUE_BYTES);
         if RESERVED.contains(&name.as_str()) {
             name.insert_str(0, FIELD_PREFIX);
         }
@@ -101,7 +104,7 @@
     }
 }
 
-/// Writes one field in its own JSON type.
+/// Writes one field as its own JSON type.
 struct Field<'a, M> {
     map: &'a mut M,
     name: &'a str,
@@ -117,7 +120,7 @@
 
 impl<M: SerializeMap> VisitValue<'_> for Field<'_, M> {
     fn visit_any(&mut self, value: Value<'_>) -> Result<(), Error> {
-        self.put(&cut(value, MAX_VALUE_BYTES))
+        self.put(&truncate(value, MAX_VALUE_BYTES))
     }
 
     fn visit_null(&mut self) -> Result<(), Error> {
@@ -141,34 +144,34 @@
     }
 }
 
-/// Formats a value up to a number of bytes.
+/// Formats a value, truncated to `max_bytes`.
 ///
-/// `to_string` would panic where a value's own formatting fails, and a log
-/// must never end the thread that writes to it.
-fn cut(value: impl fmt::Display, max_bytes: usize) -> String {
-    let mut cutter = Cutter {
+/// `to_string` would panic if the value's own formatting fails, and logging
+/// must never end the calling thread.
+fn truncate(value: impl fmt::Display, max_bytes: usize) -> String {
+    let mut truncator = Truncator {
         text: String::new(),
         max_bytes,
     };
-    if write!(cutter, "{value}").is_err() {
-        cutter.text.push_str(CUT_MARK);
+    if write!(truncator, "{value}").is_err() {
+        truncator.text.push_str(TRUNCATION_MARK);
     }
-    cutter.text
+    truncator.text
 }
 
-struct Cutter {
+struct Truncator {
     text: String,
     max_bytes: usize,
 }
 
-impl fmt::Write for Cutter {
+impl fmt::Write for Truncator {
     fn write_str(&mut self, part: &str) -> fmt::Result {
-        let left = self.max_bytes - self.text.len();
-        if part.len() <= left {
+        let room = self.max_bytes - self.text.len();
+        if part.len() <= room {
             self.text.push_str(part);
             return Ok(());
         }
-        self.text.push_str(&part[..part.floor_char_boundary(left)]);
+        self.text.push_str(&part[..part.floor_char_boundary(room)]);
         self.max_bytes = self.text.len();
         Err(fmt::Error)
     }
--- a/crates/node/src/logs/queue.rs
+++ b/crates/node/src/logs/queue.rs
@@ -1,4 +1,4 @@
-//! The queue between those who log and the one thread that writes.
+//! The queue between the logging threads and the writer thread.
 
 use std::io::Write;
 use std::sync::Arc;
@@ -9,56 +9,56 @@
 
 use super::count_dropped;
 
-/// Lines that may wait.
+/// Maximum number of queued lines.
 const MAX_LINES: usize = 4_096;
-/// Bytes that may wait; reached first when lines are long.
+/// Maximum number of queued bytes; reached first when lines are long.
 const MAX_BYTES: usize = 4 * 1024 * 1024;
 
 /// The sending end; clones share the queue.
 ///
-/// Standard error is often a pipe. Once its reader stalls, a write blocks
-/// without end; once it is gone, each write fails. Written from a traffic
-/// thread, the first would freeze every call of the node for as long as the
-/// log collector sleeps. Here only the writing thread waits; all others find
-/// the queue full, drop their line and count it.
+/// Standard error is often a pipe. If its reader stalls, a write blocks
+/// indefinitely; if its reader has ended, each write fails. A blocked write in
+/// a traffic thread would freeze every call of the node for as long as the log
+/// collector does not read. Here only the writer thread waits; the other
+/// threads find the queue full, drop their line and count it.
 #[derive(Clone, Debug)]
 pub(super) struct Queue {
     sender: SyncSender<Item>,
-    waiting_bytes: Arc<AtomicUsize>,
+    queued_bytes: Arc<AtomicUsize>,
 }
 
 enum Item {
     Line(Vec<u8>),
-    /// Answer once everything before is written.
+    /// Reply once all lines before this item are written.
     Flush(SyncSender<()>),
 }
 
 impl Queue {
     pub(super) fn start(sink: Box<dyn Write + Send>) -> std::io::Result<Self> {
         let (sender, receiver) = sync_channel(MAX_LINES);
-        let waiting_bytes = Arc::new(AtomicUsize::new(0));
+        let queued_bytes = Arc::new(AtomicUsize::new(0));
         let writer = Writer {
             sink,
             receiver,
-            waiting_bytes: Arc::clone(&waiting_bytes),
+            queued_bytes: Arc::clone(&queued_bytes),
         };
         thread::Builder::new()
             .name("log".to_owned())
             .spawn(move || writer.run())?;
         Ok(Self {
             sender,
-            waiting_bytes,
+            queued_bytes,
         })
     }
 
-    /// Hands over a line, or drops it; never waits.
+    /// Queues a line or drops it; never blocks.
     pub(super) fn push(&self, line: Vec<u8>) {
         let size_bytes = line.len();
-        let before = self.waiting_bytes.fetch_add(size_bytes, Ordering::Relaxed);
+        let before = self.queued_bytes.fetch_add(size_bytes, Ordering::Relaxed);
         if before + size_bytes <= MAX_BYTES && self.sender.try_send(Item::Line(line)).is_ok() {
             return;
         }
-        self.waiting_bytes.fetch_sub(size_bytes, Ordering::Relaxed);
+        self.queued_bytes.fetch_sub(size_bytes, Ordering::Relaxed);
         count_dropped(1);
     }
 
@@ -74,24 +74,25 @@
 struct Writer {
     sink: Box<dyn Write + Send>,
     receiver: Receiver<Item>,
-    waiting_bytes: Arc<AtomicUsize>,
+    queued_bytes: Arc<AtomicUsize>,
 }
 
 impl Writer {
-    /// Runs until the last sender is gone. A failed write loses its line only:
-    /// the next may succeed, for instance once a full file system has room.
+    /// Runs until the last sender is dropped. A failed write only loses its own
+    /// line, because the next may succeed, for example once a full file system
+    /// has space again.
     fn run(mut self) {
         while let Ok(item) = self.receiver.recv() {
             match item {
                 Item::Line(line) => self.write(&line),
-                // Whoever asked may have given up waiting.
+                // The requester may have stopped waiting.
                 Item::Flush(done) => drop(done.try_send(())),
             }
         }
     }
 
     fn write(&mut self, line: &[u8]) {
-        self.waiting_bytes.fetch_sub(line.len(), Ordering::Relaxed);
+        self.queued_bytes.fetch_sub(line.len(), Ordering::Relaxed);
         if self.sink.write_all(line).is_err() {
             count_dropped(1);
         }
