--- a/crates/core/src/control/board.rs
+++ b/crates/core/src/control/board.rs
@@ -23,7 +23,7 @@
 use super::status::{ControlCounters, PlatformState, RefusedText};
 use crate::prelude::*;
 use crate::suspects::{SuspectEntry, Suspects};
-use crate::view::HeardLoad;
+use crate::view::ReceivedLoad;
 
 /// A service asked for on demand is let go after this long without a call.
 const INTEREST_IDLE_AFTER: Millis = Millis::from_secs(10 * 60);
@@ -132,7 +132,7 @@
     pub(super) draining: bool,
     /// A later life of this VM was heard of.
     pub(super) superseded: bool,
-    pub(super) own_load: Option<HeardLoad>,
+    pub(super) own_load: Option<ReceivedLoad>,
     pub(super) suspects: Suspects,
     pub(super) dirt: Dirt,
     pub(super) outbox: Vec<ControlAction>,
--- a/crates/core/src/control/member.rs
+++ b/crates/core/src/control/member.rs
@@ -6,7 +6,7 @@
 
 use super::status::MemberState;
 use crate::prelude::*;
-use crate::view::HeardLoad;
+use crate::view::ReceivedLoad;
 
 /// How new a statement was to this node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -37,7 +37,7 @@
     pub(super) heard_at: Option<Millis>,
     /// It said so itself.
     said_leaving: bool,
-    pub(super) load: Option<HeardLoad>,
+    pub(super) load: Option<ReceivedLoad>,
     /// The VM list names it.
     pub(super) listed: bool,
     /// The life that the VM list calls leaving.
@@ -138,9 +138,9 @@
         self.service = digest.service.clone();
         self.heard_at = Some(self.heard_at.unwrap_or_default().max(said_at));
         if let Some(report) = digest.load_report() {
-            self.load = Some(HeardLoad {
+            self.load = Some(ReceivedLoad {
                 report,
-                heard_at: said_at,
+                received_at: said_at,
             });
         }
         if !changed {
@@ -169,9 +169,9 @@
         self.clock_ms = report.gate_clock_ms;
         self.said_leaving = report.leaving;
         self.heard_at = Some(now);
-        self.load = Some(HeardLoad {
+        self.load = Some(ReceivedLoad {
             report,
-            heard_at: now,
+            received_at: now,
         });
         if !changed {
             return News::Load;
--- a/crates/core/src/control/membership.rs
+++ b/crates/core/src/control/membership.rs
@@ -9,7 +9,7 @@
 use super::board::{Board, Controller, Dirt, Input};
 use super::member::News;
 use crate::prelude::*;
-use crate::view::HeardLoad;
+use crate::view::ReceivedLoad;
 
 /// How often members that are gone are looked for.
 const SWEEP_EVERY: Millis = Millis::from_secs(1);
@@ -75,13 +75,13 @@
                 gate_clock_ms: report.gate_clock_ms,
                 ..known.report
             };
-            if unchanged == report && now.since(known.heard_at) < OWN_LOAD_FRESH_FOR {
+            if unchanged == report && now.since(known.received_at) < OWN_LOAD_FRESH_FOR {
                 return;
             }
         }
-        board.own_load = Some(HeardLoad {
+        board.own_load = Some(ReceivedLoad {
             report,
-            heard_at: now,
+            received_at: now,
         });
         board.soil(Dirt::Loads);
     }
--- a/crates/core/src/control/suspicion.rs
+++ b/crates/core/src/control/suspicion.rs
@@ -9,7 +9,7 @@
 
 use super::board::{Board, Controller, Dirt, Input};
 use crate::prelude::*;
-use crate::suspects::{Standing, SuspectEntry, Suspects};
+use crate::suspects::{SuspicionLevel, SuspectEntry, Suspects};
 
 /// Peers told by the node that saw the crash.
 const FIRST_FAN_OUT: usize = 16;
@@ -93,9 +93,9 @@
         fingerprint: entry.fingerprint,
         version: entry.version,
         standing: match entry.standing {
-            Standing::Clear => 0,
-            Standing::Suspect => 1,
-            Standing::Convicted => 2,
+            SuspicionLevel::Clear => 0,
+            SuspicionLevel::Suspect => 1,
+            SuspicionLevel::Convicted => 2,
         },
         crashes: entry.crashes,
         age_ms: entry.age_ms,
@@ -104,9 +104,9 @@
 
 fn entry_of(note: &SuspectNote) -> Option<SuspectEntry> {
     let standing = match note.standing {
-        0 => Standing::Clear,
-        1 => Standing::Suspect,
-        2 => Standing::Convicted,
+        0 => SuspicionLevel::Clear,
+        1 => SuspicionLevel::Suspect,
+        2 => SuspicionLevel::Convicted,
         _ => return None,
     };
     Some(SuspectEntry {
--- a/crates/core/src/control/tests/membership.rs
+++ b/crates/core/src/control/tests/membership.rs
@@ -4,7 +4,7 @@
 
 use super::harness::*;
 use crate::control::*;
-use crate::suspects::{Standing, SuspectEntry};
+use crate::suspects::{SuspicionLevel, SuspectEntry};
 use crate::view::TargetView;
 
 fn target<'a>(fleet: &'a Fleet, at: usize, service: &str, vm: &VmId) -> Option<&'a TargetView> {
@@ -258,18 +258,18 @@
     let entry = SuspectEntry {
         fingerprint: 77,
         version: 1,
-        standing: Standing::Suspect,
+        standing: SuspicionLevel::Suspect,
         crashes: 1,
         age_ms: Millis::ZERO,
     };
     fleet.event(0, ControlEvent::Suspicion(entry));
     let took = fleet.run_until(Millis(200), "suspicion", |fleet| {
-        (0..5).all(|at| fleet.nodes[at].table.suspects.standing(77) == Standing::Suspect)
+        (0..5).all(|at| fleet.nodes[at].table.suspects.standing(77) == SuspicionLevel::Suspect)
     });
     println!("suspicion: known to the service after {took}");
     fleet.run(Millis::from_secs(11 * 60));
     for at in 0..14 {
-        assert_eq!(fleet.nodes[at].table.suspects.standing(77), Standing::Clear);
+        assert_eq!(fleet.nodes[at].table.suspects.standing(77), SuspicionLevel::Clear);
     }
 }
 
--- a/crates/core/src/entry.rs
+++ b/crates/core/src/entry.rs
@@ -27,10 +27,10 @@
 mod tests;
 
 use latency::LatencyHistogram;
-use outcome::Lesson;
+use outcome::Observation;
 use picker::Choice;
 use retry_after::RetryAfter;
-use score::Typical;
+use score::ServiceAverages;
 use table::TargetTable;
 use target::Target;
 
@@ -60,7 +60,7 @@
 pub struct EntryService {
     view: Arc<ServiceView>,
     table: TargetTable,
-    typical: Typical,
+    typical: ServiceAverages,
     latency: LatencyHistogram,
     retry_budget: ShareBudget,
     hedge_budget: ShareBudget,
@@ -75,7 +75,7 @@
         let budgets = view.policy.budgets;
         let mut service = Self {
             table: TargetTable::new(),
-            typical: Typical::new(),
+            typical: ServiceAverages::new(),
             latency: LatencyHistogram::new(budgets.hedge_quantile, now),
             retry_budget: ShareBudget::new(budgets.retry_share),
             hedge_budget: ShareBudget::new(budgets.hedge_share),
@@ -369,29 +369,29 @@
         let away_us = (outcome.latency_us as f32 - target.round_trip_us()).max(1.0);
         let limit = target.stats.limit(slots);
         let service_us = target.stats.unloaded_us(away_us, limit);
-        match Lesson::of(outcome, self.latency.median_us()) {
-            Lesson::Works => {
+        match Observation::of(outcome, self.latency.median_us()) {
+            Observation::Works => {
                 target.learn_success(pick, service_us, now);
                 let typical_us = target.stats.reported_service_us().unwrap_or(service_us);
                 self.typical.learn_service(typical_us);
                 self.latency.record(outcome.latency_us, now);
             }
-            Lesson::Fails => {
+            Observation::Fails => {
                 target.learn_failure(pick, &ejection, now);
                 if outcome.end == AttemptEnd::TimedOut {
                     target.stats.learn_lower_bound(service_us, now);
                     self.latency.record_lower_bound(outcome.latency_us, now);
                 }
             }
-            Lesson::Absent => target.learn_absence(pick, &ejection, now),
-            Lesson::Full => target.learn_refusal(pick, now),
-            Lesson::Leaving => target.learn_leaving(pick, now),
-            Lesson::SlowerThan => {
+            Observation::Absent => target.learn_absence(pick, &ejection, now),
+            Observation::Full => target.learn_refusal(pick, now),
+            Observation::Leaving => target.learn_leaving(pick, now),
+            Observation::SlowerThan => {
                 target.learn_nothing(pick, now);
                 target.stats.learn_lower_bound(service_us, now);
                 self.latency.record_lower_bound(outcome.latency_us, now);
             }
-            Lesson::Nothing => target.learn_nothing(pick, now),
+            Observation::Nothing => target.learn_nothing(pick, now),
         }
         if pick.is_trial {
             self.table.find_next_trial();
@@ -403,7 +403,7 @@
             AttemptEnd::Refused(refusal) => refusal.retry_after_ms,
             _ => None,
         };
-        if told.is_none() && !retry::is_worth_coming_back(code) {
+        if told.is_none() && !retry::is_worth_retrying_later(code) {
             return Refusal::fixed(code);
         }
         let own = self.retry_after_ms(now);
--- a/crates/core/src/entry/gate_clock.rs
+++ b/crates/core/src/entry/gate_clock.rs
@@ -22,19 +22,19 @@
 
 impl GateClock {
     /// When a report was made, in this node's clock; never after its arrival.
-    pub(crate) fn made_at(&mut self, gate_clock_ms: Millis, heard_at: Millis) -> Millis {
-        let lead_ms = signed(heard_at) - signed(gate_clock_ms);
-        let drift_ms = signed(heard_at.since(self.measured_at)) / MS_PER_DRIFTED_MS;
+    pub(crate) fn made_at(&mut self, gate_clock_ms: Millis, received_at: Millis) -> Millis {
+        let lead_ms = signed(received_at) - signed(gate_clock_ms);
+        let drift_ms = signed(received_at.since(self.measured_at)) / MS_PER_DRIFTED_MS;
         let least_ms = self
             .least_lead_ms
             .map_or(lead_ms, |known_ms| known_ms + drift_ms);
         if lead_ms <= least_ms {
             self.least_lead_ms = Some(lead_ms);
-            self.measured_at = heard_at;
-            return heard_at;
+            self.measured_at = received_at;
+            return received_at;
         }
         let late_ms = lead_ms - least_ms;
-        heard_at.minus(Millis(late_ms.unsigned_abs()))
+        received_at.minus(Millis(late_ms.unsigned_abs()))
     }
 }
 
--- a/crates/core/src/entry/outcome.rs
+++ b/crates/core/src/entry/outcome.rs
@@ -5,7 +5,7 @@
 
 /// What an end says about the target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Lesson {
+pub(crate) enum Observation {
     /// It answered.
     Works,
     /// It failed, however quickly.
@@ -22,7 +22,7 @@
     Nothing,
 }
 
-impl Lesson {
+impl Observation {
     /// `median_us` is the median latency, once it is known.
     pub(crate) fn of(outcome: &AttemptOutcome, median_us: Option<u32>) -> Self {
         match outcome.end {
--- a/crates/core/src/entry/picker.rs
+++ b/crates/core/src/entry/picker.rs
@@ -4,7 +4,7 @@
 use rand::rngs::Xoshiro256PlusPlus;
 
 use crate::entry::TargetIndex;
-use crate::entry::score::Typical;
+use crate::entry::score::ServiceAverages;
 use crate::entry::table::TargetTable;
 use crate::prelude::*;
 
@@ -20,7 +20,7 @@
 /// All that a choice depends on but the tier itself.
 pub(crate) struct Choice<'a> {
     pub(crate) table: &'a TargetTable,
-    pub(crate) typical: &'a Typical,
+    pub(crate) typical: &'a ServiceAverages,
     pub(crate) policy: &'a ServicePolicy,
     pub(crate) exclude: &'a [TargetIndex],
     pub(crate) now: Millis,
--- a/crates/core/src/entry/retry.rs
+++ b/crates/core/src/entry/retry.rs
@@ -77,7 +77,7 @@
 }
 
 /// Whether a caller gains from coming back unchanged.
-pub(crate) fn is_worth_coming_back(code: ResultCode) -> bool {
+pub(crate) fn is_worth_retrying_later(code: ResultCode) -> bool {
     matches!(
         code,
         ResultCode::Overloaded
--- a/crates/core/src/entry/score.rs
+++ b/crates/core/src/entry/score.rs
@@ -39,14 +39,14 @@
 
 /// What a target of the service looks like about which nothing is known.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Typical {
+pub(crate) struct ServiceAverages {
     service_us: Option<f32>,
     load_ratio: f32,
     own_ratio: f32,
     half_life_factor: f32,
 }
 
-impl Typical {
+impl ServiceAverages {
     pub(crate) fn new() -> Self {
         Self {
             service_us: None,
@@ -101,7 +101,7 @@
 
 /// What is believed about one target at the moment of a pick.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Belief {
+pub(crate) struct TargetEstimate {
     /// Everything outstanding there as a multiple of its limit.
     pub(crate) load_ratio: f32,
     /// Service time as a multiple of the typical one.
@@ -116,9 +116,9 @@
     pub(crate) round_trip_us: f32,
 }
 
-impl Belief {
+impl TargetEstimate {
     /// The expected time of an attempt in microseconds, failures priced in.
-    pub(crate) fn expected_us(&self, typical: &Typical) -> f32 {
+    pub(crate) fn expected_us(&self, typical: &ServiceAverages) -> f32 {
         let service_us = typical.service_us();
         let load = self.load_ratio + self.refused * REFUSED_LOAD_RATIO;
         let wait_us = service_us * self.slowness() * (1.0 + weigh(load / self.ramp));
--- a/crates/core/src/entry/target.rs
+++ b/crates/core/src/entry/target.rs
@@ -4,7 +4,7 @@
 
 use crate::entry::Pick;
 use crate::entry::ejection::Health;
-use crate::entry::score::{Belief, Typical};
+use crate::entry::score::{TargetEstimate, ServiceAverages};
 use crate::entry::target_stats::{ReportSource, TargetStats};
 use crate::prelude::*;
 
@@ -93,7 +93,7 @@
             self.meet(incarnation, now);
         }
         if let Some(heard) = &view.load {
-            self.hear(&heard.report, heard.heard_at, ReportSource::Published, now);
+            self.hear(&heard.report, heard.received_at, ReportSource::Published, now);
         }
     }
 
@@ -102,7 +102,7 @@
     fn hear(
         &mut self,
         report: &LoadReport,
-        heard_at: Millis,
+        received_at: Millis,
         source: ReportSource,
         now: Millis,
     ) -> bool {
@@ -113,8 +113,8 @@
         if self.stats.knows_newer_than(report) {
             return false;
         }
-        self.hear_leaving(report, heard_at);
-        self.stats.hear(report, heard_at, source);
+        self.hear_leaving(report, received_at);
+        self.stats.hear(report, received_at, source);
         true
     }
 
@@ -224,9 +224,9 @@
     ///
     /// A gate reports a low limit while its target is cold, which says it all;
     /// the ramp stands in for the limit until the first report.
-    pub(crate) fn belief(&self, typical: &Typical, slots: u32, ramp: f32, now: Millis) -> Belief {
+    pub(crate) fn belief(&self, typical: &ServiceAverages, slots: u32, ramp: f32, now: Millis) -> TargetEstimate {
         let is_limit_known = self.stats.report().is_some();
-        Belief {
+        TargetEstimate {
             ramp: if is_limit_known { 1.0 } else { ramp },
             round_trip_us: self.round_trip_us(),
             ..self.stats.belief(typical, slots, now)
@@ -254,10 +254,10 @@
         self.heard_leaving = None;
     }
 
-    fn hear_leaving(&mut self, report: &LoadReport, heard_at: Millis) {
+    fn hear_leaving(&mut self, report: &LoadReport, received_at: Millis) {
         if report.leaving {
             self.heard_leaving = Some(HeardLeaving {
-                at: heard_at,
+                at: received_at,
                 gate_clock_ms: Some(report.gate_clock_ms),
             });
             return;
@@ -267,7 +267,7 @@
         };
         let is_newer = match heard.gate_clock_ms {
             Some(clock_ms) => report.gate_clock_ms > clock_ms,
-            None => heard_at > heard.at + LEAVING_SETTLE_MS,
+            None => received_at > heard.at + LEAVING_SETTLE_MS,
         };
         if is_newer {
             self.heard_leaving = None;
--- a/crates/core/src/entry/target_stats.rs
+++ b/crates/core/src/entry/target_stats.rs
@@ -1,7 +1,7 @@
 //! What an entry has learnt about one target in its present life.
 
 use crate::entry::gate_clock::GateClock;
-use crate::entry::score::{Belief, Typical, fade};
+use crate::entry::score::{TargetEstimate, ServiceAverages, fade};
 use crate::prelude::*;
 
 /// Time after which half of an unusual service time is forgotten, so that a
@@ -42,7 +42,7 @@
 #[derive(Clone, Copy, Debug)]
 struct KnownLoad {
     report: LoadReport,
-    heard_at: Millis,
+    received_at: Millis,
     /// When the gate made it, as far as its clock tells.
     made_at: Millis,
     /// When this service time was first heard.
@@ -156,13 +156,13 @@
     }
 
     /// Takes the newest report of the present life.
-    pub(crate) fn hear(&mut self, report: &LoadReport, heard_at: Millis, source: ReportSource) {
-        let service_heard_at = self.service_heard_at(report, heard_at);
+    pub(crate) fn hear(&mut self, report: &LoadReport, received_at: Millis, source: ReportSource) {
+        let service_heard_at = self.service_heard_at(report, received_at);
         self.load = Some(KnownLoad {
             report: *report,
-            heard_at,
+            received_at,
             service_heard_at,
-            made_at: self.clock.made_at(report.gate_clock_ms, heard_at),
+            made_at: self.clock.made_at(report.gate_clock_ms, received_at),
             own_in_flight: self.in_flight,
             source,
         });
@@ -173,12 +173,12 @@
     /// Failure answered: a target's first call was slow, and it gets no other. Its gate
     /// reports that one service time again and again; counted as new each time, it is
     /// never forgotten, and the target stands idle.
-    fn service_heard_at(&self, report: &LoadReport, heard_at: Millis) -> Millis {
+    fn service_heard_at(&self, report: &LoadReport, received_at: Millis) -> Millis {
         match &self.load {
             Some(known) if known.report.service_time_us == report.service_time_us => {
                 known.service_heard_at
             }
-            _ => heard_at,
+            _ => received_at,
         }
     }
 
@@ -196,7 +196,7 @@
     /// 0 when the report is older than `oldest`.
     pub(crate) fn reported_ratio_within(&self, oldest: Millis, now: Millis) -> f32 {
         match &self.load {
-            Some(known) if now.since(known.heard_at) <= oldest => known.ratio(),
+            Some(known) if now.since(known.received_at) <= oldest => known.ratio(),
             _ => 0.0,
         }
     }
@@ -261,7 +261,7 @@
     /// send there until the next report. Own sends count at once, and what is no
     /// longer believed of the report is filled in from own attempts against the
     /// usual ones, where targets look alike unless attempts pile up on one.
-    pub(crate) fn load_ratio(&self, typical: &Typical, slots: u32, now: Millis) -> f32 {
+    pub(crate) fn load_ratio(&self, typical: &ServiceAverages, slots: u32, now: Millis) -> f32 {
         let own = self.own_ratio(slots);
         let sampled = typical.sampled_ratio(own, 1.0 / self.limit(slots) as f32);
         let Some(known) = &self.load else {
@@ -282,8 +282,8 @@
 
     /// Everything believed at this moment but for what depends on the network
     /// and on other targets.
-    pub(crate) fn belief(&self, typical: &Typical, slots: u32, now: Millis) -> Belief {
-        Belief {
+    pub(crate) fn belief(&self, typical: &ServiceAverages, slots: u32, now: Millis) -> TargetEstimate {
+        TargetEstimate {
             load_ratio: self.load_ratio(typical, slots, now),
             relative_service: self.relative_service(typical, now),
             failure: self.failure_rate(now),
@@ -310,7 +310,7 @@
     }
 
     /// Service time as a multiple of the typical one, fading towards 1.
-    fn relative_service(&self, typical: &Typical, now: Millis) -> f32 {
+    fn relative_service(&self, typical: &ServiceAverages, now: Millis) -> f32 {
         let typical_us = typical.service_us();
         let (measured_us, at) = match (self.own_service_us, &self.load) {
             (None, None) => return 1.0,
@@ -330,7 +330,7 @@
         1.0 + (relative - 1.0) * left
     }
 
-    fn refused(&self, typical: &Typical, now: Millis) -> f32 {
+    fn refused(&self, typical: &ServiceAverages, now: Millis) -> f32 {
         match self.refused_at {
             Some(at) => fade(now.since(at), typical.load_half_life_ms()),
             None => 0.0,
--- a/crates/core/src/entry/tests.rs
+++ b/crates/core/src/entry/tests.rs
@@ -3,7 +3,7 @@
 use std::net::{Ipv4Addr, SocketAddr};
 
 use super::*;
-use crate::view::HeardLoad;
+use crate::view::ReceivedLoad;
 
 mod bounds;
 mod ejection;
@@ -14,7 +14,7 @@
 mod tickets;
 
 const FAR: Millis = Millis(1_000_000);
-const NEW_LIFE: Incarnation = Incarnation(9_000);
+const NEW_INCARNATION: Incarnation = Incarnation(9_000);
 const SERVICE_US: u32 = 20_000;
 
 fn policy() -> ServicePolicy {
@@ -89,10 +89,10 @@
     }
 }
 
-fn heard(number: usize, outstanding: u32, at: u64) -> Option<HeardLoad> {
-    Some(HeardLoad {
+fn heard(number: usize, outstanding: u32, at: u64) -> Option<ReceivedLoad> {
+    Some(ReceivedLoad {
         report: report(number, outstanding, at),
-        heard_at: Millis(at),
+        received_at: Millis(at),
     })
 }
 
--- a/crates/core/src/entry/tests/picking.rs
+++ b/crates/core/src/entry/tests/picking.rs
@@ -50,11 +50,11 @@
     end_at(&mut service, 0, refused(ResultCode::Leaving), 1);
     assert_eq!(run(&mut service, 2, 300, |_| WORKS)[0], 0);
     let mut seen = view(3);
-    for (heard_at, works_again) in [(500, false), (1_500, true)] {
-        seen.targets[0].load = heard(0, 0, heard_at);
+    for (received_at, works_again) in [(500, false), (1_500, true)] {
+        seen.targets[0].load = heard(0, 0, received_at);
         service.update(Arc::new(seen.clone()), Millis(2_000));
         let count = run(&mut service, 2_000, 300, |_| WORKS)[0];
-        assert_eq!(count > 0, works_again, "heard at {heard_at} ms");
+        assert_eq!(count > 0, works_again, "heard at {received_at} ms");
     }
 }
 
@@ -104,7 +104,7 @@
     let old = pick(&mut service, 1);
     let number = old.target.0 as usize;
     let mut seen = view(3);
-    seen.targets[number].incarnation = Some(NEW_LIFE);
+    seen.targets[number].incarnation = Some(NEW_INCARNATION);
     service.update(Arc::new(seen), Millis(20_000));
     service.finish(&old, &ended(AttemptEnd::Unreachable), Millis(20_001));
     assert_eq!(service.ejected_targets(), 0);
@@ -120,12 +120,12 @@
 fn the_life_that_answers_counts() {
     let mut service = service(&view(3));
     let renewed = LoadReport {
-        incarnation: NEW_LIFE,
+        incarnation: NEW_INCARNATION,
         ..report(0, 0, 5)
     };
     answer_with_load(&mut service, &renewed, 1);
     service.update(Arc::new(view(3)), Millis(2));
-    assert_eq!(service.table.at(0).incarnation, Some(NEW_LIFE));
+    assert_eq!(service.table.at(0).incarnation, Some(NEW_INCARNATION));
     answer_with_load(&mut service, &report(0, 0, 5), 3);
     assert_eq!(service.table.at(0).incarnation, Some(life(0)));
 }
--- a/crates/core/src/entry/tests/slow_start.rs
+++ b/crates/core/src/entry/tests/slow_start.rs
@@ -1,6 +1,6 @@
 //! A target whose first call was slow, and that got no other.
 
-use crate::entry::score::Typical;
+use crate::entry::score::ServiceAverages;
 use crate::entry::target_stats::{ReportSource, TargetStats};
 use crate::prelude::*;
 
@@ -14,7 +14,7 @@
 #[test]
 fn one_slow_call_is_forgotten_though_it_is_reported_again_and_again() {
     const SLOW_US: u32 = 200_000;
-    let mut typical = Typical::new();
+    let mut typical = ServiceAverages::new();
     typical.learn_service(TYPICAL_US);
     let mut stats = TargetStats::new(Millis::ZERO);
     stats.learn_success(SLOW_US as f32, Millis::ZERO);
--- a/crates/core/src/entry/tests/tickets.rs
+++ b/crates/core/src/entry/tests/tickets.rs
@@ -79,18 +79,18 @@
 fn a_new_life_is_named_once_it_was_heard() {
     let mut seen = known(2);
     let mut service = service(&seen);
-    seen.targets[0].incarnation = Some(NEW_LIFE);
+    seen.targets[0].incarnation = Some(NEW_INCARNATION);
     service.update(Arc::new(seen.clone()), Millis(200));
     for number in 0..50 {
         assert_eq!(gate_of(&mut service, key(number), 200).as_str(), "vm-001");
     }
     let fresh = LoadReport {
-        incarnation: NEW_LIFE,
+        incarnation: NEW_INCARNATION,
         ..report(0, 0, 7)
     };
-    seen.targets[0].load = Some(HeardLoad {
+    seen.targets[0].load = Some(ReceivedLoad {
         report: fresh,
-        heard_at: Millis(300),
+        received_at: Millis(300),
     });
     service.update(Arc::new(seen), Millis(300));
     let mut renewed = 0;
@@ -99,7 +99,7 @@
             .ticket_gate(CallKey(key(number)), Millis(300))
             .expect("usable");
         if gate.vm.as_str() == "vm-000" {
-            assert_eq!(gate.incarnation, NEW_LIFE);
+            assert_eq!(gate.incarnation, NEW_INCARNATION);
             assert_eq!(gate.expires_at, Millis(7 + 120_000));
             renewed += 1;
         }
--- a/crates/core/src/entry/ticket_choice.rs
+++ b/crates/core/src/entry/ticket_choice.rs
@@ -1,7 +1,7 @@
 //! Choosing the gate that a new ticket names.
 
 use crate::entry::TargetIndex;
-use crate::entry::score::Typical;
+use crate::entry::score::ServiceAverages;
 use crate::entry::table::TargetTable;
 use crate::entry::target::Target;
 use crate::prelude::*;
@@ -58,7 +58,7 @@
 /// is older than a payment lasts.
 pub(crate) fn choose_in_turn(
     table: &TargetTable,
-    typical: &Typical,
+    typical: &ServiceAverages,
     slots: u32,
     now: Millis,
 ) -> Option<TargetIndex> {
--- a/crates/core/src/gate.rs
+++ b/crates/core/src/gate.rs
@@ -345,7 +345,7 @@
 
     /// Calls held or running; a graceful shutdown ends at zero.
     #[must_use]
-    pub fn in_hand(&self) -> usize {
+    pub fn active_calls(&self) -> usize {
         self.runs.len()
     }
 
--- a/crates/core/src/gate/admission.rs
+++ b/crates/core/src/gate/admission.rs
@@ -3,7 +3,7 @@
 use super::run::Admission;
 use super::{Arrival, Gate};
 use crate::prelude::*;
-use crate::suspects::{CONVICTED_RETRY_AFTER_MS, NO_FINGERPRINT, Standing};
+use crate::suspects::{CONVICTED_RETRY_AFTER_MS, NO_FINGERPRINT, SuspicionLevel};
 
 /// A predicted wait of up to this many service times is accepted ...
 const MAX_WAIT_SERVICE_TIMES: f64 = 3.0;
@@ -29,9 +29,9 @@
             return Err(self.refusal(ResultCode::Leaving));
         }
         match self.standing(arrival.fingerprint) {
-            Standing::Convicted => return Err(Self::convicted_refusal()),
-            Standing::Suspect => return self.admit_suspect(arrival, now),
-            Standing::Clear => {}
+            SuspicionLevel::Convicted => return Err(Self::convicted_refusal()),
+            SuspicionLevel::Suspect => return self.admit_suspect(arrival, now),
+            SuspicionLevel::Clear => {}
         }
         if self.is_hopeless(arrival.class, arrival.deadline_at, 0.0, now) {
             return Err(self.refusal(ResultCode::DeadlineTooShort));
@@ -43,9 +43,9 @@
     }
 
     /// What is held against a fingerprint, here or in the fleet.
-    pub(super) fn standing(&self, fingerprint: u64) -> Standing {
+    pub(super) fn standing(&self, fingerprint: u64) -> SuspicionLevel {
         if fingerprint == NO_FINGERPRINT {
-            return Standing::Clear;
+            return SuspicionLevel::Clear;
         }
         let heard = self.fleet_suspects.mark(fingerprint);
         heard.max(self.own_suspects.mark(fingerprint)).standing
--- a/crates/core/src/gate/crash.rs
+++ b/crates/core/src/gate/crash.rs
@@ -3,7 +3,7 @@
 use super::run::Run;
 use super::{Gate, Phase};
 use crate::prelude::*;
-use crate::suspects::{NO_FINGERPRINT, Standing, SuspectEntry};
+use crate::suspects::{NO_FINGERPRINT, SuspicionLevel, SuspectEntry};
 
 /// How long a broken run counts as evidence of a crash that the driver has yet
 /// to report: it takes one refused connection to be sure.
@@ -110,9 +110,9 @@
     /// whose target goes down as well, with all that runs there. Suspected on
     /// the entry's word, the request runs alone, and its second crash convicts
     /// it. An innocent one waits for an idle moment, runs, and is cleared.
-    pub fn accuse(&mut self, fingerprint: u64, now: Millis) -> Option<SuspectEntry> {
+    pub fn report_suspect(&mut self, fingerprint: u64, now: Millis) -> Option<SuspectEntry> {
         let now = self.advance(now);
-        if fingerprint == NO_FINGERPRINT || self.standing(fingerprint) != Standing::Clear {
+        if fingerprint == NO_FINGERPRINT || self.standing(fingerprint) != SuspicionLevel::Clear {
             return None;
         }
         let heard = self.fleet_suspects.mark(fingerprint);
--- a/crates/core/src/gate/pump.rs
+++ b/crates/core/src/gate/pump.rs
@@ -4,7 +4,7 @@
 use super::run::Phase;
 use super::{Gate, RunId, Wake};
 use crate::prelude::*;
-use crate::suspects::Standing;
+use crate::suspects::SuspicionLevel;
 
 impl Gate {
     /// Starts every held call that may start now.
@@ -73,12 +73,12 @@
             return self.refuse_late(place.run);
         }
         match self.standing(fingerprint) {
-            Standing::Clear => self.start_held(place.run, false, now),
-            Standing::Convicted => self.refuse_held(place.run, Self::convicted_refusal()),
-            Standing::Suspect if self.quarantine.has_room() => {
+            SuspicionLevel::Clear => self.start_held(place.run, false, now),
+            SuspicionLevel::Convicted => self.refuse_held(place.run, Self::convicted_refusal()),
+            SuspicionLevel::Suspect if self.quarantine.has_room() => {
                 self.quarantine_held(place.run, place);
             }
-            Standing::Suspect => self.refuse_crowded(place.run),
+            SuspicionLevel::Suspect => self.refuse_crowded(place.run),
         }
     }
 
@@ -93,18 +93,18 @@
             return true;
         }
         match self.standing(fingerprint) {
-            Standing::Convicted => self.refuse_held(place.run, Self::convicted_refusal()),
-            Standing::Clear => {
+            SuspicionLevel::Convicted => self.refuse_held(place.run, Self::convicted_refusal()),
+            SuspicionLevel::Clear => {
                 self.quarantine.remove(&place);
                 self.queue.insert(class, place);
                 self.set_phase(place.run, Phase::Queued);
             }
-            Standing::Suspect if self.in_flight == 0 => {
+            SuspicionLevel::Suspect if self.in_flight == 0 => {
                 self.quarantine.remove(&place);
                 self.start_held(place.run, true, now);
             }
-            Standing::Suspect if self.quarantine.drain(now) => return false,
-            Standing::Suspect => {
+            SuspicionLevel::Suspect if self.quarantine.drain(now) => return false,
+            SuspicionLevel::Suspect => {
                 self.refuse_crowded(place.run);
                 self.quarantine.owe(self.limit.current(now));
             }
--- a/crates/core/src/gate/tests/admission.rs
+++ b/crates/core/src/gate/tests/admission.rs
@@ -164,7 +164,7 @@
     let wakes = gate.finish(running, answered_plain(), 100, Millis(2));
     assert_eq!(wakes, [Wake::Start(waiting)]);
     gate.finish(waiting, answered_plain(), 100, Millis(3));
-    assert_eq!(gate.in_hand(), 0);
+    assert_eq!(gate.active_calls(), 0);
     gate.set_leaving(false);
     let late = gate.arrive(&under(&ticket), Millis(4));
     assert_eq!(code_of(late), ResultCode::Fenced);
--- a/crates/core/src/gate/tests/at_most_once.rs
+++ b/crates/core/src/gate/tests/at_most_once.rs
@@ -22,7 +22,7 @@
     assert_eq!(wakes, [Wake::Settled(run, answer)]);
     let replay = gate.arrive(&under(&ticket), Millis(7));
     assert_eq!(replay, Verdict::Replay(stored(10)));
-    assert_eq!(gate.in_hand(), 0);
+    assert_eq!(gate.active_calls(), 0);
 }
 
 #[test]
@@ -41,7 +41,7 @@
     for run in [running, waiting[0], waiting[1]] {
         gate.finish(run, answered_plain(), 1_000, Millis(5));
     }
-    assert_eq!(gate.in_hand(), 0);
+    assert_eq!(gate.active_calls(), 0);
     let fenced = Refusal {
         code: ResultCode::Fenced,
         ..refusal
@@ -413,9 +413,9 @@
     let run = run_of(gate.arrive(&under(&ticket), Millis(2)));
     gate.arrive(&under(&ticket), Millis(3));
     gate.abandon(run, Millis(4));
-    assert_eq!(gate.in_hand(), 2);
+    assert_eq!(gate.active_calls(), 2);
     gate.abandon(run, Millis(5));
-    assert_eq!(gate.in_hand(), 1);
+    assert_eq!(gate.active_calls(), 1);
     assert_eq!(
         gate.finish(running, answered_plain(), 1, Millis(6)),
         Vec::new()
--- a/crates/core/src/gate/tests/crash.rs
+++ b/crates/core/src/gate/tests/crash.rs
@@ -1,7 +1,7 @@
 //! Requests that crash targets, and innocents beside them.
 
 use super::*;
-use crate::suspects::Standing;
+use crate::suspects::SuspicionLevel;
 
 const BAD: u64 = 666;
 
@@ -68,8 +68,8 @@
         }
     }
     assert_eq!(crashes, 2);
-    assert_eq!(fleet.standing(BAD), Standing::Convicted);
-    assert_eq!(fleet.standing(2_000), Standing::Clear);
+    assert_eq!(fleet.standing(BAD), SuspicionLevel::Convicted);
+    assert_eq!(fleet.standing(2_000), SuspicionLevel::Clear);
 }
 
 #[test]
@@ -85,7 +85,7 @@
     assert_eq!(wakes, [Wake::Start(run_of(other))]);
     let cleared = gate.take_cleared();
     assert_eq!(cleared.len(), 1);
-    assert_eq!(cleared[0].standing, Standing::Clear);
+    assert_eq!(cleared[0].standing, SuspicionLevel::Clear);
     let again = gate.arrive(&marked(1), Millis(13));
     assert!(
         matches!(again, Verdict::Run(_)),
@@ -106,7 +106,7 @@
     let report = gate.target_crashed(Millis(12));
     assert_eq!(report.entries.len(), 1);
     assert_eq!(report.entries[0].fingerprint, BAD);
-    assert_eq!(report.entries[0].standing, Standing::Convicted);
+    assert_eq!(report.entries[0].standing, SuspicionLevel::Convicted);
     let ticket = ticket(1, TICKET_TTL_MS);
     let refused = gate.arrive(
         &Arrival {
@@ -147,7 +147,7 @@
     let report = gate.target_crashed(Millis(14));
     assert_eq!(report.entries.len(), 1);
     assert_eq!(report.entries[0].fingerprint, BAD);
-    assert_eq!(report.entries[0].standing, Standing::Convicted);
+    assert_eq!(report.entries[0].standing, SuspicionLevel::Convicted);
 }
 
 #[test]
@@ -161,7 +161,7 @@
     assert_eq!(gate.target_crashed(Millis(2)).entries, []);
     gate.finish(run, RunEnd::Broken, 1_000, Millis(2));
     assert_eq!(gate.target_crashed(Millis(3)).entries, []);
-    assert_eq!(gate.own_suspects.standing(1), Standing::Suspect);
+    assert_eq!(gate.own_suspects.standing(1), SuspicionLevel::Suspect);
 }
 
 #[test]
@@ -214,8 +214,8 @@
     let now = Millis(1);
     let innocent = run_of(gate.arrive(&marked(1), now));
     assert_eq!(
-        gate.accuse(BAD, now).map(|entry| entry.standing),
-        Some(Standing::Suspect)
+        gate.report_suspect(BAD, now).map(|entry| entry.standing),
+        Some(SuspicionLevel::Suspect)
     );
     let Verdict::Wait(bad) = gate.arrive(&marked(BAD), now) else {
         panic!("an accused request waits until it can run alone");
@@ -232,12 +232,12 @@
     // Word of the crash came first, or the entry named no fingerprint: nothing
     // is counted a second time, and an innocent is cleared by one good run.
     let mut gate = crashed_gate();
-    assert_eq!(gate.accuse(BAD, Millis(3)), None);
-    assert_eq!(gate.accuse(0, Millis(3)), None);
-    assert!(gate.accuse(7, Millis(3)).is_some());
+    assert_eq!(gate.report_suspect(BAD, Millis(3)), None);
+    assert_eq!(gate.report_suspect(0, Millis(3)), None);
+    assert!(gate.report_suspect(7, Millis(3)).is_some());
     let run = run_of(gate.arrive(&marked(7), Millis(4)));
     gate.finish(run, answered_plain(), 1_000, Millis(5));
     let cleared = gate.take_cleared();
     assert_eq!(cleared.len(), 1);
-    assert_eq!(cleared[0].standing, Standing::Clear);
+    assert_eq!(cleared[0].standing, SuspicionLevel::Clear);
 }
--- a/crates/core/src/gate/tests/interleavings.rs
+++ b/crates/core/src/gate/tests/interleavings.rs
@@ -38,7 +38,7 @@
     gate: Gate,
     vm: &'static str,
     incarnation: Incarnation,
-    in_hand: BTreeMap<RunId, InHand>,
+    active_calls: BTreeMap<RunId, InHand>,
 }
 
 impl Life {
@@ -55,7 +55,7 @@
             gate,
             vm,
             incarnation: Incarnation(life),
-            in_hand: BTreeMap::new(),
+            active_calls: BTreeMap::new(),
         }
     }
 }
@@ -153,8 +153,8 @@
     }
 
     fn finish(&mut self, life: usize, b: u8, now: Millis) {
-        let in_hand = &self.lives[life].in_hand;
-        let mut running = in_hand.iter().filter(|(_, call)| call.running);
+        let active_calls = &self.lives[life].active_calls;
+        let mut running = active_calls.iter().filter(|(_, call)| call.running);
         let Some((run, call)) = running.next() else {
             return;
         };
@@ -174,7 +174,7 @@
         let settled = wakes.iter().filter(is_settled).count();
         assert_eq!(settled, usize::from(request.is_some()), "not told once");
         self.take_wakes(life, wakes);
-        self.lives[life].in_hand.remove(&run);
+        self.lives[life].active_calls.remove(&run);
     }
 
     fn fence(&mut self, b: u8, now: Millis) {
@@ -187,7 +187,7 @@
         };
         match self.lives[life].gate.fence(&ticket, now) {
             FenceAnswer::Running(run) => {
-                let call = &self.lives[life].in_hand[&run];
+                let call = &self.lives[life].active_calls[&run];
                 assert!(call.running, "said to run before its start");
             }
             FenceAnswer::Settled(Settlement::Refused(refusal)) => {
@@ -203,12 +203,12 @@
     }
 
     fn abandon(&mut self, life: usize, b: u8, now: Millis) {
-        let in_hand = &mut self.lives[life].in_hand;
-        let Some(nth) = usize::from(b).checked_rem(in_hand.len()) else {
+        let active_calls = &mut self.lives[life].active_calls;
+        let Some(nth) = usize::from(b).checked_rem(active_calls.len()) else {
             return;
         };
-        let run = *in_hand.keys().nth(nth).expect("within the length");
-        let call = in_hand.get_mut(&run).expect("just found");
+        let run = *active_calls.keys().nth(nth).expect("within the length");
+        let call = active_calls.get_mut(&run).expect("just found");
         if call.running {
             return;
         }
@@ -216,7 +216,7 @@
         let request = call.request;
         let is_last = call.callers == 0;
         if is_last {
-            in_hand.remove(&run);
+            active_calls.remove(&run);
         }
         let wakes = self.lives[life].gate.abandon(run, now);
         if let (Some(request), true) = (request, is_last) {
@@ -275,13 +275,13 @@
                     running: false,
                     callers: 1,
                 };
-                self.lives[life].in_hand.insert(run, call);
+                self.lives[life].active_calls.insert(run, call);
                 if verdict == Verdict::Run(run) {
                     self.start(life, run);
                 }
             }
             Verdict::Join(run) => {
-                let call = self.lives[life].in_hand.get_mut(&run);
+                let call = self.lives[life].active_calls.get_mut(&run);
                 let call = call.expect("only a call in hand is joined");
                 call.callers += 1;
             }
@@ -301,7 +301,7 @@
             match wake {
                 Wake::Start(run) => self.start(life, run),
                 Wake::Refuse(run, refusal) => {
-                    let call = self.lives[life].in_hand.remove(&run);
+                    let call = self.lives[life].active_calls.remove(&run);
                     let call = call.expect("only a call in hand is refused");
                     assert!(!call.running, "refused while running");
                     assert_eq!(refusal.code.certainty(), Certainty::NotRun);
@@ -315,7 +315,7 @@
     }
 
     fn start(&mut self, life: usize, run: RunId) {
-        let call = self.lives[life].in_hand.get_mut(&run);
+        let call = self.lives[life].active_calls.get_mut(&run);
         let call = call.expect("only a call in hand is started");
         assert!(!call.running, "started twice");
         assert!(self.now < call.deadline_at, "started past its deadline");
@@ -347,9 +347,9 @@
     fn check(&self, life: usize) {
         let life = &self.lives[life];
         let load = life.gate.load(self.now);
-        let running = life.in_hand.values().filter(|call| call.running).count();
+        let running = life.active_calls.values().filter(|call| call.running).count();
         assert_eq!(load.in_flight as usize, running);
-        assert_eq!(life.gate.in_hand(), life.in_hand.len());
+        assert_eq!(life.gate.active_calls(), life.active_calls.len());
         assert!(running <= SLOTS as usize, "over its slots");
         assert!(life.gate.record_count() <= MAX_RECORDS as usize);
         assert!(life.gate.stored_bytes() <= 2_000);
@@ -365,7 +365,7 @@
         }
         self.pass(5_000);
         for life in &self.lives {
-            assert_eq!(life.gate.in_hand(), 0, "not drained");
+            assert_eq!(life.gate.active_calls(), 0, "not drained");
         }
     }
 }
--- a/crates/core/src/suspects.rs
+++ b/crates/core/src/suspects.rs
@@ -45,7 +45,7 @@
     IntoStaticStr,
 )]
 #[strum(serialize_all = "kebab-case")]
-pub enum Standing {
+pub enum SuspicionLevel {
     /// Nothing.
     #[default]
     Clear,
--- a/crates/core/src/suspects/mark.rs
+++ b/crates/core/src/suspects/mark.rs
@@ -3,7 +3,7 @@
 use hornbeamhitch_types::prelude::*;
 use serde::{Deserialize, Serialize};
 
-use super::Standing;
+use super::SuspicionLevel;
 
 /// Crashes without a good run in between after which a suspect is convicted
 /// even though it never crashed a target alone.
@@ -25,7 +25,7 @@
     /// Goes up by one with each observation on top of what was known.
     pub(crate) version: u32,
     /// What is held against the fingerprint.
-    pub(crate) standing: Standing,
+    pub(crate) standing: SuspicionLevel,
     /// Crashes since it was last cleared.
     pub(crate) crashes: u8,
 }
@@ -34,11 +34,11 @@
     /// This mark after one more crash.
     pub(crate) fn after_crash(self, alone: bool) -> Self {
         let crashes = self.crashes.saturating_add(1);
-        let repeated_alone = alone && self.standing != Standing::Clear;
+        let repeated_alone = alone && self.standing != SuspicionLevel::Clear;
         let standing = if repeated_alone || crashes >= CROWDED_CRASHES_TO_CONVICT {
-            Standing::Convicted
+            SuspicionLevel::Convicted
         } else {
-            self.standing.max(Standing::Suspect)
+            self.standing.max(SuspicionLevel::Suspect)
         };
         Self {
             version: self.version.saturating_add(1),
@@ -49,12 +49,12 @@
 
     /// This mark after a good run alone. A conviction only ages out.
     pub(crate) fn after_good_run(self) -> Self {
-        if self.standing != Standing::Suspect {
+        if self.standing != SuspicionLevel::Suspect {
             return self;
         }
         Self {
             version: self.version.saturating_add(1),
-            standing: Standing::Clear,
+            standing: SuspicionLevel::Clear,
             crashes: 0,
         }
     }
@@ -65,8 +65,8 @@
     /// older suspicion that it has to beat.
     pub(crate) const fn lifetime(self) -> Millis {
         match self.standing {
-            Standing::Clear | Standing::Suspect => Millis::from_secs(10 * 60),
-            Standing::Convicted => Millis::from_secs(30 * 60),
+            SuspicionLevel::Clear | SuspicionLevel::Suspect => Millis::from_secs(10 * 60),
+            SuspicionLevel::Convicted => Millis::from_secs(30 * 60),
         }
     }
 }
@@ -82,7 +82,7 @@
     /// Count of observations that led here.
     pub version: u32,
     /// What is held against the request.
-    pub standing: Standing,
+    pub standing: SuspicionLevel,
     /// Crashes since it was last cleared.
     pub crashes: u8,
     /// Time since the observation.
--- a/crates/core/src/suspects/set.rs
+++ b/crates/core/src/suspects/set.rs
@@ -1,6 +1,6 @@
 //! The immutable set of marks that traffic reads.
 
-use super::{Mark, Standing};
+use super::{Mark, SuspicionLevel};
 
 /// One fingerprint with its mark.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -29,7 +29,7 @@
 
     /// What is held against a fingerprint.
     #[must_use]
-    pub fn standing(&self, fingerprint: u64) -> Standing {
+    pub fn standing(&self, fingerprint: u64) -> SuspicionLevel {
         self.mark(fingerprint).standing
     }
 
@@ -41,7 +41,7 @@
 
     /// How many fingerprints have a standing.
     #[must_use]
-    pub fn count(&self, standing: Standing) -> usize {
+    pub fn count(&self, standing: SuspicionLevel) -> usize {
         let mut count = 0;
         for entry in &self.marked {
             count += usize::from(entry.mark.standing == standing);
@@ -50,7 +50,7 @@
     }
 
     /// Every fingerprint with its standing, ordered by fingerprint.
-    pub fn iter(&self) -> impl Iterator<Item = (u64, Standing)> + '_ {
+    pub fn iter(&self) -> impl Iterator<Item = (u64, SuspicionLevel)> + '_ {
         self.marked
             .iter()
             .map(|entry| (entry.fingerprint, entry.mark.standing))
--- a/crates/core/src/suspects/store.rs
+++ b/crates/core/src/suspects/store.rs
@@ -4,7 +4,7 @@
 
 use hornbeamhitch_types::prelude::*;
 
-use super::{Mark, NO_FINGERPRINT, Standing, SuspectEntry, SuspectSet};
+use super::{Mark, NO_FINGERPRINT, SuspicionLevel, SuspectEntry, SuspectSet};
 
 /// How long an entry that has aged out is still remembered, though no longer
 /// held against anyone.
@@ -44,7 +44,7 @@
         }
         Mark {
             version: self.mark.version,
-            standing: Standing::Clear,
+            standing: SuspicionLevel::Clear,
             crashes: 0,
         }
     }
@@ -58,7 +58,7 @@
 /// Order in which marks are evicted; the least goes first.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct EvictionRank {
-    standing: Standing,
+    standing: SuspicionLevel,
     expires_at: Millis,
     fingerprint: u64,
 }
@@ -167,7 +167,7 @@
 
     /// What is held against a fingerprint.
     #[must_use]
-    pub fn standing(&self, fingerprint: u64) -> Standing {
+    pub fn standing(&self, fingerprint: u64) -> SuspicionLevel {
         self.mark(fingerprint).standing
     }
 
@@ -216,7 +216,7 @@
     /// A flood of suspects (many requests in flight in each crash) must not
     /// wash out a conviction, or the convicted request would crash targets
     /// anew; so nothing graver than the newcomer is ever evicted.
-    fn evict(&mut self, newcomer: Standing) -> bool {
+    fn evict(&mut self, newcomer: SuspicionLevel) -> bool {
         let mut least: Option<EvictionRank> = None;
         for (fingerprint, known) in &self.known {
             let rank = EvictionRank {
--- a/crates/core/src/suspects/tests.rs
+++ b/crates/core/src/suspects/tests.rs
@@ -6,7 +6,7 @@
 
 const MINUTE_MS: u64 = 60_000;
 
-fn entry(fingerprint: u64, version: u32, standing: Standing, age_ms: u64) -> SuspectEntry {
+fn entry(fingerprint: u64, version: u32, standing: SuspicionLevel, age_ms: u64) -> SuspectEntry {
     SuspectEntry {
         fingerprint,
         version,
@@ -22,15 +22,15 @@
     suspects.observe_crash(&[1, 2, NO_FINGERPRINT], false, Millis(1));
     suspects.observe_crash(&[3], true, Millis(2));
     for fingerprint in [1, 2, 3] {
-        assert_eq!(suspects.standing(fingerprint), Standing::Suspect);
+        assert_eq!(suspects.standing(fingerprint), SuspicionLevel::Suspect);
     }
-    assert_eq!(suspects.standing(NO_FINGERPRINT), Standing::Clear);
+    assert_eq!(suspects.standing(NO_FINGERPRINT), SuspicionLevel::Clear);
     suspects.clear(2, Millis(3));
     for fingerprint in [1, 2] {
         suspects.observe_crash(&[fingerprint], true, Millis(4));
     }
-    assert_eq!(suspects.standing(1), Standing::Convicted);
-    assert_eq!(suspects.standing(2), Standing::Suspect);
+    assert_eq!(suspects.standing(1), SuspicionLevel::Convicted);
+    assert_eq!(suspects.standing(2), SuspicionLevel::Suspect);
     assert_eq!(suspects.clear(1, Millis(5)), None, "a conviction ages out");
 }
 
@@ -40,10 +40,10 @@
     // must not crash targets for ever.
     let mut suspects = Suspects::new();
     for crash in 1..=4 {
-        assert_ne!(suspects.standing(1), Standing::Convicted, "{crash}");
+        assert_ne!(suspects.standing(1), SuspicionLevel::Convicted, "{crash}");
         suspects.observe_crash(&[1, 100 + crash], false, Millis(crash));
     }
-    assert_eq!(suspects.standing(1), Standing::Convicted);
+    assert_eq!(suspects.standing(1), SuspicionLevel::Convicted);
 }
 
 #[test]
@@ -51,11 +51,11 @@
     // One node clears a request; the suspicion from before is still passed
     // round and reaches others after the clearance, and again.
     let mut suspects = Suspects::new();
-    assert!(suspects.merge(&entry(1, 2, Standing::Clear, 10), Millis(1)));
-    assert!(!suspects.merge(&entry(1, 1, Standing::Suspect, 500), Millis(2)));
-    assert_eq!(suspects.standing(1), Standing::Clear);
-    assert!(suspects.merge(&entry(1, 3, Standing::Suspect, 0), Millis(3)));
-    assert_eq!(suspects.standing(1), Standing::Suspect);
+    assert!(suspects.merge(&entry(1, 2, SuspicionLevel::Clear, 10), Millis(1)));
+    assert!(!suspects.merge(&entry(1, 1, SuspicionLevel::Suspect, 500), Millis(2)));
+    assert_eq!(suspects.standing(1), SuspicionLevel::Clear);
+    assert!(suspects.merge(&entry(1, 3, SuspicionLevel::Suspect, 0), Millis(3)));
+    assert_eq!(suspects.standing(1), SuspicionLevel::Suspect);
 }
 
 #[test]
@@ -77,8 +77,8 @@
             }
         }
     }
-    assert_eq!(nodes[0].standing(1), Standing::Clear);
-    assert_eq!(nodes[1].standing(1), Standing::Clear);
+    assert_eq!(nodes[0].standing(1), SuspicionLevel::Clear);
+    assert_eq!(nodes[1].standing(1), SuspicionLevel::Clear);
 }
 
 #[test]
@@ -87,10 +87,10 @@
     suspects.observe_crash(&[1, 2], false, Millis(0));
     suspects.observe_crash(&[1], true, Millis(0));
     suspects.tick(Millis(11 * MINUTE_MS));
-    assert_eq!(suspects.standing(2), Standing::Clear);
-    assert_eq!(suspects.standing(1), Standing::Convicted);
+    assert_eq!(suspects.standing(2), SuspicionLevel::Clear);
+    assert_eq!(suspects.standing(1), SuspicionLevel::Convicted);
     assert!(suspects.tick(Millis(30 * MINUTE_MS)));
-    assert_eq!(suspects.standing(1), Standing::Clear);
+    assert_eq!(suspects.standing(1), SuspicionLevel::Clear);
     suspects.tick(Millis(31 * MINUTE_MS));
     assert!(suspects.is_empty());
 }
@@ -106,9 +106,9 @@
         suspects.observe_crash(&[fingerprint], false, Millis(fingerprint));
     }
     assert_eq!(suspects.len(), MAX_SUSPECTS);
-    assert_eq!(suspects.standing(1), Standing::Convicted);
-    assert_eq!(suspects.standing(2), Standing::Clear, "the oldest goes");
-    assert_eq!(suspects.snapshot().standing(4_999), Standing::Suspect);
+    assert_eq!(suspects.standing(1), SuspicionLevel::Convicted);
+    assert_eq!(suspects.standing(2), SuspicionLevel::Clear, "the oldest goes");
+    assert_eq!(suspects.snapshot().standing(4_999), SuspicionLevel::Suspect);
 }
 
 #[test]
@@ -123,18 +123,18 @@
     }
     let told = suspects.observe_crash(&[full + 1], false, Millis(5_000));
     assert_eq!(told, []);
-    assert_eq!(suspects.standing(1), Standing::Convicted);
-    let convicted = entry(full + 2, 2, Standing::Convicted, 0);
+    assert_eq!(suspects.standing(1), SuspicionLevel::Convicted);
+    let convicted = entry(full + 2, 2, SuspicionLevel::Convicted, 0);
     assert!(suspects.merge(&convicted, Millis(5_001)));
-    assert_eq!(suspects.standing(1), Standing::Clear);
-    assert_eq!(suspects.standing(2), Standing::Convicted);
+    assert_eq!(suspects.standing(1), SuspicionLevel::Clear);
+    assert_eq!(suspects.standing(2), SuspicionLevel::Convicted);
 }
 
 fn entries() -> impl Strategy<Value = Vec<SuspectEntry>> {
     let standing = prop_oneof![
-        Just(Standing::Clear),
-        Just(Standing::Suspect),
-        Just(Standing::Convicted)
+        Just(SuspicionLevel::Clear),
+        Just(SuspicionLevel::Suspect),
+        Just(SuspicionLevel::Convicted)
     ];
     let one = (1..4_u64, 1..4_u32, standing, 0..2_000_000_u64);
     let one = one.prop_map(|(mark, version, standing, age)| entry(mark, version, standing, age));
--- a/crates/core/src/view.rs
+++ b/crates/core/src/view.rs
@@ -26,16 +26,16 @@
     pub doubtful: bool,
     /// The last load report heard by control messages, and when it was heard
     /// in this node's clock.
-    pub load: Option<HeardLoad>,
+    pub load: Option<ReceivedLoad>,
 }
 
 /// A load report with the time at which it reached this node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct HeardLoad {
+pub struct ReceivedLoad {
     /// The gate's report.
     pub report: LoadReport,
     /// Arrival in this node's clock.
-    pub heard_at: Millis,
+    pub received_at: Millis,
 }
 
 /// One service with its targets.
--- a/crates/lab/src/capacity/traffic.rs
+++ b/crates/lab/src/capacity/traffic.rs
@@ -5,7 +5,7 @@
 
 use hornbeamhitch_core::entry::{EntryService, EntrySettings};
 use hornbeamhitch_core::gate::{Arrival, Gate, GateSettings, RunEnd, StoredAnswer, Verdict};
-use hornbeamhitch_core::view::HeardLoad;
+use hornbeamhitch_core::view::ReceivedLoad;
 use serde::Serialize;
 
 use crate::capacity::memory::held_bytes;
@@ -68,9 +68,9 @@
     for variant in 0..2 {
         let mut view = view_with_targets(targets);
         for target in &mut view.targets {
-            target.load = Some(HeardLoad {
+            target.load = Some(ReceivedLoad {
                 report: report(variant, Millis::from_secs(70)),
-                heard_at: Millis::from_secs(70),
+                received_at: Millis::from_secs(70),
             });
         }
         views.push(Arc::new(view));
--- a/crates/lab/src/fixture.rs
+++ b/crates/lab/src/fixture.rs
@@ -5,7 +5,7 @@
 
 use hornbeamhitch_core::entry::{EntryService, EntrySettings};
 use hornbeamhitch_core::gate::{Arrival, Gate, GateSettings, RunEnd, Verdict, Wake};
-use hornbeamhitch_core::view::HeardLoad;
+use hornbeamhitch_core::view::ReceivedLoad;
 
 use crate::case::catalogue;
 use crate::prelude::*;
@@ -36,9 +36,9 @@
             distance_us: 100,
             leaving: false,
             doubtful: false,
-            load: Some(HeardLoad {
+            load: Some(ReceivedLoad {
                 report: report(index as u32 % 12, Millis::ZERO),
-                heard_at: Millis::ZERO,
+                received_at: Millis::ZERO,
             }),
         });
     }
--- a/crates/lab/src/world/entry_side.rs
+++ b/crates/lab/src/world/entry_side.rs
@@ -1,6 +1,6 @@
 //! Calls at their entries: attempts, retries, hedges, final answers.
 
-use hornbeamhitch_core::suspects::Standing;
+use hornbeamhitch_core::suspects::SuspicionLevel;
 
 use super::World;
 use super::call::{Attempt, Call, CallKind, Stage};
@@ -224,7 +224,7 @@
         if !call.live || call.hedged || call.attempts != 1 {
             return;
         }
-        if self.suspects.standing(call.fingerprint()) != Standing::Clear {
+        if self.suspects.standing(call.fingerprint()) != SuspicionLevel::Clear {
             return;
         }
         let progress = call.progress(true);
--- a/crates/lab/src/world/gate_side.rs
+++ b/crates/lab/src/world/gate_side.rs
@@ -71,7 +71,7 @@
         let host = &mut self.services[id.service].hosts[id.target];
         let gate = host.gate.as_mut().expect("checked by the caller");
         let accused = match call.broke {
-            true => gate.accuse(fingerprint, now),
+            true => gate.report_suspect(fingerprint, now),
             false => None,
         };
         let verdict = gate.arrive(&arrival, now);
--- a/crates/lab/src/world/views.rs
+++ b/crates/lab/src/world/views.rs
@@ -5,7 +5,7 @@
 
 use super::{World, distance_us};
 use crate::prelude::*;
-use hornbeamhitch_core::view::HeardLoad;
+use hornbeamhitch_core::view::ReceivedLoad;
 
 const PEER_PORT: u16 = 7_000;
 
@@ -29,9 +29,9 @@
                 distance_us: distance_us(node, data_centre, host),
                 leaving: host.leaving,
                 doubtful: host.lost_since.is_some(),
-                load: Some(HeardLoad {
+                load: Some(ReceivedLoad {
                     report: host.load(self.now),
-                    heard_at: self.now.floor_millis(),
+                    received_at: self.now.floor_millis(),
                 }),
             });
         }
--- a/crates/node/src/callers/entries/tests.rs
+++ b/crates/node/src/callers/entries/tests.rs
@@ -1,6 +1,6 @@
 //! What an entry believes of a gate's clock.
 
-use hornbeamhitch_core::view::HeardLoad;
+use hornbeamhitch_core::view::ReceivedLoad;
 
 use super::*;
 
@@ -34,9 +34,9 @@
         distance_us: 0,
         leaving: false,
         doubtful: false,
-        load: Some(HeardLoad {
+        load: Some(ReceivedLoad {
             report: heartbeat,
-            heard_at: Millis::ZERO,
+            received_at: Millis::ZERO,
         }),
     };
     let view = ServiceView {
--- a/crates/node/src/callers/idempotent.rs
+++ b/crates/node/src/callers/idempotent.rs
@@ -10,7 +10,7 @@
 use futures_util::stream::FuturesUnordered;
 use hornbeamhitch_core::entry::{AttemptEnd, CallProgress, Next, TargetIndex};
 use hornbeamhitch_core::prelude::*;
-use hornbeamhitch_core::suspects::{CONVICTED_RETRY_AFTER_MS, Standing};
+use hornbeamhitch_core::suspects::{CONVICTED_RETRY_AFTER_MS, SuspicionLevel};
 use http::request::Parts;
 use http::{Request, Response};
 use http_body::Body;
@@ -53,12 +53,12 @@
         Err(_) => return answer::from_code(ResultCode::UploadCut, "the deadline passed within"),
     };
     let standing = standing_of(&server, &call, &parts);
-    if standing == Standing::Convicted {
+    if standing == SuspicionLevel::Convicted {
         let refusal = Refusal::retry_after(ResultCode::CrashSuspect, CONVICTED_RETRY_AFTER_MS);
         return answer::from_refusal(&refusal);
     }
     let mut run = CallRun::new(server, entry, call, &parts, content);
-    run.may_hedge = standing == Standing::Clear;
+    run.may_hedge = standing == SuspicionLevel::Clear;
     match tokio::time::timeout_at(deadline, run.run()).await {
         Ok(response) => response,
         Err(_) => {
@@ -69,10 +69,10 @@
 }
 
 /// What the fleet holds against the request, as far as this node has heard.
-fn standing_of(server: &CallerServer, call: &CallerCall, parts: &Parts) -> Standing {
+fn standing_of(server: &CallerServer, call: &CallerCall, parts: &Parts) -> SuspicionLevel {
     let routes = server.board.routes();
     if routes.suspects.is_empty() {
-        return Standing::Clear;
+        return SuspicionLevel::Clear;
     }
     let path = &call.to.path_and_query;
     let fingerprint = fingerprint::of_request(&parts.method, path, &parts.headers);
--- a/crates/node/src/gate_server.rs
+++ b/crates/node/src/gate_server.rs
@@ -363,8 +363,8 @@
 
     /// Takes an entry's word that an earlier attempt of a request broke, and
     /// spreads it: the gate of that attempt may have gone down with its target.
-    fn accuse(&self, fingerprint: u64) {
-        if let Some(entry) = self.board.accuse(fingerprint) {
+    fn report_suspect(&self, fingerprint: u64) {
+        if let Some(entry) = self.board.report_suspect(fingerprint) {
             self.control.suspicion(entry);
         }
     }
@@ -398,7 +398,7 @@
     pub async fn drained(&self) {
         const POLL: Millis = Millis(10);
         loop {
-            let is_empty = self.board.in_hand() == 0;
+            let is_empty = self.board.active_calls() == 0;
             if is_empty && self.tracked_runs.load(Ordering::Acquire) == 0 {
                 return;
             }
--- a/crates/node/src/gate_server/board.rs
+++ b/crates/node/src/gate_server/board.rs
@@ -304,9 +304,9 @@
 
     /// Calls held or running.
     #[must_use]
-    pub fn in_hand(&self) -> usize {
+    pub fn active_calls(&self) -> usize {
         match self.state.lock().gate.as_ref() {
-            Some(gate) => gate.in_hand(),
+            Some(gate) => gate.active_calls(),
             None => 0,
         }
     }
@@ -326,9 +326,9 @@
     }
 
     /// An entry saw an earlier attempt of this request break.
-    pub fn accuse(&self, fingerprint: u64) -> Option<SuspectEntry> {
+    pub fn report_suspect(&self, fingerprint: u64) -> Option<SuspectEntry> {
         let now = self.clock.now();
-        self.state.lock().gate.as_mut()?.accuse(fingerprint, now)
+        self.state.lock().gate.as_mut()?.report_suspect(fingerprint, now)
     }
 
     /// Requests that were cleared since the last call.
--- a/crates/node/src/gate_server/streamed.rs
+++ b/crates/node/src/gate_server/streamed.rs
@@ -38,7 +38,7 @@
         fingerprint: fingerprint_of(&request),
     };
     if request.headers().contains_key(header::SUSPECT) {
-        server.accuse(arrival.fingerprint);
+        server.report_suspect(arrival.fingerprint);
     }
     let permit = match server.board.arrive(&arrival) {
         Admission::Run(permit) => permit,
--- a/crates/node/src/report.rs
+++ b/crates/node/src/report.rs
@@ -8,7 +8,7 @@
 use hornbeamhitch_core::control::{ControlStatus, MemberState, PlatformState as CorePlatform};
 use hornbeamhitch_core::entry::EntryService;
 use hornbeamhitch_core::prelude::*;
-use hornbeamhitch_core::suspects::Standing;
+use hornbeamhitch_core::suspects::SuspicionLevel;
 use hornbeamhitch_types::status::{
     BudgetStatus, ConfigStatus, ControlCounters, GateStatus, LoadStatus, NodeStatus, PlatformState,
     PlatformStatus, RefusedConfig, ServiceStatus, SuspectState, SuspectStatus, TargetState,
@@ -303,7 +303,7 @@
             queued: heard.report.queued,
             limit: heard.report.limit,
             service_time_us: heard.report.service_time_us,
-            load_age_ms: now.since(heard.heard_at),
+            load_age_ms: now.since(heard.received_at),
         }),
         attempts: 0,
         failures: 0,
@@ -314,9 +314,9 @@
     let mut status = SuspectStatus::default();
     for (fingerprint, standing) in routes.suspects.iter() {
         let state = match standing {
-            Standing::Clear => continue,
-            Standing::Suspect => SuspectState::Suspected,
-            Standing::Convicted => SuspectState::Convicted,
+            SuspicionLevel::Clear => continue,
+            SuspicionLevel::Suspect => SuspectState::Suspected,
+            SuspicionLevel::Convicted => SuspectState::Convicted,
         };
         status.count += 1;
         status.list.push(hornbeamhitch_types::status::Suspect {
