--- a/crates/core/src/budget/tests.rs
+++ b/crates/core/src/budget/tests.rs
@@ -19,7 +19,7 @@
 /// A process sleeps for an hour: on waking it must not probe for an hour's
 /// worth at once; nor may a clock that steps back earn anything.
 #[test]
-fn a_pause_earns_one_burst_and_a_step_back_nothing() {
+fn a_pause_adds_one_burst_and_a_clock_step_back_adds_nothing() {
     let mut bucket = TokenBucket::new(10.0, 3, Millis(5_000));
     while bucket.try_take(Millis(5_000)) {}
     assert!(!bucket.try_take(Millis(0)));
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn a_bucket_names_the_time_of_its_next_token() {
+fn next_at_is_the_time_of_the_next_token() {
     let mut bucket = TokenBucket::new(4.0, 1, Millis(0));
     assert_eq!(bucket.next_at(Millis(7)), Some(Millis(7)));
     assert!(bucket.try_take(Millis(7)));
--- a/crates/core/src/control/suspicion.rs
+++ b/crates/core/src/control/suspicion.rs
@@ -9,7 +9,7 @@
 
 use super::board::{Board, Controller, Dirt, Input};
 use crate::prelude::*;
-use crate::suspects::{SuspicionLevel, SuspectEntry, Suspects};
+use crate::suspects::{SuspectEntry, Suspects, SuspicionLevel};
 
 /// Peers told by the node that saw the crash.
 const FIRST_FAN_OUT: usize = 16;
--- a/crates/core/src/control/tests/membership.rs
+++ b/crates/core/src/control/tests/membership.rs
@@ -4,7 +4,7 @@
 
 use super::harness::*;
 use crate::control::*;
-use crate::suspects::{SuspicionLevel, SuspectEntry};
+use crate::suspects::{SuspectEntry, SuspicionLevel};
 use crate::view::TargetView;
 
 fn target<'a>(fleet: &'a Fleet, at: usize, service: &str, vm: &VmId) -> Option<&'a TargetView> {
@@ -264,12 +264,15 @@
     };
     fleet.event(0, ControlEvent::Suspicion(entry));
     let took = fleet.run_until(Millis(200), "suspicion", |fleet| {
-        (0..5).all(|at| fleet.nodes[at].table.suspects.standing(77) == SuspicionLevel::Suspect)
+        (0..5).all(|at| fleet.nodes[at].table.suspects.level(77) == SuspicionLevel::Suspect)
     });
     println!("suspicion: known to the service after {took}");
     fleet.run(Millis::from_secs(11 * 60));
     for at in 0..14 {
-        assert_eq!(fleet.nodes[at].table.suspects.standing(77), SuspicionLevel::Clear);
+        assert_eq!(
+            fleet.nodes[at].table.suspects.level(77),
+            SuspicionLevel::Clear
+        );
     }
 }
 
--- a/crates/core/src/entry.rs
+++ b/crates/core/src/entry.rs
@@ -28,7 +28,7 @@
 
 use latency::LatencyHistogram;
 use outcome::Observation;
-use picker::Choice;
+use picker::Picker;
 use retry_after::RetryAfter;
 use score::ServiceAverages;
 use table::TargetTable;
@@ -40,7 +40,7 @@
 };
 
 /// A hedge looks for room in at most this many targets.
-const ROOM_DRAWS: usize = 8;
+const HEDGE_TARGETS_CHECKED: usize = 8;
 /// A target is busy from this share of its limit on.
 const BUSY_RATIO: f32 = 0.8;
 
@@ -60,7 +60,7 @@
 pub struct EntryService {
     view: Arc<ServiceView>,
     table: TargetTable,
-    typical: ServiceAverages,
+    averages: ServiceAverages,
     latency: LatencyHistogram,
     retry_budget: ShareBudget,
     hedge_budget: ShareBudget,
@@ -75,7 +75,7 @@
         let budgets = view.policy.budgets;
         let mut service = Self {
             table: TargetTable::new(),
-            typical: ServiceAverages::new(),
+            averages: ServiceAverages::new(),
             latency: LatencyHistogram::new(budgets.hedge_quantile, now),
             retry_budget: ShareBudget::new(budgets.retry_share),
             hedge_budget: ShareBudget::new(budgets.hedge_share),
@@ -113,7 +113,7 @@
     pub fn pick(&mut self, request: &PickRequest<'_>, now: Millis) -> Result<Pick, Refusal> {
         let is_first = request.exclude.is_empty();
         if now >= request.deadline_at {
-            return Err(Refusal::fixed(late_code(is_first)));
+            return Err(Refusal::fixed(passed_deadline_code(is_first)));
         }
         let trial = if is_first {
             self.table.start_due_trial(now)
@@ -132,7 +132,7 @@
     /// The target behind an index, while it is in the view.
     #[must_use]
     pub fn target(&self, index: TargetIndex) -> Option<&TargetView> {
-        let place = self.table.get(index)?.view_place?;
+        let place = self.table.get(index)?.view_position?;
         self.view.targets.get(place as usize)
     }
 
@@ -167,18 +167,18 @@
         let Some(target) = self.table.get_mut(pick.target) else {
             return;
         };
-        let before = target.standing();
+        let before = target.tier_key();
         target.stats.end_attempt();
         if let Some(report) = &outcome.load {
-            self.hear(pick.target, report, now);
+            self.record_report(pick.target, report, now);
         }
         self.count_for_retry_after(outcome, now);
-        self.learn(pick, outcome, now);
+        self.record_outcome(pick, outcome, now);
         let policy = &self.view.policy;
-        if self.table.get(pick.target).map(Target::standing) != Some(before) {
+        if self.table.get(pick.target).map(Target::tier_key) != Some(before) {
             self.table.rebuild(policy, now);
         }
-        self.table.eject_if_deserved(pick.target, policy, now);
+        self.table.eject_if_failing(pick.target, policy, now);
         self.table.release_if_gone(pick.target.0);
     }
 
@@ -239,7 +239,7 @@
     /// Refuses when no gate whose life is known can take new work.
     pub fn ticket_gate(&mut self, key: CallKey, now: Millis) -> Result<TicketGate, Refusal> {
         let chosen = ticket_choice::choose_for_key(&self.table, key, now);
-        self.name_gate(chosen, now)
+        self.ticket_gate_at(chosen, now)
     }
 
     /// Chooses the gate for a ticket whose key this entry makes up itself: the
@@ -250,11 +250,11 @@
     /// Refuses when no gate whose life is known can take new work.
     pub fn ticket_gate_in_turn(&mut self, now: Millis) -> Result<TicketGate, Refusal> {
         let slots = self.view.policy.slots;
-        let chosen = ticket_choice::choose_in_turn(&self.table, &self.typical, slots, now);
-        self.name_gate(chosen, now)
+        let chosen = ticket_choice::choose_in_turn(&self.table, &self.averages, slots, now);
+        self.ticket_gate_at(chosen, now)
     }
 
-    fn name_gate(
+    fn ticket_gate_at(
         &mut self,
         chosen: Option<TargetIndex>,
         now: Millis,
@@ -293,29 +293,29 @@
     }
 
     fn start(&mut self, index: TargetIndex, is_trial: bool, now: Millis) -> Pick {
-        let mut life = 0;
+        let mut generation = 0;
         if let Some(target) = self.table.get_mut(index) {
             target.stats.start_attempt();
-            life = target.life;
+            generation = target.generation;
         }
         Pick {
             target: index,
             started_at: now,
             is_trial,
-            life,
+            generation,
         }
     }
 
     fn choose(&mut self, exclude: &[TargetIndex], now: Millis) -> Option<TargetIndex> {
-        let choice = Choice {
+        let picker = Picker {
             table: &self.table,
-            typical: &self.typical,
+            averages: &self.averages,
             policy: &self.view.policy,
             exclude,
             now,
         };
         for tier in [&self.table.ready, &self.table.doubtful] {
-            if let Some(target) = choice.choose(tier, &mut self.rng) {
+            if let Some(target) = picker.choose(tier, &mut self.rng) {
                 return Some(target);
             }
         }
@@ -334,64 +334,64 @@
         Refusal::retry_after(code, self.retry_after_ms(now))
     }
 
-    fn hear(&mut self, index: TargetIndex, report: &LoadReport, now: Millis) {
+    fn record_report(&mut self, index: TargetIndex, report: &LoadReport, now: Millis) {
         let Some(target) = self.table.get_mut(index) else {
             return;
         };
-        if !target.hear_on_answer(report, now) {
+        if !target.record_answer_report(report, now) {
             return;
         }
         if let Some(ratio) = target.stats.others_ratio() {
             let own_ratio = target.stats.own_ratio(self.view.policy.slots);
-            self.typical.learn_load(ratio, own_ratio);
+            self.averages.record_load(ratio, own_ratio);
         }
     }
 
     fn count_for_retry_after(&mut self, outcome: &AttemptOutcome, now: Millis) {
-        if outcome.end.is_for_overload() {
+        if outcome.end.is_overload_refusal() {
             self.retry_after.count_refused(now);
             return;
         }
-        self.retry_after.count_taken(now);
+        self.retry_after.count_accepted(now);
     }
 
     /// An attempt that started in an earlier life of the target teaches
     /// nothing about the present one.
-    fn learn(&mut self, pick: &Pick, outcome: &AttemptOutcome, now: Millis) {
+    fn record_outcome(&mut self, pick: &Pick, outcome: &AttemptOutcome, now: Millis) {
         let ejection = self.view.policy.ejection;
         let slots = self.view.policy.slots;
         let Some(target) = self.table.get_mut(pick.target) else {
             return;
         };
-        if target.life != pick.life {
+        if target.generation != pick.generation {
             return;
         }
-        let away_us = (outcome.latency_us as f32 - target.round_trip_us()).max(1.0);
+        let at_target_us = (outcome.latency_us as f32 - target.round_trip_us()).max(1.0);
         let limit = target.stats.limit(slots);
-        let service_us = target.stats.unloaded_us(away_us, limit);
+        let service_us = target.stats.unloaded_us(at_target_us, limit);
         match Observation::of(outcome, self.latency.median_us()) {
-            Observation::Works => {
-                target.learn_success(pick, service_us, now);
+            Observation::Success => {
+                target.record_success(pick, service_us, now);
                 let typical_us = target.stats.reported_service_us().unwrap_or(service_us);
-                self.typical.learn_service(typical_us);
+                self.averages.record_service(typical_us);
                 self.latency.record(outcome.latency_us, now);
             }
-            Observation::Fails => {
-                target.learn_failure(pick, &ejection, now);
+            Observation::Failure => {
+                target.record_failure(pick, &ejection, now);
                 if outcome.end == AttemptEnd::TimedOut {
-                    target.stats.learn_lower_bound(service_us, now);
+                    target.stats.record_lower_bound(service_us, now);
                     self.latency.record_lower_bound(outcome.latency_us, now);
                 }
             }
-            Observation::Absent => target.learn_absence(pick, &ejection, now),
-            Observation::Full => target.learn_refusal(pick, now),
-            Observation::Leaving => target.learn_leaving(pick, now),
-            Observation::SlowerThan => {
-                target.learn_nothing(pick, now);
-                target.stats.learn_lower_bound(service_us, now);
+            Observation::Unreachable => target.record_unreachable(pick, &ejection, now),
+            Observation::Overloaded => target.record_refusal(pick, now),
+            Observation::Leaving => target.record_leaving(pick, now),
+            Observation::LowerBound => {
+                target.record_inconclusive(pick, now);
+                target.stats.record_lower_bound(service_us, now);
                 self.latency.record_lower_bound(outcome.latency_us, now);
             }
-            Observation::Nothing => target.learn_nothing(pick, now),
+            Observation::Inconclusive => target.record_inconclusive(pick, now),
         }
         if pick.is_trial {
             self.table.find_next_trial();
@@ -399,21 +399,21 @@
     }
 
     fn refusal(&mut self, code: ResultCode, end: &AttemptEnd, now: Millis) -> Refusal {
-        let told = match end {
+        let suggested = match end {
             AttemptEnd::Refused(refusal) => refusal.retry_after_ms,
             _ => None,
         };
-        if told.is_none() && !retry::is_worth_retrying_later(code) {
+        if suggested.is_none() && !retry::is_worth_retrying_later(code) {
             return Refusal::fixed(code);
         }
         let own = self.retry_after_ms(now);
-        let longest = told.unwrap_or(Millis::ZERO).max(own);
+        let retry_after = suggested.unwrap_or(Millis::ZERO).max(own);
         // A conviction lasts for minutes, and its gate says so; shortened, the
         // caller would come back dozens of times in vain.
         if code == ResultCode::CrashSuspect {
-            return Refusal::retry_after(code, longest);
+            return Refusal::retry_after(code, retry_after);
         }
-        Refusal::retry_after(code, longest.min(MAX_RETRY_AFTER_MS))
+        Refusal::retry_after(code, retry_after.min(MAX_RETRY_AFTER_MS))
     }
 
     /// A resend that will most likely miss the deadline only adds load.
@@ -425,7 +425,7 @@
 
     fn has_target_for_another(&self, call: &CallProgress) -> bool {
         let most = retry::MAX_ATTEMPTS as usize;
-        (call.attempts as usize) < self.table.open_targets().min(most)
+        (call.attempts as usize) < self.table.usable_targets().min(most)
     }
 
     fn spend_retry(&mut self, call: &CallProgress) -> bool {
@@ -446,9 +446,9 @@
         let tier = self.table.first_tier();
         let start = self.rng.random_range(0..tier.len());
         let (before, after) = tier.split_at(start);
-        for index in after.iter().chain(before).take(ROOM_DRAWS) {
+        for index in after.iter().chain(before).take(HEDGE_TARGETS_CHECKED) {
             let stats = &self.table.at(*index).stats;
-            let load = stats.load_ratio(&self.typical, self.view.policy.slots, now);
+            let load = stats.load_ratio(&self.averages, self.view.policy.slots, now);
             if load < BUSY_RATIO {
                 return true;
             }
@@ -457,7 +457,7 @@
     }
 }
 
-fn late_code(is_first: bool) -> ResultCode {
+fn passed_deadline_code(is_first: bool) -> ResultCode {
     if is_first {
         return ResultCode::DeadlineTooShort;
     }
--- a/crates/core/src/entry/ejection.rs
+++ b/crates/core/src/entry/ejection.rs
@@ -51,7 +51,7 @@
     }
 
     /// Counts as many failures at once as eject a target.
-    pub(crate) fn count_absence(&mut self, policy: &EjectionPolicy) {
+    pub(crate) fn count_unreachable(&mut self, policy: &EjectionPolicy) {
         let enough = policy.consecutive_failures;
         self.consecutive_failures = self.consecutive_failures.saturating_add(1).max(enough);
     }
@@ -61,7 +61,7 @@
         self.consecutive_failures = 0;
     }
 
-    pub(crate) fn deserves_ejection(&self, policy: &EjectionPolicy) -> bool {
+    pub(crate) fn should_eject(&self, policy: &EjectionPolicy) -> bool {
         self.ejected.is_none() && self.consecutive_failures >= policy.consecutive_failures
     }
 
--- a/crates/core/src/entry/gate_clock.rs
+++ b/crates/core/src/entry/gate_clock.rs
@@ -6,7 +6,7 @@
 const MS_PER_DRIFTED_MS: i64 = 5_000;
 
 /// Far beyond any clock, and small enough that sums cannot overflow.
-const FURTHEST_MS: i64 = i64::MAX / 4;
+const MAX_CLOCK_MS: i64 = i64::MAX / 4;
 
 /// The lead of this node's clock over a gate's, from the fastest report.
 ///
@@ -16,28 +16,28 @@
 /// late the fastest one was stays unknown; the network's own delay is small.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct GateClock {
-    least_lead_ms: Option<i64>,
+    min_offset_ms: Option<i64>,
     measured_at: Millis,
 }
 
 impl GateClock {
     /// When a report was made, in this node's clock; never after its arrival.
-    pub(crate) fn made_at(&mut self, gate_clock_ms: Millis, received_at: Millis) -> Millis {
-        let lead_ms = signed(received_at) - signed(gate_clock_ms);
+    pub(crate) fn created_at(&mut self, gate_clock_ms: Millis, received_at: Millis) -> Millis {
+        let offset_ms = signed(received_at) - signed(gate_clock_ms);
         let drift_ms = signed(received_at.since(self.measured_at)) / MS_PER_DRIFTED_MS;
-        let least_ms = self
-            .least_lead_ms
-            .map_or(lead_ms, |known_ms| known_ms + drift_ms);
-        if lead_ms <= least_ms {
-            self.least_lead_ms = Some(lead_ms);
+        let min_ms = self
+            .min_offset_ms
+            .map_or(offset_ms, |known_ms| known_ms + drift_ms);
+        if offset_ms <= min_ms {
+            self.min_offset_ms = Some(offset_ms);
             self.measured_at = received_at;
             return received_at;
         }
-        let late_ms = lead_ms - least_ms;
+        let late_ms = offset_ms - min_ms;
         received_at.minus(Millis(late_ms.unsigned_abs()))
     }
 }
 
 fn signed(time: Millis) -> i64 {
-    i64::try_from(time.0).map_or(FURTHEST_MS, |ms| ms.min(FURTHEST_MS))
+    i64::try_from(time.0).map_or(MAX_CLOCK_MS, |ms| ms.min(MAX_CLOCK_MS))
 }
--- a/crates/core/src/entry/outcome.rs
+++ b/crates/core/src/entry/outcome.rs
@@ -7,31 +7,31 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Observation {
     /// It answered.
-    Works,
+    Success,
     /// It failed, however quickly.
-    Fails,
+    Failure,
     /// Nothing is there.
-    Absent,
+    Unreachable,
     /// It works but has no room.
-    Full,
+    Overloaded,
     /// It takes no new work.
     Leaving,
     /// It would have taken at least as long as the attempt lasted.
-    SlowerThan,
+    LowerBound,
     /// Nothing: the call itself was at fault.
-    Nothing,
+    Inconclusive,
 }
 
 impl Observation {
     /// `median_us` is the median latency, once it is known.
     pub(crate) fn of(outcome: &AttemptOutcome, median_us: Option<u32>) -> Self {
         match outcome.end {
-            AttemptEnd::Answered { failed: false } => Self::Works,
-            AttemptEnd::Answered { failed: true } => Self::Fails,
-            AttemptEnd::Broken => Self::Fails,
+            AttemptEnd::Answered { failed: false } => Self::Success,
+            AttemptEnd::Answered { failed: true } => Self::Failure,
+            AttemptEnd::Broken => Self::Failure,
             AttemptEnd::TimedOut => Self::of_timeout(outcome.latency_us, median_us),
-            AttemptEnd::Unreachable => Self::Absent,
-            AttemptEnd::Cancelled => Self::SlowerThan,
+            AttemptEnd::Unreachable => Self::Unreachable,
+            AttemptEnd::Cancelled => Self::LowerBound,
             AttemptEnd::Refused(refusal) => Self::of_refusal(refusal.code),
         }
     }
@@ -41,29 +41,29 @@
     /// take longer than the median, so giving up sooner proves nothing.
     fn of_timeout(latency_us: u32, median_us: Option<u32>) -> Self {
         match median_us {
-            Some(median_us) if latency_us < median_us => Self::SlowerThan,
-            _ => Self::Fails,
+            Some(median_us) if latency_us < median_us => Self::LowerBound,
+            _ => Self::Failure,
         }
     }
 
     fn of_refusal(code: ResultCode) -> Self {
         match code {
-            ResultCode::Overloaded | ResultCode::RecordsFull => Self::Full,
+            ResultCode::Overloaded | ResultCode::RecordsFull => Self::Overloaded,
             ResultCode::Leaving => Self::Leaving,
             // The gate cannot serve this service at all, and says so at once:
             // without a cost it would look like the quickest target.
             ResultCode::NoTarget
             | ResultCode::WrongGate
             | ResultCode::UnknownService
-            | ResultCode::NoConfiguration => Self::Fails,
-            _ => Self::Nothing,
+            | ResultCode::NoConfiguration => Self::Failure,
+            _ => Self::Inconclusive,
         }
     }
 }
 
 impl AttemptEnd {
     /// Whether the gate had no room, or not soon enough.
-    pub(crate) const fn is_for_overload(&self) -> bool {
+    pub(crate) const fn is_overload_refusal(&self) -> bool {
         let Self::Refused(refusal) = self else {
             return false;
         };
--- a/crates/core/src/entry/picker.rs
+++ b/crates/core/src/entry/picker.rs
@@ -18,15 +18,15 @@
 const TIE_SHARE: f32 = 0.03;
 
 /// All that a choice depends on but the tier itself.
-pub(crate) struct Choice<'a> {
+pub(crate) struct Picker<'a> {
     pub(crate) table: &'a TargetTable,
-    pub(crate) typical: &'a ServiceAverages,
+    pub(crate) averages: &'a ServiceAverages,
     pub(crate) policy: &'a ServicePolicy,
     pub(crate) exclude: &'a [TargetIndex],
     pub(crate) now: Millis,
 }
 
-impl Choice<'_> {
+impl Picker<'_> {
     /// The target of `tier` with the lowest expected time, ties broken by
     /// chance; `None` when all are excluded.
     pub(crate) fn choose(&self, tier: &[u32], rng: &mut Xoshiro256PlusPlus) -> Option<TargetIndex> {
@@ -96,8 +96,8 @@
 
     fn cost(&self, index: u32, ramp: f32, rng: &mut Xoshiro256PlusPlus) -> f32 {
         let target = self.table.at(index);
-        let belief = target.belief(self.typical, self.policy.slots, ramp, self.now);
-        belief.expected_us(self.typical) * (1.0 + TIE_SHARE * rng.random::<f32>())
+        let estimate = target.estimate(self.averages, self.policy.slots, ramp, self.now);
+        estimate.expected_us(self.averages) * (1.0 + TIE_SHARE * rng.random::<f32>())
     }
 
     fn ramp(&self, index: u32) -> f32 {
--- a/crates/core/src/entry/retry_after.rs
+++ b/crates/core/src/entry/retry_after.rs
@@ -14,7 +14,7 @@
 const HALF_LIFE_MS: f32 = 2_000.0;
 /// Attempts that count as answered before any was seen, so that one refusal of
 /// a quiet service is not taken for an overload.
-const CALM_ATTEMPTS: f32 = 4.0;
+const ASSUMED_ACCEPTED_ATTEMPTS: f32 = 4.0;
 
 /// Grows the time with the share of attempts that were refused lately.
 ///
@@ -38,14 +38,14 @@
     }
 
     /// Counts an attempt that was not refused.
-    pub(crate) fn count_taken(&mut self, now: Millis) {
-        self.forget(now);
+    pub(crate) fn count_accepted(&mut self, now: Millis) {
+        self.decay(now);
         self.attempts += 1.0;
     }
 
     /// Counts an attempt that was refused, here or at a gate.
     pub(crate) fn count_refused(&mut self, now: Millis) {
-        self.forget(now);
+        self.decay(now);
         self.attempts += 1.0;
         self.refusals += 1.0;
     }
@@ -53,8 +53,8 @@
     /// Draws a time: the base grows from the shortest to half the longest with
     /// the share of refusals, and is spread over its double.
     pub(crate) fn draw(&mut self, rng: &mut Xoshiro256PlusPlus, now: Millis) -> Millis {
-        self.forget(now);
-        let share = self.refusals / (self.attempts + CALM_ATTEMPTS);
+        self.decay(now);
+        let share = self.refusals / (self.attempts + ASSUMED_ACCEPTED_ATTEMPTS);
         let shortest = MIN_RETRY_AFTER_MS.0 as f32;
         let longest = MAX_RETRY_AFTER_MS.0 as f32 / 2.0;
         let base = shortest * (longest / shortest).powf(share);
@@ -62,7 +62,7 @@
         Millis(spread as u64).clamp(MIN_RETRY_AFTER_MS, MAX_RETRY_AFTER_MS)
     }
 
-    fn forget(&mut self, now: Millis) {
+    fn decay(&mut self, now: Millis) {
         let left = (-(now.since(self.counted_at).0 as f32) / HALF_LIFE_MS).exp2();
         self.attempts *= left;
         self.refusals *= left;
--- a/crates/core/src/entry/score.rs
+++ b/crates/core/src/entry/score.rs
@@ -32,7 +32,7 @@
 /// Rational, because it needs no transcendental function and so gives the same
 /// picks on every machine; of second degree, because with a longer tail a
 /// target that failed once is shunned for minutes.
-pub(crate) fn fade(age: Millis, half_life_ms: f32) -> f32 {
+pub(crate) fn decay(age: Millis, half_life_ms: f32) -> f32 {
     let half_lives = age.0 as f32 / half_life_ms;
     1.0 / (1.0 + half_lives * half_lives)
 }
@@ -65,7 +65,7 @@
 
     /// Learns how much of its limit others use on some target, and how much
     /// this entry itself.
-    pub(crate) fn learn_load(&mut self, others_ratio: f32, own_ratio: f32) {
+    pub(crate) fn record_load(&mut self, others_ratio: f32, own_ratio: f32) {
         self.load_ratio += (others_ratio - self.load_ratio) * TYPICAL_WEIGHT;
         self.own_ratio += (own_ratio - self.own_ratio) * TYPICAL_WEIGHT;
     }
@@ -82,7 +82,7 @@
     }
 
     /// Learns the service time of some target.
-    pub(crate) fn learn_service(&mut self, service_us: f32) {
+    pub(crate) fn record_service(&mut self, service_us: f32) {
         let known = self.service_us.get_or_insert(service_us);
         *known += (service_us - *known) * TYPICAL_WEIGHT;
     }
@@ -118,10 +118,10 @@
 
 impl TargetEstimate {
     /// The expected time of an attempt in microseconds, failures priced in.
-    pub(crate) fn expected_us(&self, typical: &ServiceAverages) -> f32 {
-        let service_us = typical.service_us();
+    pub(crate) fn expected_us(&self, averages: &ServiceAverages) -> f32 {
+        let service_us = averages.service_us();
         let load = self.load_ratio + self.refused * REFUSED_LOAD_RATIO;
-        let wait_us = service_us * self.slowness() * (1.0 + weigh(load / self.ramp));
+        let wait_us = service_us * self.slowness() * (1.0 + weighted_load(load / self.ramp));
         let failure_us = self.failure * FAILURE_COST_SERVICE_TIMES * service_us;
         wait_us + self.round_trip_us + failure_us
     }
@@ -134,7 +134,7 @@
 }
 
 /// Load with what is in free slots counted for less.
-fn weigh(load: f32) -> f32 {
+fn weighted_load(load: f32) -> f32 {
     let free = load.min(FREE_LOAD);
     free * FREE_LOAD_WEIGHT + (load - free)
 }
--- a/crates/core/src/entry/steps.rs
+++ b/crates/core/src/entry/steps.rs
@@ -17,7 +17,7 @@
     /// The attempt is the single trial of an ejected target.
     pub is_trial: bool,
     /// Life of the target in which the attempt started.
-    pub(super) life: u32,
+    pub(super) generation: u32,
 }
 
 /// What an attempt needs.
--- a/crates/core/src/entry/table.rs
+++ b/crates/core/src/entry/table.rs
@@ -48,7 +48,7 @@
     /// there are open.
     pub(crate) fn update(&mut self, view: &ServiceView, now: Millis) {
         for target in &mut self.targets {
-            target.view_place = None;
+            target.view_position = None;
         }
         for (place, target_view) in view.targets.iter().enumerate() {
             let index = self.index_for(target_view, now);
@@ -78,7 +78,7 @@
     }
 
     /// Targets that take work, those under trial included.
-    pub(crate) fn open_targets(&self) -> usize {
+    pub(crate) fn usable_targets(&self) -> usize {
         if self.ready.is_empty() {
             return self.doubtful.len() + self.ejected.len();
         }
@@ -143,7 +143,7 @@
     /// Forgets a target that has left the view, once nothing is open there.
     pub(crate) fn release_if_gone(&mut self, index: u32) {
         let target = &self.targets[index as usize];
-        if target.view_place.is_some() || target.stats.in_flight() > 0 {
+        if target.view_position.is_some() || target.stats.in_flight() > 0 {
             return;
         }
         if self.by_vm.get(&target.vm) != Some(&index) {
@@ -155,14 +155,14 @@
 
     /// Ejects a target that deserves it, if the share allows; when it is used
     /// up, a much worse target takes the place of the least bad one.
-    pub(crate) fn eject_if_deserved(
+    pub(crate) fn eject_if_failing(
         &mut self,
         index: TargetIndex,
         policy: &ServicePolicy,
         now: Millis,
     ) {
         let target = &self.targets[index.0 as usize];
-        if target.tier() == Tier::Closed || !target.health.deserves_ejection(&policy.ejection) {
+        if target.tier() == Tier::Closed || !target.health.should_eject(&policy.ejection) {
             return;
         }
         let taking_work = self.ready.len() + self.doubtful.len() + self.ejected.len();
@@ -196,8 +196,8 @@
         }
         let index = match self.free.pop() {
             Some(index) => {
-                let life = self.targets[index as usize].life.wrapping_add(1);
-                self.targets[index as usize] = Target::new(view, life, now);
+                let generation = self.targets[index as usize].generation.wrapping_add(1);
+                self.targets[index as usize] = Target::new(view, generation, now);
                 index
             }
             None => {
--- a/crates/core/src/entry/target.rs
+++ b/crates/core/src/entry/target.rs
@@ -4,7 +4,7 @@
 
 use crate::entry::Pick;
 use crate::entry::ejection::Health;
-use crate::entry::score::{TargetEstimate, ServiceAverages};
+use crate::entry::score::{ServiceAverages, TargetEstimate};
 use crate::entry::target_stats::{ReportSource, TargetStats};
 use crate::prelude::*;
 
@@ -27,14 +27,14 @@
 
 /// What a gate said about its leaving.
 #[derive(Clone, Copy, Debug)]
-struct HeardLeaving {
+struct LeavingNotice {
     at: Millis,
     /// The gate's clock, where a report said it.
     gate_clock_ms: Option<Millis>,
 }
 
 /// A gate that was away must not be named for long stretches to catch up.
-const MAX_TURNS: f32 = 3.0;
+const MAX_TICKETS_AHEAD: f32 = 3.0;
 
 /// A target with everything learnt about it.
 #[derive(Clone, Debug)]
@@ -42,11 +42,11 @@
     pub(crate) vm: VmId,
     pub(crate) vm_hash: u64,
     /// Place in the view; `None` once the VM has left it.
-    pub(crate) view_place: Option<u32>,
+    pub(crate) view_position: Option<u32>,
     pub(crate) incarnation: Option<Incarnation>,
     view_incarnation: Option<Incarnation>,
     /// Counts the lives seen; an attempt of an earlier one teaches nothing.
-    pub(crate) life: u32,
+    pub(crate) generation: u32,
     pub(crate) distance_us: u32,
     pub(crate) stats: TargetStats,
     pub(crate) health: Health,
@@ -54,67 +54,72 @@
     pub(crate) tickets_ahead: f32,
     view_leaving: bool,
     doubtful: bool,
-    heard_leaving: Option<HeardLeaving>,
+    leaving_notice: Option<LeavingNotice>,
 }
 
 impl Target {
-    pub(crate) fn new(view: &TargetView, life: u32, now: Millis) -> Self {
+    pub(crate) fn new(view: &TargetView, generation: u32, now: Millis) -> Self {
         Self {
             vm: view.vm.clone(),
             vm_hash: xxh3_64(view.vm.as_str().as_bytes()),
-            view_place: None,
+            view_position: None,
             incarnation: view.incarnation,
             view_incarnation: view.incarnation,
-            life,
+            generation,
             distance_us: view.distance_us,
             stats: TargetStats::new(now),
             health: Health::new(),
             tickets_ahead: 0.0,
             view_leaving: view.leaving,
             doubtful: view.doubtful,
-            heard_leaving: None,
+            leaving_notice: None,
         }
     }
 
     /// Counts tickets by which it is ahead of its even share.
     pub(crate) fn advance_tickets(&mut self, tickets: f32) {
         let ahead = self.tickets_ahead + tickets;
-        self.tickets_ahead = ahead.clamp(-MAX_TURNS, MAX_TURNS);
+        self.tickets_ahead = ahead.clamp(-MAX_TICKETS_AHEAD, MAX_TICKETS_AHEAD);
     }
 
     /// Takes over what the control state knows.
     pub(crate) fn update(&mut self, view: &TargetView, place: u32, now: Millis) {
-        self.view_place = Some(place);
+        self.view_position = Some(place);
         self.distance_us = view.distance_us;
         self.view_leaving = view.leaving;
         self.doubtful = view.doubtful;
         self.view_incarnation = view.incarnation;
         if let Some(incarnation) = view.incarnation {
-            self.meet(incarnation, now);
+            self.observe_incarnation(incarnation, now);
         }
         if let Some(heard) = &view.load {
-            self.hear(&heard.report, heard.received_at, ReportSource::Published, now);
+            self.record_report(
+                &heard.report,
+                heard.received_at,
+                ReportSource::Published,
+                now,
+            );
         }
     }
 
     /// Takes a report; false when it is of another life or older than what is
     /// known.
-    fn hear(
+    fn record_report(
         &mut self,
         report: &LoadReport,
         received_at: Millis,
         source: ReportSource,
         now: Millis,
     ) -> bool {
-        self.meet(report.incarnation, now);
+        self.observe_incarnation(report.incarnation, now);
         if self.incarnation != Some(report.incarnation) {
             return false;
         }
-        if self.stats.knows_newer_than(report) {
+        if self.stats.has_newer_report_than(report) {
             return false;
         }
-        self.hear_leaving(report, received_at);
-        self.stats.hear(report, received_at, source);
+        self.update_leaving_notice(report, received_at);
+        self.stats.record_report(report, received_at, source);
         true
     }
 
@@ -123,18 +128,18 @@
     ///
     /// Where a VM's wall clock went back between two lives, the later one has
     /// the lower incarnation. It is taken once the control state agrees.
-    pub(crate) fn hear_on_answer(&mut self, report: &LoadReport, now: Millis) -> bool {
+    pub(crate) fn record_answer_report(&mut self, report: &LoadReport, now: Millis) -> bool {
         let incarnation = Some(report.incarnation);
         if incarnation == self.view_incarnation && incarnation != self.incarnation {
-            self.start_life(report.incarnation, now);
+            self.start_incarnation(report.incarnation, now);
         }
-        self.hear(report, now, ReportSource::Answer, now)
+        self.record_report(report, now, ReportSource::Answer, now)
     }
 
     /// Learns from an answer. Also one that a ticket sent here while the target
     /// was ejected proves that it works again.
-    pub(crate) fn learn_success(&mut self, pick: &Pick, service_us: f32, now: Millis) {
-        self.stats.learn_success(service_us, now);
+    pub(crate) fn record_success(&mut self, pick: &Pick, service_us: f32, now: Millis) {
+        self.stats.record_success(service_us, now);
         if !self.health.is_ejected() {
             self.health.count_success();
             return;
@@ -148,8 +153,8 @@
     }
 
     /// Learns from a failure, however quick it was.
-    pub(crate) fn learn_failure(&mut self, pick: &Pick, policy: &EjectionPolicy, now: Millis) {
-        self.stats.learn_failure(now);
+    pub(crate) fn record_failure(&mut self, pick: &Pick, policy: &EjectionPolicy, now: Millis) {
+        self.stats.record_failure(now);
         self.health.count_failure();
         if pick.is_trial {
             self.health.fail_trial(policy, now);
@@ -157,45 +162,45 @@
     }
 
     /// Learns that nothing listens there.
-    pub(crate) fn learn_absence(&mut self, pick: &Pick, policy: &EjectionPolicy, now: Millis) {
-        self.stats.learn_absence(now);
-        self.health.count_absence(policy);
+    pub(crate) fn record_unreachable(&mut self, pick: &Pick, policy: &EjectionPolicy, now: Millis) {
+        self.stats.record_unreachable(now);
+        self.health.count_unreachable(policy);
         if pick.is_trial {
             self.health.fail_trial(policy, now);
         }
     }
 
     /// Learns that the gate had no room, which is no fault of the target.
-    pub(crate) fn learn_refusal(&mut self, pick: &Pick, now: Millis) {
-        self.stats.learn_refusal(now);
-        self.learn_nothing(pick, now);
+    pub(crate) fn record_refusal(&mut self, pick: &Pick, now: Millis) {
+        self.stats.record_refusal(now);
+        self.record_inconclusive(pick, now);
     }
 
     /// Learns that the gate takes no new work.
-    pub(crate) fn learn_leaving(&mut self, pick: &Pick, now: Millis) {
-        self.refuse_as_leaving(now);
-        self.learn_nothing(pick, now);
+    pub(crate) fn record_leaving(&mut self, pick: &Pick, now: Millis) {
+        self.note_leaving_refusal(now);
+        self.record_inconclusive(pick, now);
     }
 
     /// Ends a trial that told nothing.
-    pub(crate) fn learn_nothing(&mut self, pick: &Pick, now: Millis) {
+    pub(crate) fn record_inconclusive(&mut self, pick: &Pick, now: Millis) {
         if pick.is_trial {
             self.health.postpone_trial(now);
         }
     }
 
-    fn refuse_as_leaving(&mut self, now: Millis) {
-        if self.heard_leaving.is_some() {
+    fn note_leaving_refusal(&mut self, now: Millis) {
+        if self.leaving_notice.is_some() {
             return;
         }
-        self.heard_leaving = Some(HeardLeaving {
+        self.leaving_notice = Some(LeavingNotice {
             at: now,
             gate_clock_ms: None,
         });
     }
 
     pub(crate) fn tier(&self) -> Tier {
-        if self.view_place.is_none() || self.view_leaving || self.heard_leaving.is_some() {
+        if self.view_position.is_none() || self.view_leaving || self.leaving_notice.is_some() {
             return Tier::Closed;
         }
         if self.health.is_ejected() {
@@ -208,8 +213,8 @@
     }
 
     /// What the tiers were sorted by; they are sorted anew when it changes.
-    pub(crate) fn standing(&self) -> (Tier, u32) {
-        (self.tier(), self.life)
+    pub(crate) fn tier_key(&self) -> (Tier, u32) {
+        (self.tier(), self.generation)
     }
 
     pub(crate) fn is_doubtful(&self) -> bool {
@@ -224,12 +229,18 @@
     ///
     /// A gate reports a low limit while its target is cold, which says it all;
     /// the ramp stands in for the limit until the first report.
-    pub(crate) fn belief(&self, typical: &ServiceAverages, slots: u32, ramp: f32, now: Millis) -> TargetEstimate {
+    pub(crate) fn estimate(
+        &self,
+        averages: &ServiceAverages,
+        slots: u32,
+        ramp: f32,
+        now: Millis,
+    ) -> TargetEstimate {
         let is_limit_known = self.stats.report().is_some();
         TargetEstimate {
             ramp: if is_limit_known { 1.0 } else { ramp },
             round_trip_us: self.round_trip_us(),
-            ..self.stats.belief(typical, slots, now)
+            ..self.stats.estimate(averages, slots, now)
         }
     }
 
@@ -238,31 +249,31 @@
     /// Only a later incarnation is taken for a new life. The control state and
     /// the answers reach this node by two ways, and the slower one still tells
     /// of the old life for a while; equality alone would swing between both.
-    fn meet(&mut self, incarnation: Incarnation, now: Millis) {
+    fn observe_incarnation(&mut self, incarnation: Incarnation, now: Millis) {
         match self.incarnation {
             Some(known) if known >= incarnation => {}
-            Some(_) => self.start_life(incarnation, now),
+            Some(_) => self.start_incarnation(incarnation, now),
             None => self.incarnation = Some(incarnation),
         }
     }
 
-    fn start_life(&mut self, incarnation: Incarnation, now: Millis) {
+    fn start_incarnation(&mut self, incarnation: Incarnation, now: Millis) {
         self.incarnation = Some(incarnation);
-        self.life = self.life.wrapping_add(1);
+        self.generation = self.generation.wrapping_add(1);
         self.stats.reset(now);
         self.health = Health::new();
-        self.heard_leaving = None;
+        self.leaving_notice = None;
     }
 
-    fn hear_leaving(&mut self, report: &LoadReport, received_at: Millis) {
+    fn update_leaving_notice(&mut self, report: &LoadReport, received_at: Millis) {
         if report.leaving {
-            self.heard_leaving = Some(HeardLeaving {
+            self.leaving_notice = Some(LeavingNotice {
                 at: received_at,
                 gate_clock_ms: Some(report.gate_clock_ms),
             });
             return;
         }
-        let Some(heard) = &self.heard_leaving else {
+        let Some(heard) = &self.leaving_notice else {
             return;
         };
         let is_newer = match heard.gate_clock_ms {
@@ -270,7 +281,7 @@
             None => received_at > heard.at + LEAVING_SETTLE_MS,
         };
         if is_newer {
-            self.heard_leaving = None;
+            self.leaving_notice = None;
         }
     }
 }
--- a/crates/core/src/entry/target_stats.rs
+++ b/crates/core/src/entry/target_stats.rs
@@ -1,7 +1,7 @@
 //! What an entry has learnt about one target in its present life.
 
 use crate::entry::gate_clock::GateClock;
-use crate::entry::score::{TargetEstimate, ServiceAverages, fade};
+use crate::entry::score::{ServiceAverages, TargetEstimate, decay};
 use crate::prelude::*;
 
 /// Time after which half of an unusual service time is forgotten, so that a
@@ -14,7 +14,7 @@
 /// Slowness beyond this multiple of the typical is not remembered. Such a target gets
 /// nothing anyway while others have room, and the rest would only keep it from being
 /// tried again.
-const MOST_RELATIVE_SERVICE: f32 = 10.0;
+const MAX_RELATIVE_SERVICE: f32 = 10.0;
 /// Weight of the newest outcome in the failure rate.
 const FAILURE_WEIGHT: f32 = 0.25;
 /// Weight of the newest latency in the service time.
@@ -40,18 +40,18 @@
 
 /// A load report, and what of it was this entry's own doing.
 #[derive(Clone, Copy, Debug)]
-struct KnownLoad {
+struct ReceivedReport {
     report: LoadReport,
     received_at: Millis,
     /// When the gate made it, as far as its clock tells.
-    made_at: Millis,
+    created_at: Millis,
     /// When this service time was first heard.
-    service_heard_at: Millis,
+    service_time_changed_at: Millis,
     own_in_flight: u32,
     source: ReportSource,
 }
 
-impl KnownLoad {
+impl ReceivedReport {
     fn trust(&self) -> f32 {
         match self.source {
             ReportSource::Answer => 1.0,
@@ -74,7 +74,7 @@
 
 /// A smoothed value and when it last changed.
 #[derive(Clone, Copy, Debug)]
-struct Aged {
+struct TimedValue {
     value: f32,
     at: Millis,
 }
@@ -84,10 +84,10 @@
 pub(crate) struct TargetStats {
     in_flight: u32,
     first_seen: Millis,
-    load: Option<KnownLoad>,
+    load: Option<ReceivedReport>,
     clock: GateClock,
-    own_service_us: Option<Aged>,
-    failure: Aged,
+    own_service_us: Option<TimedValue>,
+    failure: TimedValue,
     refused_at: Option<Millis>,
 }
 
@@ -99,7 +99,7 @@
             load: None,
             clock: GateClock::default(),
             own_service_us: None,
-            failure: Aged {
+            failure: TimedValue {
                 value: 0.0,
                 at: now,
             },
@@ -150,19 +150,24 @@
     }
 
     /// Whether a report was overtaken by another on its way here.
-    pub(crate) fn knows_newer_than(&self, report: &LoadReport) -> bool {
+    pub(crate) fn has_newer_report_than(&self, report: &LoadReport) -> bool {
         self.report()
             .is_some_and(|known| known.gate_clock_ms > report.gate_clock_ms)
     }
 
     /// Takes the newest report of the present life.
-    pub(crate) fn hear(&mut self, report: &LoadReport, received_at: Millis, source: ReportSource) {
-        let service_heard_at = self.service_heard_at(report, received_at);
-        self.load = Some(KnownLoad {
+    pub(crate) fn record_report(
+        &mut self,
+        report: &LoadReport,
+        received_at: Millis,
+        source: ReportSource,
+    ) {
+        let service_time_changed_at = self.service_time_changed_at(report, received_at);
+        self.load = Some(ReceivedReport {
             report: *report,
             received_at,
-            service_heard_at,
-            made_at: self.clock.made_at(report.gate_clock_ms, received_at),
+            service_time_changed_at,
+            created_at: self.clock.created_at(report.gate_clock_ms, received_at),
             own_in_flight: self.in_flight,
             source,
         });
@@ -173,10 +178,10 @@
     /// Failure answered: a target's first call was slow, and it gets no other. Its gate
     /// reports that one service time again and again; counted as new each time, it is
     /// never forgotten, and the target stands idle.
-    fn service_heard_at(&self, report: &LoadReport, received_at: Millis) -> Millis {
+    fn service_time_changed_at(&self, report: &LoadReport, received_at: Millis) -> Millis {
         match &self.load {
             Some(known) if known.report.service_time_us == report.service_time_us => {
-                known.service_heard_at
+                known.service_time_changed_at
             }
             _ => received_at,
         }
@@ -202,35 +207,35 @@
     }
 
     /// Learns from an answer; `service_us` has distance taken off.
-    pub(crate) fn learn_success(&mut self, service_us: f32, now: Millis) {
-        self.learn_outcome(0.0, now);
-        self.learn_own_service(service_us, now);
+    pub(crate) fn record_success(&mut self, service_us: f32, now: Millis) {
+        self.update_failure_rate(0.0, now);
+        self.update_own_service(service_us, now);
     }
 
-    pub(crate) fn learn_failure(&mut self, now: Millis) {
-        self.learn_outcome(1.0, now);
+    pub(crate) fn record_failure(&mut self, now: Millis) {
+        self.update_failure_rate(1.0, now);
     }
 
     /// Takes the target to fail for certain, as when nothing listens there.
-    pub(crate) fn learn_absence(&mut self, now: Millis) {
-        self.failure = Aged {
+    pub(crate) fn record_unreachable(&mut self, now: Millis) {
+        self.failure = TimedValue {
             value: 1.0,
             at: now,
         };
     }
 
     /// Learns that an answer would have taken at least this long.
-    pub(crate) fn learn_lower_bound(&mut self, service_us: f32, now: Millis) {
+    pub(crate) fn record_lower_bound(&mut self, service_us: f32, now: Millis) {
         if self
             .own_service_us
             .is_some_and(|known| known.value >= service_us)
         {
             return;
         }
-        self.learn_own_service(service_us, now);
+        self.update_own_service(service_us, now);
     }
 
-    pub(crate) fn learn_refusal(&mut self, now: Millis) {
+    pub(crate) fn record_refusal(&mut self, now: Millis) {
         self.refused_at = Some(now);
     }
 
@@ -251,7 +256,7 @@
 
     pub(crate) fn failure_rate(&self, now: Millis) -> f32 {
         let age = now.since(self.failure.at);
-        self.failure.value * fade(age, FAILURE_HALF_LIFE_MS)
+        self.failure.value * decay(age, FAILURE_HALF_LIFE_MS)
     }
 
     /// Everything outstanding there as a multiple of its limit: own attempts
@@ -261,14 +266,14 @@
     /// send there until the next report. Own sends count at once, and what is no
     /// longer believed of the report is filled in from own attempts against the
     /// usual ones, where targets look alike unless attempts pile up on one.
-    pub(crate) fn load_ratio(&self, typical: &ServiceAverages, slots: u32, now: Millis) -> f32 {
+    pub(crate) fn load_ratio(&self, averages: &ServiceAverages, slots: u32, now: Millis) -> f32 {
         let own = self.own_ratio(slots);
-        let sampled = typical.sampled_ratio(own, 1.0 / self.limit(slots) as f32);
+        let sampled = averages.sampled_ratio(own, 1.0 / self.limit(slots) as f32);
         let Some(known) = &self.load else {
             return own + sampled;
         };
-        let age = now.since(known.made_at);
-        let left = fade(age, typical.load_half_life_ms()) * known.trust();
+        let age = now.since(known.created_at);
+        let left = decay(age, averages.load_half_life_ms()) * known.trust();
         own + known.others_ratio() * left + sampled * (1.0 - left)
     }
 
@@ -282,57 +287,62 @@
 
     /// Everything believed at this moment but for what depends on the network
     /// and on other targets.
-    pub(crate) fn belief(&self, typical: &ServiceAverages, slots: u32, now: Millis) -> TargetEstimate {
+    pub(crate) fn estimate(
+        &self,
+        averages: &ServiceAverages,
+        slots: u32,
+        now: Millis,
+    ) -> TargetEstimate {
         TargetEstimate {
-            load_ratio: self.load_ratio(typical, slots, now),
-            relative_service: self.relative_service(typical, now),
+            load_ratio: self.load_ratio(averages, slots, now),
+            relative_service: self.relative_service(averages, now),
             failure: self.failure_rate(now),
-            refused: self.refused(typical, now),
+            refused: self.refused(averages, now),
             ramp: 1.0,
             round_trip_us: 0.0,
         }
     }
 
-    fn learn_outcome(&mut self, outcome: f32, now: Millis) {
+    fn update_failure_rate(&mut self, outcome: f32, now: Millis) {
         let rate = self.failure_rate(now);
-        self.failure = Aged {
+        self.failure = TimedValue {
             value: rate + (outcome - rate) * FAILURE_WEIGHT,
             at: now,
         };
     }
 
-    fn learn_own_service(&mut self, service_us: f32, now: Millis) {
+    fn update_own_service(&mut self, service_us: f32, now: Millis) {
         let value = match self.own_service_us {
             Some(known) => known.value + (service_us - known.value) * SERVICE_WEIGHT,
             None => service_us,
         };
-        self.own_service_us = Some(Aged { value, at: now });
+        self.own_service_us = Some(TimedValue { value, at: now });
     }
 
     /// Service time as a multiple of the typical one, fading towards 1.
-    fn relative_service(&self, typical: &ServiceAverages, now: Millis) -> f32 {
-        let typical_us = typical.service_us();
+    fn relative_service(&self, averages: &ServiceAverages, now: Millis) -> f32 {
+        let typical_us = averages.service_us();
         let (measured_us, at) = match (self.own_service_us, &self.load) {
             (None, None) => return 1.0,
             (Some(own), None) => (own.value, own.at),
             (None, Some(known)) => {
                 let reported_us = known.report.service_time_us as f32;
-                (reported_us, known.service_heard_at)
+                (reported_us, known.service_time_changed_at)
             }
             (Some(own), Some(known)) => {
                 let reported_us = known.report.service_time_us as f32;
                 let measured_us = reported_us.max(own.value / OWN_OVER_REPORTED);
-                (measured_us, own.at.max(known.service_heard_at))
+                (measured_us, own.at.max(known.service_time_changed_at))
             }
         };
-        let left = fade(now.since(at), SERVICE_HALF_LIFE_MS);
-        let relative = (measured_us / typical_us).min(MOST_RELATIVE_SERVICE);
+        let left = decay(now.since(at), SERVICE_HALF_LIFE_MS);
+        let relative = (measured_us / typical_us).min(MAX_RELATIVE_SERVICE);
         1.0 + (relative - 1.0) * left
     }
 
-    fn refused(&self, typical: &ServiceAverages, now: Millis) -> f32 {
+    fn refused(&self, averages: &ServiceAverages, now: Millis) -> f32 {
         match self.refused_at {
-            Some(at) => fade(now.since(at), typical.load_half_life_ms()),
+            Some(at) => decay(now.since(at), averages.load_half_life_ms()),
             None => 0.0,
         }
     }
--- a/crates/core/src/entry/tests.rs
+++ b/crates/core/src/entry/tests.rs
@@ -53,7 +53,7 @@
         vm: VmId::new(&format!("vm-{number:03}")),
         data_centre: DataCentre::new("dc-1"),
         peer: SocketAddr::from((Ipv4Addr::LOCALHOST, 1)),
-        incarnation: Some(life(number)),
+        incarnation: Some(incarnation_of(number)),
         distance_us: 100,
         leaving: false,
         doubtful: false,
@@ -61,7 +61,7 @@
     }
 }
 
-fn life(number: usize) -> Incarnation {
+fn incarnation_of(number: usize) -> Incarnation {
     Incarnation(1_000 + number as u64)
 }
 
@@ -84,12 +84,12 @@
         limit: 12,
         service_time_us: SERVICE_US,
         gate_clock_ms: Millis(clock_ms),
-        incarnation: life(number),
+        incarnation: incarnation_of(number),
         leaving: false,
     }
 }
 
-fn heard(number: usize, outstanding: u32, at: u64) -> Option<ReceivedLoad> {
+fn received_load(number: usize, outstanding: u32, at: u64) -> Option<ReceivedLoad> {
     Some(ReceivedLoad {
         report: report(number, outstanding, at),
         received_at: Millis(at),
@@ -104,8 +104,8 @@
     }
 }
 
-const WORKS: AttemptEnd = AttemptEnd::Answered { failed: false };
-const FAILS: AttemptEnd = AttemptEnd::Answered { failed: true };
+const SUCCESS: AttemptEnd = AttemptEnd::Answered { failed: false };
+const FAILURE: AttemptEnd = AttemptEnd::Answered { failed: true };
 
 fn refused(code: ResultCode) -> AttemptEnd {
     AttemptEnd::Refused(Refusal::fixed(code))
@@ -139,7 +139,7 @@
 
 fn answer_with_load(service: &mut EntryService, report: &LoadReport, now: u64) {
     let number = (report.incarnation.0 % 1_000) as u32;
-    let mut outcome = ended(WORKS);
+    let mut outcome = ended(SUCCESS);
     outcome.load = Some(*report);
     outcome_at(service, number, &outcome, now);
 }
@@ -158,7 +158,7 @@
         let number = pick.target.0 as usize;
         counts[number] += 1;
         let mut outcome = ended(end_of(number));
-        if outcome.end == FAILS {
+        if outcome.end == FAILURE {
             outcome.latency_us = 100;
         }
         service.finish(&pick, &outcome, Millis(now));
--- a/crates/core/src/entry/tests/bounds.rs
+++ b/crates/core/src/entry/tests/bounds.rs
@@ -47,8 +47,8 @@
 
 fn end_of(number: usize) -> AttemptEnd {
     [
-        WORKS,
-        FAILS,
+        SUCCESS,
+        FAILURE,
         AttemptEnd::Unreachable,
         AttemptEnd::Broken,
         AttemptEnd::TimedOut,
@@ -96,7 +96,7 @@
                 }
                 Step::Retry { depth } => {
                     let deep = CallProgress { depth, ..call() };
-                    if service.after_failure(&deep, &FAILS, Millis(now)) == Next::Retry {
+                    if service.after_failure(&deep, &FAILURE, Millis(now)) == Next::Retry {
                         retry_cost += 1 << depth;
                     }
                 }
--- a/crates/core/src/entry/tests/ejection.rs
+++ b/crates/core/src/entry/tests/ejection.rs
@@ -6,19 +6,19 @@
 /// error in 0.1 ms, so by latency and load it looks like the best one. It must
 /// get next to nothing after a few calls, and its share back once it heals.
 #[test]
-fn a_target_that_fails_fast_is_left_alone_and_comes_back() {
+fn a_target_that_fails_fast_is_avoided_until_it_recovers() {
     let mut service = service(&view(3));
-    run(&mut service, 0, 100, |_| WORKS);
-    let failing = |number| if number == 0 { FAILS } else { WORKS };
+    run(&mut service, 0, 100, |_| SUCCESS);
+    let failing = |number| if number == 0 { FAILURE } else { SUCCESS };
     let broken = run(&mut service, 100, 3_000, failing);
     assert!(broken[0] <= 12, "{} of 3000 calls failed", broken[0]);
-    let healed = run(&mut service, 30_000, 20_000, |_| WORKS);
+    let healed = run(&mut service, 30_000, 20_000, |_| SUCCESS);
     assert!(healed[0] > 5_000, "{} of 20000 calls", healed[0]);
 }
 
 fn fail_at(service: &mut EntryService, target: u32, times: u32, now: u64) {
     for _ in 0..times {
-        end_at(service, target, FAILS, now);
+        end_at(service, target, FAILURE, now);
     }
 }
 
@@ -36,8 +36,8 @@
 #[test]
 fn a_failing_target_that_may_not_be_ejected_gets_little() {
     let mut service = service(&with_max_ejected(3, 0.0));
-    run(&mut service, 0, 100, |_| WORKS);
-    let failing = |number| if number == 0 { FAILS } else { WORKS };
+    run(&mut service, 0, 100, |_| SUCCESS);
+    let failing = |number| if number == 0 { FAILURE } else { SUCCESS };
     let broken = run(&mut service, 100, 10_000, failing)[0];
     assert!(
         (1..=100).contains(&broken),
@@ -50,7 +50,7 @@
     let mut times = Vec::new();
     for now in from..to {
         let pick = pick(service, now);
-        let end = if pick.is_trial { FAILS } else { WORKS };
+        let end = if pick.is_trial { FAILURE } else { SUCCESS };
         if pick.is_trial {
             times.push(now);
         }
@@ -79,7 +79,7 @@
     let mut service = service(&view(3));
     fail_at(&mut service, 0, 5, 0);
     let trial = pick(&mut service, 1_000);
-    service.finish(&trial, &ended(WORKS), Millis(1_000));
+    service.finish(&trial, &ended(SUCCESS), Millis(1_000));
     fail_at(&mut service, 0, 5, 1_500);
     assert_eq!(trial_times(&mut service, 1_501, 4_000), [3_500]);
 }
@@ -91,15 +91,15 @@
     let mut service = service(&view(3));
     let before = service.pick_fixed(TargetIndex(0), Millis(0));
     fail_at(&mut service, 0, 5, 5);
-    service.finish(&before, &ended(WORKS), Millis(6));
+    service.finish(&before, &ended(SUCCESS), Millis(6));
     assert_eq!(service.ejected_targets(), 1);
-    end_at(&mut service, 0, WORKS, 7);
+    end_at(&mut service, 0, SUCCESS, 7);
     assert_eq!(service.ejected_targets(), 0);
 }
 
 /// Only what is heard from a target makes it worth a caller's request.
 #[test]
-fn a_doubtful_target_is_not_tried() {
+fn a_doubtful_target_gets_no_trial() {
     let mut seen = view(4);
     let mut service = service(&seen);
     fail_at(&mut service, 0, 5, 0);
@@ -120,7 +120,7 @@
     for now in 1_000..5_000 {
         assert_ne!(pick(&mut service, now).target, trial.target);
     }
-    service.finish(&trial, &ended(WORKS), Millis(5_000));
+    service.finish(&trial, &ended(SUCCESS), Millis(5_000));
     assert_eq!(service.ejected_targets(), 0);
 }
 
@@ -153,7 +153,7 @@
     let mut service = service(&view(3));
     end_at(&mut service, 0, AttemptEnd::Unreachable, 1);
     assert_eq!(service.ejected_targets(), 1);
-    assert_eq!(run(&mut service, 2, 500, |_| WORKS)[0], 0);
+    assert_eq!(run(&mut service, 2, 500, |_| SUCCESS)[0], 0);
 }
 
 /// A dependency's fault makes every target fail. Ejecting them all would turn
@@ -208,9 +208,9 @@
 /// A caller with a deadline of 1 ms times out on every target. Its timeouts
 /// must not eject them for all other callers.
 #[test]
-fn deadlines_that_nobody_can_meet_eject_nobody() {
+fn unmeetable_deadlines_do_not_eject_targets() {
     let mut service = service(&view(3));
-    run(&mut service, 0, 100, |_| WORKS);
+    run(&mut service, 0, 100, |_| SUCCESS);
     for (latency_us, ejected) in [(1_000, 0), (2_000_000, 1)] {
         let mut outcome = ended(AttemptEnd::TimedOut);
         outcome.latency_us = latency_us;
@@ -230,7 +230,7 @@
         if number == 0 {
             refused(ResultCode::WrongGate)
         } else {
-            WORKS
+            SUCCESS
         }
     };
     let counts = run(&mut service, 0, 900, misled);
--- a/crates/core/src/entry/tests/herding.rs
+++ b/crates/core/src/entry/tests/herding.rs
@@ -34,7 +34,7 @@
     for seed in 0..ENTRIES as u64 {
         let settings = EntrySettings { seed };
         let mut entry = EntryService::new(&settings, Arc::new(seen.clone()), Millis::ZERO);
-        entry.typical.set_half_life_factor(half_life_factor);
+        entry.averages.set_half_life_factor(half_life_factor);
         entries.push(entry);
     }
     let mut targets: Vec<FakeTarget> = (0..TARGETS).map(|_| FakeTarget::default()).collect();
@@ -47,14 +47,14 @@
                     target.running.push((done_at, entry, pick));
                     continue;
                 }
-                let mut outcome = ended(WORKS);
+                let mut outcome = ended(SUCCESS);
                 outcome.latency_us = now.saturating_sub(pick.started_at.0) as u32 * 1_000;
                 entries[entry].finish(&pick, &outcome, Millis(now));
             }
         }
         if now % REPORT_GAP_MS == 1 {
             for (number, target) in targets.iter().enumerate() {
-                seen.targets[number].load = heard(number, target.outstanding(), now);
+                seen.targets[number].load = received_load(number, target.outstanding(), now);
             }
             let published = Arc::new(seen.clone());
             for entry in &mut entries {
--- a/crates/core/src/entry/tests/picking.rs
+++ b/crates/core/src/entry/tests/picking.rs
@@ -11,7 +11,7 @@
         target.doubtful = true;
     }
     let mut service = service(&seen);
-    let counts = run(&mut service, 0, 300, |_| WORKS);
+    let counts = run(&mut service, 0, 300, |_| SUCCESS);
     assert!(counts[..3].iter().all(|count| *count > 50), "{counts:?}");
 }
 
@@ -20,26 +20,26 @@
     let mut seen = view(3);
     seen.targets[1].doubtful = true;
     let mut service = service(&seen);
-    assert_eq!(run(&mut service, 0, 300, |_| WORKS)[1], 0);
+    assert_eq!(run(&mut service, 0, 300, |_| SUCCESS)[1], 0);
 }
 
 /// A call would be refused, or cut when the VM goes: the gate announces on an
 /// answer that it leaves, long before the VM list says so.
 #[test]
-fn a_leaving_target_gets_nothing_from_the_first_word_on() {
+fn a_leaving_target_gets_no_work_after_its_first_notice() {
     let mut service = service(&view(3));
     let leaving = LoadReport {
         leaving: true,
         ..report(0, 1, 50)
     };
     answer_with_load(&mut service, &leaving, 1);
-    assert_eq!(run(&mut service, 2, 300, |_| WORKS)[0], 0);
+    assert_eq!(run(&mut service, 2, 300, |_| SUCCESS)[0], 0);
 
     let mut seen = view(3);
     for (clock_ms, works_again) in [(40, false), (60, true)] {
-        seen.targets[0].load = heard(0, 0, clock_ms);
+        seen.targets[0].load = received_load(0, 0, clock_ms);
         service.update(Arc::new(seen.clone()), Millis(400));
-        let count = run(&mut service, 400, 300, |_| WORKS)[0];
+        let count = run(&mut service, 400, 300, |_| SUCCESS)[0];
         assert_eq!(count > 0, works_again, "a report of {clock_ms} ms");
     }
 }
@@ -48,12 +48,12 @@
 fn a_refusal_as_leaving_stops_new_work() {
     let mut service = service(&view(3));
     end_at(&mut service, 0, refused(ResultCode::Leaving), 1);
-    assert_eq!(run(&mut service, 2, 300, |_| WORKS)[0], 0);
+    assert_eq!(run(&mut service, 2, 300, |_| SUCCESS)[0], 0);
     let mut seen = view(3);
     for (received_at, works_again) in [(500, false), (1_500, true)] {
-        seen.targets[0].load = heard(0, 0, received_at);
+        seen.targets[0].load = received_load(0, 0, received_at);
         service.update(Arc::new(seen.clone()), Millis(2_000));
-        let count = run(&mut service, 2_000, 300, |_| WORKS)[0];
+        let count = run(&mut service, 2_000, 300, |_| SUCCESS)[0];
         assert_eq!(count > 0, works_again, "heard at {received_at} ms");
     }
 }
@@ -74,11 +74,11 @@
 #[test]
 fn a_cold_target_gets_a_growing_share() {
     let mut service = service(&view(2));
-    run(&mut service, 0, 100, |_| WORKS);
+    run(&mut service, 0, 100, |_| SUCCESS);
     service.update(Arc::new(view(3)), Millis(20_000));
-    let early = run(&mut service, 20_000, 1_000, |_| WORKS)[2];
-    let middle = run(&mut service, 25_000, 1_000, |_| WORKS)[2];
-    let warm = run(&mut service, 31_000, 1_000, |_| WORKS)[2];
+    let early = run(&mut service, 20_000, 1_000, |_| SUCCESS)[2];
+    let middle = run(&mut service, 25_000, 1_000, |_| SUCCESS)[2];
+    let warm = run(&mut service, 31_000, 1_000, |_| SUCCESS)[2];
     assert!((1..=60).contains(&early), "{early} of 1000 when cold");
     assert!((60..=250).contains(&middle), "{middle} of 1000 half way");
     assert!((270..=400).contains(&warm), "{warm} of 1000 when warm");
@@ -109,7 +109,7 @@
     service.finish(&old, &ended(AttemptEnd::Unreachable), Millis(20_001));
     assert_eq!(service.ejected_targets(), 0);
     assert_eq!(service.in_flight(old.target), 0);
-    let share = run(&mut service, 20_002, 1_000, |_| WORKS)[number];
+    let share = run(&mut service, 20_002, 1_000, |_| SUCCESS)[number];
     assert!((1..=60).contains(&share), "{share} of 1000 when cold again");
 }
 
@@ -117,7 +117,7 @@
 /// new one. A later life with a lower number, after the VM's clock went back,
 /// is known by both agreeing.
 #[test]
-fn the_life_that_answers_counts() {
+fn the_incarnation_that_answers_is_current() {
     let mut service = service(&view(3));
     let renewed = LoadReport {
         incarnation: NEW_INCARNATION,
@@ -127,7 +127,7 @@
     service.update(Arc::new(view(3)), Millis(2));
     assert_eq!(service.table.at(0).incarnation, Some(NEW_INCARNATION));
     answer_with_load(&mut service, &report(0, 0, 5), 3);
-    assert_eq!(service.table.at(0).incarnation, Some(life(0)));
+    assert_eq!(service.table.at(0).incarnation, Some(incarnation_of(0)));
 }
 
 /// Sends a call every second millisecond for four seconds; target 0 takes
@@ -143,7 +143,7 @@
         let (due, rest): (Vec<_>, Vec<_>) = open.into_iter().partition(|(at, _)| *at <= now);
         open = rest;
         for (_, pick) in due {
-            let mut outcome = ended(WORKS);
+            let mut outcome = ended(SUCCESS);
             outcome.latency_us = (now - pick.started_at.0) as u32 * 1_000;
             outcome.load = reported.then(|| report(pick.target.0 as usize, 1, now));
             service.finish(&pick, &outcome, Millis(now));
@@ -191,7 +191,7 @@
 /// goes on looking harmless; but where own attempts pile up, so do those of
 /// others, and the target is left alone at once.
 #[test]
-fn a_target_where_own_attempts_pile_up_is_taken_for_full() {
+fn own_unanswered_attempts_raise_the_estimated_load() {
     let mut service = service(&view(3));
     for now in 0..200 {
         for number in 0..3 {
@@ -206,14 +206,14 @@
     }
     assert_eq!(service.in_flight(TargetIndex(0)), 3);
     let stats = &service.table.at(0).stats;
-    assert!(stats.load_ratio(&service.typical, 12, Millis(260)) > 1.0);
+    assert!(stats.load_ratio(&service.averages, 12, Millis(260)) > 1.0);
 }
 
 /// A call would pay 3 ms on the way to another data centre for nothing: half of
 /// the slots of the near target are free, and a call in a free slot waits for
 /// none of those in the others.
 #[test]
-fn a_half_used_near_target_is_kept() {
+fn a_half_loaded_near_target_is_preferred() {
     let mut seen = view(2);
     seen.targets[1].distance_us = 1_500;
     let mut service = service(&seen);
@@ -221,7 +221,7 @@
         answer_with_load(&mut service, &report(0, 6, now), now);
         answer_with_load(&mut service, &report(1, 2, now), now);
     }
-    let counts = run(&mut service, 200, 200, |_| WORKS);
+    let counts = run(&mut service, 200, 200, |_| SUCCESS);
     assert!(counts[0] >= 190, "{:?}", &counts[..2]);
 }
 
@@ -235,7 +235,7 @@
         let now = gate_clock_ms + gate_clock_ms / 10_000;
         answer_with_load(&mut service, &report(0, 12, gate_clock_ms), now);
         let stats = &service.table.at(0).stats;
-        assert!(stats.load_ratio(&service.typical, 12, Millis(now)) > 0.95);
+        assert!(stats.load_ratio(&service.averages, 12, Millis(now)) > 0.95);
     }
 }
 
@@ -249,7 +249,7 @@
         let late = report(0, 12, 2_000 - delay_ms);
         answer_with_load(&mut service, &late, 2_000);
         let stats = &service.table.at(0).stats;
-        stats.load_ratio(&service.typical, 12, Millis(2_000))
+        stats.load_ratio(&service.averages, 12, Millis(2_000))
     };
     assert!(load_by(0) > 0.95);
     assert!(load_by(400) < 0.1);
@@ -272,14 +272,14 @@
 #[test]
 fn a_refusal_for_overload_raises_the_load_and_is_no_failure() {
     let mut service = service(&view(3));
-    run(&mut service, 0, 50, |_| WORKS);
+    run(&mut service, 0, 50, |_| SUCCESS);
     let first = pick(&mut service, 50);
     service.finish(&first, &ended(refused(ResultCode::Overloaded)), Millis(50));
     let mut counts = [0; 3];
     for _ in 0..20 {
         let pick = pick(&mut service, 51);
         counts[pick.target.0 as usize] += 1;
-        service.finish(&pick, &ended(WORKS), Millis(51));
+        service.finish(&pick, &ended(SUCCESS), Millis(51));
     }
     assert_eq!(counts[first.target.0 as usize], 0, "{counts:?}");
     for now in 52..100 {
@@ -312,7 +312,7 @@
     let mut seen = view(500);
     seen.targets[17].leaving = true;
     let mut service = service(&seen);
-    let counts = run(&mut service, 0, 50_000, |_| WORKS);
+    let counts = run(&mut service, 0, 50_000, |_| SUCCESS);
     assert_eq!(counts[17], 0);
     let (least, most) = (counts[..500].iter().filter(|count| **count > 0))
         .fold((u32::MAX, 0), |(least, most), count| {
@@ -337,7 +337,7 @@
     assert!(service.target(index).is_none());
     let (other, _) = service.target_on(&VmId::new("vm-002")).expect("known");
     assert_ne!(other, index);
-    service.finish(&open, &ended(WORKS), Millis(3));
+    service.finish(&open, &ended(SUCCESS), Millis(3));
     seen.targets.push(target_view(3));
     service.update(Arc::new(seen), Millis(4));
     let (reused, found) = service.target_on(&VmId::new("vm-003")).expect("known");
--- a/crates/core/src/entry/tests/retries.rs
+++ b/crates/core/src/entry/tests/retries.rs
@@ -22,8 +22,8 @@
         let mut retries = 0;
         for now in 0..2_000 {
             let first = pick(&mut service, now);
-            service.finish(&first, &ended(FAILS), Millis(now));
-            let next = service.after_failure(&deep, &FAILS, Millis(now));
+            service.finish(&first, &ended(FAILURE), Millis(now));
+            let next = service.after_failure(&deep, &FAILURE, Millis(now));
             retries += u32::from(next == Next::Retry);
         }
         assert_eq!(retries, expected, "at depth {depth}");
@@ -46,7 +46,7 @@
         let next = service(&view(3)).after_failure(&payment, &end, Millis(1));
         assert_eq!(next, Next::Retry, "{end:?}");
     }
-    for end in [AttemptEnd::Broken, AttemptEnd::TimedOut, FAILS] {
+    for end in [AttemptEnd::Broken, AttemptEnd::TimedOut, FAILURE] {
         let next = service(&view(3)).after_failure(&payment, &end, Millis(1));
         assert_eq!(given_up(next).code, ResultCode::RunBroken, "{end:?}");
     }
@@ -70,7 +70,7 @@
     let second = service.after_failure(&broke_before, &AttemptEnd::Broken, Millis(1));
     assert_eq!(given_up(second).code, ResultCode::AttemptsFailed);
     assert_eq!(
-        service.after_failure(&broke_before, &FAILS, Millis(1)),
+        service.after_failure(&broke_before, &FAILURE, Millis(1)),
         Next::Retry
     );
 }
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn giving_up_names_what_is_known() {
+fn the_final_code_states_what_is_known() {
     let last = CallProgress {
         attempts: 3,
         ..call()
@@ -161,7 +161,7 @@
 #[test]
 fn a_retry_that_would_miss_the_deadline_is_not_made() {
     let mut service = service(&view(3));
-    run(&mut service, 0, 100, |_| WORKS);
+    run(&mut service, 0, 100, |_| SUCCESS);
     let end = refused(ResultCode::Overloaded);
     for (left_ms, retried) in [(10, false), (30, true)] {
         let progress = CallProgress {
@@ -182,7 +182,7 @@
         "nothing is known yet"
     );
     for sample in 0..1_000 {
-        let mut outcome = ended(WORKS);
+        let mut outcome = ended(SUCCESS);
         outcome.latency_us = if sample % 10 == 0 { 200_000 } else { 20_000 };
         outcome_at(&mut service, 0, &outcome, sample);
     }
@@ -207,7 +207,7 @@
 #[test]
 fn cancelled_attempts_keep_the_quantile_up() {
     let mut service = service(&view(3));
-    run(&mut service, 0, 200, |_| WORKS);
+    run(&mut service, 0, 200, |_| SUCCESS);
     for now in 200..400 {
         let mut outcome = ended(AttemptEnd::Cancelled);
         outcome.latency_us = 300_000;
@@ -227,7 +227,7 @@
             hedges += 1;
             let hedge = pick_excluding(&mut service, &[first.target], now).expect("two are left");
             assert_ne!(hedge.target, first.target);
-            service.finish(&hedge, &ended(WORKS), Millis(now));
+            service.finish(&hedge, &ended(SUCCESS), Millis(now));
         }
         service.finish(&first, &ended(AttemptEnd::Cancelled), Millis(now));
     }
@@ -256,7 +256,7 @@
     changed.budgets.retry_share = 0.0;
     seen.policy = Arc::new(changed);
     let mut service = service(&seen);
-    run(&mut service, 0, 100, |_| WORKS);
+    run(&mut service, 0, 100, |_| SUCCESS);
     assert_eq!(service.hedge_delay_ms(&call()), None);
     assert!(!service.try_hedge(&call(), Millis(100)));
     let next = service.after_failure(&call(), &AttemptEnd::Unreachable, Millis(100));
@@ -267,7 +267,7 @@
 #[test]
 fn retry_after_is_spread_and_grows_with_refusals() {
     let mut service = service(&view(3));
-    run(&mut service, 0, 200, |_| WORKS);
+    run(&mut service, 0, 200, |_| SUCCESS);
     let calm: Vec<u64> = (0..100)
         .map(|_| service.retry_after_ms(Millis(200)).0)
         .collect();
@@ -289,7 +289,7 @@
 }
 
 #[test]
-fn the_gates_own_time_to_come_back_is_respected_within_bounds() {
+fn the_gates_retry_after_is_respected_within_bounds() {
     for (told_ms, expected) in [(3_000, 3_000), (60_000, 10_000)] {
         let refusal = Refusal::retry_after(ResultCode::Overloaded, Millis(told_ms));
         let end = AttemptEnd::Refused(refusal);
@@ -305,7 +305,7 @@
 /// A convicted request's caller is told to stay away for minutes. Were that cut
 /// to the usual longest time, it would come back dozens of times in vain.
 #[test]
-fn a_convicted_request_keeps_the_time_that_its_gate_gave() {
+fn a_convicted_request_keeps_its_gates_retry_after() {
     let told = Refusal::retry_after(ResultCode::CrashSuspect, Millis::from_secs(600));
     let end = AttemptEnd::Refused(told);
     let refusal = given_up(service(&view(3)).after_failure(&call(), &end, Millis(1)));
--- a/crates/core/src/entry/tests/slow_start.rs
+++ b/crates/core/src/entry/tests/slow_start.rs
@@ -12,12 +12,12 @@
 /// other, so its gate reports that one time twice a second. A lone caller was served by
 /// the other targets for half a minute; after ten seconds the target is tried again.
 #[test]
-fn one_slow_call_is_forgotten_though_it_is_reported_again_and_again() {
+fn a_slow_call_is_forgotten_although_its_report_is_repeated() {
     const SLOW_US: u32 = 200_000;
-    let mut typical = ServiceAverages::new();
-    typical.learn_service(TYPICAL_US);
+    let mut averages = ServiceAverages::new();
+    averages.record_service(TYPICAL_US);
     let mut stats = TargetStats::new(Millis::ZERO);
-    stats.learn_success(SLOW_US as f32, Millis::ZERO);
+    stats.record_success(SLOW_US as f32, Millis::ZERO);
     let mut report = LoadReport {
         in_flight: 0,
         queued: 0,
@@ -29,10 +29,12 @@
     };
     for now in (0..=10_000).step_by(500).map(Millis) {
         report.gate_clock_ms = now;
-        stats.hear(&report, now, ReportSource::Published);
+        stats.record_report(&report, now, ReportSource::Published);
     }
-    let first = stats.belief(&typical, 4, Millis::ZERO).relative_service;
+    let first = stats.estimate(&averages, 4, Millis::ZERO).relative_service;
     assert!(first > NORMAL, "{first}");
-    let later = stats.belief(&typical, 4, Millis(10_000)).relative_service;
+    let later = stats
+        .estimate(&averages, 4, Millis(10_000))
+        .relative_service;
     assert!(later <= NORMAL, "{later}");
 }
--- a/crates/core/src/entry/tests/tickets.rs
+++ b/crates/core/src/entry/tests/tickets.rs
@@ -2,10 +2,10 @@
 
 use super::*;
 
-fn known(targets: usize) -> ServiceView {
+fn view_with_reports(targets: usize) -> ServiceView {
     let mut seen = view(targets);
     for number in 0..targets {
-        seen.targets[number].load = heard(number, 1, 100);
+        seen.targets[number].load = received_load(number, 1, 100);
     }
     seen
 }
@@ -23,10 +23,10 @@
 /// another entry with the same key, and got a ticket for another gate.
 #[test]
 fn entries_whose_views_agree_name_the_same_gate() {
-    let seen = known(3);
+    let seen = view_with_reports(3);
     let mut one = service(&seen);
     let mut other = EntryService::new(&EntrySettings { seed: 99 }, Arc::new(seen), Millis(5));
-    run(&mut one, 0, 500, |_| WORKS);
+    run(&mut one, 0, 500, |_| SUCCESS);
     let mut by_gate = std::collections::BTreeMap::new();
     for number in 0..900 {
         let gate = gate_of(&mut one, key(number), 500);
@@ -42,7 +42,7 @@
 
 #[test]
 fn a_leaving_gate_moves_only_its_own_keys() {
-    let mut seen = known(4);
+    let mut seen = view_with_reports(4);
     let mut before = service(&seen);
     seen.targets[2].leaving = true;
     let mut after = service(&seen);
@@ -58,12 +58,12 @@
 /// time: the issuer added the time since the report, by its own clock.
 #[test]
 fn expiry_is_in_the_gates_clock_as_last_heard() {
-    let mut service = service(&known(1));
+    let mut service = service(&view_with_reports(1));
     let first = service
         .ticket_gate(CallKey(1), Millis(60_000))
         .expect("usable");
     assert_eq!(first.expires_at, Millis(100 + 120_000));
-    assert_eq!(first.incarnation, life(0));
+    assert_eq!(first.incarnation, incarnation_of(0));
 
     for (clock_ms, expected) in [(5_000, 5_000), (3_000, 5_000), (6_000, 6_000)] {
         answer_with_load(&mut service, &report(0, 0, clock_ms), 60_001);
@@ -76,8 +76,8 @@
 
 /// A ticket for a life that is over can never run.
 #[test]
-fn a_new_life_is_named_once_it_was_heard() {
-    let mut seen = known(2);
+fn tickets_name_a_new_incarnation_after_its_first_report() {
+    let mut seen = view_with_reports(2);
     let mut service = service(&seen);
     seen.targets[0].incarnation = Some(NEW_INCARNATION);
     service.update(Arc::new(seen.clone()), Millis(200));
@@ -108,11 +108,11 @@
 }
 
 #[test]
-fn without_a_gate_whose_life_is_known_none_is_named() {
+fn no_ticket_is_issued_without_a_known_incarnation() {
     let mut seen = view(2);
     seen.targets[0].incarnation = None;
     seen.targets[1].leaving = true;
-    seen.targets[1].load = heard(1, 0, 100);
+    seen.targets[1].load = received_load(1, 0, 100);
     let refusal = service(&seen)
         .ticket_gate(CallKey(1), Millis(1))
         .expect_err("none is usable");
@@ -121,10 +121,10 @@
 
 #[test]
 fn a_gate_far_over_its_limit_or_ejected_is_passed_over_while_others_are_there() {
-    let mut seen = known(2);
-    seen.targets[0].load = heard(0, 48, 100);
+    let mut seen = view_with_reports(2);
+    seen.targets[0].load = received_load(0, 48, 100);
     let mut over = service(&seen);
-    let mut ejected = service(&known(2));
+    let mut ejected = service(&view_with_reports(2));
     end_at(&mut ejected, 0, AttemptEnd::Unreachable, 150);
     for number in 0..50 {
         assert_eq!(gate_of(&mut over, key(number), 200).as_str(), "vm-001");
@@ -138,7 +138,7 @@
         keys_of_first(&mut over, 9_000) > 10,
         "the report is too old"
     );
-    seen.targets[1].load = heard(1, 48, 100);
+    seen.targets[1].load = received_load(1, 48, 100);
     let mut all_over = service(&seen);
     assert!(keys_of_first(&mut all_over, 200) > 10, "no gate is better");
 }
@@ -147,8 +147,8 @@
 /// too often at times and refuses payments while its neighbour idles; in turn,
 /// no gate is ever ahead by more than a few.
 #[test]
-fn tickets_without_a_callers_key_go_round() {
-    let mut service = service(&known(3));
+fn tickets_without_a_callers_key_are_issued_round_robin() {
+    let mut service = service(&view_with_reports(3));
     let mut by_gate = std::collections::BTreeMap::new();
     for number in 1..=900 {
         let gate = service.ticket_gate_in_turn(Millis(200)).expect("usable");
@@ -163,9 +163,9 @@
 /// A gate with a long queue by its newest report is behind in turn only as far
 /// as the load goes: it is passed over now and then, not shunned by everybody.
 #[test]
-fn load_shifts_turns_without_shunning_a_gate() {
-    let mut seen = known(3);
-    seen.targets[0].load = heard(0, 12, 100);
+fn load_reduces_a_gates_share_of_tickets_only_slightly() {
+    let mut seen = view_with_reports(3);
+    seen.targets[0].load = received_load(0, 12, 100);
     let mut service = service(&seen);
     let mut loaded = 0;
     for _ in 0..300 {
--- a/crates/core/src/entry/ticket_choice.rs
+++ b/crates/core/src/entry/ticket_choice.rs
@@ -11,7 +11,7 @@
 /// Weight of one outstanding call against one ticket ahead.
 const LOAD_TIE_BREAK: f32 = 0.05;
 /// Reports older than this say nothing about being far over.
-const FAR_OVER_BELIEVED_MS: Millis = Millis(2_000);
+const FAR_OVER_MAX_AGE_MS: Millis = Millis(2_000);
 
 /// How willingly a gate is named; lower is preferred.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -58,14 +58,14 @@
 /// is older than a payment lasts.
 pub(crate) fn choose_in_turn(
     table: &TargetTable,
-    typical: &ServiceAverages,
+    averages: &ServiceAverages,
     slots: u32,
     now: Millis,
 ) -> Option<TargetIndex> {
     let mut best: Option<(Rank, f32, u32)> = None;
     for candidate in candidates(table, now) {
         let target = table.at(candidate.index);
-        let load = target.stats.load_ratio(typical, slots, now) * slots as f32;
+        let load = target.stats.load_ratio(averages, slots, now) * slots as f32;
         let value = target.tickets_ahead + load * LOAD_TIE_BREAK;
         if best.is_some_and(|(known, lowest, _)| {
             candidate.rank > known || (candidate.rank == known && value >= lowest)
@@ -103,10 +103,7 @@
 }
 
 fn is_far_over(target: &Target, now: Millis) -> bool {
-    target
-        .stats
-        .reported_ratio_within(FAR_OVER_BELIEVED_MS, now)
-        >= FAR_OVER_RATIO
+    target.stats.reported_ratio_within(FAR_OVER_MAX_AGE_MS, now) >= FAR_OVER_RATIO
 }
 
 /// The finaliser of MurmurHash3 over both: cheap, and every bit of the key
--- a/crates/core/src/gate.rs
+++ b/crates/core/src/gate.rs
@@ -180,7 +180,7 @@
     now: Millis,
     leaving: bool,
     /// The longest validity of tickets that any policy of this life allowed.
-    longest_ticket_ttl: Millis,
+    max_ticket_ttl: Millis,
     records: Records,
     queue: Queue,
     quarantine: Quarantine,
@@ -207,7 +207,7 @@
         Self {
             now,
             leaving: false,
-            longest_ticket_ttl: policy.ticket_ttl_ms,
+            max_ticket_ttl: policy.ticket_ttl_ms,
             records: Records::default(),
             queue: Queue::default(),
             quarantine: Quarantine::default(),
@@ -231,7 +231,7 @@
     /// limit may start some. Call [`Self::take_wakes`] afterwards.
     pub fn update(&mut self, policy: Arc<ServicePolicy>, now: Millis) {
         let now = self.advance(now);
-        self.longest_ticket_ttl = self.longest_ticket_ttl.max(policy.ticket_ttl_ms);
+        self.max_ticket_ttl = self.max_ticket_ttl.max(policy.ticket_ttl_ms);
         self.limit.update(&policy);
         self.policy = policy;
         self.pump(now);
@@ -275,7 +275,7 @@
     ) -> Vec<Wake> {
         let now = self.advance(now);
         if let Some(ended) = self.take_running(run, now) {
-            self.learn(&ended, &end, service_time_us, now);
+            self.record_end(&ended, &end, service_time_us, now);
             self.settle_ended(run, &ended, end);
         }
         self.pump(now);
@@ -291,7 +291,7 @@
     /// [`RunEnd::Cancelled`].
     pub fn abandon(&mut self, run: RunId, now: Millis) -> Vec<Wake> {
         let now = self.advance(now);
-        self.leave_held(run);
+        self.drop_caller(run);
         self.pump(now);
         self.take_wakes()
     }
@@ -303,7 +303,7 @@
         let now = self.advance(now);
         self.records.purge(now);
         self.own_suspects.tick(now);
-        self.refuse_hopeless(now);
+        self.refuse_late_calls(now);
         self.pump(now);
         self.take_wakes()
     }
@@ -368,7 +368,7 @@
 
     fn arrive_plain(&mut self, arrival: &Arrival<'_>, now: Millis) -> Verdict {
         match self.admit(arrival, now) {
-            Ok(admission) => self.enlist(arrival, admission, now),
+            Ok(admission) => self.register_call(arrival, admission, now),
             Err(refusal) => Verdict::Refuse(refusal),
         }
     }
--- a/crates/core/src/gate/admission.rs
+++ b/crates/core/src/gate/admission.rs
@@ -14,7 +14,7 @@
 const MAX_WAIT_SHARE: f64 = 0.5;
 /// A call is hopeless when less is left than this share of what is predicted.
 /// Predictions are averages, and half of all calls are faster than usual.
-const HOPELESS_SHARE: f64 = 0.5;
+const MIN_TIME_LEFT_SHARE: f64 = 0.5;
 
 const US_PER_MS: f64 = 1_000.0;
 
@@ -28,12 +28,12 @@
         if self.leaving {
             return Err(self.refusal(ResultCode::Leaving));
         }
-        match self.standing(arrival.fingerprint) {
+        match self.suspicion_level(arrival.fingerprint) {
             SuspicionLevel::Convicted => return Err(Self::convicted_refusal()),
             SuspicionLevel::Suspect => return self.admit_suspect(arrival, now),
             SuspicionLevel::Clear => {}
         }
-        if self.is_hopeless(arrival.class, arrival.deadline_at, 0.0, now) {
+        if self.will_miss_deadline(arrival.class, arrival.deadline_at, 0.0, now) {
             return Err(self.refusal(ResultCode::DeadlineTooShort));
         }
         if self.may_start(now) {
@@ -43,12 +43,12 @@
     }
 
     /// What is held against a fingerprint, here or in the fleet.
-    pub(super) fn standing(&self, fingerprint: u64) -> SuspicionLevel {
+    pub(super) fn suspicion_level(&self, fingerprint: u64) -> SuspicionLevel {
         if fingerprint == NO_FINGERPRINT {
             return SuspicionLevel::Clear;
         }
-        let heard = self.fleet_suspects.mark(fingerprint);
-        heard.max(self.own_suspects.mark(fingerprint)).standing
+        let fleet_mark = self.fleet_suspects.mark(fingerprint);
+        fleet_mark.max(self.own_suspects.mark(fingerprint)).standing
     }
 
     pub(super) const fn convicted_refusal() -> Refusal {
@@ -56,7 +56,7 @@
     }
 
     /// A refusal for want of room.
-    pub(super) fn overload(&mut self) -> Refusal {
+    pub(super) fn overload_refusal(&mut self) -> Refusal {
         self.backoff.note_refused();
         self.refusal(ResultCode::Overloaded)
     }
@@ -66,7 +66,7 @@
     /// An idle target takes every call whose deadline has not passed. Otherwise
     /// a target that was slow once would be refused all calls from then on, and
     /// nothing would ever show that it has recovered.
-    pub(super) fn is_hopeless(
+    pub(super) fn will_miss_deadline(
         &self,
         class: CallClass,
         deadline_at: Millis,
@@ -80,7 +80,7 @@
             return false;
         }
         let needed_us = wait_us + self.service_times.class_us(class);
-        left_us(deadline_at, now) < needed_us * HOPELESS_SHARE
+        left_us(deadline_at, now) < needed_us * MIN_TIME_LEFT_SHARE
     }
 
     /// Predicted wait behind `ahead` calls that wait already.
@@ -102,16 +102,16 @@
             .ahead(arrival.class, arrival.deadline_at, queue_limit);
         let wait_us = self.wait_us(ahead, now);
         if self.waits_too_long(arrival, wait_us, now) {
-            return Err(self.overload());
+            return Err(self.overload_refusal());
         }
         if self.queue.len() < queue_limit {
             return Ok(Admission::Queue);
         }
         let Some(displaced) = self.queue.displaceable(arrival.class) else {
-            return Err(self.overload());
+            return Err(self.overload_refusal());
         };
-        let refusal = self.overload();
-        self.refuse_held(displaced, refusal);
+        let refusal = self.overload_refusal();
+        self.refuse_waiting(displaced, refusal);
         Ok(Admission::Queue)
     }
 
@@ -133,7 +133,7 @@
             return Ok(Admission::RunAlone);
         }
         if !self.quarantine.has_room() {
-            return Err(self.overload());
+            return Err(self.overload_refusal());
         }
         Ok(Admission::Quarantine)
     }
--- a/crates/core/src/gate/crash.rs
+++ b/crates/core/src/gate/crash.rs
@@ -3,11 +3,11 @@
 use super::run::Run;
 use super::{Gate, Phase};
 use crate::prelude::*;
-use crate::suspects::{NO_FINGERPRINT, SuspicionLevel, SuspectEntry};
+use crate::suspects::{NO_FINGERPRINT, SuspectEntry, SuspicionLevel};
 
 /// How long a broken run counts as evidence of a crash that the driver has yet
 /// to report: it takes one refused connection to be sure.
-const EVIDENCE: Millis = Millis(250);
+const EVIDENCE_WINDOW: Millis = Millis(250);
 
 /// What a crash of the target has shown; for control, which tells the others.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
@@ -20,7 +20,7 @@
 
 /// A run whose connection broke.
 #[derive(Clone, Copy, Debug)]
-struct Broken {
+struct BrokenRun {
     fingerprint: u64,
     alone: bool,
     order: u64,
@@ -30,7 +30,7 @@
 /// Runs that broke of late, and the order of starts and breaks.
 #[derive(Debug, Default)]
 pub(super) struct CrashEvidence {
-    broken: Vec<Broken>,
+    broken: Vec<BrokenRun>,
     order: u64,
 }
 
@@ -47,7 +47,7 @@
             return;
         }
         let order = self.next_order();
-        self.broken.push(Broken {
+        self.broken.push(BrokenRun {
             fingerprint: run.fingerprint,
             alone: run.alone,
             order,
@@ -56,18 +56,19 @@
     }
 
     fn prune(&mut self, now: Millis) {
-        self.broken.retain(|broken| now.since(broken.at) < EVIDENCE);
+        self.broken
+            .retain(|broken| now.since(broken.at) < EVIDENCE_WINDOW);
     }
 }
 
 /// Calls in flight when the target crashed.
 #[derive(Default)]
-struct InFlight {
+struct CrashedCalls {
     fingerprints: Vec<u64>,
     calls: u32,
 }
 
-impl InFlight {
+impl CrashedCalls {
     fn add(&mut self, fingerprint: u64) {
         self.fingerprints.push(fingerprint);
         self.calls += 1;
@@ -89,8 +90,8 @@
         crashed.fingerprints.sort_unstable();
         crashed.fingerprints.dedup();
         for fingerprint in &crashed.fingerprints {
-            let heard = self.fleet_suspects.mark(*fingerprint);
-            self.own_suspects.raise(*fingerprint, heard, now);
+            let fleet_mark = self.fleet_suspects.mark(*fingerprint);
+            self.own_suspects.raise(*fingerprint, fleet_mark, now);
         }
         let alone = crashed.calls == 1;
         let entries = self
@@ -112,11 +113,13 @@
     /// it. An innocent one waits for an idle moment, runs, and is cleared.
     pub fn report_suspect(&mut self, fingerprint: u64, now: Millis) -> Option<SuspectEntry> {
         let now = self.advance(now);
-        if fingerprint == NO_FINGERPRINT || self.standing(fingerprint) != SuspicionLevel::Clear {
+        if fingerprint == NO_FINGERPRINT
+            || self.suspicion_level(fingerprint) != SuspicionLevel::Clear
+        {
             return None;
         }
-        let heard = self.fleet_suspects.mark(fingerprint);
-        self.own_suspects.raise(fingerprint, heard, now);
+        let fleet_mark = self.fleet_suspects.mark(fingerprint);
+        self.own_suspects.raise(fingerprint, fleet_mark, now);
         let entries = self.own_suspects.observe_crash(&[fingerprint], false, now);
         entries.into_iter().next()
     }
@@ -129,8 +132,8 @@
     }
 
     pub(super) fn clear_suspect(&mut self, fingerprint: u64, now: Millis) {
-        let heard = self.fleet_suspects.mark(fingerprint);
-        self.own_suspects.raise(fingerprint, heard, now);
+        let fleet_mark = self.fleet_suspects.mark(fingerprint);
+        self.own_suspects.raise(fingerprint, fleet_mark, now);
         if let Some(entry) = self.own_suspects.clear(fingerprint, now) {
             self.cleared.push(entry);
         }
@@ -142,11 +145,11 @@
     /// Without that rule, whatever is started between the break of a suspect
     /// that ran alone and the report of the crash would be suspected with it,
     /// and the suspect would never be convicted.
-    fn in_flight_at_crash(&mut self, now: Millis) -> InFlight {
+    fn in_flight_at_crash(&mut self, now: Millis) -> CrashedCalls {
         self.crash_evidence.prune(now);
         let broken = std::mem::take(&mut self.crash_evidence.broken);
         let last_break = broken.last().map_or(u64::MAX, |broken| broken.order);
-        let mut crashed = InFlight::default();
+        let mut crashed = CrashedCalls::default();
         for run in self.runs.values_mut() {
             if run.phase != Phase::Running || run.in_crash {
                 continue;
@@ -157,7 +160,7 @@
             }
         }
         if let Some(culprit) = broken.iter().find(|broken| broken.alone) {
-            crashed = InFlight::default();
+            crashed = CrashedCalls::default();
             crashed.add(culprit.fingerprint);
             return crashed;
         }
--- a/crates/core/src/gate/fence.rs
+++ b/crates/core/src/gate/fence.rs
@@ -17,16 +17,16 @@
     /// says "this attempt did not run" would be a guess.
     pub fn fence(&mut self, ticket: &Ticket, now: Millis) -> FenceAnswer {
         let now = self.advance(now);
-        if !self.is_mine(ticket) {
+        if !self.names_this_gate(ticket) {
             return refused(Refusal::fixed(ResultCode::GateLost));
         }
-        if self.is_far(ticket, now) && !self.records.covers(ticket) {
+        if self.has_excessive_expiry(ticket, now) && !self.records.covers(ticket) {
             return refused(Refusal::fixed(ResultCode::GateLost));
         }
-        if let Some(denial) = self.records.denial(ticket) {
-            return refused(denial);
+        if let Some(fenced_refusal) = self.records.fenced_refusal(ticket) {
+            return refused(fenced_refusal);
         }
-        let Some(record) = self.records.touch(ticket) else {
+        let Some(record) = self.records.find_and_extend(ticket) else {
             return self.fence_unknown(ticket, now);
         };
         match &record.state {
@@ -60,7 +60,7 @@
             return FenceAnswer::Running(id);
         }
         let refusal = Refusal::fixed(ResultCode::Fenced);
-        self.refuse_held(id, refusal);
+        self.refuse_waiting(id, refusal);
         refused(refusal)
     }
 }
--- a/crates/core/src/gate/limit.rs
+++ b/crates/core/src/gate/limit.rs
@@ -16,7 +16,7 @@
 /// noisy neighbour (5 to 50 ms) spoils the median of at most one.
 const SLOW_WINDOWS_TO_CUT: u32 = 2;
 /// Most that one window may cut.
-const DEEPEST_CUT: f64 = 0.9;
+const MIN_CUT_FACTOR: f64 = 0.9;
 /// Share of its limit that a window must have used for its slowness to be put
 /// down to concurrency.
 const BUSY_SHARE: f64 = 0.5;
@@ -24,9 +24,9 @@
 /// that has become slower for good.
 const BASELINE_DRIFT: f64 = 1.0 / 64.0;
 /// Depth of cuts at which it is checked whether they helped.
-const CUTS_TO_JUDGE: f64 = 0.7;
+const JUDGE_CUTS_AT_SHARE: f64 = 0.7;
 /// Share of the slowdown that must be gone by then.
-const HELPED: f64 = 0.85;
+const MAX_REMAINING_SLOWDOWN: f64 = 0.85;
 /// The limit never falls below this share of the slots.
 const FLOOR_SHARE: f64 = 0.25;
 /// Weight of one answer in the fast average that feeds the baseline.
@@ -60,7 +60,7 @@
 
 /// What the first of a series of cuts started from.
 #[derive(Clone, Copy, Debug)]
-struct CutFrom {
+struct FirstCut {
     limit: f64,
     slowdown: f64,
 }
@@ -73,7 +73,7 @@
     /// When the target got its first call, or the first one after a crash.
     first_call_at: Option<Millis>,
     limit: f64,
-    cut_from: Option<CutFrom>,
+    first_cut: Option<FirstCut>,
     baselines: [Baseline; CLASSES],
     window_started_at: Millis,
     /// Slowdowns of this window's answers.
@@ -91,7 +91,7 @@
             cold_ramp: policy.cold_ramp_ms,
             first_call_at: None,
             limit: f64::from(cap),
-            cut_from: None,
+            first_cut: None,
             baselines: [Baseline::default(); CLASSES],
             window_started_at: now,
             slowdowns: Vec::with_capacity(MAX_SAMPLES),
@@ -110,13 +110,13 @@
         }
         self.cap = cap;
         self.limit = f64::from(cap);
-        self.cut_from = None;
+        self.first_cut = None;
         self.slow_windows = 0;
     }
 
     /// The limit in force, at least 1.
     pub(super) fn current(&self, now: Millis) -> u32 {
-        let limit = self.limit.min(self.ramped(now));
+        let limit = self.limit.min(self.ramp_limit(now));
         (limit as u32).clamp(1, self.cap)
     }
 
@@ -169,24 +169,26 @@
         if self.slow_windows < SLOW_WINDOWS_TO_CUT {
             return;
         }
-        let from = *self.cut_from.get_or_insert(CutFrom {
+        let from = *self.first_cut.get_or_insert(FirstCut {
             limit: self.limit,
             slowdown,
         });
-        if self.limit <= from.limit * CUTS_TO_JUDGE && slowdown > from.slowdown * HELPED {
-            self.give_up_cutting(from);
+        if self.limit <= from.limit * JUDGE_CUTS_AT_SHARE
+            && slowdown > from.slowdown * MAX_REMAINING_SLOWDOWN
+        {
+            self.undo_cuts(from);
             return;
         }
-        let cut = (TOLERATED_SLOWDOWN / slowdown).max(DEEPEST_CUT);
+        let cut = (TOLERATED_SLOWDOWN / slowdown).max(MIN_CUT_FACTOR);
         self.limit = (self.limit * cut).max(self.floor());
     }
 
     /// Fewer calls at once did not make the target faster, so concurrency is
     /// not what slows it. Without this, a host that became slower for good
     /// would lose its throughput as well, and refuse what it could serve.
-    fn give_up_cutting(&mut self, from: CutFrom) {
+    fn undo_cuts(&mut self, from: FirstCut) {
         self.limit = from.limit;
-        self.cut_from = None;
+        self.first_cut = None;
         self.slow_windows = 0;
         for baseline in &mut self.baselines {
             baseline.low_us = baseline.fast_us;
@@ -197,7 +199,7 @@
         self.slow_windows = 0;
         let cap = f64::from(self.cap);
         if self.limit >= cap {
-            self.cut_from = None;
+            self.first_cut = None;
             return;
         }
         let was_used = f64::from(self.peak_in_flight) >= self.limit.floor();
@@ -211,7 +213,7 @@
     }
 
     /// The share of the slots that a cold target may use by now.
-    fn ramped(&self, now: Millis) -> f64 {
+    fn ramp_limit(&self, now: Millis) -> f64 {
         if self.cold_ramp == Millis::ZERO {
             return f64::from(self.cap);
         }
--- a/crates/core/src/gate/pump.rs
+++ b/crates/core/src/gate/pump.rs
@@ -1,6 +1,6 @@
 //! Hands out starts: the next call of the queue, or a suspect's turn.
 
-use super::queue::Place;
+use super::queue::QueuePosition;
 use super::run::Phase;
 use super::{Gate, RunId, Wake};
 use crate::prelude::*;
@@ -13,38 +13,38 @@
     /// of the process the queue is full of calls whose callers have long given
     /// up, and running them would only delay the living.
     pub(super) fn pump(&mut self, now: Millis) {
-        if let Some(run) = self.quarantine.end_overlong(now) {
-            self.share_again(run, now);
+        if let Some(run) = self.quarantine.end_overdue(now) {
+            self.resume_sharing(run, now);
         }
         while self.step(now) {}
     }
 
     /// Refuses held calls that cannot make their deadline any more.
-    pub(super) fn refuse_hopeless(&mut self, now: Millis) {
-        let mut hopeless = Vec::new();
+    pub(super) fn refuse_late_calls(&mut self, now: Millis) {
+        let mut late = Vec::new();
         let mut ahead = 0;
-        for place in self.queue.iter() {
-            let class = self.runs[&place.run].class;
+        for position in self.queue.iter() {
+            let class = self.runs[&position.run].class;
             let wait_us = self.wait_us(ahead, now);
-            if self.is_hopeless(class, place.deadline_at, wait_us, now) {
-                hopeless.push(place.run);
+            if self.will_miss_deadline(class, position.deadline_at, wait_us, now) {
+                late.push(position.run);
                 continue;
             }
             ahead += 1;
         }
-        for place in self.quarantine.iter() {
-            if now >= place.deadline_at {
-                hopeless.push(place.run);
+        for position in self.quarantine.iter() {
+            if now >= position.deadline_at {
+                late.push(position.run);
             }
         }
-        for run in hopeless {
-            self.refuse_late(run);
+        for run in late {
+            self.refuse_for_deadline(run);
         }
     }
 
     /// Puts a suspect where it waits for the target to itself.
-    pub(super) fn quarantine_held(&mut self, run: RunId, place: Place) {
-        self.quarantine.insert(place);
+    pub(super) fn quarantine_call(&mut self, run: RunId, position: QueuePosition) {
+        self.quarantine.insert(position);
         self.set_phase(run, Phase::Quarantined);
     }
 
@@ -59,79 +59,83 @@
         if self.in_flight >= self.limit.current(now) {
             return false;
         }
-        let Some(place) = self.queue.pop() else {
+        let Some(position) = self.queue.pop() else {
             return false;
         };
-        self.step_queued(place, now);
+        self.step_queued(position, now);
         true
     }
 
-    fn step_queued(&mut self, place: Place, now: Millis) {
-        let run = &self.runs[&place.run];
+    fn step_queued(&mut self, position: QueuePosition, now: Millis) {
+        let run = &self.runs[&position.run];
         let (class, fingerprint) = (run.class, run.fingerprint);
-        if self.is_hopeless(class, place.deadline_at, 0.0, now) {
-            return self.refuse_late(place.run);
+        if self.will_miss_deadline(class, position.deadline_at, 0.0, now) {
+            return self.refuse_for_deadline(position.run);
         }
-        match self.standing(fingerprint) {
-            SuspicionLevel::Clear => self.start_held(place.run, false, now),
-            SuspicionLevel::Convicted => self.refuse_held(place.run, Self::convicted_refusal()),
+        match self.suspicion_level(fingerprint) {
+            SuspicionLevel::Clear => self.start_waiting(position.run, false, now),
+            SuspicionLevel::Convicted => {
+                self.refuse_waiting(position.run, Self::convicted_refusal())
+            }
             SuspicionLevel::Suspect if self.quarantine.has_room() => {
-                self.quarantine_held(place.run, place);
+                self.quarantine_call(position.run, position);
             }
-            SuspicionLevel::Suspect => self.refuse_crowded(place.run),
+            SuspicionLevel::Suspect => self.refuse_for_overload(position.run),
         }
     }
 
     fn step_suspect(&mut self, now: Millis) -> bool {
-        let Some(place) = self.quarantine.first() else {
+        let Some(position) = self.quarantine.first() else {
             return false;
         };
-        let run = &self.runs[&place.run];
+        let run = &self.runs[&position.run];
         let (class, fingerprint) = (run.class, run.fingerprint);
-        if now >= place.deadline_at {
-            self.refuse_late(place.run);
+        if now >= position.deadline_at {
+            self.refuse_for_deadline(position.run);
             return true;
         }
-        match self.standing(fingerprint) {
-            SuspicionLevel::Convicted => self.refuse_held(place.run, Self::convicted_refusal()),
+        match self.suspicion_level(fingerprint) {
+            SuspicionLevel::Convicted => {
+                self.refuse_waiting(position.run, Self::convicted_refusal())
+            }
             SuspicionLevel::Clear => {
-                self.quarantine.remove(&place);
-                self.queue.insert(class, place);
-                self.set_phase(place.run, Phase::Queued);
+                self.quarantine.remove(&position);
+                self.queue.insert(class, position);
+                self.set_phase(position.run, Phase::Queued);
             }
             SuspicionLevel::Suspect if self.in_flight == 0 => {
-                self.quarantine.remove(&place);
-                self.start_held(place.run, true, now);
+                self.quarantine.remove(&position);
+                self.start_waiting(position.run, true, now);
             }
             SuspicionLevel::Suspect if self.quarantine.drain(now) => return false,
             SuspicionLevel::Suspect => {
-                self.refuse_crowded(place.run);
-                self.quarantine.owe(self.limit.current(now));
+                self.refuse_for_overload(position.run);
+                self.quarantine.reserve_starts(self.limit.current(now));
             }
         }
         true
     }
 
-    fn start_held(&mut self, run: RunId, alone: bool, now: Millis) {
+    fn start_waiting(&mut self, run: RunId, alone: bool, now: Millis) {
         self.mark_started(run, alone, now);
         self.wakes.push(Wake::Start(run));
     }
 
-    fn refuse_late(&mut self, run: RunId) {
+    fn refuse_for_deadline(&mut self, run: RunId) {
         let refusal = self.refusal(ResultCode::DeadlineTooShort);
-        self.refuse_held(run, refusal);
+        self.refuse_waiting(run, refusal);
     }
 
-    fn refuse_crowded(&mut self, run: RunId) {
-        let refusal = self.overload();
-        self.refuse_held(run, refusal);
+    fn refuse_for_overload(&mut self, run: RunId) {
+        let refusal = self.overload_refusal();
+        self.refuse_waiting(run, refusal);
     }
 
-    fn share_again(&mut self, run: RunId, now: Millis) {
+    fn resume_sharing(&mut self, run: RunId, now: Millis) {
         if let Some(run) = self.runs.get_mut(&run) {
             run.alone = false;
         }
-        self.quarantine.owe(self.limit.current(now));
+        self.quarantine.reserve_starts(self.limit.current(now));
     }
 
     fn set_phase(&mut self, run: RunId, phase: Phase) {
--- a/crates/core/src/gate/quarantine.rs
+++ b/crates/core/src/gate/quarantine.rs
@@ -4,11 +4,11 @@
 use std::collections::BTreeSet;
 
 use super::RunId;
-use super::queue::Place;
+use super::queue::QueuePosition;
 use crate::prelude::*;
 
 /// Suspects that may wait at one gate.
-const MAX_HELD: usize = 16;
+const MAX_WAITING: usize = 16;
 
 /// Longest time for which a suspect keeps the target to itself. One that hangs
 /// must not take the target from everyone else.
@@ -28,26 +28,26 @@
 /// Suspects that wait or run.
 #[derive(Debug, Default)]
 pub(super) struct Quarantine {
-    held: BTreeSet<Place>,
+    waiting: BTreeSet<QueuePosition>,
     alone: Option<Alone>,
     /// While set, nothing starts until the target is empty.
     drain_until: Option<Millis>,
     /// Innocent calls to be started before the next suspect.
-    owed: u32,
+    reserved_starts: u32,
 }
 
 impl Quarantine {
     pub(super) fn len(&self) -> usize {
-        self.held.len()
+        self.waiting.len()
     }
 
     pub(super) fn has_room(&self) -> bool {
-        self.held.len() < MAX_HELD
+        self.waiting.len() < MAX_WAITING
     }
 
     /// No suspect waits or runs alone.
     pub(super) fn is_idle(&self) -> bool {
-        self.held.is_empty() && self.alone.is_none()
+        self.waiting.is_empty() && self.alone.is_none()
     }
 
     /// Whether nothing may be started now.
@@ -59,30 +59,30 @@
         self.alone.is_some()
     }
 
-    pub(super) fn insert(&mut self, place: Place) {
-        self.held.insert(place);
+    pub(super) fn insert(&mut self, position: QueuePosition) {
+        self.waiting.insert(position);
     }
 
-    pub(super) fn remove(&mut self, place: &Place) {
-        self.held.remove(place);
-        if self.held.is_empty() {
+    pub(super) fn remove(&mut self, position: &QueuePosition) {
+        self.waiting.remove(position);
+        if self.waiting.is_empty() {
             self.drain_until = None;
         }
     }
 
-    pub(super) fn first(&self) -> Option<Place> {
-        self.held.first().copied()
+    pub(super) fn first(&self) -> Option<QueuePosition> {
+        self.waiting.first().copied()
     }
 
-    pub(super) fn iter(&self) -> impl Iterator<Item = &Place> {
-        self.held.iter()
+    pub(super) fn iter(&self) -> impl Iterator<Item = &QueuePosition> {
+        self.waiting.iter()
     }
 
     /// Whether the next turn is a suspect's. A drain once begun is not broken
     /// off by innocents that arrive meanwhile.
-    pub(super) fn is_turn(&self, no_innocent_waits: bool) -> bool {
-        let is_due = self.owed == 0 || no_innocent_waits || self.drain_until.is_some();
-        !self.held.is_empty() && is_due
+    pub(super) fn is_turn(&self, is_queue_empty: bool) -> bool {
+        let is_due = self.reserved_starts == 0 || is_queue_empty || self.drain_until.is_some();
+        !self.waiting.is_empty() && is_due
     }
 
     /// Holds others back until the target is empty; false when that has taken
@@ -93,9 +93,9 @@
     }
 
     /// Ends a suspect's turn: the next so many starts are for the innocent.
-    pub(super) const fn owe(&mut self, innocents: u32) {
+    pub(super) const fn reserve_starts(&mut self, starts: u32) {
         self.drain_until = None;
-        self.owed = innocents;
+        self.reserved_starts = starts;
     }
 
     pub(super) fn begin_alone(&mut self, run: RunId, now: Millis) {
@@ -106,21 +106,21 @@
 
     /// Ends the turn of the suspect that runs alone; the next so many starts
     /// are for the innocent.
-    pub(super) fn end_alone(&mut self, run: RunId, innocents: u32) {
+    pub(super) fn end_alone(&mut self, run: RunId, starts: u32) {
         if self.alone.is_some_and(|alone| alone.run == run) {
             self.alone = None;
-            self.owe(innocents);
+            self.reserve_starts(starts);
         }
     }
 
     /// Ends the time of a suspect that has kept the target too long.
-    pub(super) fn end_overlong(&mut self, now: Millis) -> Option<RunId> {
+    pub(super) fn end_overdue(&mut self, now: Millis) -> Option<RunId> {
         let alone = self.alone.filter(|alone| alone.until <= now)?;
         self.alone = None;
         Some(alone.run)
     }
 
-    pub(super) const fn note_innocent_start(&mut self) {
-        self.owed = self.owed.saturating_sub(1);
+    pub(super) const fn count_regular_start(&mut self) {
+        self.reserved_starts = self.reserved_starts.saturating_sub(1);
     }
 }
--- a/crates/core/src/gate/queue.rs
+++ b/crates/core/src/gate/queue.rs
@@ -16,7 +16,7 @@
 
 /// Where a call stands within its class.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(super) struct Place {
+pub(super) struct QueuePosition {
     pub(super) deadline_at: Millis,
     /// Grows with arrival, so it keeps equal deadlines in order.
     pub(super) run: RunId,
@@ -25,7 +25,7 @@
 /// Calls that wait for a slot.
 #[derive(Debug, Default)]
 pub(super) struct Queue {
-    by_class: [BTreeSet<Place>; CLASSES],
+    by_class: [BTreeSet<QueuePosition>; CLASSES],
     len: usize,
     taken: u32,
     fair_class: usize,
@@ -40,16 +40,16 @@
         self.len == 0
     }
 
-    pub(super) fn insert(&mut self, class: CallClass, place: Place) {
-        self.len += usize::from(self.by_class[rank(class)].insert(place));
+    pub(super) fn insert(&mut self, class: CallClass, position: QueuePosition) {
+        self.len += usize::from(self.by_class[rank(class)].insert(position));
     }
 
-    pub(super) fn remove(&mut self, class: CallClass, place: &Place) {
-        self.len -= usize::from(self.by_class[rank(class)].remove(place));
+    pub(super) fn remove(&mut self, class: CallClass, position: &QueuePosition) {
+        self.len -= usize::from(self.by_class[rank(class)].remove(position));
     }
 
     /// Takes the call to serve next.
-    pub(super) fn pop(&mut self) -> Option<Place> {
+    pub(super) fn pop(&mut self) -> Option<QueuePosition> {
         if self.is_empty() {
             return None;
         }
@@ -57,12 +57,12 @@
         if self.taken.is_multiple_of(FAIR_TURN_EVERY) {
             return self.pop_fair();
         }
-        for places in &mut self.by_class {
-            let Some(place) = places.pop_first() else {
+        for positions in &mut self.by_class {
+            let Some(position) = positions.pop_first() else {
                 continue;
             };
             self.len -= 1;
-            return Some(place);
+            return Some(position);
         }
         None
     }
@@ -71,10 +71,10 @@
     /// `enough`, so an arrival costs no more in a long queue than in a short.
     pub(super) fn ahead(&self, class: CallClass, deadline_at: Millis, enough: usize) -> usize {
         let mut ahead = 0;
-        for places in &self.by_class[..rank(class)] {
-            ahead += places.len();
+        for positions in &self.by_class[..rank(class)] {
+            ahead += positions.len();
         }
-        let newcomer = Place {
+        let newcomer = QueuePosition {
             deadline_at,
             run: RunId(u64::MAX),
         };
@@ -94,29 +94,29 @@
     /// load of better classes would push each call of the class out before its
     /// fair turn came, and the class would starve in spite of it.
     pub(super) fn displaceable(&self, class: CallClass) -> Option<RunId> {
-        for places in self.by_class[rank(class) + 1..].iter().rev() {
-            if places.len() < 2 {
+        for positions in self.by_class[rank(class) + 1..].iter().rev() {
+            if positions.len() < 2 {
                 continue;
             }
-            return places.last().map(|place| place.run);
+            return positions.last().map(|position| position.run);
         }
         None
     }
 
     /// All waiting calls in the order in which they are served, but for fair
     /// turns.
-    pub(super) fn iter(&self) -> impl Iterator<Item = &Place> {
+    pub(super) fn iter(&self) -> impl Iterator<Item = &QueuePosition> {
         self.by_class.iter().flatten()
     }
 
-    fn pop_fair(&mut self) -> Option<Place> {
+    fn pop_fair(&mut self) -> Option<QueuePosition> {
         for _ in 0..CLASSES {
             self.fair_class = (self.fair_class + 1) % CLASSES;
-            let Some(place) = self.by_class[self.fair_class].pop_first() else {
+            let Some(position) = self.by_class[self.fair_class].pop_first() else {
                 continue;
             };
             self.len -= 1;
-            return Some(place);
+            return Some(position);
         }
         None
     }
--- a/crates/core/src/gate/records.rs
+++ b/crates/core/src/gate/records.rs
@@ -26,7 +26,7 @@
 /// Fenced tickets with an absurdly distant expiry that one life of a gate
 /// remembers. They hold their record for so long that they need a bound of
 /// their own.
-const MAX_FAR_FENCES: u32 = 64;
+const MAX_EXCESSIVE_EXPIRY_FENCES: u32 = 64;
 
 /// What is known about a key.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -74,7 +74,7 @@
     due: BinaryHeap<Reverse<Due>>,
     floor: Option<Millis>,
     fenced: usize,
-    far_fences: u32,
+    excessive_expiry_fences: u32,
     stored_bytes: u64,
 }
 
@@ -89,7 +89,7 @@
     /// its own record may have been forgotten, and the key may have been given
     /// a second ticket since. Answering "fenced" for the second would deny a
     /// run under the first.
-    pub(super) fn touch(&mut self, ticket: &Ticket) -> Option<&Record> {
+    pub(super) fn find_and_extend(&mut self, ticket: &Ticket) -> Option<&Record> {
         let record = self.by_key.get_mut(&ticket.key)?;
         if ticket.expires_at <= record.created_at {
             return None;
@@ -106,7 +106,7 @@
     /// ticket has expired: an overload of seconds would lock the call out for
     /// minutes. Expiry tells the two apart, because a gate's clock only goes
     /// up. The old ticket stays denied also while the new one runs.
-    pub(super) fn denial(&self, ticket: &Ticket) -> Option<Refusal> {
+    pub(super) fn fenced_refusal(&self, ticket: &Ticket) -> Option<Refusal> {
         let record = self.by_key.get(&ticket.key)?;
         if ticket.expires_at <= record.created_at {
             return None;
@@ -152,11 +152,11 @@
     }
 
     /// Spends one of the few records for tickets that expire absurdly late.
-    pub(super) fn take_far_fence(&mut self) -> bool {
-        if self.far_fences >= MAX_FAR_FENCES {
+    pub(super) fn take_excessive_expiry_fence(&mut self) -> bool {
+        if self.excessive_expiry_fences >= MAX_EXCESSIVE_EXPIRY_FENCES {
             return false;
         }
-        self.far_fences += 1;
+        self.excessive_expiry_fences += 1;
         true
     }
 
@@ -171,8 +171,8 @@
     ) {
         let fenced_through = is_fenced(&state).then_some(ticket.expires_at);
         self.fenced += usize::from(is_fenced(&state));
-        let place = match self.by_key.entry(ticket.key) {
-            Entry::Vacant(place) => place,
+        let vacant = match self.by_key.entry(ticket.key) {
+            Entry::Vacant(vacant) => vacant,
             Entry::Occupied(mut known) => {
                 let record = known.get_mut();
                 assert!(
@@ -187,7 +187,7 @@
                 return;
             }
         };
-        place.insert(Record {
+        vacant.insert(Record {
             digest,
             expires_at: ticket.expires_at,
             created_at: now,
@@ -224,9 +224,9 @@
             let Some(Reverse(due)) = self.due.pop() else {
                 return;
             };
-            match self.next_look(due.key, now) {
+            match self.next_check_at(due.key, now) {
                 Some(at) => self.due.push(Reverse(Due { at, key: due.key })),
-                None => self.forget(due.key),
+                None => self.remove(due.key),
             }
         }
     }
@@ -246,7 +246,7 @@
         self.by_key.len()
     }
 
-    fn next_look(&self, key: CallKey, now: Millis) -> Option<Millis> {
+    fn next_check_at(&self, key: CallKey, now: Millis) -> Option<Millis> {
         let record = self.by_key.get(&key)?;
         if record.expires_at > now {
             return Some(record.expires_at);
@@ -257,7 +257,7 @@
         }
     }
 
-    fn forget(&mut self, key: CallKey) {
+    fn remove(&mut self, key: CallKey) {
         let Some(record) = self.by_key.remove(&key) else {
             return;
         };
--- a/crates/core/src/gate/run.rs
+++ b/crates/core/src/gate/run.rs
@@ -1,6 +1,6 @@
 //! Calls in hand: from admission to their end.
 
-use super::queue::Place;
+use super::queue::QueuePosition;
 use super::records::{RecordState, size_bytes};
 use super::{Arrival, Gate, RunEnd, RunId, Settlement, Verdict, Wake};
 use crate::prelude::*;
@@ -36,8 +36,8 @@
 }
 
 impl Run {
-    pub(super) const fn place(&self, id: RunId) -> Place {
-        Place {
+    pub(super) const fn position(&self, id: RunId) -> QueuePosition {
+        QueuePosition {
             deadline_at: self.deadline_at,
             run: id,
         }
@@ -54,12 +54,12 @@
 }
 
 /// What the end of a ticketed run leaves behind.
-struct Ending {
+struct RunOutcome {
     state: RecordState,
     settlement: Settlement,
 }
 
-impl Ending {
+impl RunOutcome {
     fn fenced(refusal: Refusal) -> Self {
         Self {
             state: RecordState::Fenced {
@@ -72,7 +72,7 @@
 
 impl Gate {
     /// Takes an admitted call in hand.
-    pub(super) fn enlist(
+    pub(super) fn register_call(
         &mut self,
         arrival: &Arrival<'_>,
         admission: Admission,
@@ -92,13 +92,13 @@
             started: 0,
             in_crash: false,
         };
-        let place = run.place(id);
+        let position = run.position(id);
         self.runs.insert(id, run);
         match admission {
             Admission::Run => self.mark_started(id, false, now),
             Admission::RunAlone => self.mark_started(id, true, now),
-            Admission::Queue => self.queue.insert(arrival.class, place),
-            Admission::Quarantine => self.quarantine_held(id, place),
+            Admission::Queue => self.queue.insert(arrival.class, position),
+            Admission::Quarantine => self.quarantine_call(id, position),
         }
         match admission {
             Admission::Run | Admission::RunAlone => Verdict::Run(id),
@@ -119,7 +119,7 @@
         if alone {
             self.quarantine.begin_alone(id, now);
         } else {
-            self.quarantine.note_innocent_start();
+            self.quarantine.count_regular_start();
         }
     }
 
@@ -135,16 +135,16 @@
     }
 
     /// Removes a call that was not started; it ends with this refusal.
-    pub(super) fn refuse_held(&mut self, id: RunId, refusal: Refusal) {
-        let Some(run) = self.take_held(id) else {
+    pub(super) fn refuse_waiting(&mut self, id: RunId, refusal: Refusal) {
+        let Some(run) = self.remove_waiting(id) else {
             return;
         };
         self.wakes.push(Wake::Refuse(id, refusal));
-        self.settle_ticketed(id, &run, Ending::fenced(refusal));
+        self.settle_ticketed(id, &run, RunOutcome::fenced(refusal));
     }
 
     /// One caller of a held call has left.
-    pub(super) fn leave_held(&mut self, id: RunId) {
+    pub(super) fn drop_caller(&mut self, id: RunId) {
         let Some(run) = self.runs.get_mut(&id) else {
             return;
         };
@@ -155,15 +155,21 @@
         if run.callers > 0 {
             return;
         }
-        let Some(run) = self.take_held(id) else {
+        let Some(run) = self.remove_waiting(id) else {
             return;
         };
-        let fenced = Ending::fenced(Refusal::fixed(ResultCode::Fenced));
+        let fenced = RunOutcome::fenced(Refusal::fixed(ResultCode::Fenced));
         self.settle_ticketed(id, &run, fenced);
     }
 
     /// Draws the lesson from a run for limits, times and suspicion.
-    pub(super) fn learn(&mut self, run: &Run, end: &RunEnd, service_time_us: u32, now: Millis) {
+    pub(super) fn record_end(
+        &mut self,
+        run: &Run,
+        end: &RunEnd,
+        service_time_us: u32,
+        now: Millis,
+    ) {
         match end {
             RunEnd::Answered { failed, .. } => {
                 if run.alone {
@@ -184,13 +190,13 @@
         if run.key.is_none() {
             return;
         }
-        let ending = self.ending(end);
-        self.settle_ticketed(id, run, ending);
+        let outcome = self.outcome(end);
+        self.settle_ticketed(id, run, outcome);
     }
 
-    fn ending(&mut self, end: RunEnd) -> Ending {
+    fn outcome(&mut self, end: RunEnd) -> RunOutcome {
         match end {
-            RunEnd::Answered { answer: None, .. } => Ending {
+            RunEnd::Answered { answer: None, .. } => RunOutcome {
                 state: RecordState::AnswerNotKept,
                 settlement: Settlement::Refused(Refusal::fixed(ResultCode::AnswerNotKept)),
             },
@@ -204,35 +210,35 @@
                 } else {
                     RecordState::Answered(answer.clone())
                 };
-                Ending {
+                RunOutcome {
                     state,
                     settlement: Settlement::Answered(answer),
                 }
             }
-            RunEnd::NotRun => Ending::fenced(self.refusal(ResultCode::Overloaded)),
-            RunEnd::Unreachable => Ending::fenced(self.refusal(ResultCode::NoTarget)),
-            RunEnd::Broken | RunEnd::Cancelled => Ending {
+            RunEnd::NotRun => RunOutcome::fenced(self.refusal(ResultCode::Overloaded)),
+            RunEnd::Unreachable => RunOutcome::fenced(self.refusal(ResultCode::NoTarget)),
+            RunEnd::Broken | RunEnd::Cancelled => RunOutcome {
                 state: RecordState::Unknown,
                 settlement: Settlement::Refused(Refusal::fixed(ResultCode::RunBroken)),
             },
         }
     }
 
-    fn settle_ticketed(&mut self, id: RunId, run: &Run, ending: Ending) {
+    fn settle_ticketed(&mut self, id: RunId, run: &Run, outcome: RunOutcome) {
         let Some(key) = run.key else {
             return;
         };
         let max_bytes = self.settings.max_stored_bytes;
-        self.records.settle(key, ending.state, max_bytes);
-        self.wakes.push(Wake::Settled(id, ending.settlement));
+        self.records.settle(key, outcome.state, max_bytes);
+        self.wakes.push(Wake::Settled(id, outcome.settlement));
     }
 
-    fn take_held(&mut self, id: RunId) -> Option<Run> {
-        let place = self.runs.get(&id)?.place(id);
+    fn remove_waiting(&mut self, id: RunId) -> Option<Run> {
+        let position = self.runs.get(&id)?.position(id);
         match self.runs.get(&id)?.phase {
             Phase::Running => return None,
-            Phase::Queued => self.queue.remove(self.runs[&id].class, &place),
-            Phase::Quarantined => self.quarantine.remove(&place),
+            Phase::Queued => self.queue.remove(self.runs[&id].class, &position),
+            Phase::Quarantined => self.quarantine.remove(&position),
         }
         self.runs.remove(&id)
     }
--- a/crates/core/src/gate/tests.rs
+++ b/crates/core/src/gate/tests.rs
@@ -9,7 +9,7 @@
 mod crash;
 mod interleavings;
 
-const LIFE: Incarnation = Incarnation(7);
+const INCARNATION: Incarnation = Incarnation(7);
 const TICKET_TTL_MS: u64 = 120_000;
 const FAR_MS: u64 = 60_000;
 
@@ -55,14 +55,14 @@
 }
 
 fn gate(policy: &ServicePolicy) -> Gate {
-    gate_of("vm-1", LIFE, policy)
+    gate_of("vm-1", INCARNATION, policy)
 }
 
 fn ticket(key: u128, expires_at_ms: u64) -> Ticket {
     Ticket {
         service: ServiceName::new("cashier"),
         gate: VmId::new("vm-1"),
-        incarnation: LIFE,
+        incarnation: INCARNATION,
         key: CallKey(key),
         expires_at: Millis(expires_at_ms),
     }
@@ -78,7 +78,7 @@
     }
 }
 
-fn under(ticket: &Ticket) -> Arrival<'_> {
+fn with_ticket(ticket: &Ticket) -> Arrival<'_> {
     Arrival {
         ticket: Some(ticket),
         digest: 42,
--- a/crates/core/src/gate/tests/admission.rs
+++ b/crates/core/src/gate/tests/admission.rs
@@ -5,7 +5,7 @@
 
 use super::*;
 
-fn roomy() -> ServicePolicy {
+fn roomy_policy() -> ServicePolicy {
     ServicePolicy {
         slots: 12,
         queue_limit: 100,
@@ -22,11 +22,11 @@
 
 #[test]
 fn queue_goes_by_class_then_deadline() {
-    let mut gate = gate(&roomy());
+    let mut gate = gate(&roomy_policy());
     gate.update(
         Arc::new(ServicePolicy {
             slots: 1,
-            ..roomy()
+            ..roomy_policy()
         }),
         Millis(0),
     );
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn better_class_displaces_the_worst_of_a_lower_one() {
+fn higher_class_displaces_the_last_of_a_lower_one() {
     // The queue is full of background work when a payment arrives. The last of
     // the background calls is refused at once, with a time to come back, and
     // the only one left of its class keeps its place.
@@ -118,7 +118,7 @@
 }
 
 #[test]
-fn failing_fast_is_not_taken_for_fast() {
+fn fast_failures_do_not_count_as_fast_service() {
     // A sick target answers 500 in no time. If that counted as service time,
     // its gate would look like the fastest of all and draw all the load.
     let mut gate = gate(&policy());
@@ -138,7 +138,7 @@
 fn cold_target_ramps_and_ramps_again_after_a_crash() {
     let mut gate = gate(&ServicePolicy {
         cold_ramp_ms: Millis(10_000),
-        ..roomy()
+        ..roomy_policy()
     });
     let limit = |gate: &Gate, now| gate.load(Millis(now)).limit;
     assert_eq!(limit(&gate, 60_000), 3);
@@ -159,14 +159,14 @@
     gate.set_leaving(true);
     assert!(gate.load(Millis(0)).leaving);
     let ticket = ticket(1, TICKET_TTL_MS);
-    let verdict = gate.arrive(&under(&ticket), Millis(1));
+    let verdict = gate.arrive(&with_ticket(&ticket), Millis(1));
     assert_eq!(code_of(verdict), ResultCode::Leaving);
     let wakes = gate.finish(running, answered_plain(), 100, Millis(2));
     assert_eq!(wakes, [Wake::Start(waiting)]);
     gate.finish(waiting, answered_plain(), 100, Millis(3));
     assert_eq!(gate.active_calls(), 0);
     gate.set_leaving(false);
-    let late = gate.arrive(&under(&ticket), Millis(4));
+    let late = gate.arrive(&with_ticket(&ticket), Millis(4));
     assert_eq!(code_of(late), ResultCode::Fenced);
 }
 
@@ -177,7 +177,7 @@
     late: u32,
     refused: u32,
     background_in_time: u32,
-    longest_stay_ms: u64,
+    max_time_in_gate_ms: u64,
     lowest_limit: u32,
     retry_after_ms: Vec<u64>,
 }
@@ -189,12 +189,12 @@
 /// background work.
 fn offer(per_s: u64, span_ms: u64, background_every: u64, service_ms: Service) -> Outcome {
     const DEADLINE_MS: u64 = 1_000;
-    let mut gate = gate(&roomy());
+    let mut gate = gate(&roomy_policy());
     let mut outcome = Outcome {
         lowest_limit: u32::MAX,
         ..Outcome::default()
     };
-    let mut came: HashMap<RunId, (u64, CallClass)> = HashMap::new();
+    let mut arrivals: HashMap<RunId, (u64, CallClass)> = HashMap::new();
     let mut ends = BinaryHeap::new();
     let mut sent = 0;
     for now in 0..span_ms {
@@ -208,11 +208,11 @@
             let verdict = gate.arrive(&of_class(class, now + DEADLINE_MS), Millis(now));
             match verdict {
                 Verdict::Run(run) => {
-                    came.insert(run, (now, class));
+                    arrivals.insert(run, (now, class));
                     starts.push(run);
                 }
                 Verdict::Wait(run) => {
-                    came.insert(run, (now, class));
+                    arrivals.insert(run, (now, class));
                 }
                 Verdict::Refuse(refusal) => {
                     outcome.refused += 1;
@@ -230,9 +230,9 @@
             ends.pop();
             let took_us = (now - started) as u32 * 1_000;
             wakes.extend(gate.finish(run, answered_plain(), took_us, Millis(now)));
-            let (came_at, class) = came.remove(&run).expect("a run that came");
-            outcome.longest_stay_ms = outcome.longest_stay_ms.max(now - came_at);
-            if now >= came_at + DEADLINE_MS {
+            let (arrived_at, class) = arrivals.remove(&run).expect("a run that came");
+            outcome.max_time_in_gate_ms = outcome.max_time_in_gate_ms.max(now - arrived_at);
+            if now >= arrived_at + DEADLINE_MS {
                 outcome.late += 1;
                 continue;
             }
@@ -265,7 +265,11 @@
     let over = offer(1_200, 10_000, u64::MAX, |_, _| 20);
     assert!(over.in_time * 100 >= peak.in_time * 97, "{over:?} {peak:?}");
     assert_eq!(over.late, 0);
-    assert!(over.longest_stay_ms <= 90, "{}", over.longest_stay_ms);
+    assert!(
+        over.max_time_in_gate_ms <= 90,
+        "{}",
+        over.max_time_in_gate_ms
+    );
 }
 
 #[test]
--- a/crates/core/src/gate/tests/at_most_once.rs
+++ b/crates/core/src/gate/tests/at_most_once.rs
@@ -12,15 +12,21 @@
     let mut gate = gate(&policy());
     let first = run_of(gate.arrive(&plain(FAR_MS), Millis(1)));
     let ticket = ticket(1, END);
-    let run = run_of(gate.arrive(&under(&ticket), Millis(2)));
-    assert_eq!(gate.arrive(&under(&ticket), Millis(3)), Verdict::Join(run));
+    let run = run_of(gate.arrive(&with_ticket(&ticket), Millis(2)));
+    assert_eq!(
+        gate.arrive(&with_ticket(&ticket), Millis(3)),
+        Verdict::Join(run)
+    );
     let wakes = gate.finish(first, answered_plain(), 1_000, Millis(4));
     assert_eq!(wakes, [Wake::Start(run)]);
-    assert_eq!(gate.arrive(&under(&ticket), Millis(5)), Verdict::Join(run));
+    assert_eq!(
+        gate.arrive(&with_ticket(&ticket), Millis(5)),
+        Verdict::Join(run)
+    );
     let wakes = gate.finish(run, answered(10), 1_000, Millis(6));
     let answer = Settlement::Answered(stored(10));
     assert_eq!(wakes, [Wake::Settled(run, answer)]);
-    let replay = gate.arrive(&under(&ticket), Millis(7));
+    let replay = gate.arrive(&with_ticket(&ticket), Millis(7));
     assert_eq!(replay, Verdict::Replay(stored(10)));
     assert_eq!(gate.active_calls(), 0);
 }
@@ -34,7 +40,7 @@
     let running = run_of(gate.arrive(&plain(FAR_MS), Millis(1)));
     let waiting = [2, 3].map(|now| run_of(gate.arrive(&plain(FAR_MS), Millis(now))));
     let ticket = ticket(1, END);
-    let Verdict::Refuse(refusal) = gate.arrive(&under(&ticket), Millis(4)) else {
+    let Verdict::Refuse(refusal) = gate.arrive(&with_ticket(&ticket), Millis(4)) else {
         panic!("a full gate must refuse");
     };
     assert_eq!(refusal.code, ResultCode::Overloaded);
@@ -46,7 +52,7 @@
         code: ResultCode::Fenced,
         ..refusal
     };
-    let late = gate.arrive(&under(&ticket), Millis(6));
+    let late = gate.arrive(&with_ticket(&ticket), Millis(6));
     assert_eq!(late, Verdict::Refuse(fenced));
 }
 
@@ -59,19 +65,19 @@
     let ticket = ticket(1, END);
     let asked = gate.fence(&ticket, Millis(1));
     assert_eq!(fence_code(asked), ResultCode::Fenced);
-    let late = gate.arrive(&under(&ticket), Millis(2));
+    let late = gate.arrive(&with_ticket(&ticket), Millis(2));
     assert_eq!(code_of(late), ResultCode::Fenced);
 }
 
 #[test]
-fn fence_of_a_waiting_call_tells_all_who_wait() {
+fn fence_of_a_waiting_call_notifies_every_caller() {
     // The call waits, another send has joined it, and a third party asks. All
     // of them must hear "not run", and no start may follow.
     let mut gate = gate(&policy());
     let first = run_of(gate.arrive(&plain(FAR_MS), Millis(1)));
     let ticket = ticket(1, END);
-    let run = run_of(gate.arrive(&under(&ticket), Millis(2)));
-    gate.arrive(&under(&ticket), Millis(3));
+    let run = run_of(gate.arrive(&with_ticket(&ticket), Millis(2)));
+    gate.arrive(&with_ticket(&ticket), Millis(3));
     let asked = gate.fence(&ticket, Millis(4));
     assert_eq!(fence_code(asked), ResultCode::Fenced);
     let wakes = gate.take_wakes();
@@ -87,7 +93,7 @@
     // the answer is the run, and its end follows.
     let mut gate = gate(&policy());
     let ticket = ticket(1, END);
-    let run = run_of(gate.arrive(&under(&ticket), Millis(1)));
+    let run = run_of(gate.arrive(&with_ticket(&ticket), Millis(1)));
     let asked = gate.fence(&ticket, Millis(2));
     assert_eq!(asked, FenceAnswer::Running(run));
     let wakes = gate.finish(run, RunEnd::Broken, 1_000, Millis(3));
@@ -104,9 +110,9 @@
     let mut gate = gate(&policy());
     for (key, end) in [(1, RunEnd::Broken), (2, RunEnd::Cancelled)] {
         let ticket = ticket(key, END);
-        let run = run_of(gate.arrive(&under(&ticket), Millis(1)));
+        let run = run_of(gate.arrive(&with_ticket(&ticket), Millis(1)));
         gate.finish(run, end, 1_000, Millis(2));
-        let again = gate.arrive(&under(&ticket), Millis(3));
+        let again = gate.arrive(&with_ticket(&ticket), Millis(3));
         assert_eq!(code_of(again), ResultCode::RunBroken);
     }
 }
@@ -122,17 +128,17 @@
     ];
     for (key, end, code) in ends {
         let ticket = ticket(key, END);
-        let run = run_of(gate.arrive(&under(&ticket), Millis(1)));
-        gate.arrive(&under(&ticket), Millis(1));
+        let run = run_of(gate.arrive(&with_ticket(&ticket), Millis(1)));
+        gate.arrive(&with_ticket(&ticket), Millis(1));
         let wakes = gate.finish(run, end, 1_000, Millis(2));
         assert!(settled(run, code, &wakes), "{wakes:?}");
-        let again = gate.arrive(&under(&ticket), Millis(3));
+        let again = gate.arrive(&with_ticket(&ticket), Millis(3));
         assert_eq!(code_of(again), ResultCode::Fenced);
     }
 }
 
 #[test]
-fn paused_process_starts_nothing_stale() {
+fn process_pause_does_not_start_expired_calls() {
     // The process is stopped for a minute while calls wait, and wakes with the
     // end of a run in hand. The callers have given up long ago; starting their
     // payments now would surprise everyone.
@@ -141,7 +147,7 @@
     let ticket = ticket(1, END);
     let arrival = Arrival {
         deadline_at: Millis(500),
-        ..under(&ticket)
+        ..with_ticket(&ticket)
     };
     let waiting = run_of(gate.arrive(&arrival, Millis(2)));
     let wakes = gate.finish(first, answered_plain(), 1_000, Millis(60_000));
@@ -149,7 +155,7 @@
     assert!(!wakes.contains(&Wake::Start(waiting)), "{wakes:?}");
     assert!(refused(waiting, code, &wakes), "{wakes:?}");
     assert!(settled(waiting, code, &wakes), "{wakes:?}");
-    let again = gate.arrive(&under(&ticket), Millis(60_001));
+    let again = gate.arrive(&with_ticket(&ticket), Millis(60_001));
     assert_eq!(code_of(again), ResultCode::Fenced);
 }
 
@@ -160,22 +166,22 @@
     // its own old time the ticket is valid and unknown.
     let mut gate = gate(&policy());
     let ticket = ticket(1, 1_000);
-    let run = run_of(gate.arrive(&under(&ticket), Millis(1)));
+    let run = run_of(gate.arrive(&with_ticket(&ticket), Millis(1)));
     gate.finish(run, answered(10), 1_000, Millis(2));
     gate.tick(Millis(1_000));
     assert_eq!(gate.record_count(), 0);
-    let late = gate.arrive(&under(&ticket), Millis(999));
+    let late = gate.arrive(&with_ticket(&ticket), Millis(999));
     assert_eq!(code_of(late), ResultCode::TicketExpired);
 }
 
 #[test]
-fn another_life_never_runs_the_ticket() {
+fn another_incarnation_never_runs_the_ticket() {
     // The process was replaced on the same VM and address. The new life has no
     // records, so it can neither run the call nor say that it did not run.
     let policy = policy();
     let mut gate = gate_of("vm-1", Incarnation(8), &policy);
     let ticket = ticket(1, END);
-    let verdict = gate.arrive(&under(&ticket), Millis(1));
+    let verdict = gate.arrive(&with_ticket(&ticket), Millis(1));
     assert_eq!(code_of(verdict), ResultCode::WrongGate);
     let asked = gate.fence(&ticket, Millis(2));
     assert_eq!(fence_code(asked), ResultCode::GateLost);
@@ -187,17 +193,17 @@
     // afterwards nobody knows, and a fence must not claim "not run" either.
     let mut gate = gate(&policy());
     let ticket = ticket(1, 1_000);
-    let run = run_of(gate.arrive(&under(&ticket), Millis(1)));
+    let run = run_of(gate.arrive(&with_ticket(&ticket), Millis(1)));
     gate.tick(Millis(5_000));
     assert_eq!(
-        gate.arrive(&under(&ticket), Millis(5_000)),
+        gate.arrive(&with_ticket(&ticket), Millis(5_000)),
         Verdict::Join(run)
     );
     gate.finish(run, answered(10), 1_000, Millis(5_001));
-    let replay = gate.arrive(&under(&ticket), Millis(5_002));
+    let replay = gate.arrive(&with_ticket(&ticket), Millis(5_002));
     assert_eq!(replay, Verdict::Replay(stored(10)));
     gate.tick(Millis(9_000));
-    let late = gate.arrive(&under(&ticket), Millis(9_001));
+    let late = gate.arrive(&with_ticket(&ticket), Millis(9_001));
     assert_eq!(code_of(late), ResultCode::TicketExpired);
     let asked = gate.fence(&ticket, Millis(9_002));
     assert_eq!(fence_code(asked), ResultCode::GateLost);
@@ -210,15 +216,15 @@
     // records expire.
     let mut gate = gate(&policy());
     for key in 0..8 {
-        let run = run_of(gate.arrive(&under(&ticket(key, 1_000)), Millis(1)));
+        let run = run_of(gate.arrive(&with_ticket(&ticket(key, 1_000)), Millis(1)));
         gate.finish(run, RunEnd::Broken, 1_000, Millis(2));
     }
     let fresh = ticket(100, 2_000);
-    let verdict = gate.arrive(&under(&fresh), Millis(3));
+    let verdict = gate.arrive(&with_ticket(&fresh), Millis(3));
     assert_eq!(code_of(verdict), ResultCode::RecordsFull);
-    let old = gate.arrive(&under(&ticket(0, 1_000)), Millis(4));
+    let old = gate.arrive(&with_ticket(&ticket(0, 1_000)), Millis(4));
     assert_eq!(code_of(old), ResultCode::RunBroken);
-    let verdict = gate.arrive(&under(&fresh), Millis(1_000));
+    let verdict = gate.arrive(&with_ticket(&fresh), Millis(1_000));
     assert!(matches!(verdict, Verdict::Run(_)), "{verdict:?}");
 }
 
@@ -229,7 +235,7 @@
     // that have a record are not touched.
     let mut gate = gate(&policy());
     for key in 0..8 {
-        let run = run_of(gate.arrive(&under(&ticket(key, 1_000)), Millis(1)));
+        let run = run_of(gate.arrive(&with_ticket(&ticket(key, 1_000)), Millis(1)));
         gate.finish(run, answered(1), 1_000, Millis(2));
     }
     let asked = ticket(100, 2_000);
@@ -238,14 +244,14 @@
         ResultCode::Fenced
     );
     for now in [4, 1_500] {
-        let late = gate.arrive(&under(&asked), Millis(now));
+        let late = gate.arrive(&with_ticket(&asked), Millis(now));
         assert_eq!(code_of(late), ResultCode::Fenced, "at {now}");
     }
-    let earlier = gate.arrive(&under(&ticket(101, 1_900)), Millis(1_500));
+    let earlier = gate.arrive(&with_ticket(&ticket(101, 1_900)), Millis(1_500));
     assert_eq!(code_of(earlier), ResultCode::Fenced);
-    let known = gate.arrive(&under(&ticket(0, 1_000)), Millis(1_500));
+    let known = gate.arrive(&with_ticket(&ticket(0, 1_000)), Millis(1_500));
     assert_eq!(known, Verdict::Replay(stored(1)));
-    let later = gate.arrive(&under(&ticket(102, 2_001)), Millis(1_500));
+    let later = gate.arrive(&with_ticket(&ticket(102, 2_001)), Millis(1_500));
     assert!(matches!(later, Verdict::Run(_)), "{later:?}");
 }
 
@@ -261,13 +267,13 @@
     }
     let mut codes = Vec::new();
     for key in 0..6 {
-        let verdict = gate.arrive(&under(&ticket(key, END)), Millis(3));
+        let verdict = gate.arrive(&with_ticket(&ticket(key, END)), Millis(3));
         codes.push(code_of(verdict));
     }
     assert_eq!(codes[..4], [ResultCode::Overloaded; 4]);
     assert_eq!(codes[4..], [ResultCode::RecordsFull; 2]);
     gate.finish(running, answered_plain(), 1_000, Millis(4));
-    let verdict = gate.arrive(&under(&ticket(5, END)), Millis(5));
+    let verdict = gate.arrive(&with_ticket(&ticket(5, END)), Millis(5));
     assert!(matches!(verdict, Verdict::Wait(_)), "{verdict:?}");
 }
 
@@ -277,15 +283,15 @@
     // others. The caller's duplicate cannot be answered, but must not run.
     let mut gate = gate(&policy());
     for (key, bytes) in [(1, 1_001), (2, 1_000), (3, 1_000), (4, 1)] {
-        let run = run_of(gate.arrive(&under(&ticket(key, END)), Millis(1)));
+        let run = run_of(gate.arrive(&with_ticket(&ticket(key, END)), Millis(1)));
         gate.finish(run, answered(bytes), 1_000, Millis(2));
     }
     assert_eq!(gate.stored_bytes(), 2_000);
     for key in [1, 4] {
-        let again = gate.arrive(&under(&ticket(key, END)), Millis(3));
+        let again = gate.arrive(&with_ticket(&ticket(key, END)), Millis(3));
         assert_eq!(code_of(again), ResultCode::AnswerNotKept);
     }
-    let kept = gate.arrive(&under(&ticket(2, END)), Millis(3));
+    let kept = gate.arrive(&with_ticket(&ticket(2, END)), Millis(3));
     assert_eq!(kept, Verdict::Replay(stored(1_000)));
     gate.tick(Millis(END));
     assert_eq!(gate.stored_bytes(), 0);
@@ -297,22 +303,22 @@
     // not be taken for the second's.
     let mut gate = gate(&policy());
     let ticket = ticket(1, END);
-    let run = run_of(gate.arrive(&under(&ticket), Millis(1)));
+    let run = run_of(gate.arrive(&with_ticket(&ticket), Millis(1)));
     let other = Arrival {
         digest: 43,
-        ..under(&ticket)
+        ..with_ticket(&ticket)
     };
     let verdict = gate.arrive(&other, Millis(2));
     assert_eq!(code_of(verdict), ResultCode::KeyReused);
     gate.finish(run, answered(1), 1_000, Millis(3));
     let verdict = gate.arrive(&other, Millis(4));
     assert_eq!(code_of(verdict), ResultCode::KeyReused);
-    let same = gate.arrive(&under(&ticket), Millis(5));
+    let same = gate.arrive(&with_ticket(&ticket), Millis(5));
     assert_eq!(same, Verdict::Replay(stored(1)));
 }
 
 #[test]
-fn second_ticket_told_not_run_stays_refused() {
+fn second_ticket_refused_as_not_run_stays_refused() {
     // Two tickets of one key were handed out. The first is fenced, then the
     // second, which expires later, is refused by the leaving gate. When the
     // first has expired, a late duplicate of the second must still not start.
@@ -320,12 +326,12 @@
     let (first, second) = (ticket(1, 1_000), ticket(1, 1_040));
     gate.fence(&first, Millis(1));
     gate.set_leaving(true);
-    let verdict = gate.arrive(&under(&second), Millis(2));
+    let verdict = gate.arrive(&with_ticket(&second), Millis(2));
     assert_eq!(code_of(verdict), ResultCode::Leaving);
     gate.set_leaving(false);
     for now in 2..1_040 {
         gate.tick(Millis(now));
-        let late = gate.arrive(&under(&second), Millis(now));
+        let late = gate.arrive(&with_ticket(&second), Millis(now));
         assert_eq!(code_of(late), ResultCode::Fenced, "at {now}");
     }
 }
@@ -339,30 +345,30 @@
     let mut gate = gate(&policy());
     let (old, new) = (ticket(1, 1_000), ticket(1, 1_001));
     gate.fence(&old, Millis(1));
-    let late = gate.arrive(&under(&old), Millis(2));
+    let late = gate.arrive(&with_ticket(&old), Millis(2));
     assert_eq!(code_of(late), ResultCode::Fenced);
-    let run = run_of(gate.arrive(&under(&new), Millis(3)));
-    let late = gate.arrive(&under(&old), Millis(4));
+    let run = run_of(gate.arrive(&with_ticket(&new), Millis(3)));
+    let late = gate.arrive(&with_ticket(&old), Millis(4));
     assert_eq!(code_of(late), ResultCode::Fenced);
     assert_eq!(gate.fence(&new, Millis(5)), FenceAnswer::Running(run));
     assert_eq!(fence_code(gate.fence(&old, Millis(5))), ResultCode::Fenced);
     gate.finish(run, answered(1), 1_000, Millis(6));
-    let late = gate.arrive(&under(&old), Millis(7));
+    let late = gate.arrive(&with_ticket(&old), Millis(7));
     assert_eq!(code_of(late), ResultCode::Fenced);
-    let again = gate.arrive(&under(&new), Millis(8));
+    let again = gate.arrive(&with_ticket(&new), Millis(8));
     assert_eq!(again, Verdict::Replay(stored(1)));
     assert_eq!(gate.record_count(), 1);
 }
 
 #[test]
-fn key_that_ran_is_not_taken_up_by_a_newer_ticket() {
+fn key_that_ran_is_replayed_to_a_newer_ticket() {
     // A caller leaves its contract and takes a second ticket although the
     // first was answered. The same gate still knows the key: it replays.
     let mut gate = gate(&policy());
     let (first, second) = (ticket(1, 1_000), ticket(1, 2_000));
-    let run = run_of(gate.arrive(&under(&first), Millis(1)));
+    let run = run_of(gate.arrive(&with_ticket(&first), Millis(1)));
     gate.finish(run, answered(1), 1_000, Millis(2));
-    let again = gate.arrive(&under(&second), Millis(3));
+    let again = gate.arrive(&with_ticket(&second), Millis(3));
     assert_eq!(again, Verdict::Replay(stored(1)));
 }
 
@@ -373,11 +379,11 @@
     // "not run" from the second's record.
     let mut gate = gate(&policy());
     let (first, second) = (ticket(1, 1_000), ticket(1, 3_000));
-    let run = run_of(gate.arrive(&under(&first), Millis(1)));
+    let run = run_of(gate.arrive(&with_ticket(&first), Millis(1)));
     gate.finish(run, answered(1), 1_000, Millis(2));
     gate.tick(Millis(2_000));
     gate.fence(&second, Millis(2_001));
-    let late = gate.arrive(&under(&first), Millis(2_002));
+    let late = gate.arrive(&with_ticket(&first), Millis(2_002));
     assert_eq!(code_of(late), ResultCode::TicketExpired);
     let asked = gate.fence(&first, Millis(2_003));
     assert_eq!(fence_code(asked), ResultCode::GateLost);
@@ -394,12 +400,12 @@
     let day_ms = 86_400_000;
     let mut codes = Vec::new();
     for key in 0..65 {
-        let verdict = gate.arrive(&under(&ticket(key, day_ms)), Millis(1));
+        let verdict = gate.arrive(&with_ticket(&ticket(key, day_ms)), Millis(1));
         codes.push(code_of(verdict));
     }
     assert_eq!(codes[..64], [ResultCode::BadRequest; 64]);
     assert_eq!(codes[64], ResultCode::RecordsFull);
-    let late = gate.arrive(&under(&ticket(0, day_ms)), Millis(day_ms - 10));
+    let late = gate.arrive(&with_ticket(&ticket(0, day_ms)), Millis(day_ms - 10));
     assert_eq!(code_of(late), ResultCode::Fenced);
 }
 
@@ -410,8 +416,8 @@
     let mut gate = gate(&policy());
     let running = run_of(gate.arrive(&plain(FAR_MS), Millis(1)));
     let ticket = ticket(1, END);
-    let run = run_of(gate.arrive(&under(&ticket), Millis(2)));
-    gate.arrive(&under(&ticket), Millis(3));
+    let run = run_of(gate.arrive(&with_ticket(&ticket), Millis(2)));
+    gate.arrive(&with_ticket(&ticket), Millis(3));
     gate.abandon(run, Millis(4));
     assert_eq!(gate.active_calls(), 2);
     gate.abandon(run, Millis(5));
@@ -420,7 +426,7 @@
         gate.finish(running, answered_plain(), 1, Millis(6)),
         Vec::new()
     );
-    let again = gate.arrive(&under(&ticket), Millis(7));
+    let again = gate.arrive(&with_ticket(&ticket), Millis(7));
     assert_eq!(code_of(again), ResultCode::Fenced);
 }
 
@@ -430,9 +436,9 @@
     // answer is there when the caller comes back.
     let mut gate = gate(&policy());
     let ticket = ticket(1, END);
-    let run = run_of(gate.arrive(&under(&ticket), Millis(1)));
+    let run = run_of(gate.arrive(&with_ticket(&ticket), Millis(1)));
     assert_eq!(gate.abandon(run, Millis(2)), Vec::new());
     gate.finish(run, answered(1), 1_000, Millis(3));
-    let again = gate.arrive(&under(&ticket), Millis(4));
+    let again = gate.arrive(&with_ticket(&ticket), Millis(4));
     assert_eq!(again, Verdict::Replay(stored(1)));
 }
--- a/crates/core/src/gate/tests/crash.rs
+++ b/crates/core/src/gate/tests/crash.rs
@@ -5,14 +5,14 @@
 
 const BAD: u64 = 666;
 
-fn marked(fingerprint: u64) -> Arrival<'static> {
+fn with_fingerprint(fingerprint: u64) -> Arrival<'static> {
     Arrival {
         fingerprint,
         ..plain(FAR_MS)
     }
 }
 
-fn wide() -> ServicePolicy {
+fn wide_policy() -> ServicePolicy {
     ServicePolicy {
         slots: 4,
         queue_limit: 20,
@@ -31,14 +31,14 @@
 
 /// A gate at which `BAD` and three innocents were in flight in a crash.
 fn crashed_gate() -> Gate {
-    let mut gate = gate(&wide());
-    let runs = [1, 2, 3, BAD].map(|mark| run_of(gate.arrive(&marked(mark), Millis(1))));
+    let mut gate = gate(&wide_policy());
+    let runs = [1, 2, 3, BAD].map(|mark| run_of(gate.arrive(&with_fingerprint(mark), Millis(1))));
     crash(&mut gate, &runs, Millis(2));
     gate
 }
 
 #[test]
-fn bad_request_ends_after_two_crashes_in_the_fleet() {
+fn request_is_refused_after_two_crashes_in_the_fleet() {
     // A request crashes each target that runs it, and its caller sends it again
     // to one gate after the other. After the first crash it runs alone, after
     // the second it is refused everywhere.
@@ -46,10 +46,10 @@
     let mut crashes = 0;
     for (vm, at) in [("vm-1", 1_000), ("vm-2", 2_000), ("vm-3", 3_000)] {
         let now = Millis(at);
-        let mut gate = gate_of(vm, LIFE, &wide());
+        let mut gate = gate_of(vm, INCARNATION, &wide_policy());
         gate.update_suspects(Arc::new(fleet.snapshot()));
-        let innocent = run_of(gate.arrive(&marked(at), now));
-        let bad = match gate.arrive(&marked(BAD), now) {
+        let innocent = run_of(gate.arrive(&with_fingerprint(at), now));
+        let bad = match gate.arrive(&with_fingerprint(BAD), now) {
             Verdict::Run(run) | Verdict::Wait(run) => run,
             refused => {
                 assert_eq!(code_of(refused), ResultCode::CrashSuspect);
@@ -68,15 +68,15 @@
         }
     }
     assert_eq!(crashes, 2);
-    assert_eq!(fleet.standing(BAD), SuspicionLevel::Convicted);
-    assert_eq!(fleet.standing(2_000), SuspicionLevel::Clear);
+    assert_eq!(fleet.level(BAD), SuspicionLevel::Convicted);
+    assert_eq!(fleet.level(2_000), SuspicionLevel::Clear);
 }
 
 #[test]
-fn innocents_are_cleared_by_running_well() {
+fn a_suspect_is_cleared_by_a_successful_run() {
     let mut gate = crashed_gate();
-    let alone = run_of(gate.arrive(&marked(1), Millis(10)));
-    let other = gate.arrive(&marked(77), Millis(11));
+    let alone = run_of(gate.arrive(&with_fingerprint(1), Millis(10)));
+    let other = gate.arrive(&with_fingerprint(77), Millis(11));
     assert!(
         matches!(other, Verdict::Wait(_)),
         "nothing beside a suspect"
@@ -86,7 +86,7 @@
     let cleared = gate.take_cleared();
     assert_eq!(cleared.len(), 1);
     assert_eq!(cleared[0].standing, SuspicionLevel::Clear);
-    let again = gate.arrive(&marked(1), Millis(13));
+    let again = gate.arrive(&with_fingerprint(1), Millis(13));
     assert!(
         matches!(again, Verdict::Run(_)),
         "beside another: {again:?}"
@@ -99,8 +99,8 @@
     // that the target is gone, the next calls are started. They met a dead
     // target and must not be taken for culprits, nor excuse the suspect.
     let mut gate = crashed_gate();
-    let bad = run_of(gate.arrive(&marked(BAD), Millis(10)));
-    run_of(gate.arrive(&marked(77), Millis(11)));
+    let bad = run_of(gate.arrive(&with_fingerprint(BAD), Millis(10)));
+    run_of(gate.arrive(&with_fingerprint(77), Millis(11)));
     let wakes = gate.finish(bad, RunEnd::Broken, 1_000, Millis(12));
     assert!(matches!(wakes[..], [Wake::Start(_)]), "{wakes:?}");
     let report = gate.target_crashed(Millis(12));
@@ -111,12 +111,12 @@
     let refused = gate.arrive(
         &Arrival {
             fingerprint: BAD,
-            ..under(&ticket)
+            ..with_ticket(&ticket)
         },
         Millis(13),
     );
     assert_eq!(code_of(refused), ResultCode::CrashSuspect);
-    let late = gate.arrive(&under(&ticket), Millis(14));
+    let late = gate.arrive(&with_ticket(&ticket), Millis(14));
     assert_eq!(code_of(late), ResultCode::Fenced, "also when it is cleared");
 }
 
@@ -124,12 +124,12 @@
 fn calls_that_met_a_dead_target_are_not_suspected() {
     // Two calls break in a crash. Before the driver reports it, a third is
     // started; it cannot have crashed a target that was dead.
-    let mut gate = gate(&wide());
-    let runs = [1, 2].map(|mark| run_of(gate.arrive(&marked(mark), Millis(1))));
+    let mut gate = gate(&wide_policy());
+    let runs = [1, 2].map(|mark| run_of(gate.arrive(&with_fingerprint(mark), Millis(1))));
     for run in runs {
         gate.finish(run, RunEnd::Broken, 1_000, Millis(2));
     }
-    run_of(gate.arrive(&marked(77), Millis(2)));
+    run_of(gate.arrive(&with_fingerprint(77), Millis(2)));
     let report = gate.target_crashed(Millis(3));
     let marks: Vec<u64> = report.entries.iter().map(|it| it.fingerprint).collect();
     assert_eq!(marks, [1, 2]);
@@ -140,8 +140,8 @@
     // The suspect ran alone and broke. The next call was still accepted by the
     // dying target and broke as well, before the report.
     let mut gate = crashed_gate();
-    let bad = run_of(gate.arrive(&marked(BAD), Millis(10)));
-    let next = run_of(gate.arrive(&marked(77), Millis(11)));
+    let bad = run_of(gate.arrive(&with_fingerprint(BAD), Millis(10)));
+    let next = run_of(gate.arrive(&with_fingerprint(77), Millis(11)));
     gate.finish(bad, RunEnd::Broken, 1_000, Millis(12));
     gate.finish(next, RunEnd::Broken, 1_000, Millis(13));
     let report = gate.target_crashed(Millis(14));
@@ -155,38 +155,38 @@
     // Each broken connection makes the driver report the same crash, before and
     // after its run is ended. Counted twice, one crash would convict a lone
     // innocent.
-    let mut gate = gate(&wide());
-    let run = run_of(gate.arrive(&marked(1), Millis(1)));
+    let mut gate = gate(&wide_policy());
+    let run = run_of(gate.arrive(&with_fingerprint(1), Millis(1)));
     assert_eq!(gate.target_crashed(Millis(2)).in_flight, 1);
     assert_eq!(gate.target_crashed(Millis(2)).entries, []);
     gate.finish(run, RunEnd::Broken, 1_000, Millis(2));
     assert_eq!(gate.target_crashed(Millis(3)).entries, []);
-    assert_eq!(gate.own_suspects.standing(1), SuspicionLevel::Suspect);
+    assert_eq!(gate.own_suspects.level(1), SuspicionLevel::Suspect);
 }
 
 #[test]
-fn innocents_are_served_between_suspects() {
+fn other_calls_are_served_between_suspects() {
     // Many suspects wait at once, as after the crash of a busy target. Each
     // empties the target; without turns the innocents would wait for them all.
     let mut gate = crashed_gate();
-    let first = run_of(gate.arrive(&marked(1), Millis(10)));
+    let first = run_of(gate.arrive(&with_fingerprint(1), Millis(10)));
     for mark in [2, 3, BAD] {
-        run_of(gate.arrive(&marked(mark), Millis(11)));
+        run_of(gate.arrive(&with_fingerprint(mark), Millis(11)));
     }
     for mark in 100..106 {
-        run_of(gate.arrive(&marked(mark), Millis(12)));
+        run_of(gate.arrive(&with_fingerprint(mark), Millis(12)));
     }
     let wakes = gate.finish(first, answered_plain(), 1_000, Millis(13));
     assert_eq!(wakes.len(), 4, "a full round of innocents: {wakes:?}");
 }
 
 #[test]
-fn long_call_does_not_let_a_suspect_stop_the_target() {
+fn long_call_does_not_let_a_suspect_block_the_target() {
     // An upload runs for half a minute when a suspect arrives. The target may
     // stand idle for a moment to run it alone, not for half a minute.
     let mut gate = crashed_gate();
     run_of(gate.arrive(&plain(FAR_MS), Millis(10)));
-    let suspect = run_of(gate.arrive(&marked(1), Millis(11)));
+    let suspect = run_of(gate.arrive(&with_fingerprint(1), Millis(11)));
     let innocent = run_of(gate.arrive(&plain(FAR_MS), Millis(12)));
     assert_eq!(gate.tick(Millis(400)), []);
     let wakes = gate.tick(Millis(600));
@@ -195,9 +195,9 @@
 }
 
 #[test]
-fn suspect_that_hangs_shares_the_target_again() {
+fn hanging_suspect_loses_exclusive_use_of_the_target() {
     let mut gate = crashed_gate();
-    let suspect = run_of(gate.arrive(&marked(1), Millis(10)));
+    let suspect = run_of(gate.arrive(&with_fingerprint(1), Millis(10)));
     let innocent = run_of(gate.arrive(&plain(FAR_MS), Millis(11)));
     let wakes = gate.tick(Millis(1_100));
     assert_eq!(wakes, [Wake::Start(innocent)]);
@@ -206,36 +206,36 @@
 }
 
 #[test]
-fn retried_request_ends_at_its_second_crash_before_the_word_has_spread() {
+fn reported_suspect_is_convicted_by_its_second_crash() {
     // A request crashes its target; its entry retries at once elsewhere, where
     // nobody has heard of the crash. It runs alone there, so that innocents are
     // spared; when it crashes that target too, it is refused from then on.
-    let mut gate = gate(&wide());
+    let mut gate = gate(&wide_policy());
     let now = Millis(1);
-    let innocent = run_of(gate.arrive(&marked(1), now));
+    let innocent = run_of(gate.arrive(&with_fingerprint(1), now));
     assert_eq!(
         gate.report_suspect(BAD, now).map(|entry| entry.standing),
         Some(SuspicionLevel::Suspect)
     );
-    let Verdict::Wait(bad) = gate.arrive(&marked(BAD), now) else {
+    let Verdict::Wait(bad) = gate.arrive(&with_fingerprint(BAD), now) else {
         panic!("an accused request waits until it can run alone");
     };
     let wakes = gate.finish(innocent, answered_plain(), 1_000, Millis(5));
     assert_eq!(wakes, vec![Wake::Start(bad)]);
     crash(&mut gate, &[bad], Millis(6));
-    let again = gate.arrive(&marked(BAD), Millis(7));
+    let again = gate.arrive(&with_fingerprint(BAD), Millis(7));
     assert_eq!(code_of(again), ResultCode::CrashSuspect);
 }
 
 #[test]
-fn accusation_changes_nothing_for_a_known_or_unnamed_request() {
+fn reporting_a_known_or_missing_fingerprint_changes_nothing() {
     // Word of the crash came first, or the entry named no fingerprint: nothing
     // is counted a second time, and an innocent is cleared by one good run.
     let mut gate = crashed_gate();
     assert_eq!(gate.report_suspect(BAD, Millis(3)), None);
     assert_eq!(gate.report_suspect(0, Millis(3)), None);
     assert!(gate.report_suspect(7, Millis(3)).is_some());
-    let run = run_of(gate.arrive(&marked(7), Millis(4)));
+    let run = run_of(gate.arrive(&with_fingerprint(7), Millis(4)));
     gate.finish(run, answered_plain(), 1_000, Millis(5));
     let cleared = gate.take_cleared();
     assert_eq!(cleared.len(), 1);
--- a/crates/core/src/gate/tests/interleavings.rs
+++ b/crates/core/src/gate/tests/interleavings.rs
@@ -26,7 +26,7 @@
 }
 
 #[derive(Debug)]
-struct InHand {
+struct ActiveCall {
     request: Option<Request>,
     deadline_at: Millis,
     running: bool,
@@ -34,35 +34,35 @@
 }
 
 /// One life of a gate with what its driver holds.
-struct Life {
+struct GateInstance {
     gate: Gate,
     vm: &'static str,
     incarnation: Incarnation,
-    active_calls: BTreeMap<RunId, InHand>,
+    active_calls: BTreeMap<RunId, ActiveCall>,
 }
 
-impl Life {
-    fn new(vm: &'static str, life: u64, now: Millis) -> Self {
+impl GateInstance {
+    fn new(vm: &'static str, incarnation: u64, now: Millis) -> Self {
         let policy = ServicePolicy {
             slots: SLOTS,
             max_records: MAX_RECORDS,
             ticket_ttl_ms: Millis(400),
             ..policy()
         };
-        let mut gate = gate_of(vm, Incarnation(life), &policy);
+        let mut gate = gate_of(vm, Incarnation(incarnation), &policy);
         gate.tick(now);
         Self {
             gate,
             vm,
-            incarnation: Incarnation(life),
+            incarnation: Incarnation(incarnation),
             active_calls: BTreeMap::new(),
         }
     }
 }
 
-struct World {
+struct Model {
     now: Millis,
-    lives: Vec<Life>,
+    gates: Vec<GateInstance>,
     tickets: Vec<Ticket>,
     starts: BTreeMap<usize, u32>,
     /// Requests of which the target did run something.
@@ -72,12 +72,15 @@
     fenced: BTreeSet<usize>,
 }
 
-impl World {
+impl Model {
     fn new() -> Self {
         let now = Millis(1_000);
         Self {
             now,
-            lives: vec![Life::new("vm-1", 1, now), Life::new("vm-2", 2, now)],
+            gates: vec![
+                GateInstance::new("vm-1", 1, now),
+                GateInstance::new("vm-2", 2, now),
+            ],
             tickets: Vec::new(),
             starts: BTreeMap::new(),
             ran: BTreeSet::new(),
@@ -87,43 +90,43 @@
     }
 
     fn step(&mut self, (action, a, b): Step) {
-        let life = usize::from(a) % self.lives.len();
+        let gate = usize::from(a) % self.gates.len();
         // Some events carry a time read before a pause of their thread.
         let now = self.now.minus(Millis(u64::from(b % 3 == 0) * 50));
         match action % 12 {
-            0 => self.issue(life, b),
-            1..=4 => self.send(life, a, b, now),
-            5 => self.send_plain(life, b, now),
-            6 | 7 => self.finish(life, b, now),
+            0 => self.issue(gate, b),
+            1..=4 => self.send(gate, a, b, now),
+            5 => self.send_plain(gate, b, now),
+            6 | 7 => self.finish(gate, b, now),
             8 => self.fence(b, now),
-            9 => self.abandon(life, b, now),
-            10 => self.disturb(life, b),
-            _ => self.pass(u64::from(a)),
+            9 => self.abandon(gate, b, now),
+            10 => self.disturb(gate, b),
+            _ => self.advance_time(u64::from(a)),
         }
-        self.check(life);
+        self.check(gate);
     }
 
-    fn issue(&mut self, life: usize, b: u8) {
-        let life = &self.lives[life];
+    fn issue(&mut self, gate: usize, b: u8) {
+        let gate = &self.gates[gate];
         self.tickets.push(Ticket {
             service: ServiceName::new("cashier"),
-            gate: VmId::new(life.vm),
-            incarnation: life.incarnation,
+            gate: VmId::new(gate.vm),
+            incarnation: gate.incarnation,
             key: CallKey(u128::from(b % 12)),
             expires_at: self.now + Millis(100 + u64::from(b) * 2),
         });
     }
 
-    fn send(&mut self, life: usize, a: u8, b: u8, now: Millis) {
+    fn send(&mut self, gate: usize, a: u8, b: u8, now: Millis) {
         if self.tickets.is_empty() {
-            return self.issue(life, b);
+            return self.issue(gate, b);
         }
         let index = usize::from(b) % self.tickets.len();
         let ticket = self.tickets[index].clone();
         // Mostly to the right gate, at times astray.
-        let mut life = life;
+        let mut gate = gate;
         if !a.is_multiple_of(8) {
-            life = self.home(&ticket).unwrap_or(life);
+            gate = self.find_issuer(&ticket).unwrap_or(gate);
         }
         let request = Request {
             ticket: index,
@@ -136,24 +139,24 @@
             digest: request.digest,
             fingerprint: u64::from(b % 5),
         };
-        let verdict = self.lives[life].gate.arrive(&arrival, now);
-        self.take_verdict(life, verdict, Some(request), arrival.deadline_at);
-        self.take_wakes(life, Vec::new());
+        let verdict = self.gates[gate].gate.arrive(&arrival, now);
+        self.take_verdict(gate, verdict, Some(request), arrival.deadline_at);
+        self.take_wakes(gate, Vec::new());
     }
 
-    fn send_plain(&mut self, life: usize, b: u8, now: Millis) {
+    fn send_plain(&mut self, gate: usize, b: u8, now: Millis) {
         let arrival = Arrival {
             class: CallClass::VARIANTS[usize::from(b) % 4],
             fingerprint: u64::from(b % 5),
             ..plain(self.now.0 + u64::from(b))
         };
-        let verdict = self.lives[life].gate.arrive(&arrival, now);
-        self.take_verdict(life, verdict, None, arrival.deadline_at);
-        self.take_wakes(life, Vec::new());
+        let verdict = self.gates[gate].gate.arrive(&arrival, now);
+        self.take_verdict(gate, verdict, None, arrival.deadline_at);
+        self.take_wakes(gate, Vec::new());
     }
 
-    fn finish(&mut self, life: usize, b: u8, now: Millis) {
-        let active_calls = &self.lives[life].active_calls;
+    fn finish(&mut self, gate: usize, b: u8, now: Millis) {
+        let active_calls = &self.gates[gate].active_calls;
         let mut running = active_calls.iter().filter(|(_, call)| call.running);
         let Some((run, call)) = running.next() else {
             return;
@@ -169,12 +172,12 @@
         if let (Some(request), false) = (request, b % 6 < 2) {
             self.ran.insert(request);
         }
-        let wakes = self.lives[life].gate.finish(run, end, 5_000, now);
+        let wakes = self.gates[gate].gate.finish(run, end, 5_000, now);
         let is_settled = |wake: &&Wake| matches!(wake, Wake::Settled(id, _) if *id == run);
         let settled = wakes.iter().filter(is_settled).count();
         assert_eq!(settled, usize::from(request.is_some()), "not told once");
-        self.take_wakes(life, wakes);
-        self.lives[life].active_calls.remove(&run);
+        self.take_wakes(gate, wakes);
+        self.gates[gate].active_calls.remove(&run);
     }
 
     fn fence(&mut self, b: u8, now: Millis) {
@@ -182,28 +185,28 @@
             return;
         };
         let ticket = self.tickets[index].clone();
-        let Some(life) = self.home(&ticket) else {
+        let Some(gate) = self.find_issuer(&ticket) else {
             return;
         };
-        match self.lives[life].gate.fence(&ticket, now) {
+        match self.gates[gate].gate.fence(&ticket, now) {
             FenceAnswer::Running(run) => {
-                let call = &self.lives[life].active_calls[&run];
+                let call = &self.gates[gate].active_calls[&run];
                 assert!(call.running, "said to run before its start");
             }
             FenceAnswer::Settled(Settlement::Refused(refusal)) => {
                 let certainty = refusal.code.certainty();
                 assert!(matches!(certainty, Certainty::NotRun | Certainty::Unknown));
                 if certainty == Certainty::NotRun {
-                    self.say_fenced(index);
+                    self.note_fenced(index);
                 }
             }
             FenceAnswer::Settled(Settlement::Answered(_)) => {}
         }
-        self.take_wakes(life, Vec::new());
+        self.take_wakes(gate, Vec::new());
     }
 
-    fn abandon(&mut self, life: usize, b: u8, now: Millis) {
-        let active_calls = &mut self.lives[life].active_calls;
+    fn abandon(&mut self, gate: usize, b: u8, now: Millis) {
+        let active_calls = &mut self.gates[gate].active_calls;
         let Some(nth) = usize::from(b).checked_rem(active_calls.len()) else {
             return;
         };
@@ -218,70 +221,70 @@
         if is_last {
             active_calls.remove(&run);
         }
-        let wakes = self.lives[life].gate.abandon(run, now);
+        let wakes = self.gates[gate].gate.abandon(run, now);
         if let (Some(request), true) = (request, is_last) {
-            self.say_not_run(request);
+            self.note_not_run(request);
         }
-        self.take_wakes(life, wakes);
+        self.take_wakes(gate, wakes);
     }
 
-    fn disturb(&mut self, life: usize, b: u8) {
+    fn disturb(&mut self, gate: usize, b: u8) {
         match b % 4 {
             0 => {
-                let report = self.lives[life].gate.target_crashed(self.now);
+                let report = self.gates[gate].gate.target_crashed(self.now);
                 let mut fleet = Suspects::new();
                 for entry in &report.entries {
                     fleet.merge(entry, self.now);
                 }
-                for life in &mut self.lives {
-                    life.gate.update_suspects(Arc::new(fleet.snapshot()));
+                for gate in &mut self.gates {
+                    gate.gate.update_suspects(Arc::new(fleet.snapshot()));
                 }
             }
-            1 => self.lives[life].gate.set_leaving(b % 8 == 1),
+            1 => self.gates[gate].gate.set_leaving(b % 8 == 1),
             2 => {
-                let next = self.lives[life].incarnation.0 + 2;
-                let vm = self.lives[life].vm;
-                self.lives[life] = Life::new(vm, next, self.now);
+                let next = self.gates[gate].incarnation.0 + 2;
+                let vm = self.gates[gate].vm;
+                self.gates[gate] = GateInstance::new(vm, next, self.now);
             }
-            _ => self.pass(5_000),
+            _ => self.advance_time(5_000),
         }
     }
 
-    fn pass(&mut self, span_ms: u64) {
+    fn advance_time(&mut self, span_ms: u64) {
         self.now = self.now + Millis(span_ms);
-        for life in 0..self.lives.len() {
-            let wakes = self.lives[life].gate.tick(self.now);
-            self.take_wakes(life, wakes);
+        for gate in 0..self.gates.len() {
+            let wakes = self.gates[gate].gate.tick(self.now);
+            self.take_wakes(gate, wakes);
         }
     }
 
-    fn home(&self, ticket: &Ticket) -> Option<usize> {
-        let is_home = |life: &Life| life.incarnation == ticket.incarnation;
-        self.lives.iter().position(is_home)
+    fn find_issuer(&self, ticket: &Ticket) -> Option<usize> {
+        let is_issuer = |gate: &GateInstance| gate.incarnation == ticket.incarnation;
+        self.gates.iter().position(is_issuer)
     }
 
     fn take_verdict(
         &mut self,
-        life: usize,
+        gate: usize,
         verdict: Verdict,
         request: Option<Request>,
         deadline_at: Millis,
     ) {
         match verdict {
             Verdict::Run(run) | Verdict::Wait(run) => {
-                let call = InHand {
+                let call = ActiveCall {
                     request,
                     deadline_at,
                     running: false,
                     callers: 1,
                 };
-                self.lives[life].active_calls.insert(run, call);
+                self.gates[gate].active_calls.insert(run, call);
                 if verdict == Verdict::Run(run) {
-                    self.start(life, run);
+                    self.start(gate, run);
                 }
             }
             Verdict::Join(run) => {
-                let call = self.lives[life].active_calls.get_mut(&run);
+                let call = self.gates[gate].active_calls.get_mut(&run);
                 let call = call.expect("only a call in hand is joined");
                 call.callers += 1;
             }
@@ -289,24 +292,24 @@
             Verdict::Refuse(refusal) => {
                 let is_not_run = refusal.code.certainty() == Certainty::NotRun;
                 if let (Some(request), true) = (request, is_not_run) {
-                    self.say_not_run(request);
+                    self.note_not_run(request);
                 }
             }
         }
     }
 
-    fn take_wakes(&mut self, life: usize, mut wakes: Vec<Wake>) {
-        wakes.extend(self.lives[life].gate.take_wakes());
+    fn take_wakes(&mut self, gate: usize, mut wakes: Vec<Wake>) {
+        wakes.extend(self.gates[gate].gate.take_wakes());
         for wake in wakes {
             match wake {
-                Wake::Start(run) => self.start(life, run),
+                Wake::Start(run) => self.start(gate, run),
                 Wake::Refuse(run, refusal) => {
-                    let call = self.lives[life].active_calls.remove(&run);
+                    let call = self.gates[gate].active_calls.remove(&run);
                     let call = call.expect("only a call in hand is refused");
                     assert!(!call.running, "refused while running");
                     assert_eq!(refusal.code.certainty(), Certainty::NotRun);
                     if let Some(request) = call.request {
-                        self.say_not_run(request);
+                        self.note_not_run(request);
                     }
                 }
                 Wake::Settled(..) => {}
@@ -314,8 +317,8 @@
         }
     }
 
-    fn start(&mut self, life: usize, run: RunId) {
-        let call = self.lives[life].active_calls.get_mut(&run);
+    fn start(&mut self, gate: usize, run: RunId) {
+        let call = self.gates[gate].active_calls.get_mut(&run);
         let call = call.expect("only a call in hand is started");
         assert!(!call.running, "started twice");
         assert!(self.now < call.deadline_at, "started past its deadline");
@@ -328,44 +331,48 @@
         assert_eq!(*starts, 1, "a ticket ran twice: {request:?}");
         assert!(!self.not_run.contains(&request), "ran after 'not run'");
         assert!(!self.fenced.contains(&request.ticket), "ran after a fence");
-        let home = &self.tickets[request.ticket];
-        assert_eq!(home.incarnation, self.lives[life].incarnation);
+        let ticket = &self.tickets[request.ticket];
+        assert_eq!(ticket.incarnation, self.gates[gate].incarnation);
     }
 
-    fn say_not_run(&mut self, request: Request) {
+    fn note_not_run(&mut self, request: Request) {
         assert!(!self.ran.contains(&request), "'not run' after a run");
         self.not_run.insert(request);
     }
 
-    fn say_fenced(&mut self, ticket: usize) {
+    fn note_fenced(&mut self, ticket: usize) {
         for request in &self.ran {
             assert_ne!(request.ticket, ticket, "'not run' after a run");
         }
         self.fenced.insert(ticket);
     }
 
-    fn check(&self, life: usize) {
-        let life = &self.lives[life];
-        let load = life.gate.load(self.now);
-        let running = life.active_calls.values().filter(|call| call.running).count();
+    fn check(&self, gate: usize) {
+        let gate = &self.gates[gate];
+        let load = gate.gate.load(self.now);
+        let running = gate
+            .active_calls
+            .values()
+            .filter(|call| call.running)
+            .count();
         assert_eq!(load.in_flight as usize, running);
-        assert_eq!(life.gate.active_calls(), life.active_calls.len());
+        assert_eq!(gate.gate.active_calls(), gate.active_calls.len());
         assert!(running <= SLOTS as usize, "over its slots");
-        assert!(life.gate.record_count() <= MAX_RECORDS as usize);
-        assert!(life.gate.stored_bytes() <= 2_000);
+        assert!(gate.gate.record_count() <= MAX_RECORDS as usize);
+        assert!(gate.gate.stored_bytes() <= 2_000);
     }
 
     /// Nothing is lost: every call in hand ends once its run does.
     fn drain(&mut self) {
-        for life in 0..self.lives.len() {
-            self.lives[life].gate.set_leaving(true);
+        for gate in 0..self.gates.len() {
+            self.gates[gate].gate.set_leaving(true);
             for _ in 0..1_000 {
-                self.finish(life, 4, self.now);
+                self.finish(gate, 4, self.now);
             }
         }
-        self.pass(5_000);
-        for life in &self.lives {
-            assert_eq!(life.gate.active_calls(), 0, "not drained");
+        self.advance_time(5_000);
+        for gate in &self.gates {
+            assert_eq!(gate.gate.active_calls(), 0, "not drained");
         }
     }
 }
@@ -384,10 +391,10 @@
         // Sends, duplicates, fences, leavers, ends, crashes, pauses and a new
         // life come in any order. A ticket may start once at most, never after
         // anyone was told "not run", and never past its deadline.
-        let mut world = World::new();
+        let mut model = Model::new();
         for step in steps {
-            world.step(step);
+            model.step(step);
         }
-        world.drain();
+        model.drain();
     }
 }
--- a/crates/core/src/gate/ticketed.rs
+++ b/crates/core/src/gate/ticketed.rs
@@ -14,14 +14,14 @@
 const FENCED_SHARE_DIVISOR: usize = 2;
 
 /// What a record says to another arrival of its key.
-enum Known {
+enum RecordedOutcome {
     Verdict(Verdict),
     Live(RunId),
 }
 
 impl Gate {
     /// Whether the ticket names this life of this gate.
-    pub(super) fn is_mine(&self, ticket: &Ticket) -> bool {
+    pub(super) fn names_this_gate(&self, ticket: &Ticket) -> bool {
         ticket.incarnation == self.settings.incarnation
             && ticket.gate == self.settings.vm
             && ticket.service == self.policy.service
@@ -33,13 +33,13 @@
         arrival: &Arrival<'_>,
         now: Millis,
     ) -> Verdict {
-        if !self.is_mine(ticket) {
+        if !self.names_this_gate(ticket) {
             return refuse(ResultCode::WrongGate);
         }
-        if let Some(refusal) = self.refuse_far(ticket, now) {
+        if let Some(refusal) = self.refuse_excessive_expiry(ticket, now) {
             return Verdict::Refuse(refusal);
         }
-        if let Some(verdict) = self.answer_again(ticket, arrival.digest) {
+        if let Some(verdict) = self.answer_from_record(ticket, arrival.digest) {
             return verdict;
         }
         if now >= ticket.expires_at {
@@ -48,7 +48,7 @@
         if self.records.below_floor(ticket) {
             return refuse(ResultCode::Fenced);
         }
-        self.arrive_first(ticket, arrival, now)
+        self.arrive_new_key(ticket, arrival, now)
     }
 
     /// Fences a key that has no record: by a record, or when they are full by
@@ -69,8 +69,8 @@
     }
 
     /// Whether the expiry lies so far ahead that no policy can have allowed it.
-    pub(super) fn is_far(&self, ticket: &Ticket, now: Millis) -> bool {
-        let ttl = self.longest_ticket_ttl;
+    pub(super) fn has_excessive_expiry(&self, ticket: &Ticket, now: Millis) -> bool {
+        let ttl = self.max_ticket_ttl;
         ticket.expires_at > now + ttl + ttl + EXPIRY_MARGIN
     }
 
@@ -79,15 +79,15 @@
     /// "Not run" has to stay true when the expiry has come nearer and a late
     /// duplicate looks reasonable, so the key is fenced by a record. Such
     /// records are few; beyond them the answer is "not yet".
-    fn refuse_far(&mut self, ticket: &Ticket, now: Millis) -> Option<Refusal> {
-        if !self.is_far(ticket, now) || self.records.covers(ticket) {
+    fn refuse_excessive_expiry(&mut self, ticket: &Ticket, now: Millis) -> Option<Refusal> {
+        if !self.has_excessive_expiry(ticket, now) || self.records.covers(ticket) {
             return None;
         }
         let max_records = self.policy.max_records;
-        if !self.records.has_room(max_records, now) || !self.records.take_far_fence() {
+        if !self.records.has_room(max_records, now) || !self.records.take_excessive_expiry_fence() {
             return Some(self.refusal(ResultCode::RecordsFull));
         }
-        if self.records.touch(ticket).is_some() {
+        if self.records.find_and_extend(ticket).is_some() {
             return None;
         }
         self.fence_new(ticket, None, None, now);
@@ -95,11 +95,11 @@
     }
 
     /// Answers from the key's record, if there is one.
-    fn answer_again(&mut self, ticket: &Ticket, digest: u64) -> Option<Verdict> {
-        if let Some(denial) = self.records.denial(ticket) {
-            return Some(Verdict::Refuse(denial));
+    fn answer_from_record(&mut self, ticket: &Ticket, digest: u64) -> Option<Verdict> {
+        if let Some(fenced_refusal) = self.records.fenced_refusal(ticket) {
+            return Some(Verdict::Refuse(fenced_refusal));
         }
-        let record = self.records.touch(ticket)?;
+        let record = self.records.find_and_extend(ticket)?;
         if matches!(record.state, RecordState::Fenced { .. }) {
             // A newer ticket than the fenced ones: as good as a first arrival.
             return None;
@@ -107,9 +107,9 @@
         if record.digest.is_some_and(|known| known != digest) {
             return Some(refuse(ResultCode::KeyReused));
         }
-        match Known::from(&record.state) {
-            Known::Verdict(verdict) => Some(verdict),
-            Known::Live(run) => Some(self.join(run)),
+        match RecordedOutcome::from(&record.state) {
+            RecordedOutcome::Verdict(verdict) => Some(verdict),
+            RecordedOutcome::Live(run) => Some(self.join(run)),
         }
     }
 
@@ -120,13 +120,13 @@
         Verdict::Join(id)
     }
 
-    fn arrive_first(&mut self, ticket: &Ticket, arrival: &Arrival<'_>, now: Millis) -> Verdict {
+    fn arrive_new_key(&mut self, ticket: &Ticket, arrival: &Arrival<'_>, now: Millis) -> Verdict {
         if !self.leaving && !self.records.has_room(self.policy.max_records, now) {
             return Verdict::Refuse(self.refusal(ResultCode::RecordsFull));
         }
         match self.admit(arrival, now) {
             Ok(admission) => {
-                let verdict = self.enlist(arrival, admission, now);
+                let verdict = self.register_call(arrival, admission, now);
                 let (Verdict::Run(run) | Verdict::Wait(run)) = verdict else {
                     unreachable!("an admitted call runs or waits");
                 };
@@ -134,14 +134,14 @@
                 self.records.insert(ticket, Some(arrival.digest), live, now);
                 verdict
             }
-            Err(refusal) => Verdict::Refuse(self.refuse_first(ticket, arrival, refusal, now)),
+            Err(refusal) => Verdict::Refuse(self.refuse_new_key(ticket, arrival, refusal, now)),
         }
     }
 
     /// Makes "not run" certain before it is said: the caller may take a ticket
     /// for another gate on the strength of it, and a late duplicate of this
     /// arrival must find the key fenced.
-    fn refuse_first(
+    fn refuse_new_key(
         &mut self,
         ticket: &Ticket,
         arrival: &Arrival<'_>,
@@ -167,7 +167,7 @@
     }
 }
 
-impl From<&RecordState> for Known {
+impl From<&RecordState> for RecordedOutcome {
     fn from(state: &RecordState) -> Self {
         Self::Verdict(match state {
             RecordState::Live(run) => return Self::Live(*run),
--- a/crates/core/src/suspects/mark.rs
+++ b/crates/core/src/suspects/mark.rs
@@ -12,7 +12,7 @@
 /// crash never counts as a crash alone; without this bound it would go on for
 /// ever. An innocent request is cleared by its first good run alone, long
 /// before it has been in this many.
-pub(crate) const CROWDED_CRASHES_TO_CONVICT: u8 = 4;
+pub(crate) const SHARED_CRASHES_TO_CONVICT: u8 = 4;
 
 /// The mergeable part of what is known about a fingerprint.
 ///
@@ -35,7 +35,7 @@
     pub(crate) fn after_crash(self, alone: bool) -> Self {
         let crashes = self.crashes.saturating_add(1);
         let repeated_alone = alone && self.standing != SuspicionLevel::Clear;
-        let standing = if repeated_alone || crashes >= CROWDED_CRASHES_TO_CONVICT {
+        let standing = if repeated_alone || crashes >= SHARED_CRASHES_TO_CONVICT {
             SuspicionLevel::Convicted
         } else {
             self.standing.max(SuspicionLevel::Suspect)
@@ -48,7 +48,7 @@
     }
 
     /// This mark after a good run alone. A conviction only ages out.
-    pub(crate) fn after_good_run(self) -> Self {
+    pub(crate) fn after_successful_run(self) -> Self {
         if self.standing != SuspicionLevel::Suspect {
             return self;
         }
--- a/crates/core/src/suspects/set.rs
+++ b/crates/core/src/suspects/set.rs
@@ -4,7 +4,7 @@
 
 /// One fingerprint with its mark.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-struct Marked {
+struct MarkedFingerprint {
     fingerprint: u64,
     mark: Mark,
 }
@@ -13,7 +13,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct SuspectSet {
     /// Sorted by fingerprint.
-    marked: Vec<Marked>,
+    marked: Vec<MarkedFingerprint>,
 }
 
 impl SuspectSet {
@@ -24,12 +24,12 @@
                 .last()
                 .is_none_or(|last| last.fingerprint < fingerprint)
         );
-        self.marked.push(Marked { fingerprint, mark });
+        self.marked.push(MarkedFingerprint { fingerprint, mark });
     }
 
     /// What is held against a fingerprint.
     #[must_use]
-    pub fn standing(&self, fingerprint: u64) -> SuspicionLevel {
+    pub fn level(&self, fingerprint: u64) -> SuspicionLevel {
         self.mark(fingerprint).standing
     }
 
--- a/crates/core/src/suspects/store.rs
+++ b/crates/core/src/suspects/store.rs
@@ -4,7 +4,7 @@
 
 use hornbeamhitch_types::prelude::*;
 
-use super::{Mark, NO_FINGERPRINT, SuspicionLevel, SuspectEntry, SuspectSet};
+use super::{Mark, NO_FINGERPRINT, SuspectEntry, SuspectSet, SuspicionLevel};
 
 /// How long an entry that has aged out is still remembered, though no longer
 /// held against anyone.
@@ -13,33 +13,33 @@
 /// If it were forgotten at once, an echo from a node that heard it later would
 /// bring it back for a moment, and in a large fleet those moments could follow
 /// each other for ever. Remembered, the older copy wins against every echo.
-const REMEMBERED_AFTER: Millis = Millis::from_secs(60);
+const TOMBSTONE_RETENTION: Millis = Millis::from_secs(60);
 
 /// Fingerprints that one node remembers.
 pub const MAX_SUSPECTS: usize = 1024;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-struct Known {
+struct StoredMark {
     mark: Mark,
     /// End of life in this node's clock. Kept instead of the time of birth,
     /// which may lie before the clock's origin.
     expires_at: Millis,
     /// It has aged out, and only serves to outlast its echoes.
-    aged_out: bool,
+    expired: bool,
 }
 
-impl Known {
+impl StoredMark {
     const fn new(mark: Mark, expires_at: Millis) -> Self {
         Self {
             mark,
             expires_at,
-            aged_out: false,
+            expired: false,
         }
     }
 
     /// What is in force: the version goes on, but nothing is held any more.
     const fn in_force(&self) -> Mark {
-        if !self.aged_out {
+        if !self.expired {
             return self.mark;
         }
         Mark {
@@ -66,7 +66,7 @@
 /// The mutable store of one node.
 #[derive(Clone, Debug, Default)]
 pub struct Suspects {
-    known: BTreeMap<u64, Known>,
+    known: BTreeMap<u64, StoredMark>,
 }
 
 impl Suspects {
@@ -91,7 +91,7 @@
             }
             let mark = self.mark(*fingerprint).after_crash(alone);
             let expires_at = now + mark.lifetime();
-            if !self.put(*fingerprint, Known::new(mark, expires_at)) {
+            if !self.put(*fingerprint, StoredMark::new(mark, expires_at)) {
                 continue;
             }
             entries.push(SuspectEntry::new(*fingerprint, mark, Millis::ZERO));
@@ -103,12 +103,12 @@
     /// be told to others; `None` when nothing was held against it.
     pub fn clear(&mut self, fingerprint: u64, now: Millis) -> Option<SuspectEntry> {
         let before = self.mark(fingerprint);
-        let mark = before.after_good_run();
+        let mark = before.after_successful_run();
         if mark == before {
             return None;
         }
         let expires_at = now + mark.lifetime();
-        self.put(fingerprint, Known::new(mark, expires_at));
+        self.put(fingerprint, StoredMark::new(mark, expires_at));
         Some(SuspectEntry::new(fingerprint, mark, Millis::ZERO))
     }
 
@@ -122,28 +122,28 @@
         if entry.fingerprint == NO_FINGERPRINT || expires_at <= now {
             return false;
         }
-        let heard = Known::new(mark, expires_at);
+        let received = StoredMark::new(mark, expires_at);
         let Some(known) = self.known.get(&entry.fingerprint) else {
-            return self.put(entry.fingerprint, heard);
+            return self.put(entry.fingerprint, received);
         };
         if known.mark > mark || (known.mark == mark && known.expires_at <= expires_at) {
             return false;
         }
-        self.put(entry.fingerprint, heard)
+        self.put(entry.fingerprint, received)
     }
 
     /// Ages out what has reached its time; true when a standing changed.
     pub fn tick(&mut self, now: Millis) -> bool {
         let mut changed = false;
         for known in self.known.values_mut() {
-            if known.aged_out || known.expires_at > now {
+            if known.expired || known.expires_at > now {
                 continue;
             }
-            known.aged_out = true;
+            known.expired = true;
             changed = true;
         }
         self.known
-            .retain(|_, known| known.expires_at + REMEMBERED_AFTER > now);
+            .retain(|_, known| known.expires_at + TOMBSTONE_RETENTION > now);
         changed
     }
 
@@ -152,7 +152,7 @@
     pub fn snapshot(&self) -> SuspectSet {
         let mut set = SuspectSet::default();
         for (fingerprint, known) in &self.known {
-            if !known.aged_out {
+            if !known.expired {
                 set.push(*fingerprint, known.mark);
             }
         }
@@ -161,13 +161,13 @@
 
     /// All that others should hear, in the order of fingerprints.
     pub fn entries(&self, now: Millis) -> impl Iterator<Item = SuspectEntry> + '_ {
-        let alive = self.known.iter().filter(|(_, known)| !known.aged_out);
-        alive.map(move |(key, known)| SuspectEntry::new(*key, known.mark, known.age_ms(now)))
+        let active = self.known.iter().filter(|(_, known)| !known.expired);
+        active.map(move |(key, known)| SuspectEntry::new(*key, known.mark, known.age_ms(now)))
     }
 
     /// What is held against a fingerprint.
     #[must_use]
-    pub fn standing(&self, fingerprint: u64) -> SuspicionLevel {
+    pub fn level(&self, fingerprint: u64) -> SuspicionLevel {
         self.mark(fingerprint).standing
     }
 
@@ -195,12 +195,12 @@
     pub(crate) fn raise(&mut self, fingerprint: u64, mark: Mark, now: Millis) {
         if self.mark(fingerprint) < mark {
             let expires_at = now + mark.lifetime();
-            self.put(fingerprint, Known::new(mark, expires_at));
+            self.put(fingerprint, StoredMark::new(mark, expires_at));
         }
     }
 
     /// Stores what is known; false when the store is full of graver things.
-    fn put(&mut self, fingerprint: u64, known: Known) -> bool {
+    fn put(&mut self, fingerprint: u64, known: StoredMark) -> bool {
         if !self.known.contains_key(&fingerprint)
             && self.known.len() >= MAX_SUSPECTS
             && !self.evict(known.mark.standing)
--- a/crates/core/src/suspects/tests.rs
+++ b/crates/core/src/suspects/tests.rs
@@ -22,28 +22,28 @@
     suspects.observe_crash(&[1, 2, NO_FINGERPRINT], false, Millis(1));
     suspects.observe_crash(&[3], true, Millis(2));
     for fingerprint in [1, 2, 3] {
-        assert_eq!(suspects.standing(fingerprint), SuspicionLevel::Suspect);
+        assert_eq!(suspects.level(fingerprint), SuspicionLevel::Suspect);
     }
-    assert_eq!(suspects.standing(NO_FINGERPRINT), SuspicionLevel::Clear);
+    assert_eq!(suspects.level(NO_FINGERPRINT), SuspicionLevel::Clear);
     suspects.clear(2, Millis(3));
     for fingerprint in [1, 2] {
         suspects.observe_crash(&[fingerprint], true, Millis(4));
     }
-    assert_eq!(suspects.standing(1), SuspicionLevel::Convicted);
-    assert_eq!(suspects.standing(2), SuspicionLevel::Suspect);
+    assert_eq!(suspects.level(1), SuspicionLevel::Convicted);
+    assert_eq!(suspects.level(2), SuspicionLevel::Suspect);
     assert_eq!(suspects.clear(1, Millis(5)), None, "a conviction ages out");
 }
 
 #[test]
-fn crowded_crashes_convict_in_the_end() {
+fn repeated_shared_crashes_lead_to_conviction() {
     // A request that outlasts its time alone is never alone in its crash. It
     // must not crash targets for ever.
     let mut suspects = Suspects::new();
     for crash in 1..=4 {
-        assert_ne!(suspects.standing(1), SuspicionLevel::Convicted, "{crash}");
+        assert_ne!(suspects.level(1), SuspicionLevel::Convicted, "{crash}");
         suspects.observe_crash(&[1, 100 + crash], false, Millis(crash));
     }
-    assert_eq!(suspects.standing(1), SuspicionLevel::Convicted);
+    assert_eq!(suspects.level(1), SuspicionLevel::Convicted);
 }
 
 #[test]
@@ -53,32 +53,32 @@
     let mut suspects = Suspects::new();
     assert!(suspects.merge(&entry(1, 2, SuspicionLevel::Clear, 10), Millis(1)));
     assert!(!suspects.merge(&entry(1, 1, SuspicionLevel::Suspect, 500), Millis(2)));
-    assert_eq!(suspects.standing(1), SuspicionLevel::Clear);
+    assert_eq!(suspects.level(1), SuspicionLevel::Clear);
     assert!(suspects.merge(&entry(1, 3, SuspicionLevel::Suspect, 0), Millis(3)));
-    assert_eq!(suspects.standing(1), SuspicionLevel::Suspect);
+    assert_eq!(suspects.level(1), SuspicionLevel::Suspect);
 }
 
 #[test]
-fn suspicion_ages_out_although_it_is_echoed() {
+fn suspicion_expires_despite_echoes() {
     // Two nodes tell each other the same entry over and over, each time a bit
     // too young by the time on the way. It must still age out, also when an
     // echo arrives just after one node has dropped it.
-    const ON_THE_WAY: Millis = Millis(20);
+    const TRANSIT_TIME: Millis = Millis(20);
     let mut nodes = [Suspects::new(), Suspects::new()];
     nodes[0].observe_crash(&[1], false, Millis(0));
     for step in 0..=60_050 {
         let now = Millis(step * 10);
         for (from, to) in [(0, 1), (1, 0)] {
-            let heard: Vec<SuspectEntry> = nodes[from].entries(now).collect();
+            let received: Vec<SuspectEntry> = nodes[from].entries(now).collect();
             nodes[0].tick(now);
             nodes[1].tick(now);
-            for entry in &heard {
-                nodes[to].merge(entry, now + ON_THE_WAY);
+            for entry in &received {
+                nodes[to].merge(entry, now + TRANSIT_TIME);
             }
         }
     }
-    assert_eq!(nodes[0].standing(1), SuspicionLevel::Clear);
-    assert_eq!(nodes[1].standing(1), SuspicionLevel::Clear);
+    assert_eq!(nodes[0].level(1), SuspicionLevel::Clear);
+    assert_eq!(nodes[1].level(1), SuspicionLevel::Clear);
 }
 
 #[test]
@@ -87,16 +87,16 @@
     suspects.observe_crash(&[1, 2], false, Millis(0));
     suspects.observe_crash(&[1], true, Millis(0));
     suspects.tick(Millis(11 * MINUTE_MS));
-    assert_eq!(suspects.standing(2), SuspicionLevel::Clear);
-    assert_eq!(suspects.standing(1), SuspicionLevel::Convicted);
+    assert_eq!(suspects.level(2), SuspicionLevel::Clear);
+    assert_eq!(suspects.level(1), SuspicionLevel::Convicted);
     assert!(suspects.tick(Millis(30 * MINUTE_MS)));
-    assert_eq!(suspects.standing(1), SuspicionLevel::Clear);
+    assert_eq!(suspects.level(1), SuspicionLevel::Clear);
     suspects.tick(Millis(31 * MINUTE_MS));
     assert!(suspects.is_empty());
 }
 
 #[test]
-fn flood_of_suspects_does_not_wash_out_a_conviction() {
+fn flood_of_suspects_does_not_evict_a_conviction() {
     // Busy targets crash again and again, each time with hundreds of requests
     // in flight. The convicted request must not be forgotten for them.
     let mut suspects = Suspects::new();
@@ -106,9 +106,9 @@
         suspects.observe_crash(&[fingerprint], false, Millis(fingerprint));
     }
     assert_eq!(suspects.len(), MAX_SUSPECTS);
-    assert_eq!(suspects.standing(1), SuspicionLevel::Convicted);
-    assert_eq!(suspects.standing(2), SuspicionLevel::Clear, "the oldest goes");
-    assert_eq!(suspects.snapshot().standing(4_999), SuspicionLevel::Suspect);
+    assert_eq!(suspects.level(1), SuspicionLevel::Convicted);
+    assert_eq!(suspects.level(2), SuspicionLevel::Clear, "the oldest goes");
+    assert_eq!(suspects.snapshot().level(4_999), SuspicionLevel::Suspect);
 }
 
 #[test]
@@ -123,11 +123,11 @@
     }
     let told = suspects.observe_crash(&[full + 1], false, Millis(5_000));
     assert_eq!(told, []);
-    assert_eq!(suspects.standing(1), SuspicionLevel::Convicted);
+    assert_eq!(suspects.level(1), SuspicionLevel::Convicted);
     let convicted = entry(full + 2, 2, SuspicionLevel::Convicted, 0);
     assert!(suspects.merge(&convicted, Millis(5_001)));
-    assert_eq!(suspects.standing(1), SuspicionLevel::Clear);
-    assert_eq!(suspects.standing(2), SuspicionLevel::Convicted);
+    assert_eq!(suspects.level(1), SuspicionLevel::Clear);
+    assert_eq!(suspects.level(2), SuspicionLevel::Convicted);
 }
 
 fn entries() -> impl Strategy<Value = Vec<SuspectEntry>> {
--- a/crates/edge/src/suspicion.rs
+++ b/crates/edge/src/suspicion.rs
@@ -1,6 +1,6 @@
 //! Requests that crash targets: what this node knows, and what it tells others.
 
-use hornbeamhitch_core::suspects::{SuspicionLevel, SuspectEntry, Suspects};
+use hornbeamhitch_core::suspects::{SuspectEntry, Suspects, SuspicionLevel};
 use hornbeamhitch_wire::link::SuspectNotice;
 use parking_lot::Mutex;
 use tokio::sync::broadcast;
@@ -42,7 +42,7 @@
     /// Whether a request is refused everywhere.
     #[must_use]
     pub fn is_convicted(&self, fingerprint: u64) -> bool {
-        self.known.lock().standing(fingerprint) == SuspicionLevel::Convicted
+        self.known.lock().level(fingerprint) == SuspicionLevel::Convicted
     }
 
     /// The target has crashed with these requests in flight.
@@ -127,7 +127,11 @@
 }
 
 fn from_notice(notice: &SuspectNotice) -> Option<SuspectEntry> {
-    let all = [SuspicionLevel::Clear, SuspicionLevel::Suspect, SuspicionLevel::Convicted];
+    let all = [
+        SuspicionLevel::Clear,
+        SuspicionLevel::Suspect,
+        SuspicionLevel::Convicted,
+    ];
     let standing = all.into_iter().find(|standing| {
         let name: &'static str = standing.into();
         name == notice.standing
--- a/crates/lab/src/world/entry_side.rs
+++ b/crates/lab/src/world/entry_side.rs
@@ -224,7 +224,7 @@
         if !call.live || call.hedged || call.attempts != 1 {
             return;
         }
-        if self.suspects.standing(call.fingerprint()) != SuspicionLevel::Clear {
+        if self.suspects.level(call.fingerprint()) != SuspicionLevel::Clear {
             return;
         }
         let progress = call.progress(true);
--- a/crates/node/src/callers/idempotent.rs
+++ b/crates/node/src/callers/idempotent.rs
@@ -76,7 +76,7 @@
     }
     let path = &call.to.path_and_query;
     let fingerprint = fingerprint::of_request(&parts.method, path, &parts.headers);
-    routes.suspects.standing(fingerprint)
+    routes.suspects.level(fingerprint)
 }
 
 /// The request's body: in hand and good for many attempts, or a stream that
--- a/crates/node/src/gate_server/board.rs
+++ b/crates/node/src/gate_server/board.rs
@@ -328,7 +328,11 @@
     /// An entry saw an earlier attempt of this request break.
     pub fn report_suspect(&self, fingerprint: u64) -> Option<SuspectEntry> {
         let now = self.clock.now();
-        self.state.lock().gate.as_mut()?.report_suspect(fingerprint, now)
+        self.state
+            .lock()
+            .gate
+            .as_mut()?
+            .report_suspect(fingerprint, now)
     }
 
     /// Requests that were cleared since the last call.
