--- a/crates/edge/tests/all/asking.rs
+++ b/crates/edge/tests/all/asking.rs
@@ -1,4 +1,4 @@
-//! Whom entries ask, and how often.
+//! Which gates entries send calls to, how often, and with which terms.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -9,34 +9,34 @@
 use parking_lot::Mutex;
 use tokio::net::TcpListener;
 
-use crate::support::caller::{Caller, DEADLINE, ask};
-use crate::support::gate_end::{GateEnd, answer};
+use crate::support::caller::{Caller, DEADLINE, request};
+use crate::support::gate_end::{FakeGate, answer};
 use crate::support::{Fleet, fleet, member, set_directory};
 
-/// A gate that takes no more is left alone for at least this long.
-const LEFT_ALONE: Duration = Duration::from_millis(400);
+/// Minimum time for which a gate that refuses all work is avoided.
+const MIN_AVOIDANCE: Duration = Duration::from_millis(400);
 
-/// What a gate of a test says to each call.
+/// How a fake gate replies to each call.
 #[derive(Clone, Copy)]
-enum Says {
+enum GateReply {
     Answer,
     End(CallEnd),
 }
 
-/// The terms of the calls that a gate was asked to take.
-type AskedFor = Arc<Mutex<Vec<CallTerms>>>;
+/// The terms of the calls that a fake gate has received.
+type ReceivedTerms = Arc<Mutex<Vec<CallTerms>>>;
 
-/// A target of the service behind a gate that the test plays, and what this gate was
-/// asked for.
-async fn target(fleet: &Fleet, number: u8, says: Says) -> (Member, AskedFor) {
+/// Starts a fake gate and returns its target as a listed member, together with the
+/// terms that the gate receives.
+async fn scripted_target(fleet: &Fleet, number: u8, reply: GateReply) -> (Member, ReceivedTerms) {
     let ip = format!("127.201.0.{number}");
     let listener = TcpListener::bind((ip.as_str(), fleet.gate_port)).await;
     let listener = listener.expect("the gate's port");
-    let asked = AskedFor::default();
-    let counted = Arc::clone(&asked);
+    let received = ReceivedTerms::default();
+    let recorded = Arc::clone(&received);
     tokio::spawn(async move {
-        let mut gate = GateEnd::accept(&listener, u64::from(number)).await;
-        while let Some(frame) = gate.rest().await {
+        let mut gate = FakeGate::accept(&listener, u64::from(number)).await;
+        while let Some(frame) = gate.next_unless_closed().await {
             let (id, terms) = match frame {
                 ToGate::Call { id, terms, .. } | ToGate::Offer { id, terms, .. } => (id, terms),
                 ToGate::Ping => {
@@ -45,58 +45,70 @@
                 }
                 _ => continue,
             };
-            counted.lock().push(terms.clone());
-            match says {
-                Says::Answer => gate.send(&answer(id, &terms.request_id)).await,
-                Says::End(end) => gate.send(&ToEntry::Ended { id, end }).await,
+            recorded.lock().push(terms.clone());
+            match reply {
+                GateReply::Answer => gate.send(&answer(id, &terms.request_id)).await,
+                GateReply::End(end) => gate.send(&ToEntry::Ended { id, end }).await,
             }
         }
     });
     let address: SocketAddr = format!("{ip}:1").parse().expect("an address");
-    (member(usize::from(number), "s", address), asked)
+    (member(usize::from(number), "s", address), received)
 }
 
-/// All VMs have lost power, and the list still names the targets that are no more.
-/// Their gates say that they take nothing for them. Asked again by every call, in
-/// every round, they would use up the time that calls have to find another target.
+/// Guards against calls that spend their time on targets that no longer exist. After
+/// a power loss of all VMs the list still contains such targets, and their gates
+/// refuse all work. If every call tried them in every round, too little time would be
+/// left to find another target.
 #[tokio::test]
-async fn a_gate_that_takes_no_more_is_left_alone_for_a_while() {
+async fn a_gate_that_refuses_all_work_is_avoided_for_a_while() {
     let fleet = fleet(&["other"]).await;
-    let (sound, served) = target(&fleet, 1, Says::Answer).await;
-    let (gone, asked) = target(&fleet, 2, Says::End(CallEnd::Leaving)).await;
-    set_directory(&fleet.directory, "s", vec![sound, gone]);
-    let began = Instant::now();
+    let (healthy, served) = scripted_target(&fleet, 1, GateReply::Answer).await;
+    let (departed, received) = scripted_target(&fleet, 2, GateReply::End(CallEnd::Leaving)).await;
+    set_directory(&fleet.directory, "s", vec![healthy, departed]);
+    let started = Instant::now();
     for number in 0..40 {
         let id = format!("id-{number}");
-        let answer = ask(fleet.vms[0].callers, "GET", "/read/x", &id).await;
+        let answer = request(fleet.vms[0].callers, "GET", "/read/x", &id).await;
         assert_eq!(answer.status(), 200);
     }
-    let most = 1 + began.elapsed().as_millis() / LEFT_ALONE.as_millis();
-    let asked = asked.lock().len();
-    assert!(asked as u128 <= most, "asked {asked} times of {most}");
+    let max_received = 1 + started.elapsed().as_millis() / MIN_AVOIDANCE.as_millis();
+    let received = received.lock().len();
+    assert!(
+        received as u128 <= max_received,
+        "the gate received {received} calls instead of at most {max_received}"
+    );
     assert_eq!(served.lock().len(), 40);
 }
 
-/// No target has room. The caller of a lookup is refused, comes back when it was told,
-/// and asks for the same with what is left of its deadline. Gates are told how much of
-/// its objective is gone, so that it takes no slot from a newcomer who can be in time.
+/// Guards against treating a retried lookup as a new one. Its caller was refused
+/// because no slot was free, and retries with the rest of its deadline. The terms sent
+/// to gates must contain how much of the objective has passed, so that the retry takes
+/// no slot from a new call that can still meet its objective.
 #[tokio::test]
-async fn the_objective_of_a_caller_that_comes_back_counts_from_its_first_request() {
+async fn a_retrying_callers_objective_counts_from_its_first_request() {
     let fleet = fleet(&["other"]).await;
-    let (full, asked) = target(&fleet, 3, Says::End(CallEnd::Busy)).await;
-    set_directory(&fleet.directory, "s", vec![full]);
+    let (busy, received) = scripted_target(&fleet, 3, GateReply::End(CallEnd::Busy)).await;
+    set_directory(&fleet.directory, "s", vec![busy]);
     let mut caller = Caller::connect(fleet.vms[0].callers).await;
-    let began = Instant::now();
-    let first = caller.look_up_until("/read/x", "id-1", DEADLINE).await;
+    let started = Instant::now();
+    let first = caller
+        .look_up_with_deadline("/read/x", "id-1", DEADLINE)
+        .await;
     assert_eq!(first.status(), 503);
-    let waited = began.elapsed();
-    let left = DEADLINE - waited;
-    let second = caller.look_up_until("/read/x", "id-2", left).await;
+    let elapsed = started.elapsed();
+    let remaining = DEADLINE - elapsed;
+    let second = caller
+        .look_up_with_deadline("/read/x", "id-2", remaining)
+        .await;
     assert_eq!(second.status(), 503);
-    let asked = asked.lock();
-    let again = asked.iter().find(|terms| terms.request_id == "id-2");
-    let again = again.expect("the gate was asked again");
-    let gone_ms = again.whole_objective_ms.since(again.objective_ms);
-    let most_ms = again.whole_objective_ms.0.min(waited.as_millis() as u64);
-    assert!(gone_ms.0 + 20 >= most_ms, "{gone_ms:?} of {most_ms} ms");
+    let received = received.lock();
+    let retry = received.iter().find(|terms| terms.request_id == "id-2");
+    let retry = retry.expect("the gate received the retry");
+    let elapsed_ms = retry.whole_objective_ms.since(retry.objective_ms);
+    let expected_ms = retry.whole_objective_ms.0.min(elapsed.as_millis() as u64);
+    assert!(
+        elapsed_ms.0 + 20 >= expected_ms,
+        "{elapsed_ms:?} have passed instead of at least {expected_ms} ms"
+    );
 }
