--- a/crates/core/src/budget.rs
+++ b/crates/core/src/budget.rs
@@ -1,7 +1,7 @@
-//! Hard budgets: token buckets and shares of first attempts.
+//! Token buckets, and budgets for extra attempts as a share of first attempts.
 //!
-//! Both count in millionths of a token, so that a share such as 0.1 adds up
-//! exactly and a test can state the very call at which a budget runs dry.
+//! Both count in millionths of a token. A share such as 0.1 therefore adds up
+//! exactly, and a test can state at which call a budget is exhausted.
 
 use hornbeamhitch_types::clock::Millis;
 
@@ -11,11 +11,11 @@
 const MICROS_PER_TOKEN: u64 = 1_000_000;
 const MILLIS_PER_SECOND: f64 = 1_000.0;
 
-/// A hard limit on a rate: over any span of `t` seconds no more than
-/// `burst + rate * t` tokens are handed out.
+/// A rate limiter: in any period of `t` seconds it grants at most `burst + rate
+/// * t` tokens.
 ///
 /// It bounds the work spent on measuring. A clock that stands still or steps
-/// back adds nothing, and a long pause adds no more than one burst.
+/// back adds no tokens, and a long pause adds at most one burst.
 #[derive(Clone, Debug)]
 pub struct TokenBucket {
     micros: u64,
@@ -25,7 +25,7 @@
 }
 
 impl TokenBucket {
-    /// A full bucket; a rate that is not positive never refills it.
+    /// Creates a full bucket. A rate that is not positive never refills it.
     #[must_use]
     pub fn new(rate_per_s: f64, burst: u32, now: Millis) -> Self {
         let cap_micros = u64::from(burst) * MICROS_PER_TOKEN;
@@ -37,8 +37,8 @@
         }
     }
 
-    /// Takes over a changed rate and burst; what is saved is kept up to the
-    /// new burst, so that changing a policy never hands out tokens.
+    /// Changes the rate and the burst. The tokens in the bucket remain, up to
+    /// the new burst, so a change of policy never adds tokens.
     pub fn set_rate(&mut self, rate_per_s: f64, burst: u32, now: Millis) {
         self.refill(now);
         self.cap_micros = u64::from(burst) * MICROS_PER_TOKEN;
@@ -46,7 +46,7 @@
         self.micros_per_ms = micros_per_ms(rate_per_s);
     }
 
-    /// Takes one token; false when none is left.
+    /// Takes one token; returns false if none is left.
     pub fn try_take(&mut self, now: Millis) -> bool {
         self.refill(now);
         let Some(rest) = self.micros.checked_sub(MICROS_PER_TOKEN) else {
@@ -56,7 +56,8 @@
         true
     }
 
-    /// When the next token can be taken; `None` when it never can.
+    /// Returns the time at which the next token is available; `None` if none
+    /// will ever be.
     #[must_use]
     pub fn next_at(&self, now: Millis) -> Option<Millis> {
         let now = now.max(self.filled_at);
@@ -84,19 +85,21 @@
     }
 }
 
-/// A rate that rounds down, so that rounding never exceeds the limit.
+/// Converts a rate to millionths of a token per millisecond. The result is
+/// rounded down so that it never exceeds the rate.
 fn micros_per_ms(rate_per_s: f64) -> u64 {
     (rate_per_s.max(0.0) * MICROS_PER_TOKEN as f64 / MILLIS_PER_SECOND) as u64
 }
 
-/// Extra attempts as a share of first attempts.
+/// A budget for extra attempts (retries or hedges) as a share of first
+/// attempts.
 ///
-/// Failure answered: a service is overloaded, every caller resends, and the
-/// resends keep it overloaded after the cause is gone. With `n` first attempts
-/// no more than `initial + share * n` extra ones are ever granted, whatever
-/// fails, so the added load is bounded by the share. The reserve lets the
-/// first failures of a quiet service be retried; its cap keeps a quiet hour
-/// from saving up a storm.
+/// Without it, callers of an overloaded service resend, and the resends keep
+/// the service overloaded after the cause is gone. For `n` first attempts, at
+/// most `initial + share * n` extra attempts are granted, so the added load is
+/// bounded by the share whatever fails. The initial reserve allows the first
+/// failures of a service with little traffic to be retried. The cap limits how
+/// many unused attempts can accumulate and be spent at once.
 #[derive(Clone, Debug)]
 pub struct ShareBudget {
     micros: u64,
@@ -104,12 +107,14 @@
 }
 
 impl ShareBudget {
-    /// Extra attempts granted before any first attempt was counted.
+    /// Extra attempts that are granted before any first attempt has been
+    /// counted.
     pub const INITIAL: u32 = 4;
-    /// Extra attempts that can be saved up at most.
+    /// Maximum number of unused extra attempts that can accumulate.
     pub const CAP: u32 = 16;
 
-    /// A budget for a share (0 to 1); a share of 0 grants nothing at all.
+    /// Creates a budget for a share between 0 and 1. A share of 0 grants
+    /// nothing.
     #[must_use]
     pub fn new(share: f64) -> Self {
         let micros_per_attempt = micros_per_attempt(share);
@@ -124,8 +129,8 @@
         }
     }
 
-    /// Takes over a changed share; switching the budget off empties it, any
-    /// other change hands out nothing.
+    /// Changes the share. A share of 0 empties the budget; any other change
+    /// adds no attempts.
     pub fn set_share(&mut self, share: f64) {
         self.micros_per_attempt = micros_per_attempt(share);
         if self.micros_per_attempt == 0 {
@@ -133,14 +138,14 @@
         }
     }
 
-    /// Counts a first attempt.
+    /// Counts a first attempt, which adds its share to the budget.
     pub fn count_first_attempt(&mut self) {
         let cap = u64::from(Self::CAP) * MICROS_PER_TOKEN;
         self.micros = (self.micros + self.micros_per_attempt).min(cap);
     }
 
-    /// Spends `cost` extra attempts; false, and nothing spent, when fewer are
-    /// left.
+    /// Spends `cost` extra attempts. If fewer are left, it spends nothing and
+    /// returns false.
     pub fn try_spend(&mut self, cost: u32) -> bool {
         let cost_micros = u64::from(cost) * MICROS_PER_TOKEN;
         if self.micros_per_attempt == 0 {
@@ -153,7 +158,7 @@
         true
     }
 
-    /// Whole extra attempts that are left.
+    /// Returns the whole number of extra attempts left.
     #[must_use]
     pub fn left(&self) -> u32 {
         (self.micros / MICROS_PER_TOKEN) as u32
--- a/crates/core/src/budget/tests.rs
+++ b/crates/core/src/budget/tests.rs
@@ -1,4 +1,5 @@
-//! Budgets are never exceeded, and say when they have more.
+//! Tests that budgets are never exceeded and report when more tokens are
+//! available.
 
 use proptest::prelude::*;
 
@@ -16,8 +17,8 @@
     assert_eq!(taken, [0, 0, 0, 500, 1_000, 1_500, 2_000]);
 }
 
-/// A process sleeps for an hour: on waking it must not probe for an hour's
-/// worth at once; nor may a clock that steps back earn anything.
+/// A process that was suspended for an hour must not send an hour's worth of
+/// probes when it resumes, and a clock that steps back must not add tokens.
 #[test]
 fn a_pause_adds_one_burst_and_a_clock_step_back_adds_nothing() {
     let mut bucket = TokenBucket::new(10.0, 3, Millis(5_000));
--- a/crates/core/src/entry.rs
+++ b/crates/core/src/entry.rs
@@ -1,4 +1,5 @@
-//! The entry's side of a call: picking a target, retrying, hedging, giving up.
+//! The entry's side of a call: picking a target, retrying, hedging and giving
+//! up.
 
 use std::sync::Arc;
 
@@ -39,22 +40,23 @@
     AttemptEnd, AttemptOutcome, CallProgress, Next, Pick, PickRequest, TargetIndex, TicketGate,
 };
 
-/// A hedge looks for room in at most this many targets.
+/// Number of targets checked for free capacity before a hedge is sent.
 const HEDGE_TARGETS_CHECKED: usize = 8;
-/// A target is busy from this share of its limit on.
+/// Share of its limit above which a target counts as busy.
 const BUSY_RATIO: f32 = 0.8;
 
-/// What an entry knows about itself.
+/// Settings of an entry.
 #[derive(Clone, Debug)]
 pub struct EntrySettings {
-    /// Seed of the generator that breaks ties and spreads `Retry-After`.
+    /// Seed of the generator that breaks ties and applies jitter to
+    /// `Retry-After`.
     pub seed: u64,
 }
 
-/// One service as one entry sees it.
+/// The state that one entry keeps about one service.
 ///
-/// Shared by traffic threads behind a mutex: no call blocks, and only
-/// [`Self::update`] does work that grows with the number of targets on each
+/// Traffic threads share it behind a mutex. No method blocks, and only
+/// [`Self::update`] does work proportional to the number of targets on every
 /// call.
 #[derive(Debug)]
 pub struct EntryService {
@@ -69,7 +71,7 @@
 }
 
 impl EntryService {
-    /// Starts with a first view.
+    /// Creates the state from an initial view.
     #[must_use]
     pub fn new(settings: &EntrySettings, view: Arc<ServiceView>, now: Millis) -> Self {
         let budgets = view.policy.budgets;
@@ -87,7 +89,8 @@
         service
     }
 
-    /// Takes over a newer view; what was learnt about targets that stay is kept.
+    /// Applies a newer view. Statistics about targets that remain in the view
+    /// are kept.
     pub fn update(&mut self, view: Arc<ServiceView>, now: Millis) {
         if Arc::ptr_eq(&self.view, &view) {
             return;
@@ -102,14 +105,16 @@
         self.table.update(&self.view, now);
     }
 
-    /// Chooses a target for one attempt and counts it as in flight.
+    /// Picks a target for one attempt and counts the attempt as in flight.
     ///
-    /// An empty `exclude` marks a first attempt: it earns the budgets their
-    /// share, and it alone may become the trial of an ejected target.
+    /// An empty `exclude` marks a first attempt. Only first attempts add to the
+    /// budgets, and only a first attempt may become the trial of an ejected
+    /// target (its half-open probe).
     ///
     /// # Errors
     ///
-    /// Refuses when no usable target is left; the refusal is final.
+    /// Returns a final refusal if no usable target is left or the deadline has
+    /// passed.
     pub fn pick(&mut self, request: &PickRequest<'_>, now: Millis) -> Result<Pick, Refusal> {
         let is_first = request.exclude.is_empty();
         if now >= request.deadline_at {
@@ -129,14 +134,14 @@
         Ok(self.start(target, trial.is_some(), now))
     }
 
-    /// The target behind an index, while it is in the view.
+    /// Returns the target at an index if it is in the view.
     #[must_use]
     pub fn target(&self, index: TargetIndex) -> Option<&TargetView> {
         let place = self.table.get(index)?.view_position?;
         self.view.targets.get(place as usize)
     }
 
-    /// The target on a VM: where a ticketed call must go.
+    /// Returns the target on a VM, to which a ticketed call must go.
     #[must_use]
     pub fn target_on(&self, vm: &VmId) -> Option<(TargetIndex, &TargetView)> {
         let index = self.table.find(vm)?;
@@ -144,25 +149,26 @@
         Some((index, target))
     }
 
-    /// Counts an attempt that a ticket sends to a fixed target.
+    /// Counts an attempt that must go to a fixed target because of its ticket.
     ///
     /// `target` must come from [`Self::target_on`] under the same lock, because
-    /// the index of a VM that has gone may be given to another.
+    /// the index of a VM that has been removed may be reused.
     pub fn pick_fixed(&mut self, target: TargetIndex, now: Millis) -> Pick {
         self.start(target, false, now)
     }
 
-    /// Earns the retry and hedge budgets the share of one first attempt.
+    /// Adds the share of one first attempt to the retry and hedge budgets.
     ///
-    /// [`Self::pick`] does so itself. [`Self::pick_fixed`] does not, because a
-    /// ticketed call is neither retried nor hedged; a driver that chooses targets
-    /// of idempotent calls in its own way calls this for each first attempt.
+    /// [`Self::pick`] calls this. [`Self::pick_fixed`] does not, because a
+    /// ticketed call is neither retried nor hedged. A driver that selects the
+    /// targets of idempotent calls itself calls this for each first attempt.
     pub fn count_first_attempt(&mut self) {
         self.retry_budget.count_first_attempt();
         self.hedge_budget.count_first_attempt();
     }
 
-    /// Ends an attempt: frees its place and learns from its outcome.
+    /// Ends an attempt: it is no longer in flight, and its outcome updates the
+    /// statistics.
     pub fn finish(&mut self, pick: &Pick, outcome: &AttemptOutcome, now: Millis) {
         let Some(target) = self.table.get_mut(pick.target) else {
             return;
@@ -182,11 +188,11 @@
         self.table.release_if_gone(pick.target.0);
     }
 
-    /// Decides between another attempt and a final answer, and spends from the
-    /// retry budget. Call after [`Self::finish`].
+    /// Decides between a retry and a final answer. A retry is charged to the
+    /// retry budget. Call this after [`Self::finish`].
     ///
-    /// After a failed answer of the target itself the driver may pass that
-    /// answer on in place of the refusal.
+    /// If the target itself answered with a failure, the driver may forward
+    /// that answer in place of the refusal.
     pub fn after_failure(&mut self, call: &CallProgress, end: &AttemptEnd, now: Millis) -> Next {
         if !retry::may_retry(call, end) || now >= call.deadline_at {
             let code = retry::final_code(call, end, now);
@@ -203,7 +209,8 @@
         Next::GiveUp(self.refusal(code, end, now))
     }
 
-    /// How long to wait before a hedge of a first attempt; `None` for never.
+    /// Returns how long to wait before a first attempt is hedged; `None` if it
+    /// must not be hedged.
     #[must_use]
     pub fn hedge_delay_ms(&self, call: &CallProgress) -> Option<Millis> {
         if !self.may_hedge(call) {
@@ -213,10 +220,12 @@
         Some(Millis(u64::from(delay_us).div_ceil(1_000).max(1)))
     }
 
-    /// Spends from the hedge budget; false when it is empty or a hedge would
-    /// not help, as when all targets are busy.
+    /// Charges one hedge to the hedge budget. Returns false if the budget is
+    /// empty or a hedge would not help, for example because all targets are
+    /// busy.
     ///
-    /// The hedge itself is a [`Self::pick`] that excludes the first target.
+    /// The hedge itself is a [`Self::pick`] that excludes the target of the
+    /// first attempt.
     pub fn try_hedge(&mut self, call: &CallProgress, now: Millis) -> bool {
         if !self.may_hedge(call) || !self.has_time_for_another(call, now) {
             return false;
@@ -227,27 +236,28 @@
         retry::cost_at_depth(call.depth).is_some_and(|cost| self.hedge_budget.try_spend(cost))
     }
 
-    /// Chooses the gate for a new ticket, the same for one key while views
-    /// agree and the gate is usable.
+    /// Chooses the gate for a new ticket. Entries whose views agree choose the
+    /// same gate for a key as long as that gate is usable.
     ///
-    /// The expiry is counted from the gate's clock as last heard, without
-    /// adding the time since: a ticket may run out early, which its caller is
-    /// told, but never outlives the record by this node's error.
+    /// The expiry is computed from the gate's clock as last reported, without
+    /// adding the time since then. A ticket may therefore expire early, which
+    /// its caller is told, but this node's clock error never lets it outlive
+    /// the gate's record.
     ///
     /// # Errors
     ///
-    /// Refuses when no gate whose life is known can take new work.
+    /// Returns a refusal if no gate with a known incarnation accepts new work.
     pub fn ticket_gate(&mut self, key: CallKey, now: Millis) -> Result<TicketGate, Refusal> {
         let chosen = ticket_choice::choose_for_key(&self.table, key, now);
         self.ticket_gate_at(chosen, now)
     }
 
-    /// Chooses the gate for a ticket whose key this entry makes up itself: the
-    /// gates take turns.
+    /// Chooses the gate for a ticket whose key this entry generates; gates are
+    /// used in turn.
     ///
     /// # Errors
     ///
-    /// Refuses when no gate whose life is known can take new work.
+    /// Returns a refusal if no gate with a known incarnation accepts new work.
     pub fn ticket_gate_in_turn(&mut self, now: Millis) -> Result<TicketGate, Refusal> {
         let slots = self.view.policy.slots;
         let chosen = ticket_choice::choose_in_turn(&self.table, &self.averages, slots, now);
@@ -273,12 +283,13 @@
         })
     }
 
-    /// When a refused caller should come back: spread, growing under overload.
+    /// Returns when a refused caller should retry. The time has jitter and
+    /// grows with the share of refused attempts.
     pub fn retry_after_ms(&mut self, now: Millis) -> Millis {
         self.retry_after.draw(&mut self.rng, now)
     }
 
-    /// Attempts of this entry that are open at a target.
+    /// Returns the number of attempts of this entry in flight at a target.
     #[must_use]
     pub fn in_flight(&self, index: TargetIndex) -> u32 {
         self.table
@@ -286,7 +297,7 @@
             .map_or(0, |target| target.stats.in_flight())
     }
 
-    /// Targets that are ejected at present, for metrics.
+    /// Returns the number of currently ejected targets, for metrics.
     #[must_use]
     pub fn ejected_targets(&self) -> usize {
         self.table.ejected.len()
@@ -322,8 +333,9 @@
         None
     }
 
-    /// Whether an attempt before this pick ran is not known here, so only a
-    /// first attempt is refused with "not run".
+    /// Refuses a call for which no target is available. It is not known here
+    /// whether an earlier attempt ran, so only a first attempt is refused with
+    /// a "not run" code.
     fn refuse_pick(&mut self, is_first: bool, now: Millis) -> Refusal {
         let code = if is_first {
             ResultCode::NoTarget
@@ -355,8 +367,8 @@
         self.retry_after.count_accepted(now);
     }
 
-    /// An attempt that started in an earlier life of the target teaches
-    /// nothing about the present one.
+    /// Updates the statistics with the outcome of an attempt. An attempt that
+    /// started before the target's current incarnation is ignored.
     fn record_outcome(&mut self, pick: &Pick, outcome: &AttemptOutcome, now: Millis) {
         let ejection = self.view.policy.ejection;
         let slots = self.view.policy.slots;
@@ -408,15 +420,16 @@
         }
         let own = self.retry_after_ms(now);
         let retry_after = suggested.unwrap_or(Millis::ZERO).max(own);
-        // A conviction lasts for minutes, and its gate says so; shortened, the
-        // caller would come back dozens of times in vain.
+        // A conviction lasts for minutes, and the gate states how long. With
+        // the usual maximum, the caller would retry dozens of times in vain.
         if code == ResultCode::CrashSuspect {
             return Refusal::retry_after(code, retry_after);
         }
         Refusal::retry_after(code, retry_after.min(MAX_RETRY_AFTER_MS))
     }
 
-    /// A resend that will most likely miss the deadline only adds load.
+    /// Whether enough time is left. A retry that will most likely miss the
+    /// deadline only adds load.
     fn has_time_for_another(&self, call: &CallProgress, now: Millis) -> bool {
         let needed_us = self.latency.median_us().unwrap_or(0);
         let left_us = call.deadline_at.since(now).0.saturating_mul(1_000);
@@ -440,8 +453,8 @@
             && retry::cost_at_depth(call.depth).is_some()
     }
 
-    /// Failure answered: all targets are busy, so every call is slow, and
-    /// hedging the slow ones doubles the load.
+    /// Whether some target has free capacity. If all targets are busy, every
+    /// call is slow, and hedging the slow calls would double the load.
     fn has_room(&mut self, now: Millis) -> bool {
         let tier = self.table.first_tier();
         let start = self.rng.random_range(0..tier.len());
--- a/crates/core/src/entry/ejection.rs
+++ b/crates/core/src/entry/ejection.rs
@@ -1,15 +1,16 @@
-//! Taking a failing target out of picking, and letting it back by trials.
+//! Ejection of failing targets, and their readmission after a successful trial.
 
 use crate::prelude::*;
 
-/// A share that is meant as a fraction of a small number, such as 0.33 of 3,
-/// may fall short of it by this much.
+/// Tolerance for shares that approximate a fraction of a small number, such as
+/// 0.33 of 3.
 const ROUNDING_SLACK: f64 = 0.05;
-/// A target takes the place of an ejected one only when it is this many times
-/// worse, so that equally bad ones do not change places at every failure.
+/// A target replaces an ejected one only if it has more than this many times
+/// its failures, so that equally bad targets do not alternate at every failure.
 const WORSE_FACTOR: u32 = 2;
 
-/// How many of `targets` may be ejected at once; at least one always stays.
+/// Returns how many of `targets` may be ejected at once. At least one always
+/// stays in use.
 pub(crate) fn max_ejected(targets: usize, share: f64) -> usize {
     let allowed = (targets as f64 * share + ROUNDING_SLACK).floor() as usize;
     allowed.min(targets.saturating_sub(1))
@@ -22,7 +23,7 @@
     trial_open: bool,
 }
 
-/// Failures of one target and what follows from them.
+/// The failures of one target and its ejection state.
 #[derive(Clone, Debug)]
 pub(crate) struct Health {
     consecutive_failures: u32,
@@ -50,13 +51,13 @@
         self.consecutive_failures = self.consecutive_failures.saturating_add(1);
     }
 
-    /// Counts as many failures at once as eject a target.
+    /// Counts as many failures at once as are needed to eject the target.
     pub(crate) fn count_unreachable(&mut self, policy: &EjectionPolicy) {
         let enough = policy.consecutive_failures;
         self.consecutive_failures = self.consecutive_failures.saturating_add(1).max(enough);
     }
 
-    /// An answer: the run of failures is over.
+    /// Ends the run of consecutive failures after a successful answer.
     pub(crate) fn count_success(&mut self) {
         self.consecutive_failures = 0;
     }
@@ -65,7 +66,8 @@
         self.ejected.is_none() && self.consecutive_failures >= policy.consecutive_failures
     }
 
-    /// Whether this target is so much worse that it should be out instead.
+    /// Whether this target is so much worse than `other` that it should be
+    /// ejected instead.
     pub(crate) fn is_much_worse_than(&self, other: &Self) -> bool {
         self.consecutive_failures > other.consecutive_failures.saturating_mul(WORSE_FACTOR)
     }
@@ -74,9 +76,9 @@
         self.consecutive_failures
     }
 
-    /// Takes the target out. Failing again soon after a return doubles the
-    /// time, so that a target which passes single trials but fails under load
-    /// does not swing in and out at the shortest interval.
+    /// Ejects the target. The ejection time doubles if the target fails again
+    /// soon after its readmission. Otherwise a target that passes single trials
+    /// but fails under load would alternate at the shortest interval.
     pub(crate) fn eject(&mut self, policy: &EjectionPolicy, now: Millis) {
         let relapsed = self
             .readmitted_at
@@ -93,13 +95,13 @@
         });
     }
 
-    /// Brings the target back into picking.
+    /// Ends the ejection.
     pub(crate) fn readmit(&mut self, now: Millis) {
         self.ejected = None;
         self.readmitted_at = Some(now);
     }
 
-    /// When the next trial may start; `None` while one is open.
+    /// Returns when the next trial may start; `None` while one is in progress.
     pub(crate) fn trial_at(&self) -> Option<Millis> {
         let ejected = self.ejected?;
         (!ejected.trial_open).then_some(ejected.trial_at)
@@ -111,13 +113,14 @@
         }
     }
 
-    /// The trial failed: the next one is twice as far away.
+    /// Records a failed trial and doubles the time to the next one.
     pub(crate) fn fail_trial(&mut self, policy: &EjectionPolicy, now: Millis) {
         self.interval_ms = doubled(self.interval_ms, policy);
         self.postpone_trial(now);
     }
 
-    /// The trial told nothing: another after the same time.
+    /// Records an inconclusive trial. The next one follows after the same
+    /// interval.
     pub(crate) fn postpone_trial(&mut self, now: Millis) {
         if let Some(ejected) = &mut self.ejected {
             ejected.trial_open = false;
@@ -125,7 +128,8 @@
         }
     }
 
-    /// Whether an attempt started then tells about the time after ejection.
+    /// Whether an attempt that started at this time was sent after the
+    /// ejection.
     pub(crate) fn was_ejected_before(&self, started_at: Millis) -> bool {
         self.ejected.is_some_and(|ejected| started_at > ejected.at)
     }
--- a/crates/core/src/entry/gate_clock.rs
+++ b/crates/core/src/entry/gate_clock.rs
@@ -1,19 +1,20 @@
-//! How old a report was when it arrived.
+//! Estimates when a gate created a report, from the offset between the clocks.
 
 use crate::prelude::*;
 
-/// Two clocks drift apart by at most a millisecond in this time (200 ppm).
+/// Time in which two clocks may drift apart by one millisecond (200 ppm).
 const MS_PER_DRIFTED_MS: i64 = 5_000;
 
-/// Far beyond any clock, and small enough that sums cannot overflow.
+/// Far beyond any clock value, and small enough that sums cannot overflow.
 const MAX_CLOCK_MS: i64 = i64::MAX / 4;
 
-/// The lead of this node's clock over a gate's, from the fastest report.
+/// The smallest observed offset of this node's clock from a gate's clock.
 ///
-/// Failure answered: a report that was delayed on its way looks fresh on
-/// arrival, and is believed although the load has changed since. A report is
-/// older than the fastest one was by as much as its lead exceeds that one's. How
-/// late the fastest one was stays unknown; the network's own delay is small.
+/// A report that is delayed on the way looks fresh on arrival, although the
+/// load has changed since. The report with the smallest offset was the fastest;
+/// another report is older on arrival by the difference of the offsets. The
+/// delay of the fastest report is unknown, but the network's own delay is
+/// small.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct GateClock {
     min_offset_ms: Option<i64>,
@@ -21,7 +22,8 @@
 }
 
 impl GateClock {
-    /// When a report was made, in this node's clock; never after its arrival.
+    /// Returns when a report was created, by this node's clock; never later
+    /// than its arrival.
     pub(crate) fn created_at(&mut self, gate_clock_ms: Millis, received_at: Millis) -> Millis {
         let offset_ms = signed(received_at) - signed(gate_clock_ms);
         let drift_ms = signed(received_at.since(self.measured_at)) / MS_PER_DRIFTED_MS;
--- a/crates/core/src/entry/latency.rs
+++ b/crates/core/src/entry/latency.rs
@@ -1,24 +1,25 @@
-//! Quantiles of recent latency from a histogram with logarithmic buckets.
+//! Quantiles of recent latencies, from a histogram with logarithmic buckets.
 
 use hornbeamhitch_types::clock::Millis;
 
-/// Buckets per doubling: an edge is at most 12.5% above any value it stands for.
+/// Buckets per doubling. The upper edge of a bucket is at most 12.5% above any
+/// value in it.
 const BUCKETS_PER_OCTAVE: usize = 8;
 const OCTAVE_BITS: u32 = BUCKETS_PER_OCTAVE.trailing_zeros();
 const OCTAVES: usize = u32::BITS as usize;
 const BUCKETS: usize = BUCKETS_PER_OCTAVE * OCTAVES;
-/// Weight at which everything is halved, so that about the last thousand
-/// samples decide.
+/// Total weight at which all weights are halved, so that about the last
+/// thousand samples determine the quantiles.
 const FULL_WEIGHT: f32 = 1_024.0;
-/// At low rates everything is halved after this time instead.
+/// At low rates, all weights are halved after this time instead.
 const HALVING_MS: Millis = Millis::from_secs(30);
-/// Samples between two computations of the cached quantiles.
+/// Number of samples after which the cached quantiles are recomputed.
 const REFRESH_SAMPLES: u32 = 16;
-/// Below this weight there is no opinion.
+/// Minimum total weight for a quantile.
 const MIN_WEIGHT: f32 = 20.0;
 const MEDIAN: f64 = 0.5;
 
-/// Recent latencies of one service; recording and asking never allocate.
+/// Recent latencies of one service. Recording and reading never allocate.
 #[derive(Clone, Debug)]
 pub(crate) struct LatencyHistogram {
     weights: Box<[f32; BUCKETS]>,
@@ -31,7 +32,7 @@
 }
 
 impl LatencyHistogram {
-    /// An empty histogram that keeps `quantile` at hand.
+    /// Creates an empty histogram that caches `quantile` and the median.
     pub(crate) fn new(quantile: f64, now: Millis) -> Self {
         Self {
             weights: Box::new([0.0; BUCKETS]),
@@ -49,7 +50,7 @@
         self.refresh();
     }
 
-    /// Counts the latency of an answer.
+    /// Records the latency of an answer.
     pub(crate) fn record(&mut self, latency_us: u32, now: Millis) {
         self.weights[bucket_of(latency_us)] += 1.0;
         self.total += 1.0;
@@ -62,11 +63,11 @@
         }
     }
 
-    /// Counts an attempt that was given up unanswered after this time.
+    /// Records an attempt that was cancelled unanswered after this time.
     ///
-    /// Lost hedges are the slow ones. Leaving them out would pull the quantile
-    /// down, start hedges sooner and lose more of them. Below the quantile the
-    /// bound says nothing and is left out.
+    /// Cancelled hedged attempts are the slow ones. Ignoring them would lower
+    /// the quantile, which would start hedges sooner and cancel more attempts.
+    /// A bound below the quantile carries no information and is ignored.
     pub(crate) fn record_lower_bound(&mut self, latency_us: u32, now: Millis) {
         if self
             .cached_quantile_us
@@ -77,12 +78,12 @@
         self.record(latency_us, now);
     }
 
-    /// The quantile in microseconds, once enough is known.
+    /// Returns the quantile in microseconds, once there are enough samples.
     pub(crate) fn quantile_us(&self) -> Option<u32> {
         self.cached_quantile_us
     }
 
-    /// The median in microseconds, once enough is known.
+    /// Returns the median in microseconds, once there are enough samples.
     pub(crate) fn median_us(&self) -> Option<u32> {
         self.cached_median_us
     }
@@ -118,7 +119,8 @@
     }
 }
 
-/// The octave from the highest bit, the place within it from the next bits.
+/// Returns the bucket of a latency. The highest bit determines the octave and
+/// the next bits the position within it.
 fn bucket_of(latency_us: u32) -> usize {
     let value = latency_us.max(1);
     let octave = value.ilog2();
--- a/crates/core/src/entry/outcome.rs
+++ b/crates/core/src/entry/outcome.rs
@@ -1,29 +1,30 @@
-//! What the end of an attempt says about the target and about the call.
+//! What the end of an attempt shows about the target and about the call.
 
 use crate::entry::{AttemptEnd, AttemptOutcome};
 use crate::prelude::*;
 
-/// What an end says about the target.
+/// What the end of an attempt shows about the target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Observation {
-    /// It answered.
+    /// The target answered without a failure.
     Success,
-    /// It failed, however quickly.
+    /// The target failed, however quickly.
     Failure,
-    /// Nothing is there.
+    /// Nothing listens at the address.
     Unreachable,
-    /// It works but has no room.
+    /// The target works but has no capacity left.
     Overloaded,
-    /// It takes no new work.
+    /// The target accepts no new work.
     Leaving,
-    /// It would have taken at least as long as the attempt lasted.
+    /// The service time is at least as long as the attempt lasted.
     LowerBound,
-    /// Nothing: the call itself was at fault.
+    /// Nothing is known about the target, because the call itself was at fault.
     Inconclusive,
 }
 
 impl Observation {
-    /// `median_us` is the median latency, once it is known.
+    /// Classifies an outcome. `median_us` is the median latency, once it is
+    /// known.
     pub(crate) fn of(outcome: &AttemptOutcome, median_us: Option<u32>) -> Self {
         match outcome.end {
             AttemptEnd::Answered { failed: false } => Self::Success,
@@ -36,9 +37,10 @@
         }
     }
 
-    /// Failure answered: one caller sets deadlines that no target can meet, and
-    /// its timeouts eject healthy targets for everyone. Half of all answers
-    /// take longer than the median, so giving up sooner proves nothing.
+    /// Classifies a timeout. Half of all answers take longer than the median,
+    /// so a timeout before the median proves nothing. Otherwise a single caller
+    /// with deadlines that no target can meet would eject healthy targets for
+    /// everyone.
     fn of_timeout(latency_us: u32, median_us: Option<u32>) -> Self {
         match median_us {
             Some(median_us) if latency_us < median_us => Self::LowerBound,
@@ -50,8 +52,8 @@
         match code {
             ResultCode::Overloaded | ResultCode::RecordsFull => Self::Overloaded,
             ResultCode::Leaving => Self::Leaving,
-            // The gate cannot serve this service at all, and says so at once:
-            // without a cost it would look like the quickest target.
+            // The gate cannot serve this service and says so at once. If this
+            // were not a failure, the target would look like the fastest one.
             ResultCode::NoTarget
             | ResultCode::WrongGate
             | ResultCode::UnknownService
@@ -62,7 +64,7 @@
 }
 
 impl AttemptEnd {
-    /// Whether the gate had no room, or not soon enough.
+    /// Whether the gate had no capacity, or none before the deadline.
     pub(crate) const fn is_overload_refusal(&self) -> bool {
         let Self::Refused(refusal) = self else {
             return false;
--- a/crates/core/src/entry/picker.rs
+++ b/crates/core/src/entry/picker.rs
@@ -1,4 +1,4 @@
-//! Choosing one target out of a tier.
+//! Choosing one target from a tier.
 
 use rand::RngExt;
 use rand::rngs::Xoshiro256PlusPlus;
@@ -8,16 +8,17 @@
 use crate::entry::table::TargetTable;
 use crate::prelude::*;
 
-/// Up to this many targets are all compared; above, two random ones, because
-/// the cost of a pick must not grow with the service and because two entries
-/// with the same picture then rarely choose alike.
+/// Tiers of up to this size are compared completely. In larger tiers two random
+/// targets are compared, so that the cost of a pick does not grow with the
+/// service and two entries with the same information rarely make the same
+/// choice.
 const COMPARE_ALL_UP_TO: usize = 8;
-/// Draws for two targets before giving up on drawing.
+/// Maximum number of random draws to find two targets.
 const MAX_DRAWS: usize = 16;
-/// Scores that differ by less than this share count as tied.
+/// Scores that differ by less than this share count as equal.
 const TIE_SHARE: f32 = 0.03;
 
-/// All that a choice depends on but the tier itself.
+/// Everything that a choice depends on except the tier.
 pub(crate) struct Picker<'a> {
     pub(crate) table: &'a TargetTable,
     pub(crate) averages: &'a ServiceAverages,
@@ -27,8 +28,8 @@
 }
 
 impl Picker<'_> {
-    /// The target of `tier` with the lowest expected time, ties broken by
-    /// chance; `None` when all are excluded.
+    /// Returns the target of `tier` with the lowest expected time. Ties are
+    /// broken at random. Returns `None` if all targets are excluded.
     pub(crate) fn choose(&self, tier: &[u32], rng: &mut Xoshiro256PlusPlus) -> Option<TargetIndex> {
         if tier.len() <= COMPARE_ALL_UP_TO {
             return self.best_of_all(tier, rng);
@@ -114,8 +115,8 @@
     }
 }
 
-/// A cold target stays out of most choices. Its score alone would not do: it
-/// is empty, so every entry would find it the best one.
+/// Excludes a cold target from most choices. Its score alone is not enough: the
+/// target is idle, so every entry would find it the best one.
 fn is_held_back(ramp: f32, rng: &mut Xoshiro256PlusPlus) -> bool {
     ramp < 1.0 && rng.random::<f32>() >= ramp
 }
--- a/crates/core/src/entry/retry.rs
+++ b/crates/core/src/entry/retry.rs
@@ -1,19 +1,20 @@
-//! Whether a failed call gets another attempt, and its final answer if not.
+//! Decides whether a failed call is retried, and its final code if not.
 
 use crate::entry::{AttemptEnd, CallProgress};
 use crate::prelude::*;
 
-/// Attempts of one call at most, however many targets there are.
+/// Maximum number of attempts of a call, however many targets there are.
 pub(crate) const MAX_ATTEMPTS: u32 = 3;
 /// Calls at this depth or deeper are never retried or hedged.
 const DEPTH_LIMIT: u32 = 5;
 
-/// What an extra attempt costs at a depth, in tokens of a share budget: double
-/// per level, so that the share halves.
+/// Returns the cost of an extra attempt at a call depth, in tokens of a share
+/// budget. The cost doubles with each level, which halves the effective share.
 ///
-/// Failure answered: the deepest service is overloaded and each layer above
-/// resends on its own account. With equal shares `s` eight layers multiply to
-/// `(1 + s)^8`; with halved ones the product stays below `e^(2s)`.
+/// When the deepest service is overloaded, each layer above it retries on its
+/// own. With the same share `s` in each layer, eight layers multiply the load
+/// by up to `(1 + s)^8`; with shares that halve per level, the product stays
+/// below `e^(2s)`.
 pub(crate) fn cost_at_depth(depth: u32) -> Option<u32> {
     if depth >= DEPTH_LIMIT {
         return None;
@@ -21,22 +22,24 @@
     Some(1 << depth)
 }
 
-/// Whether a call that ended so may run elsewhere, budgets aside.
+/// Whether a call whose attempt ended in this way may run elsewhere, if the
+/// budget allows it.
 pub(crate) fn may_retry(call: &CallProgress, end: &AttemptEnd) -> bool {
     match end {
         AttemptEnd::Refused(refusal) => another_target_may_help(refusal.code),
         AttemptEnd::Unreachable => true,
-        // A request that crashes its target breaks the stream. Sent again each
-        // time, it would take down one target after the other; a second break
-        // is final, one retry is enough for a target that died of itself.
+        // A request that crashes its target breaks the stream. If it were
+        // resent each time, it would crash one target after the other. One
+        // retry is enough for a target that failed for another reason, so a
+        // second break is final.
         AttemptEnd::Broken => call.idempotent && !call.may_have_run,
         AttemptEnd::Answered { failed: true } | AttemptEnd::TimedOut => call.idempotent,
         AttemptEnd::Answered { failed: false } | AttemptEnd::Cancelled => false,
     }
 }
 
-/// Codes that state "not run" and are about one gate, not about the call. A
-/// crash suspect is never among them: resending it is what spreads the crash.
+/// Codes that mean "not run" and concern one gate, not the call. A crash
+/// suspect is never among them, because resending it spreads the crash.
 fn another_target_may_help(code: ResultCode) -> bool {
     matches!(
         code,
@@ -50,10 +53,10 @@
     )
 }
 
-/// The code of the final answer.
+/// Returns the code of the final answer.
 ///
-/// "Not run" is said only when no attempt of the call may have run, the
-/// earlier ones and those still out included.
+/// The code means "not run" only if no attempt of the call may have run,
+/// including earlier attempts and those still in flight.
 pub(crate) fn final_code(call: &CallProgress, end: &AttemptEnd, now: Millis) -> ResultCode {
     let may_have_run = call.may_have_run || end.may_have_run();
     if may_have_run {
@@ -68,7 +71,8 @@
     }
 }
 
-/// The code when the time that is left is too short for another attempt.
+/// Returns the code for a call that has too little time left for another
+/// attempt.
 pub(crate) fn deadline_code(call: &CallProgress, end: &AttemptEnd) -> ResultCode {
     if call.may_have_run || end.may_have_run() {
         return ResultCode::DeadlinePassed;
@@ -76,7 +80,7 @@
     ResultCode::DeadlineTooShort
 }
 
-/// Whether a caller gains from coming back unchanged.
+/// Whether the caller may succeed by retrying the same request later.
 pub(crate) fn is_worth_retrying_later(code: ResultCode) -> bool {
     matches!(
         code,
@@ -106,8 +110,8 @@
     ResultCode::AttemptsFailed
 }
 
-/// A gate that does not know the service has nothing to tell the caller, who
-/// never chose it.
+/// Maps codes that only concern the chosen gate to [`ResultCode::NoTarget`],
+/// because the caller did not choose that gate.
 fn code_for_caller(code: ResultCode) -> ResultCode {
     match code {
         ResultCode::WrongGate | ResultCode::UnknownService | ResultCode::NoConfiguration => {
--- a/crates/core/src/entry/retry_after.rs
+++ b/crates/core/src/entry/retry_after.rs
@@ -1,26 +1,26 @@
-//! When a refused caller should come back.
+//! When a refused caller should retry.
 
 use rand::RngExt;
 use rand::rngs::Xoshiro256PlusPlus;
 
 use crate::prelude::*;
 
-/// Shortest time that a caller is told to stay away.
+/// Minimum `Retry-After` of a refusal.
 pub const MIN_RETRY_AFTER_MS: Millis = Millis(50);
-/// Longest time that a caller is told to stay away.
+/// Maximum `Retry-After` of a refusal.
 pub const MAX_RETRY_AFTER_MS: Millis = Millis(10_000);
 
-/// Time after which half of what was counted is forgotten.
+/// Half-life of the attempt and refusal counts.
 const HALF_LIFE_MS: f32 = 2_000.0;
-/// Attempts that count as answered before any was seen, so that one refusal of
-/// a quiet service is not taken for an overload.
+/// Number of accepted attempts assumed at the start, so that a single refusal
+/// of a service with little traffic does not count as an overload.
 const ASSUMED_ACCEPTED_ATTEMPTS: f32 = 4.0;
 
-/// Grows the time with the share of attempts that were refused lately.
+/// Computes retry times that grow with the share of recently refused attempts.
 ///
-/// Failure answered: a service refuses, all callers return together after the
-/// same time, and are refused again. Spread breaks the step; growth lowers the
-/// rate at which they return, until the refusals end.
+/// If all refused callers retried after the same time, they would return
+/// together and be refused again. Jitter spreads them out, and the growing time
+/// lowers their rate until the refusals end.
 #[derive(Clone, Debug)]
 pub(crate) struct RetryAfter {
     attempts: f32,
@@ -43,15 +43,16 @@
         self.attempts += 1.0;
     }
 
-    /// Counts an attempt that was refused, here or at a gate.
+    /// Counts an attempt that was refused by this entry or by a gate.
     pub(crate) fn count_refused(&mut self, now: Millis) {
         self.decay(now);
         self.attempts += 1.0;
         self.refusals += 1.0;
     }
 
-    /// Draws a time: the base grows from the shortest to half the longest with
-    /// the share of refusals, and is spread over its double.
+    /// Draws a retry time. Its base grows exponentially with the share of
+    /// refusals from the minimum to half of the maximum; the result is uniform
+    /// between the base and twice the base.
     pub(crate) fn draw(&mut self, rng: &mut Xoshiro256PlusPlus, now: Millis) -> Millis {
         self.decay(now);
         let share = self.refusals / (self.attempts + ASSUMED_ACCEPTED_ATTEMPTS);
--- a/crates/core/src/entry/table.rs
+++ b/crates/core/src/entry/table.rs
@@ -1,4 +1,4 @@
-//! All targets of a service, and which of them may be used now.
+//! All targets of a service, sorted by whether they may currently be used.
 
 use std::collections::HashMap;
 
@@ -8,11 +8,10 @@
 use crate::entry::target_stats::ramp_after;
 use crate::prelude::*;
 
-/// Targets by index, sorted into tiers.
+/// Targets by index, grouped into tiers.
 ///
 /// The tiers are lists that are rebuilt when a target changes its tier, which
-/// is rare, so that a pick reads a list and asks no target whether it may be
-/// used.
+/// is rare. A pick reads a list and does not need to check each target.
 #[derive(Debug)]
 pub(crate) struct TargetTable {
     targets: Vec<Target>,
@@ -21,11 +20,11 @@
     pub(crate) ready: Vec<u32>,
     pub(crate) doubtful: Vec<u32>,
     pub(crate) ejected: Vec<u32>,
-    /// The earliest trial that is due; `MAX` when none is.
+    /// Time of the earliest pending trial; `MAX` if there is none.
     next_trial_at: Millis,
-    /// When the warmest target that takes work was first seen.
+    /// When the longest-known usable target was first seen.
     oldest_seen: Millis,
-    /// When the coldest target will be warm.
+    /// When the newest target will have finished its warm-up.
     warm_at: Millis,
 }
 
@@ -44,8 +43,8 @@
         }
     }
 
-    /// Takes over the targets of a view; others are kept only while attempts
-    /// there are open.
+    /// Applies the targets of a view. Other targets are kept only while
+    /// attempts are in flight there.
     pub(crate) fn update(&mut self, view: &ServiceView, now: Millis) {
         for target in &mut self.targets {
             target.view_position = None;
@@ -68,7 +67,7 @@
         self.targets.get_mut(index.0 as usize)
     }
 
-    /// The target behind a number out of a tier.
+    /// Returns the target for an index from a tier.
     pub(crate) fn at(&self, index: u32) -> &Target {
         &self.targets[index as usize]
     }
@@ -77,7 +76,8 @@
         self.by_vm.get(vm).map(|index| TargetIndex(*index))
     }
 
-    /// Targets that take work, those under trial included.
+    /// Returns the number of targets that accept work, including ejected
+    /// targets that may be tried.
     pub(crate) fn usable_targets(&self) -> usize {
         if self.ready.is_empty() {
             return self.doubtful.len() + self.ejected.len();
@@ -85,7 +85,7 @@
         self.ready.len() + self.ejected.len()
     }
 
-    /// The targets that first attempts go to.
+    /// Returns the tier to which first attempts go.
     pub(crate) fn first_tier(&self) -> &[u32] {
         if self.ready.is_empty() {
             return &self.doubtful;
@@ -93,7 +93,8 @@
         &self.ready
     }
 
-    /// Counts a ticket for a gate: it is ahead by one, and all fall back evenly.
+    /// Counts a ticket issued for a gate: it is one ticket ahead, and all gates
+    /// of the tier fall back by an equal share.
     pub(crate) fn count_ticket(&mut self, named: TargetIndex) {
         let tier = match self.ready.is_empty() {
             true => &self.doubtful,
@@ -106,19 +107,21 @@
         self.targets[named.0 as usize].advance_tickets(1.0);
     }
 
-    /// Whether every target has its full share.
+    /// Whether every target has finished its warm-up.
     pub(crate) fn all_warm(&self, now: Millis) -> bool {
         now >= self.warm_at
     }
 
-    /// A target's ramp relative to the warmest one: where all are equally new,
-    /// as when this node has just started, nothing is held back.
+    /// Returns a target's warm-up share relative to that of the warmest target.
+    /// If all targets are equally new, as when this node has just started, none
+    /// is restricted.
     pub(crate) fn relative_ramp(&self, target: &Target, ramp_ms: Millis, now: Millis) -> f32 {
         let warmest = ramp_after(now.since(self.oldest_seen), ramp_ms);
         (target.stats.ramp(ramp_ms, now) / warmest).min(1.0)
     }
 
-    /// An ejected target whose trial is due; it is marked as under trial.
+    /// Returns an ejected target whose trial is due and marks it as under
+    /// trial.
     pub(crate) fn start_due_trial(&mut self, now: Millis) -> Option<TargetIndex> {
         if now < self.next_trial_at {
             return None;
@@ -140,7 +143,8 @@
         None
     }
 
-    /// Forgets a target that has left the view, once nothing is open there.
+    /// Removes a target that has left the view once no attempts are in flight
+    /// there.
     pub(crate) fn release_if_gone(&mut self, index: u32) {
         let target = &self.targets[index as usize];
         if target.view_position.is_some() || target.stats.in_flight() > 0 {
@@ -153,8 +157,9 @@
         self.free.push(index);
     }
 
-    /// Ejects a target that deserves it, if the share allows; when it is used
-    /// up, a much worse target takes the place of the least bad one.
+    /// Ejects a target with enough failures if the maximum ejected share allows
+    /// it. If that share is exhausted, a much worse target replaces the least
+    /// bad ejected one.
     pub(crate) fn eject_if_failing(
         &mut self,
         index: TargetIndex,
@@ -182,7 +187,7 @@
         self.rebuild(policy, now);
     }
 
-    /// Sorts the targets into tiers anew.
+    /// Sorts the targets into tiers again.
     pub(crate) fn rebuild(&mut self, policy: &ServicePolicy, now: Millis) {
         self.sort_into_tiers();
         self.readmit_above_share(policy, now);
@@ -224,8 +229,9 @@
         }
     }
 
-    /// Failure answered: one target is ejected, then the others leave; the
-    /// service would be refused although a target is there.
+    /// Readmits targets while more are ejected than allowed. Otherwise, if one
+    /// target is ejected and then the others leave, calls to the service would
+    /// be refused although a target is available.
     fn readmit_above_share(&mut self, policy: &ServicePolicy, now: Millis) {
         loop {
             let taking_work = self.ready.len() + self.doubtful.len() + self.ejected.len();
--- a/crates/core/src/entry/target.rs
+++ b/crates/core/src/entry/target.rs
@@ -1,4 +1,4 @@
-//! One target of a service as its entry keeps it.
+//! One target of a service, as the entry tracks it.
 
 use xxhash_rust::xxh3::xxh3_64;
 
@@ -8,49 +8,52 @@
 use crate::entry::target_stats::{ReportSource, TargetStats};
 use crate::prelude::*;
 
-/// A refusal says "leaving" without saying when in the gate's clock; a report
-/// that denies it is believed when it arrives this much later.
+/// A refusal for leaving carries no time of the gate's clock. A report that
+/// says the gate is not leaving is accepted only if it arrives at least this
+/// much later.
 const LEAVING_SETTLE_MS: Millis = Millis(1_000);
 
-/// How far a target may be used.
+/// How a target may be used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Tier {
     /// For any attempt.
     Ready,
-    /// Only when no target is ready.
+    /// Only if no target is ready.
     Doubtful,
     /// Only for single trials.
     Ejected,
-    /// Not for new work: leaving, or no longer known.
+    /// Not for new work: the target is leaving or no longer known.
     Closed,
 }
 
-/// What a gate said about its leaving.
+/// A notice from the gate that it is leaving.
 #[derive(Clone, Copy, Debug)]
 struct LeavingNotice {
     at: Millis,
-    /// The gate's clock, where a report said it.
+    /// Time of the notice by the gate's clock, if it came in a report.
     gate_clock_ms: Option<Millis>,
 }
 
-/// A gate that was away must not be named for long stretches to catch up.
+/// Bound on how many tickets a gate may be ahead or behind, so that a gate that
+/// was unavailable does not receive long runs of tickets to catch up.
 const MAX_TICKETS_AHEAD: f32 = 3.0;
 
-/// A target with everything learnt about it.
+/// A target and everything that is known about it.
 #[derive(Clone, Debug)]
 pub(crate) struct Target {
     pub(crate) vm: VmId,
     pub(crate) vm_hash: u64,
-    /// Place in the view; `None` once the VM has left it.
+    /// Position in the view; `None` once the VM has left it.
     pub(crate) view_position: Option<u32>,
     pub(crate) incarnation: Option<Incarnation>,
     view_incarnation: Option<Incarnation>,
-    /// Counts the lives seen; an attempt of an earlier one teaches nothing.
+    /// Counts the incarnations seen. Outcomes of attempts from an earlier
+    /// generation are ignored.
     pub(crate) generation: u32,
     pub(crate) distance_us: u32,
     pub(crate) stats: TargetStats,
     pub(crate) health: Health,
-    /// Tickets that this entry has named it for beyond its even share.
+    /// Number of tickets issued for this gate beyond its equal share.
     pub(crate) tickets_ahead: f32,
     view_leaving: bool,
     doubtful: bool,
@@ -76,13 +79,14 @@
         }
     }
 
-    /// Counts tickets by which it is ahead of its even share.
+    /// Adds to the number of tickets by which this gate is ahead of its equal
+    /// share.
     pub(crate) fn advance_tickets(&mut self, tickets: f32) {
         let ahead = self.tickets_ahead + tickets;
         self.tickets_ahead = ahead.clamp(-MAX_TICKETS_AHEAD, MAX_TICKETS_AHEAD);
     }
 
-    /// Takes over what the control state knows.
+    /// Applies the data of a view published by the control thread.
     pub(crate) fn update(&mut self, view: &TargetView, place: u32, now: Millis) {
         self.view_position = Some(place);
         self.distance_us = view.distance_us;
@@ -102,8 +106,8 @@
         }
     }
 
-    /// Takes a report; false when it is of another life or older than what is
-    /// known.
+    /// Records a report. Returns false if it belongs to another incarnation or
+    /// is older than the one known.
     fn record_report(
         &mut self,
         report: &LoadReport,
@@ -123,11 +127,11 @@
         true
     }
 
-    /// Takes a report that rode on an answer, and so was given by the process
-    /// that is there now.
+    /// Records a report that came with an answer and therefore from the process
+    /// that is currently running.
     ///
-    /// Where a VM's wall clock went back between two lives, the later one has
-    /// the lower incarnation. It is taken once the control state agrees.
+    /// If a VM's wall clock was set back between two incarnations, the later
+    /// one has the lower number. It is accepted once the view names it as well.
     pub(crate) fn record_answer_report(&mut self, report: &LoadReport, now: Millis) -> bool {
         let incarnation = Some(report.incarnation);
         if incarnation == self.view_incarnation && incarnation != self.incarnation {
@@ -136,8 +140,8 @@
         self.record_report(report, now, ReportSource::Answer, now)
     }
 
-    /// Learns from an answer. Also one that a ticket sent here while the target
-    /// was ejected proves that it works again.
+    /// Records a successful answer. A success of a ticketed call sent after the
+    /// ejection also proves that the target works again.
     pub(crate) fn record_success(&mut self, pick: &Pick, service_us: f32, now: Millis) {
         self.stats.record_success(service_us, now);
         if !self.health.is_ejected() {
@@ -152,7 +156,7 @@
         self.stats.restart_ramp(now);
     }
 
-    /// Learns from a failure, however quick it was.
+    /// Records a failure, however quick it was.
     pub(crate) fn record_failure(&mut self, pick: &Pick, policy: &EjectionPolicy, now: Millis) {
         self.stats.record_failure(now);
         self.health.count_failure();
@@ -161,7 +165,7 @@
         }
     }
 
-    /// Learns that nothing listens there.
+    /// Records that nothing listens at the address.
     pub(crate) fn record_unreachable(&mut self, pick: &Pick, policy: &EjectionPolicy, now: Millis) {
         self.stats.record_unreachable(now);
         self.health.count_unreachable(policy);
@@ -170,19 +174,20 @@
         }
     }
 
-    /// Learns that the gate had no room, which is no fault of the target.
+    /// Records that the gate had no capacity, which is not a failure of the
+    /// target.
     pub(crate) fn record_refusal(&mut self, pick: &Pick, now: Millis) {
         self.stats.record_refusal(now);
         self.record_inconclusive(pick, now);
     }
 
-    /// Learns that the gate takes no new work.
+    /// Records that the gate accepts no new work.
     pub(crate) fn record_leaving(&mut self, pick: &Pick, now: Millis) {
         self.note_leaving_refusal(now);
         self.record_inconclusive(pick, now);
     }
 
-    /// Ends a trial that told nothing.
+    /// Ends a trial that gave no information about the target.
     pub(crate) fn record_inconclusive(&mut self, pick: &Pick, now: Millis) {
         if pick.is_trial {
             self.health.postpone_trial(now);
@@ -212,7 +217,8 @@
         Tier::Ready
     }
 
-    /// What the tiers were sorted by; they are sorted anew when it changes.
+    /// Returns the properties by which the tiers are sorted. The tiers are
+    /// rebuilt if they change.
     pub(crate) fn tier_key(&self) -> (Tier, u32) {
         (self.tier(), self.generation)
     }
@@ -225,10 +231,12 @@
         self.distance_us as f32 * 2.0
     }
 
-    /// Everything believed about an attempt here, `ramp` relative to others.
+    /// Returns the estimate for an attempt at this target; `ramp` is its
+    /// warm-up share relative to other targets.
     ///
-    /// A gate reports a low limit while its target is cold, which says it all;
-    /// the ramp stands in for the limit until the first report.
+    /// A gate reports a low limit while its target is cold, so after the first
+    /// report the limit alone is sufficient. Until then the ramp takes its
+    /// place.
     pub(crate) fn estimate(
         &self,
         averages: &ServiceAverages,
@@ -244,11 +252,12 @@
         }
     }
 
-    /// Enters a new life: what was learnt of the old one is void.
+    /// Records an incarnation. A later one discards everything known about the
+    /// previous one.
     ///
-    /// Only a later incarnation is taken for a new life. The control state and
-    /// the answers reach this node by two ways, and the slower one still tells
-    /// of the old life for a while; equality alone would swing between both.
+    /// Only a higher incarnation counts as new. Views and answers reach this
+    /// node on two paths, and the slower path still names the old incarnation
+    /// for a while; a test for inequality would switch back and forth.
     fn observe_incarnation(&mut self, incarnation: Incarnation, now: Millis) {
         match self.incarnation {
             Some(known) if known >= incarnation => {}
--- a/crates/core/src/entry/target_stats.rs
+++ b/crates/core/src/entry/target_stats.rs
@@ -1,51 +1,52 @@
-//! What an entry has learnt about one target in its present life.
+//! What an entry has measured about one target in its current incarnation.
 
 use crate::entry::gate_clock::GateClock;
 use crate::entry::score::{ServiceAverages, TargetEstimate, decay};
 use crate::prelude::*;
 
-/// Time after which half of an unusual service time is forgotten, so that a
-/// target that was slow is tried again.
+/// Half-life of an unusual service time, so that a target that was slow is
+/// tried again.
 const SERVICE_HALF_LIFE_MS: f32 = 2_000.0;
-/// Time after which half of the memory of failures is forgotten. Short, because
-/// a healthy target answers 500 to a bad call now and then; a target that keeps
-/// failing is ejected.
+/// Half-life of the failure rate. It is short because a healthy target
+/// occasionally answers a bad call with a 500; a target that keeps failing is
+/// ejected.
 const FAILURE_HALF_LIFE_MS: f32 = 500.0;
-/// Slowness beyond this multiple of the typical is not remembered. Such a target gets
-/// nothing anyway while others have room, and the rest would only keep it from being
-/// tried again.
+/// Upper bound of the recorded service time relative to the average. Such a
+/// target gets no calls anyway while others have capacity, and a higher value
+/// would only delay its next try.
 const MAX_RELATIVE_SERVICE: f32 = 10.0;
 /// Weight of the newest outcome in the failure rate.
 const FAILURE_WEIGHT: f32 = 0.25;
 /// Weight of the newest latency in the service time.
 const SERVICE_WEIGHT: f32 = 0.125;
-/// The own measurement includes queueing and the network's moods; only beyond
-/// this multiple does it override what the gate measured.
+/// The service time measured by the entry includes queueing and network
+/// variation. It overrides the time measured by the gate only beyond this
+/// multiple of it.
 const OWN_OVER_REPORTED: f32 = 2.0;
-/// Share of a warm target's work that a cold one starts with.
+/// Share of a warm target's work that a cold target starts with.
 const MIN_RAMP: f32 = 0.1;
 
-/// Part of a published report that is believed when it arrives.
+/// Trust in a published report at its arrival.
 const PUBLISHED_TRUST: f32 = 0.1;
 
-/// How a load report came here.
+/// How a load report reached this entry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ReportSource {
-    /// On an answer to this entry: few others have it.
+    /// With an answer to this entry; few other entries have it.
     Answer,
-    /// By control messages: every entry has it and is about to act on it, so
-    /// what it shows as empty will not be for long.
+    /// Through control messages. Every entry has the report and is about to act
+    /// on it, so capacity that it shows as free will not stay free for long.
     Published,
 }
 
-/// A load report, and what of it was this entry's own doing.
+/// A load report, and how much of the load this entry caused itself.
 #[derive(Clone, Copy, Debug)]
 struct ReceivedReport {
     report: LoadReport,
     received_at: Millis,
-    /// When the gate made it, as far as its clock tells.
+    /// When the gate created the report, as estimated from the clock offset.
     created_at: Millis,
-    /// When this service time was first heard.
+    /// When the reported service time last changed.
     service_time_changed_at: Millis,
     own_in_flight: u32,
     source: ReportSource,
@@ -64,7 +65,7 @@
         outstanding as f32 / self.report.limit.max(1) as f32
     }
 
-    /// Load that others had put on the target, as a multiple of its limit.
+    /// Returns the load from other entries as a multiple of the target's limit.
     fn others_ratio(&self) -> f32 {
         let outstanding = self.report.in_flight.saturating_add(self.report.queued);
         let others = outstanding.saturating_sub(self.own_in_flight);
@@ -107,15 +108,15 @@
         }
     }
 
-    /// Forgets everything about a former life but the attempts still open,
-    /// which stay exact because each will be ended.
+    /// Discards everything about an earlier incarnation except the attempts in
+    /// flight, whose count stays exact because each attempt will be ended.
     pub(crate) fn reset(&mut self, now: Millis) {
         let in_flight = self.in_flight;
         *self = Self::new(now);
         self.in_flight = in_flight;
     }
 
-    /// Lets the share grow from its start again; what is known stays.
+    /// Restarts the warm-up; everything else that is known remains.
     pub(crate) fn restart_ramp(&mut self, now: Millis) {
         self.first_seen = now;
         self.failure.value = 0.0;
@@ -129,12 +130,12 @@
         self.first_seen
     }
 
-    /// The newest report of the present life.
+    /// Returns the newest report of the current incarnation.
     pub(crate) fn report(&self) -> Option<&LoadReport> {
         self.load.as_ref().map(|known| &known.report)
     }
 
-    /// The service time that the gate measured, once it has.
+    /// Returns the service time measured by the gate, if there is one.
     pub(crate) fn reported_service_us(&self) -> Option<f32> {
         let reported_us = self.report()?.service_time_us;
         (reported_us > 0).then_some(reported_us as f32)
@@ -149,13 +150,13 @@
         self.in_flight = self.in_flight.saturating_sub(1);
     }
 
-    /// Whether a report was overtaken by another on its way here.
+    /// Whether a newer report arrived before this one.
     pub(crate) fn has_newer_report_than(&self, report: &LoadReport) -> bool {
         self.report()
             .is_some_and(|known| known.gate_clock_ms > report.gate_clock_ms)
     }
 
-    /// Takes the newest report of the present life.
+    /// Records the newest report of the current incarnation.
     pub(crate) fn record_report(
         &mut self,
         report: &LoadReport,
@@ -173,11 +174,12 @@
         });
     }
 
-    /// When the service time of this report was first heard.
+    /// Returns when the service time of this report was first received.
     ///
-    /// Failure answered: a target's first call was slow, and it gets no other. Its gate
-    /// reports that one service time again and again; counted as new each time, it is
-    /// never forgotten, and the target stands idle.
+    /// If the first call of a target is slow, the target gets no further calls,
+    /// and its gate repeats the same service time in every report. If each
+    /// report counted as a new measurement, the slow call would never be
+    /// forgotten and the target would stay idle.
     fn service_time_changed_at(&self, report: &LoadReport, received_at: Millis) -> Millis {
         match &self.load {
             Some(known) if known.report.service_time_us == report.service_time_us => {
@@ -187,18 +189,18 @@
         }
     }
 
-    /// This entry's open attempts as a multiple of the limit.
+    /// Returns this entry's attempts in flight as a multiple of the limit.
     pub(crate) fn own_ratio(&self, slots: u32) -> f32 {
         self.in_flight as f32 / self.limit(slots) as f32
     }
 
-    /// Load that others had by the newest report.
+    /// Returns the load from other entries according to the newest report.
     pub(crate) fn others_ratio(&self) -> Option<f32> {
         self.load.map(|known| known.others_ratio())
     }
 
-    /// Everything outstanding by the newest report, as a multiple of the limit;
-    /// 0 when the report is older than `oldest`.
+    /// Returns all outstanding calls according to the newest report, as a
+    /// multiple of the limit; 0 if the report is older than `oldest`.
     pub(crate) fn reported_ratio_within(&self, oldest: Millis, now: Millis) -> f32 {
         match &self.load {
             Some(known) if now.since(known.received_at) <= oldest => known.ratio(),
@@ -206,7 +208,8 @@
         }
     }
 
-    /// Learns from an answer; `service_us` has distance taken off.
+    /// Records a successful answer; `service_us` excludes the network round
+    /// trip.
     pub(crate) fn record_success(&mut self, service_us: f32, now: Millis) {
         self.update_failure_rate(0.0, now);
         self.update_own_service(service_us, now);
@@ -216,7 +219,7 @@
         self.update_failure_rate(1.0, now);
     }
 
-    /// Takes the target to fail for certain, as when nothing listens there.
+    /// Sets the failure rate to 1, as when nothing listens at the address.
     pub(crate) fn record_unreachable(&mut self, now: Millis) {
         self.failure = TimedValue {
             value: 1.0,
@@ -224,7 +227,7 @@
         };
     }
 
-    /// Learns that an answer would have taken at least this long.
+    /// Records that an answer would have taken at least this long.
     pub(crate) fn record_lower_bound(&mut self, service_us: f32, now: Millis) {
         if self
             .own_service_us
@@ -239,17 +242,18 @@
         self.refused_at = Some(now);
     }
 
-    /// The latency without the waiting that load explains.
+    /// Returns the latency without the queueing that the load explains.
     ///
-    /// The picture of load in force when the answer came is used to take the
-    /// wait out again, the inverse of what a pick will put in.
+    /// The calculation uses the load estimate at the time of the answer. It is
+    /// the inverse of the calculation in a pick.
     pub(crate) fn unloaded_us(&self, latency_us: f32, limit: u32) -> f32 {
         let others = self.others_ratio().unwrap_or(0.0);
         let own = self.in_flight as f32 / limit.max(1) as f32;
         latency_us / (1.0 + others + own)
     }
 
-    /// Share of a warm target's work that this one may get, from its age.
+    /// Returns the share of a warm target's work that this target may get, from
+    /// the time since it was first seen.
     pub(crate) fn ramp(&self, cold_ramp_ms: Millis, now: Millis) -> f32 {
         ramp_after(now.since(self.first_seen), cold_ramp_ms)
     }
@@ -259,13 +263,15 @@
         self.failure.value * decay(age, FAILURE_HALF_LIFE_MS)
     }
 
-    /// Everything outstanding there as a multiple of its limit: own attempts
-    /// exactly, those of others from the report as far as it can be believed.
+    /// Returns the estimated number of outstanding calls as a multiple of the
+    /// limit. This entry's own attempts are exact; those of others come from
+    /// the report as far as it is trusted.
     ///
-    /// Failure answered: many entries hear that one target is empty and all
-    /// send there until the next report. Own sends count at once, and what is no
-    /// longer believed of the report is filled in from own attempts against the
-    /// usual ones, where targets look alike unless attempts pile up on one.
+    /// Without this, many entries would receive a report that one target is
+    /// idle and all would send to it until the next report. This entry's own
+    /// attempts count at once. As trust in the report fades, the load of others
+    /// is estimated from this entry's own attempts compared with the average,
+    /// which makes targets look alike unless attempts pile up on one.
     pub(crate) fn load_ratio(&self, averages: &ServiceAverages, slots: u32, now: Millis) -> f32 {
         let own = self.own_ratio(slots);
         let sampled = averages.sampled_ratio(own, 1.0 / self.limit(slots) as f32);
@@ -277,7 +283,8 @@
         own + known.others_ratio() * left + sampled * (1.0 - left)
     }
 
-    /// The gate's limit as last heard, at first the policy's slots.
+    /// Returns the last reported limit of the gate, or the policy's slots
+    /// before the first report.
     pub(crate) fn limit(&self, slots: u32) -> u32 {
         match self.report() {
             Some(report) => report.limit.max(1),
@@ -285,8 +292,8 @@
         }
     }
 
-    /// Everything believed at this moment but for what depends on the network
-    /// and on other targets.
+    /// Returns the current estimate without the parts that depend on the
+    /// network and on other targets.
     pub(crate) fn estimate(
         &self,
         averages: &ServiceAverages,
@@ -319,7 +326,8 @@
         self.own_service_us = Some(TimedValue { value, at: now });
     }
 
-    /// Service time as a multiple of the typical one, fading towards 1.
+    /// Returns the service time as a multiple of the average one, converging to
+    /// 1 with age.
     fn relative_service(&self, averages: &ServiceAverages, now: Millis) -> f32 {
         let typical_us = averages.service_us();
         let (measured_us, at) = match (self.own_service_us, &self.load) {
@@ -348,7 +356,7 @@
     }
 }
 
-/// The share of a warm target's work after `age`, growing evenly.
+/// Returns the share of a warm target's work at `age`; it grows linearly.
 pub(crate) fn ramp_after(age: Millis, cold_ramp_ms: Millis) -> f32 {
     if age >= cold_ramp_ms {
         return 1.0;
--- a/crates/core/src/entry/tests.rs
+++ b/crates/core/src/entry/tests.rs
@@ -1,4 +1,4 @@
-//! Failures replayed against the entry in virtual time, with fixed seeds.
+//! Replays failures against the entry in virtual time, with fixed seeds.
 
 use std::net::{Ipv4Addr, SocketAddr};
 
@@ -127,7 +127,7 @@
     service.pick(&request, Millis(now))
 }
 
-/// Sends one attempt to a given target and ends it so.
+/// Sends one attempt to a given target and ends it with `end`.
 fn end_at(service: &mut EntryService, target: u32, end: AttemptEnd, now: u64) {
     outcome_at(service, target, &ended(end), now);
 }
@@ -144,8 +144,8 @@
     outcome_at(service, number, &outcome, now);
 }
 
-/// Picks and ends `calls` attempts one after the other, one a millisecond, and
-/// counts them by target.
+/// Picks and ends `calls` attempts in sequence, one per millisecond, and
+/// returns the number of attempts per target.
 fn run(
     service: &mut EntryService,
     from: u64,
--- a/crates/core/src/entry/ticket_choice.rs
+++ b/crates/core/src/entry/ticket_choice.rs
@@ -1,4 +1,4 @@
-//! Choosing the gate that a new ticket names.
+//! Choosing the gate for which a new ticket is issued.
 
 use crate::entry::TargetIndex;
 use crate::entry::score::ServiceAverages;
@@ -6,14 +6,14 @@
 use crate::entry::target::Target;
 use crate::prelude::*;
 
-/// A first choice whose gate reported this many times its limit is passed over.
+/// A gate whose reported load is at least this many times its limit is avoided.
 const FAR_OVER_RATIO: f32 = 4.0;
-/// Weight of one outstanding call against one ticket ahead.
+/// Weight of one outstanding call relative to one ticket ahead.
 const LOAD_TIE_BREAK: f32 = 0.05;
-/// Reports older than this say nothing about being far over.
+/// Maximum age of a report for deciding that a gate is far over its limit.
 const FAR_OVER_MAX_AGE_MS: Millis = Millis(2_000);
 
-/// How willingly a gate is named; lower is preferred.
+/// Preference among gates; lower ranks are preferred.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Rank {
     Usable,
@@ -22,14 +22,15 @@
     Ejected,
 }
 
-/// Finds the gate for a key by rendezvous hashing: each key ranks all gates by
-/// a hash of both and takes the first, so that nodes whose views agree name the
-/// same gate, and a gate that leaves moves only its own keys.
+/// Chooses the gate for a key by rendezvous hashing: each gate gets a hash of
+/// the key and its VM, and the highest hash wins. Nodes whose views agree
+/// choose the same gate, and a gate that leaves moves only its own keys.
 ///
-/// A gate far over its limit, doubtful or ejected is passed over while a better
-/// one is there. Then, and where views differ, a caller that comes back with
-/// the same key but without its ticket can be given a second ticket at another
-/// gate. The strict promise is per ticket; see the design note.
+/// A gate that is far over its limit, doubtful or ejected is avoided while a
+/// better one is available. In that case, and where views differ, a caller that
+/// returns with the same key but without its ticket can get a second ticket for
+/// another gate. The at-most-once guarantee holds per ticket; see the design
+/// note.
 pub(crate) fn choose_for_key(
     table: &TargetTable,
     key: CallKey,
@@ -48,14 +49,14 @@
     best.map(|(_, _, index)| TargetIndex(index))
 }
 
-/// Finds the gate for a key that no caller has chosen, so that nobody can come
-/// back with the key alone and nothing is gained by naming the same gate twice.
+/// Chooses the gate for a key that was generated here. No caller can return
+/// with only such a key, so there is no need to choose the same gate twice.
 ///
-/// Failure answered: hashed keys fall like dice, and at 95% load a gate that
-/// was drawn a few times too often refuses payments while its neighbour idles.
-/// Turns are counted instead, with the load as last heard as a tie-break: on
-/// the load alone all entries would flee to the same gate, since what they hear
-/// is older than a payment lasts.
+/// With hashed keys the distribution is random, and at 95% load a gate that is
+/// drawn a few times too often refuses payments while its neighbour is idle.
+/// Therefore tickets are counted, and the last reported load breaks ties. With
+/// the load alone, all entries would choose the same gate, because the reports
+/// are older than a payment lasts.
 pub(crate) fn choose_in_turn(
     table: &TargetTable,
     averages: &ServiceAverages,
@@ -77,7 +78,7 @@
     best.map(|(_, _, index)| TargetIndex(index))
 }
 
-/// A gate that may be named, and how willingly.
+/// A gate that may be chosen, and its rank.
 #[derive(Clone, Copy, Debug)]
 struct Candidate {
     rank: Rank,
@@ -106,8 +107,8 @@
     target.stats.reported_ratio_within(FAR_OVER_MAX_AGE_MS, now) >= FAR_OVER_RATIO
 }
 
-/// The finaliser of MurmurHash3 over both: cheap, and every bit of the key
-/// changes the order of the gates.
+/// Mixes a key and a VM hash with the finaliser of MurmurHash3. It is cheap,
+/// and every bit of the key affects the order of the gates.
 fn weight(key: CallKey, target: &Target) -> u64 {
     let folded = (key.0 as u64) ^ ((key.0 >> 64) as u64).rotate_left(32);
     let mut mixed = folded ^ target.vm_hash;
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,15 +1,17 @@
-//! Every decision of the load balancer, as plain state machines.
+//! The decisions of the load balancer as deterministic state machines.
 //!
-//! Nothing here opens a socket, starts a thread, awaits, or reads a clock:
-//! events and the present time go in, decisions and actions come out, and
-//! randomness comes from a generator whose seed is handed in. The daemon and
-//! the virtual-time experiments drive the same code, so any order of events
-//! that a fleet can produce can be replayed in a test.
+//! Nothing in this crate opens a socket, starts a thread, awaits or reads a
+//! clock. Callers pass in events, the current time and a random seed, and
+//! receive decisions and actions. The daemon and the virtual-time experiments
+//! run the same code, so a test can replay any order of events that can occur
+//! in a fleet.
 //!
-//! - [`entry`] picks targets, spends budgets, ejects, retries, hedges, gives up;
-//! - [`gate`] admits, queues, refuses, and runs each key at most once;
-//! - [`control`] keeps membership, configuration and suspicion on a blackboard
-//!   and publishes the [`view::RouteTable`] that traffic reads.
+//! - [`entry`] picks targets, enforces retry and hedge budgets, ejects failing
+//!   targets, retries, hedges, and gives up;
+//! - [`gate`] admits, queues and rejects calls, and runs each key at most once;
+//! - [`control`] maintains membership, configuration and crash suspicions on a
+//!   shared board and publishes the [`view::RouteTable`] that traffic threads
+//!   read.
 
 pub mod budget;
 pub mod control;
--- a/crates/core/src/prelude.rs
+++ b/crates/core/src/prelude.rs
@@ -1,4 +1,4 @@
-//! The types that most modules of the core need.
+//! Types that most modules of this crate use.
 
 pub use crate::refusal::Refusal;
 pub use crate::view::{RouteTable, ServiceView, TargetView};
--- a/crates/core/src/refusal.rs
+++ b/crates/core/src/refusal.rs
@@ -1,18 +1,18 @@
-//! A final answer that the system itself gives.
+//! Final answers that the load balancer gives itself.
 
 use hornbeamhitch_types::prelude::*;
 
-/// Why a call ends here, and when its caller may come back.
+/// Why a call is refused, and when its caller may retry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Refusal {
-    /// What the caller is told.
+    /// The result code sent to the caller.
     pub code: ResultCode,
-    /// When to come back; `None` when coming back is of no use.
+    /// Time after which the caller may retry; `None` if a retry cannot succeed.
     pub retry_after_ms: Option<Millis>,
 }
 
 impl Refusal {
-    /// A refusal after which coming back unchanged is of no use.
+    /// Creates a refusal of a call for which a retry cannot succeed.
     #[must_use]
     pub const fn fixed(code: ResultCode) -> Self {
         Self {
@@ -21,7 +21,7 @@
         }
     }
 
-    /// A refusal with the time after which to come back.
+    /// Creates a refusal that allows a retry after the given time.
     #[must_use]
     pub const fn retry_after(code: ResultCode, retry_after_ms: Millis) -> Self {
         Self {
--- a/crates/core/src/view.rs
+++ b/crates/core/src/view.rs
@@ -7,62 +7,65 @@
 use crate::prelude::*;
 use crate::suspects::SuspectSet;
 
-/// One target of a service as far as this node knows.
+/// One target of a service, as this node knows it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TargetView {
     /// The VM of the target and its gate.
     pub vm: VmId,
-    /// Where it stands.
+    /// The data centre of the VM.
     pub data_centre: DataCentre,
     /// TCP address of the gate for HTTP/2 between nodes.
     pub peer: SocketAddr,
-    /// The gate's life, once heard from it.
+    /// The incarnation of the gate; `None` until the gate has reported it.
     pub incarnation: Option<Incarnation>,
-    /// One-way time from this node in microseconds.
+    /// One-way network latency from this node, in microseconds.
     pub distance_us: u32,
-    /// The target or its gate is leaving: no new work.
+    /// The target or its gate is draining and accepts no new work.
     pub leaving: bool,
-    /// Nothing was heard for long; may be gone, may be behind a partition.
+    /// Nothing has been received from the target for a long time. It may be
+    /// gone or on the other side of a network partition.
     pub doubtful: bool,
-    /// The last load report heard by control messages, and when it was heard
-    /// in this node's clock.
+    /// The last load report received through control messages.
     pub load: Option<ReceivedLoad>,
 }
 
-/// A load report with the time at which it reached this node.
+/// A load report and the time at which it reached this node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ReceivedLoad {
-    /// The gate's report.
+    /// The report of the gate.
     pub report: LoadReport,
-    /// Arrival in this node's clock.
+    /// Time of arrival by this node's clock.
     pub received_at: Millis,
 }
 
-/// One service with its targets.
+/// One service and its targets.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ServiceView {
-    /// The service's policy in force.
+    /// The policy of the service that is in force.
     pub policy: Arc<ServicePolicy>,
-    /// Known targets, ordered by VM.
+    /// The known targets, ordered by VM.
     pub targets: Vec<TargetView>,
 }
 
-/// All that traffic threads need from control; replaced whole, never changed.
+/// Everything that traffic threads need from the control thread. A table is
+/// never modified; a new one replaces it.
 #[derive(Clone, Debug, Default)]
 pub struct RouteTable {
-    /// The configuration in force; `None` before the first was accepted.
+    /// Version of the configuration in force; `None` until one has been
+    /// accepted.
     pub version: Option<ConfigVersion>,
-    /// Deployment-wide policy.
+    /// Policy of the whole deployment.
     pub deployment: Arc<DeploymentPolicy>,
-    /// Services that this node holds, by name.
+    /// The services for which this node holds the targets, by name.
     pub services: BTreeMap<ServiceName, Arc<ServiceView>>,
-    /// Every service name in the configuration, to tell an unknown service
-    /// from one that this node does not hold yet.
+    /// Every service name in the configuration. It distinguishes an unknown
+    /// service from one whose targets this node does not hold yet.
     pub service_names: Arc<Vec<ServiceName>>,
-    /// Requests suspected or convicted of crashing targets.
+    /// Requests that are suspected or convicted of crashing targets.
     pub suspects: Arc<SuspectSet>,
-    /// This node takes no new work: it was told to leave, its target drains,
-    /// the platform takes the VM away, or a later life of the VM was heard of.
-    /// The own gate must refuse new work while this is set.
+    /// This node accepts no new work because it was told to leave, its target
+    /// is draining, the platform is removing the VM, or a later incarnation of
+    /// the VM is known. The gate on this node must reject new work while this
+    /// is set.
     pub leaving: bool,
 }
