--- a/crates/core/src/entry/tests/bounds.rs
+++ b/crates/core/src/entry/tests/bounds.rs
@@ -1,4 +1,4 @@
-//! Invariants under any order of events.
+//! Invariants that hold under any order of events.
 
 use proptest::prelude::*;
 
@@ -60,8 +60,9 @@
 }
 
 proptest! {
-    /// Whatever happens in whatever order: in-flight counts are exact, budgets
-    /// hold, work goes only where it may, and the ejected share holds.
+    /// In any order of events: in-flight counts are exact, budgets are not
+    /// exceeded, only usable targets get work, and the maximum ejected share is
+    /// respected.
     #[test]
     fn counts_budgets_and_shares_hold(steps in steps()) {
         let mut seen = view(4);
--- a/crates/core/src/entry/tests/ejection.rs
+++ b/crates/core/src/entry/tests/ejection.rs
@@ -1,10 +1,10 @@
-//! Targets that fail, and their return.
+//! Ejection of failing targets and their readmission.
 
 use super::*;
 
-/// Callers see errors on most calls: one target answers every call with an
-/// error in 0.1 ms, so by latency and load it looks like the best one. It must
-/// get next to nothing after a few calls, and its share back once it heals.
+/// A target that answers every call with an error in 0.1 ms looks like the best
+/// one by latency and load, and most calls would fail. It must get almost no
+/// calls after the first few, and its share again once it recovers.
 #[test]
 fn a_target_that_fails_fast_is_avoided_until_it_recovers() {
     let mut service = service(&view(3));
@@ -31,8 +31,8 @@
     }
 }
 
-/// The share of ejected targets is used up, so the score alone must keep
-/// callers away from the target that fails in 0.1 ms.
+/// If the ejected share is used up, the score alone must keep calls away from a
+/// target that fails in 0.1 ms.
 #[test]
 fn a_failing_target_that_may_not_be_ejected_gets_little() {
     let mut service = service(&with_max_ejected(3, 0.0));
@@ -45,7 +45,7 @@
     );
 }
 
-/// The times of trials over a span in which every trial fails.
+/// Returns the times of trials in a period in which every trial fails.
 fn trial_times(service: &mut EntryService, from: u64, to: u64) -> Vec<u64> {
     let mut times = Vec::new();
     for now in from..to {
@@ -72,8 +72,8 @@
     );
 }
 
-/// A target that passes a single trial but fails under load would swing in and
-/// out at the shortest interval.
+/// A target that passes a single trial but fails under load would otherwise
+/// alternate between both states at the shortest interval.
 #[test]
 fn a_relapse_doubles_the_time_to_the_next_trial() {
     let mut service = service(&view(3));
@@ -84,8 +84,8 @@
     assert_eq!(trial_times(&mut service, 1_501, 4_000), [3_500]);
 }
 
-/// A ticketed call goes to its gate although the target is ejected. Its success
-/// is worth a trial, unless it started before the failures.
+/// A ticketed call goes to its gate even if the target is ejected. Its success
+/// counts as a successful trial, unless it started before the ejection.
 #[test]
 fn a_ticketed_success_since_the_ejection_readmits() {
     let mut service = service(&view(3));
@@ -97,7 +97,8 @@
     assert_eq!(service.ejected_targets(), 0);
 }
 
-/// Only what is heard from a target makes it worth a caller's request.
+/// A caller's request is only used as a trial if the target is still heard
+/// from.
 #[test]
 fn a_doubtful_target_gets_no_trial() {
     let mut seen = view(4);
@@ -147,7 +148,7 @@
     assert_eq!((retry.target, retry.is_trial), (TargetIndex(2), false));
 }
 
-/// Nothing listens at the address: one refused connection is enough.
+/// Nothing listens at the address, so one refused connection is enough.
 #[test]
 fn an_unreachable_target_is_ejected_at_once() {
     let mut service = service(&view(3));
@@ -156,8 +157,8 @@
     assert_eq!(run(&mut service, 2, 500, |_| SUCCESS)[0], 0);
 }
 
-/// A dependency's fault makes every target fail. Ejecting them all would turn
-/// a bad service into none.
+/// A fault in a dependency makes every target fail. Ejecting all of them would
+/// make a degraded service unavailable.
 #[test]
 fn no_more_than_the_share_is_ejected() {
     for (targets, share, allowed) in [
@@ -192,8 +193,8 @@
     assert!(!service.table.at(0).health.is_ejected());
 }
 
-/// One target is ejected, then the two others leave: the ejected one is all
-/// that is left, and being tried beats being refused.
+/// One target is ejected, and then the two others leave. The ejected target is
+/// the only one left, and trying it is better than refusing the call.
 #[test]
 fn an_ejected_target_is_readmitted_when_the_others_leave() {
     let mut service = service(&view(3));
@@ -206,7 +207,7 @@
 }
 
 /// A caller with a deadline of 1 ms times out on every target. Its timeouts
-/// must not eject them for all other callers.
+/// must not eject the targets for all other callers.
 #[test]
 fn unmeetable_deadlines_do_not_eject_targets() {
     let mut service = service(&view(3));
@@ -221,8 +222,8 @@
     }
 }
 
-/// Gates refuse a service that they do not serve in no time; such a gate must
-/// not look like the quickest.
+/// A gate refuses a service that it does not serve almost instantly. It must
+/// not look like the fastest gate.
 #[test]
 fn a_gate_of_another_service_is_ejected() {
     let mut service = service(&view(3));
--- a/crates/core/src/entry/tests/herding.rs
+++ b/crates/core/src/entry/tests/herding.rs
@@ -1,4 +1,4 @@
-//! Many entries, one stale report.
+//! Many entries that act on the same stale report.
 
 use rand::RngExt;
 
@@ -9,10 +9,12 @@
 const SLOTS: usize = 12;
 const RUN_MS: u64 = 4_000;
 const REPORT_GAP_MS: u64 = 500;
-/// Calls a millisecond over all entries: 75% of 4 targets with 12 slots of 20 ms.
+/// Calls per millisecond over all entries: 75% of the capacity of 4 targets
+/// with 12 slots of 20 ms.
 const CALLS_PER_MS: f32 = 1.8;
 
-/// A target with slots and a queue without limit, stepped a millisecond a time.
+/// A target with slots and an unbounded queue, simulated in steps of one
+/// millisecond.
 #[derive(Default)]
 struct FakeTarget {
     running: Vec<(u64, usize, Pick)>,
@@ -25,8 +27,8 @@
     }
 }
 
-/// Counts the call-milliseconds spent in queues while another target has a
-/// free slot: waiting that a good choice would have avoided.
+/// Returns the call-milliseconds spent in queues while another target has a
+/// free slot, which a better choice would have avoided.
 fn avoidable_wait(half_life_factor: f32) -> u64 {
     let mut rng = Xoshiro256PlusPlus::seed_from_u64(11);
     let mut seen = view(TARGETS);
@@ -89,10 +91,10 @@
     avoidable_ms
 }
 
-/// Callers see calls queue at one target while others idle. Forty entries hear
-/// the same report every half second, each sends where the report shows room,
-/// and none sees the sends of the others until the next report. A policy that
-/// believes reports at any age is the baseline in the same run.
+/// Forty entries receive the same report every half second. Each sends where
+/// the report shows free capacity, and none sees the sends of the others until
+/// the next report, so calls queue at one target while others are idle. The
+/// baseline in the same run is a policy that trusts reports of any age.
 #[test]
 fn stale_reports_do_not_make_entries_herd() {
     let believing = avoidable_wait(1e9);
@@ -107,8 +109,9 @@
     );
 }
 
-/// The entry alone knows what it has sent since the report, so it spreads a
-/// burst over all targets although the report shows one of them empty.
+/// Only the entry knows what it has sent since the last report, so it must
+/// spread a burst over all targets although the report shows one of them as
+/// idle.
 #[test]
 fn own_sends_since_a_report_count_at_once() {
     let mut service = service(&view(3));
--- a/crates/core/src/entry/tests/picking.rs
+++ b/crates/core/src/entry/tests/picking.rs
@@ -2,8 +2,8 @@
 
 use super::*;
 
-/// Callers would see refusals after a partition: control messages stop, every
-/// target becomes doubtful at the same time, yet all of them still work.
+/// After a partition, control messages stop and every target becomes doubtful
+/// at once, although all of them still work. Calls must not be refused.
 #[test]
 fn doubtful_targets_serve_when_no_others_are_there() {
     let mut seen = view(3);
@@ -23,8 +23,9 @@
     assert_eq!(run(&mut service, 0, 300, |_| SUCCESS)[1], 0);
 }
 
-/// A call would be refused, or cut when the VM goes: the gate announces on an
-/// answer that it leaves, long before the VM list says so.
+/// The gate announces in an answer that it is leaving, long before the VM list
+/// says so. Calls sent to it would be refused, or cut off when the VM is
+/// removed.
 #[test]
 fn a_leaving_target_gets_no_work_after_its_first_notice() {
     let mut service = service(&view(3));
@@ -69,8 +70,8 @@
     assert!(refusal.retry_after_ms.is_some());
 }
 
-/// Callers of a new target wait for its caches: it is empty, so every entry
-/// finds it the best and floods it in its first second.
+/// A new target is idle, so every entry finds it the best one. Without a ramp,
+/// all of them would flood it in its first second while its caches are cold.
 #[test]
 fn a_cold_target_gets_a_growing_share() {
     let mut service = service(&view(2));
@@ -84,7 +85,7 @@
     assert!((270..=400).contains(&warm), "{warm} of 1000 when warm");
 }
 
-/// The cold ramp also holds under load, when the warm targets are far busier.
+/// The ramp also holds under load, when the warm targets are much busier.
 #[test]
 fn a_cold_target_is_not_flooded_because_it_is_empty() {
     let mut service = service(&view(2));
@@ -96,8 +97,9 @@
     assert!((1..=12).contains(&cold), "{cold} of 224 at once");
 }
 
-/// A restarted target looks as slow and as broken as its former life did; and
-/// what its former life was asked for must not be held against the new one.
+/// A restarted target must not inherit the slowness and the failures of its
+/// previous incarnation, and outcomes of attempts at the old one must not count
+/// against the new one.
 #[test]
 fn a_new_incarnation_starts_afresh() {
     let mut service = service(&view(3));
@@ -113,9 +115,9 @@
     assert!((1..=60).contains(&share), "{share} of 1000 when cold again");
 }
 
-/// The control state lags: it names the old life after an answer came from the
-/// new one. A later life with a lower number, after the VM's clock went back,
-/// is known by both agreeing.
+/// The view lags behind: it names the old incarnation after an answer came from
+/// the new one. If the VM's clock was set back, the later incarnation has a
+/// lower number and is accepted once view and answer agree.
 #[test]
 fn the_incarnation_that_answers_is_current() {
     let mut service = service(&view(3));
@@ -130,8 +132,8 @@
     assert_eq!(service.table.at(0).incarnation, Some(incarnation_of(0)));
 }
 
-/// Sends a call every second millisecond for four seconds; target 0 takes
-/// `slow_ms`, the others 20 ms. Returns the calls by target.
+/// Sends a call every two milliseconds for four seconds. Target 0 takes
+/// `slow_ms` and the others 20 ms. Returns the calls per target.
 fn run_with_slow_target(slow_ms: u64, reported: bool) -> [u32; 3] {
     send_evenly(&mut service(&view(3)), 0, slow_ms, reported)
 }
@@ -158,9 +160,9 @@
     counts
 }
 
-/// A slow target holds its callers although it never fails: it answers, ten
-/// times slower than the others. The same holds when its gate does not see it,
-/// because the slowness lies between entry and gate.
+/// A target that never fails but answers ten times slower than the others
+/// delays its callers. It must get few calls, also if its gate does not see the
+/// slowness because it lies between entry and gate.
 #[test]
 fn a_slow_target_gets_little_by_score_alone() {
     for reported in [false, true] {
@@ -179,17 +181,17 @@
     assert!(counts[0] > 500, "{counts:?}");
 }
 
-/// A paused process keeps its connections and answers nothing, so neither an
-/// error nor a latency is seen until the first deadline passes.
+/// A paused process keeps its connections and answers nothing, so no error or
+/// latency is seen until the first deadline passes.
 #[test]
 fn a_target_that_stalls_gets_little_before_anything_times_out() {
     let counts = run_with_slow_target(60_000, true);
     assert!(counts[0] <= 20, "{counts:?}");
 }
 
-/// A noisy neighbour freezes a VM. Nothing fails, and the last report, of before,
-/// goes on looking harmless; but where own attempts pile up, so do those of
-/// others, and the target is left alone at once.
+/// A noisy neighbour freezes a VM. Nothing fails, and the last report from
+/// before continues to look harmless. If this entry's own attempts pile up
+/// there, so do those of others, and the target must be avoided at once.
 #[test]
 fn own_unanswered_attempts_raise_the_estimated_load() {
     let mut service = service(&view(3));
@@ -209,9 +211,8 @@
     assert!(stats.load_ratio(&service.averages, 12, Millis(260)) > 1.0);
 }
 
-/// A call would pay 3 ms on the way to another data centre for nothing: half of
-/// the slots of the near target are free, and a call in a free slot waits for
-/// none of those in the others.
+/// Half of the slots of the near target are free, so a call there does not
+/// wait. Sending it to another data centre would cost 3 ms for nothing.
 #[test]
 fn a_half_loaded_near_target_is_preferred() {
     let mut seen = view(2);
@@ -225,8 +226,8 @@
     assert!(counts[0] >= 190, "{:?}", &counts[..2]);
 }
 
-/// Reports that come at the same pace stay fresh, also when this node's clock
-/// runs ahead of the gate's by 100 ppm for a day.
+/// Reports that arrive at a constant rate must count as fresh even if this
+/// node's clock runs ahead of the gate's by 100 ppm for a day.
 #[test]
 fn drifting_clocks_do_not_make_reports_look_old() {
     let mut service = service(&view(1));
@@ -239,8 +240,8 @@
     }
 }
 
-/// A report was held up for 400 ms and looks fresh on arrival. It shows the
-/// target as empty, which it was then.
+/// A report that shows the target as it was 400 ms ago is delayed on the way
+/// and looks fresh on arrival. It must be trusted less.
 #[test]
 fn a_report_delayed_on_its_way_is_believed_less() {
     let load_by = |delay_ms: u64| {
@@ -255,8 +256,8 @@
     assert!(load_by(400) < 0.1);
 }
 
-/// A report on an answer shows this entry's own attempts too; counted twice,
-/// they would drive it away from the target that it uses most.
+/// A report in an answer includes this entry's own attempts. If they were
+/// counted twice, the entry would avoid the target that it uses most.
 #[test]
 fn own_attempts_are_not_counted_twice() {
     let mut service = service(&view(3));
@@ -268,7 +269,8 @@
     assert_eq!(ratio, Some(6.0 / 12.0));
 }
 
-/// A gate that refuses for overload is spared, but not ejected.
+/// A gate that refuses for overload gets fewer calls, but its target is not
+/// ejected.
 #[test]
 fn a_refusal_for_overload_raises_the_load_and_is_no_failure() {
     let mut service = service(&view(3));
@@ -305,8 +307,8 @@
     assert!(counts[0] > counts[1] && counts[1] > 0, "{counts:?}");
 }
 
-/// Beyond a few targets two are drawn; none is starved and the excluded and
-/// leaving ones are never drawn.
+/// With more than a few targets, two are drawn at random. No target is starved,
+/// and excluded and leaving targets are never drawn.
 #[test]
 fn many_targets_share_evenly() {
     let mut seen = view(500);
--- a/crates/core/src/entry/tests/retries.rs
+++ b/crates/core/src/entry/tests/retries.rs
@@ -1,11 +1,11 @@
-//! Retries, hedges, giving up, and when to come back.
+//! Retries, hedges, giving up, and `Retry-After`.
 
 use super::*;
 
-/// Resends keep an overload alive: every target fails every call, each failed
-/// call asks for a retry, and each layer above does so on its own account.
-/// What is added is the share and the initial reserve, to the attempt; a retry
-/// costs double per level, and deep down there is none.
+/// Every target fails every call, each failed call asks for a retry, and each
+/// layer above does the same, which keeps an overload going. Exactly the share
+/// plus the initial reserve may be added. The cost of a retry doubles per
+/// level, and calls at great depth get none.
 #[test]
 fn retries_are_a_share_that_halves_with_each_level() {
     for (depth, expected) in [
@@ -30,7 +30,7 @@
     }
 }
 
-/// A payment whose stream broke may have run; resending it would charge twice.
+/// A payment whose stream broke may have run; resending it could charge twice.
 #[test]
 fn a_non_idempotent_call_is_retried_only_when_it_did_not_run() {
     let payment = CallProgress {
@@ -55,8 +55,8 @@
     assert_eq!(given_up(next).code, ResultCode::GateLost);
 }
 
-/// One request crashes each target that runs it. Retried after each break, it
-/// takes down as many targets as it has attempts.
+/// A request that crashes each target that runs it would take down one target
+/// per attempt if it were retried after each break.
 #[test]
 fn a_call_that_broke_twice_is_not_sent_a_third_time() {
     let mut service = service(&view(9));
@@ -115,8 +115,8 @@
     }
 }
 
-/// The caller is told "not run" although the first attempt may have: it broke,
-/// the retry was refused, and only the refusal was looked at.
+/// The first attempt broke and may have run, and the retry was refused. The
+/// caller must not be told "not run" because of the refusal alone.
 #[test]
 fn not_run_is_never_said_after_an_attempt_that_may_have_run() {
     assert!(AttemptEnd::Broken.may_have_run());
@@ -202,8 +202,9 @@
     }
 }
 
-/// Lost hedges are the slow attempts. Were they left out, the quantile would
-/// sink, more hedges would start, and more slow attempts would be left out.
+/// Cancelled hedged attempts are the slow ones. If they were ignored, the
+/// quantile would fall, more hedges would start, and more slow attempts would
+/// be ignored.
 #[test]
 fn cancelled_attempts_keep_the_quantile_up() {
     let mut service = service(&view(3));
@@ -234,7 +235,7 @@
     assert_eq!(hedges, 4 + 100);
 }
 
-/// All targets are busy, so every call is slow and would be hedged.
+/// If all targets are busy, every call is slow and would be hedged.
 #[test]
 fn nothing_is_hedged_when_all_targets_are_busy() {
     let mut service = service(&view(3));
@@ -263,7 +264,8 @@
     assert_ne!(next, Next::Retry);
 }
 
-/// Refused callers who all return after the same time are refused together.
+/// Refused callers that all return after the same time are refused together
+/// again.
 #[test]
 fn retry_after_is_spread_and_grows_with_refusals() {
     let mut service = service(&view(3));
@@ -302,8 +304,8 @@
     }
 }
 
-/// A convicted request's caller is told to stay away for minutes. Were that cut
-/// to the usual longest time, it would come back dozens of times in vain.
+/// The caller of a convicted request is told to wait for minutes. With the
+/// usual maximum, it would retry dozens of times in vain.
 #[test]
 fn a_convicted_request_keeps_its_gates_retry_after() {
     let told = Refusal::retry_after(ResultCode::CrashSuspect, Millis::from_secs(600));
--- a/crates/core/src/entry/tests/slow_start.rs
+++ b/crates/core/src/entry/tests/slow_start.rs
@@ -1,16 +1,17 @@
-//! A target whose first call was slow, and that got no other.
+//! A target whose first call was slow and that therefore got no further calls.
 
 use crate::entry::score::ServiceAverages;
 use crate::entry::target_stats::{ReportSource, TargetStats};
 use crate::prelude::*;
 
 const TYPICAL_US: f32 = 1_000.0;
-/// Up to this a target counts as quick as any other.
+/// Service times up to this multiple of the average count as equal.
 const NORMAL: f32 = 1.5;
 
-/// The first call of a target took 200 times as long as calls take elsewhere. It gets no
-/// other, so its gate reports that one time twice a second. A lone caller was served by
-/// the other targets for half a minute; after ten seconds the target is tried again.
+/// The first call of a target took 200 times as long as calls take elsewhere.
+/// The target gets no further calls, so its gate repeats that one time twice a
+/// second. The other targets once served a lone caller for half a minute; after
+/// ten seconds this target must be tried again.
 #[test]
 fn a_slow_call_is_forgotten_although_its_report_is_repeated() {
     const SLOW_US: u32 = 200_000;
--- a/crates/core/src/entry/tests/tickets.rs
+++ b/crates/core/src/entry/tests/tickets.rs
@@ -1,4 +1,4 @@
-//! Which gate a ticket names.
+//! Which gate a ticket is issued for.
 
 use super::*;
 
@@ -19,8 +19,9 @@
     CallKey::from_parts("cashier", "hall-7", &number.to_string()).0
 }
 
-/// A citizen is charged twice: the kiosk lost its ticket, came back through
-/// another entry with the same key, and got a ticket for another gate.
+/// A kiosk that lost its ticket returns through another entry with the same
+/// key. If it got a ticket for another gate, the citizen could be charged
+/// twice.
 #[test]
 fn entries_whose_views_agree_name_the_same_gate() {
     let seen = view_with_reports(3);
@@ -54,8 +55,9 @@
     }
 }
 
-/// The gate refuses every ticket as expired, or keeps records for too short a
-/// time: the issuer added the time since the report, by its own clock.
+/// The expiry must not include the time since the report by the issuer's clock.
+/// Otherwise the gate would refuse every ticket as expired, or keep records for
+/// too short a time.
 #[test]
 fn expiry_is_in_the_gates_clock_as_last_heard() {
     let mut service = service(&view_with_reports(1));
@@ -74,7 +76,7 @@
     }
 }
 
-/// A ticket for a life that is over can never run.
+/// A ticket for an earlier incarnation can never run.
 #[test]
 fn tickets_name_a_new_incarnation_after_its_first_report() {
     let mut seen = view_with_reports(2);
@@ -143,9 +145,9 @@
     assert!(keys_of_first(&mut all_over, 200) > 10, "no gate is better");
 }
 
-/// Kiosks fetch tickets ahead at a high load. With hashed keys a gate is drawn
-/// too often at times and refuses payments while its neighbour idles; in turn,
-/// no gate is ever ahead by more than a few.
+/// Kiosks fetch tickets ahead at a high load. With hashed keys a gate is
+/// sometimes drawn too often and refuses payments while its neighbour is idle.
+/// In turn, no gate is ever more than a few tickets ahead.
 #[test]
 fn tickets_without_a_callers_key_are_issued_round_robin() {
     let mut service = service(&view_with_reports(3));
@@ -160,8 +162,8 @@
     assert_eq!(by_gate.len(), 3);
 }
 
-/// A gate with a long queue by its newest report is behind in turn only as far
-/// as the load goes: it is passed over now and then, not shunned by everybody.
+/// A gate that reports a long queue gets slightly fewer tickets in proportion
+/// to its load; entries must not all avoid it.
 #[test]
 fn load_reduces_a_gates_share_of_tickets_only_slightly() {
     let mut seen = view_with_reports(3);
--- a/crates/core/src/gate.rs
+++ b/crates/core/src/gate.rs
@@ -1,22 +1,25 @@
-//! The gate's side of a call: admission, the queue, records of tickets.
+//! The gate's side of a call: admission, the queue, and records of ticketed
+//! calls.
 //!
-//! One [`Gate`] stands before one target and decides about every call to it:
+//! One [`Gate`] runs in front of one target and decides about every call to it:
 //!
-//! - [`Gate::arrive`] runs, holds, joins, replays or refuses;
-//! - [`Gate::finish`], [`Gate::abandon`] and [`Gate::tick`] return what becomes
-//!   of held calls;
+//! - [`Gate::arrive`] runs, queues, joins, replays or refuses a call;
+//! - [`Gate::finish`], [`Gate::abandon`] and [`Gate::tick`] return decisions
+//!   about waiting calls;
 //! - [`Gate::fence`] settles a key whose sender lost its stream.
 //!
 //! `arrive`, `fence` and `update` may also decide about other calls than the
-//! one they answer (one is displaced, one gets its turn). Those decisions wait
-//! in [`Gate::take_wakes`], which the driver calls after each of the three.
+//! one they answer: one may be displaced or may start. Those decisions are
+//! returned by [`Gate::take_wakes`], which the driver calls after each of the
+//! three.
 //!
-//! Time never runs backwards here: a `now` that lies before one already seen,
-//! as read by a thread that was paused before it got the lock, counts as the
-//! later one. A record forgotten at its ticket's expiry can therefore never be
-//! followed by an arrival from before that expiry.
+//! Time never runs backwards here. A `now` earlier than one already seen, as
+//! read by a thread that was paused before it got the lock, counts as the later
+//! one. A record removed at its ticket's expiry can therefore never be followed
+//! by an arrival from before that expiry.
 //!
-//! Notes: `docs/design/at-most-once.md`, `admission.md`, `crash-requests.md`.
+//! Design notes: `docs/design/at-most-once.md`, `admission.md`,
+//! `crash-requests.md`.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -51,29 +54,29 @@
 
 pub use crash::CrashReport;
 
-/// What a gate knows about itself.
+/// Identity and limits of a gate.
 #[derive(Clone, Debug)]
 pub struct GateSettings {
-    /// The VM this gate stands on.
+    /// The VM on which this gate runs.
     pub vm: VmId,
-    /// This life of the process.
+    /// The incarnation of this process.
     pub incarnation: Incarnation,
-    /// Seed of the generator that spreads `Retry-After`.
+    /// Seed of the generator that applies jitter to `Retry-After`.
     pub seed: u64,
-    /// Bytes of stored answers that all records may hold together.
+    /// Maximum total size of the stored answers of all records, in bytes.
     pub max_stored_bytes: u64,
 }
 
-/// One call that a gate has admitted, until it is finished.
+/// Identifies one call from its admission until it is finished.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RunId(pub u64);
 
-/// An answer kept with a record, to be replayed.
+/// An answer stored in a record so that it can be replayed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StoredAnswer {
     /// HTTP status of the target.
     pub status: u16,
-    /// Headers in the order in which they came.
+    /// Headers in the order in which they were received.
     pub headers: Vec<StoredHeader>,
     /// The whole body.
     pub body: Vec<u8>,
@@ -84,94 +87,97 @@
 pub struct StoredHeader {
     /// Name in lower case.
     pub name: String,
-    /// Value as it came.
+    /// Value as received.
     pub value: Vec<u8>,
 }
 
-/// A call at the gate. Ticketed calls arrive with their whole body in hand.
+/// A call that arrives at the gate. Ticketed calls arrive with their complete
+/// body.
 #[derive(Clone, Copy, Debug)]
 pub struct Arrival<'a> {
-    /// Rank in the queue.
+    /// Priority class in the queue.
     pub class: CallClass,
-    /// When the call must have ended, in the gate's clock.
+    /// Deadline of the call, by the gate's clock.
     pub deadline_at: Millis,
     /// The ticket of a non-idempotent call.
     pub ticket: Option<&'a Ticket>,
     /// Hash of method, path and body of a ticketed call.
     pub digest: u64,
-    /// Fingerprint for crash suspicion.
+    /// Fingerprint by which crash suspects are recognised.
     pub fingerprint: u64,
 }
 
-/// What the gate does with a call.
+/// What the gate decides about an arriving call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Verdict {
     /// Send it to the target now.
     Run(RunId),
-    /// Hold it until a [`Wake`] names it.
+    /// Keep the call waiting until a [`Wake`] names it.
     Wait(RunId),
-    /// Another arrival of the same key is waiting or running; wait for its
+    /// A call with the same key is waiting or running; wait for its
     /// [`Wake::Settled`].
     Join(RunId),
     /// Answer from the record.
     Replay(Arc<StoredAnswer>),
-    /// Answer at once.
+    /// Refuse the call immediately.
     Refuse(Refusal),
 }
 
 /// How a run ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RunEnd {
-    /// The target answered in full. The answer is `None` when the call had no
-    /// ticket or its answer was too large to keep.
+    /// The target sent a complete answer. `answer` is `None` if the call had no
+    /// ticket or the answer was too large to store.
     Answered {
-        /// The answer to keep.
+        /// The answer to store.
         answer: Option<Arc<StoredAnswer>>,
         /// Whether the status was 5xx.
         failed: bool,
     },
     /// The target stated that it did not run the request.
     NotRun,
-    /// No connection to the target could be had: the request did not run.
+    /// No connection to the target could be opened; the request did not run.
     Unreachable,
     /// The connection broke after the request was sent.
     Broken,
-    /// The deadline passed, or the caller left, and the run was cancelled.
+    /// The run was cancelled because the deadline passed or the caller left.
     Cancelled,
 }
 
-/// What becomes of calls that were held.
+/// A decision about a call that was waiting or running.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Wake {
     /// Send the call to the target now.
     Start(RunId),
-    /// Refuse the held call.
+    /// Refuse the waiting call.
     Refuse(RunId, Refusal),
-    /// The ticketed call has ended in this way; for its caller and all that
-    /// joined or asked. Comes exactly once for each ticketed call that was
-    /// admitted, after [`Self::Refuse`] if it was held.
+    /// The ticketed call has ended with this result, for its caller and for all
+    /// callers that joined it or are waiting for a fence. Sent exactly once for
+    /// each admitted ticketed call, after [`Self::Refuse`] if the call was
+    /// waiting.
     Settled(RunId, Settlement),
 }
 
-/// What is known about a key for good.
+/// The final result for a key.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Settlement {
-    /// It ran; here is its answer.
+    /// The call ran, with this answer.
     Answered(Arc<StoredAnswer>),
-    /// It ends with this code: not run, or outcome unknown.
+    /// The call ends with this code: not run, or outcome unknown.
     Refused(Refusal),
 }
 
-/// What a gate says when asked about a key; asking fences a key not started.
+/// Answer to a fence request. The request fences a key whose call has not
+/// started.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum FenceAnswer {
-    /// Settled, now or before.
+    /// The key is settled, now or earlier.
     Settled(Settlement),
-    /// Running; a [`Wake::Settled`] will follow for this run.
+    /// The call is running; a [`Wake::Settled`] for this run will follow.
     Running(RunId),
 }
 
-/// One gate with its target.
+/// The gate of one target.
 #[derive(Debug)]
 pub struct Gate {
     settings: GateSettings,
@@ -179,7 +185,8 @@
     /// The latest time seen.
     now: Millis,
     leaving: bool,
-    /// The longest validity of tickets that any policy of this life allowed.
+    /// The longest ticket validity that any policy has allowed in this
+    /// incarnation.
     max_ticket_ttl: Millis,
     records: Records,
     queue: Queue,
@@ -188,12 +195,13 @@
     limit: ConcurrencyLimit,
     service_times: ServiceTimes,
     backoff: Backoff,
-    /// What the fleet knows of suspects.
+    /// Suspects known to the fleet.
     fleet_suspects: Arc<SuspectSet>,
-    /// What this gate saw itself; in force before the fleet has heard of it.
+    /// Suspects that this gate found itself; they apply before the fleet knows
+    /// of them.
     own_suspects: Suspects,
     cleared: Vec<SuspectEntry>,
-    /// Calls held or running.
+    /// Calls that are waiting or running.
     runs: HashMap<RunId, Run>,
     in_flight: u32,
     last_run: u64,
@@ -201,7 +209,7 @@
 }
 
 impl Gate {
-    /// A gate without calls; it admits once a policy is known.
+    /// Creates a gate without calls.
     #[must_use]
     pub fn new(settings: GateSettings, policy: Arc<ServicePolicy>, now: Millis) -> Self {
         Self {
@@ -227,8 +235,8 @@
         }
     }
 
-    /// Takes over a changed policy; calls in hand are not touched, but a raised
-    /// limit may start some. Call [`Self::take_wakes`] afterwards.
+    /// Applies a changed policy. Waiting and running calls are not affected,
+    /// but a raised limit may start some. Call [`Self::take_wakes`] afterwards.
     pub fn update(&mut self, policy: Arc<ServicePolicy>, now: Millis) {
         let now = self.advance(now);
         self.max_ticket_ttl = self.max_ticket_ttl.max(policy.ticket_ttl_ms);
@@ -237,7 +245,7 @@
         self.pump(now);
     }
 
-    /// Takes over the requests suspected by the fleet.
+    /// Applies the set of requests suspected by the fleet.
     pub fn update_suspects(&mut self, suspects: Arc<SuspectSet>) {
         self.fleet_suspects = suspects;
     }
@@ -245,9 +253,8 @@
     /// Decides about a call that has arrived. Call [`Self::take_wakes`]
     /// afterwards.
     ///
-    /// A call without a ticket that is refused leaves nothing behind. A
-    /// ticketed call that is refused as "not run" never runs later, whatever
-    /// late duplicates of it arrive.
+    /// A refused call without a ticket leaves no state. A ticketed call refused
+    /// as "not run" never runs later, whatever late duplicates of it arrive.
     pub fn arrive(&mut self, arrival: &Arrival<'_>, now: Millis) -> Verdict {
         let now = self.advance(now);
         self.pump(now);
@@ -261,11 +268,11 @@
         verdict
     }
 
-    /// Ends a run. Exactly once for each run that was started; for a run that
-    /// is not running, nothing happens.
+    /// Ends a run. Call this exactly once for each started run; a run that is
+    /// not running is ignored.
     ///
-    /// A call whose [`Wake::Start`] came too late for its caller, and of which
-    /// nothing was sent, is ended with [`RunEnd::NotRun`].
+    /// If a call's [`Wake::Start`] came too late for its caller and nothing was
+    /// sent, end the run with [`RunEnd::NotRun`].
     pub fn finish(
         &mut self,
         run: RunId,
@@ -282,12 +289,12 @@
         self.take_wakes()
     }
 
-    /// A caller of a held call (its first or one that joined) has left before
-    /// it was started. When the last one leaves, the call is dropped, and
-    /// fenced if it has a ticket.
+    /// Reports that a caller of a waiting call (the first one or one that
+    /// joined) has left before the call was started. When the last caller
+    /// leaves, the call is dropped, and its key is fenced if it has a ticket.
     ///
-    /// Nothing happens to a run that was started: a ticketed one goes on, so
-    /// that its answer is stored; the driver cancels an idempotent one by
+    /// A run that was started is not affected. A ticketed run continues so that
+    /// its answer is stored; the driver cancels an idempotent one with
     /// [`RunEnd::Cancelled`].
     pub fn abandon(&mut self, run: RunId, now: Millis) -> Vec<Wake> {
         let now = self.advance(now);
@@ -296,9 +303,9 @@
         self.take_wakes()
     }
 
-    /// Refuses held calls whose deadline cannot be met; forgets expired
-    /// records; starts what a grown limit allows. To be called every few
-    /// milliseconds.
+    /// Refuses waiting calls that cannot meet their deadline, removes expired
+    /// records, and starts calls that a higher limit allows. Call this every
+    /// few milliseconds.
     pub fn tick(&mut self, now: Millis) -> Vec<Wake> {
         let now = self.advance(now);
         self.records.purge(now);
@@ -308,21 +315,22 @@
         self.take_wakes()
     }
 
-    /// Decisions about held calls that [`Self::arrive`], [`Self::fence`] and
-    /// [`Self::update`] left. Every other method that returns wakes returns
-    /// these as well. Does not allocate when there are none.
+    /// Returns the pending decisions about waiting calls from [`Self::arrive`],
+    /// [`Self::fence`] and [`Self::update`]. Every other method that returns
+    /// wakes returns these as well. Does not allocate if there are none.
     #[must_use]
     pub fn take_wakes(&mut self) -> Vec<Wake> {
         std::mem::take(&mut self.wakes)
     }
 
-    /// A refusal with this code and the present time to stay away, for answers
-    /// that the driver itself gives (no connection to the target, say).
+    /// Creates a refusal with this code and the current retry time, for answers
+    /// that the driver gives itself (for example if there is no connection to
+    /// the target).
     pub fn refusal(&mut self, code: ResultCode) -> Refusal {
         Refusal::retry_after(code, self.backoff.draw())
     }
 
-    /// The report that rides on answers and control messages.
+    /// Returns the load report that is sent with answers and control messages.
     #[must_use]
     pub fn load(&self, now: Millis) -> LoadReport {
         let now = self.now.max(now);
@@ -337,25 +345,26 @@
         }
     }
 
-    /// From now on (or no longer) refuses new work; what is held or running
-    /// is finished.
+    /// Starts or stops draining. While draining, the gate refuses new work and
+    /// finishes the waiting and running calls.
     pub const fn set_leaving(&mut self, leaving: bool) {
         self.leaving = leaving;
     }
 
-    /// Calls held or running; a graceful shutdown ends at zero.
+    /// Returns the number of waiting and running calls; a graceful shutdown
+    /// ends at zero.
     #[must_use]
     pub fn active_calls(&self) -> usize {
         self.runs.len()
     }
 
-    /// Records of ticketed calls now held.
+    /// Returns the number of records of ticketed calls.
     #[must_use]
     pub fn record_count(&self) -> usize {
         self.records.len()
     }
 
-    /// Bytes of stored answers now held.
+    /// Returns the total size of the stored answers in bytes.
     #[must_use]
     pub const fn stored_bytes(&self) -> u64 {
         self.records.stored_bytes()
--- a/crates/core/src/gate/admission.rs
+++ b/crates/core/src/gate/admission.rs
@@ -1,19 +1,19 @@
-//! Admission: run now, hold, or refuse at once.
+//! Admission: run a call now, queue it, or refuse it at once.
 
 use super::run::Admission;
 use super::{Arrival, Gate};
 use crate::prelude::*;
 use crate::suspects::{CONVICTED_RETRY_AFTER_MS, NO_FINGERPRINT, SuspicionLevel};
 
-/// A predicted wait of up to this many service times is accepted ...
+/// A predicted wait of up to this many service times is accepted.
 const MAX_WAIT_SERVICE_TIMES: f64 = 3.0;
-/// ... or of this long, so that a stall of a noisy neighbour (5 to 50 ms) is
-/// sat out in the queue.
+/// A predicted wait of up to this long is accepted in any case, so that calls
+/// wait in the queue during a stall caused by a noisy neighbour (5 to 50 ms).
 const MIN_WAIT_BOUND_US: f64 = 50_000.0;
-/// Share of what is left of its deadline that a call may spend waiting.
+/// Share of its remaining time that a call may spend waiting.
 const MAX_WAIT_SHARE: f64 = 0.5;
-/// A call is hopeless when less is left than this share of what is predicted.
-/// Predictions are averages, and half of all calls are faster than usual.
+/// A call is refused if it has less than this share of the predicted time left.
+/// Predictions are averages, and half of all calls are faster than average.
 const MIN_TIME_LEFT_SHARE: f64 = 0.5;
 
 const US_PER_MS: f64 = 1_000.0;
@@ -42,7 +42,8 @@
         self.admit_to_queue(arrival, now)
     }
 
-    /// What is held against a fingerprint, here or in the fleet.
+    /// Returns the suspicion level of a fingerprint, from this gate and the
+    /// fleet.
     pub(super) fn suspicion_level(&self, fingerprint: u64) -> SuspicionLevel {
         if fingerprint == NO_FINGERPRINT {
             return SuspicionLevel::Clear;
@@ -55,17 +56,17 @@
         Refusal::retry_after(ResultCode::CrashSuspect, CONVICTED_RETRY_AFTER_MS)
     }
 
-    /// A refusal for want of room.
+    /// Creates a refusal for overload and counts it.
     pub(super) fn overload_refusal(&mut self) -> Refusal {
         self.backoff.note_refused();
         self.refusal(ResultCode::Overloaded)
     }
 
-    /// Whether a call cannot make its deadline after this wait.
+    /// Whether a call would miss its deadline after this wait.
     ///
-    /// An idle target takes every call whose deadline has not passed. Otherwise
-    /// a target that was slow once would be refused all calls from then on, and
-    /// nothing would ever show that it has recovered.
+    /// An idle target accepts every call whose deadline has not passed.
+    /// Otherwise a target that was slow once would get no more calls, and
+    /// nothing would show that it has recovered.
     pub(super) fn will_miss_deadline(
         &self,
         class: CallClass,
@@ -83,7 +84,7 @@
         left_us(deadline_at, now) < needed_us * MIN_TIME_LEFT_SHARE
     }
 
-    /// Predicted wait behind `ahead` calls that wait already.
+    /// Returns the predicted wait behind `ahead` queued calls.
     pub(super) fn wait_us(&self, ahead: usize, now: Millis) -> f64 {
         let slots = f64::from(self.limit.current(now));
         (ahead + 1) as f64 * self.service_times.overall_us() / slots
@@ -115,8 +116,9 @@
         Ok(Admission::Queue)
     }
 
-    /// Bounds the wait, so that an overload leads to refusals at once and not
-    /// to a long queue in which every call spends its deadline.
+    /// Whether the predicted wait is too long. The bound makes an overload
+    /// cause immediate refusals and not a long queue in which every call uses
+    /// up its deadline.
     fn waits_too_long(&self, arrival: &Arrival<'_>, wait_us: f64, now: Millis) -> bool {
         let bound_us =
             (MAX_WAIT_SERVICE_TIMES * self.service_times.overall_us()).max(MIN_WAIT_BOUND_US);
--- a/crates/core/src/gate/backoff.rs
+++ b/crates/core/src/gate/backoff.rs
@@ -1,4 +1,4 @@
-//! When a refused caller should come back.
+//! When a refused caller should retry.
 
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
@@ -11,11 +11,12 @@
 /// Weight of one decision in the smoothed share of refusals.
 const SMOOTHING: f64 = 1.0 / 32.0;
 
-/// Callers that were refused together must not come back together.
+/// Jitter range, so that callers that were refused together do not return
+/// together.
 const SPREAD_LOW: f64 = 0.5;
 const SPREAD_HIGH: f64 = 1.5;
 
-/// The time to stay away: it grows with the share of calls refused of late.
+/// Computes retry times that grow with the share of recently refused calls.
 #[derive(Debug)]
 pub(super) struct Backoff {
     rng: SmallRng,
@@ -39,8 +40,8 @@
         self.refused_share += (1.0 - self.refused_share) * SMOOTHING;
     }
 
-    /// Draws a time between 50 ms and 10 s: exponential in the share refused,
-    /// spread by half on either side.
+    /// Draws a time between 50 ms and 10 s. It grows exponentially with the
+    /// share of refusals and has a jitter of 50% in both directions.
     pub(super) fn draw(&mut self) -> Millis {
         let base_ms = SHORTEST_MS * (LONGEST_MS / SHORTEST_MS).powf(self.refused_share);
         let spread = self.rng.random_range(SPREAD_LOW..SPREAD_HIGH);
--- a/crates/core/src/gate/crash.rs
+++ b/crates/core/src/gate/crash.rs
@@ -1,20 +1,21 @@
-//! What the gate does when its target has crashed: who was in flight?
+//! Determines which calls may have caused a crash of the target.
 
 use super::run::Run;
 use super::{Gate, Phase};
 use crate::prelude::*;
 use crate::suspects::{NO_FINGERPRINT, SuspectEntry, SuspicionLevel};
 
-/// How long a broken run counts as evidence of a crash that the driver has yet
-/// to report: it takes one refused connection to be sure.
+/// How long a broken run counts as evidence of a crash that the driver has not
+/// reported yet. The driver needs one refused connection to be sure.
 const EVIDENCE_WINDOW: Millis = Millis(250);
 
-/// What a crash of the target has shown; for control, which tells the others.
+/// The findings from a crash of the target, for the control thread, which sends
+/// them to other nodes.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct CrashReport {
-    /// Calls that were in flight.
+    /// Number of calls that were in flight.
     pub in_flight: u32,
-    /// New knowledge about their fingerprints, to be merged and sent on.
+    /// New suspect entries for their fingerprints, to be merged and sent on.
     pub entries: Vec<SuspectEntry>,
 }
 
@@ -27,7 +28,7 @@
     at: Millis,
 }
 
-/// Runs that broke of late, and the order of starts and breaks.
+/// Recently broken runs, and a counter that orders starts and breaks.
 #[derive(Debug, Default)]
 pub(super) struct CrashEvidence {
     broken: Vec<BrokenRun>,
@@ -35,7 +36,7 @@
 }
 
 impl CrashEvidence {
-    /// Numbers the next start or break.
+    /// Returns the sequence number of the next start or break.
     pub(super) const fn next_order(&mut self) -> u64 {
         self.order += 1;
         self.order
@@ -76,13 +77,15 @@
 }
 
 impl Gate {
-    /// The target has crashed: its connections broke together, or a new one was
-    /// refused right after one broke. Call it once per crash, before or after
-    /// the runs are finished as [`super::RunEnd::Broken`]; a second call for
-    /// the same crash finds nobody left to suspect.
+    /// Reports that the target has crashed: its connections broke together, or
+    /// a new connection was refused right after one broke. Call this once per
+    /// crash, before or after the runs are finished as
+    /// [`super::RunEnd::Broken`]. A second call for the same crash finds no
+    /// further suspects.
     ///
-    /// What was in flight is suspected at once at this gate. The report is for
-    /// control, which spreads it. The target is taken for cold from now on.
+    /// The calls in flight become suspects at this gate at once. The returned
+    /// report is for the control thread, which distributes it. The target
+    /// counts as cold from now on.
     pub fn target_crashed(&mut self, now: Millis) -> CrashReport {
         let now = self.advance(now);
         self.limit.restart_ramp();
@@ -103,14 +106,14 @@
         }
     }
 
-    /// An entry saw this request's earlier attempt break at another gate. Call
-    /// it before [`Self::arrive`].
+    /// Records a request as a suspect because an entry saw its earlier attempt
+    /// break at another gate. Call this before [`Self::arrive`].
     ///
-    /// Failure answered: a request crashes its target, the entry retries within
-    /// milliseconds, and the word of the crash has not reached the next gate,
-    /// whose target goes down as well, with all that runs there. Suspected on
-    /// the entry's word, the request runs alone, and its second crash convicts
-    /// it. An innocent one waits for an idle moment, runs, and is cleared.
+    /// If a request crashes its target, the entry retries it within
+    /// milliseconds, before news of the crash reaches the next gate, and the
+    /// target there would crash as well, with every call running on it. As a
+    /// suspect, the request runs alone, and its second crash convicts it. An
+    /// innocent request waits for an idle moment, runs, and is cleared.
     pub fn report_suspect(&mut self, fingerprint: u64, now: Millis) -> Option<SuspectEntry> {
         let now = self.advance(now);
         if fingerprint == NO_FINGERPRINT
@@ -124,8 +127,8 @@
         entries.into_iter().next()
     }
 
-    /// Requests cleared since the last call because they ran alone and the
-    /// target lived; for control, which tells the others.
+    /// Returns the requests that were cleared since the last call because they
+    /// ran alone without a crash. The control thread sends them to other nodes.
     #[must_use]
     pub fn take_cleared(&mut self) -> Vec<SuspectEntry> {
         std::mem::take(&mut self.cleared)
@@ -139,12 +142,12 @@
         }
     }
 
-    /// Takes the calls that may have caused the crash.
+    /// Removes and returns the calls that may have caused the crash.
     ///
-    /// A call started after the last break met a target that was dead already.
-    /// Without that rule, whatever is started between the break of a suspect
-    /// that ran alone and the report of the crash would be suspected with it,
-    /// and the suspect would never be convicted.
+    /// A call started after the last break reached a target that had already
+    /// crashed. Without this rule, a call started between the break of a
+    /// suspect that ran alone and the report of the crash would be suspected as
+    /// well, and the suspect would never be convicted.
     fn in_flight_at_crash(&mut self, now: Millis) -> CrashedCalls {
         self.crash_evidence.prune(now);
         let broken = std::mem::take(&mut self.crash_evidence.broken);
--- a/crates/core/src/gate/fence.rs
+++ b/crates/core/src/gate/fence.rs
@@ -1,4 +1,4 @@
-//! Asking about a key, which fences it if it has not started.
+//! Fence requests, which settle a key and prevent a call that has not started.
 
 use super::records::RecordState;
 use super::run::Phase;
@@ -6,15 +6,15 @@
 use crate::prelude::*;
 
 impl Gate {
-    /// Settles a key as far as it can be settled; see [`FenceAnswer`]. Call
-    /// [`Self::take_wakes`] afterwards: callers of a held call that is fenced
-    /// are told there.
+    /// Settles a key as far as possible; see [`FenceAnswer`]. Call
+    /// [`Self::take_wakes`] afterwards, which returns the refusal for the
+    /// callers of a waiting call that was fenced.
     ///
-    /// "Not run" ([`ResultCode::Fenced`]) is certain for ever, whatever is
-    /// still on its way. Where this gate cannot know (the ticket is another
-    /// life's, or it expired and its record is forgotten) the answer is
-    /// [`ResultCode::GateLost`]: the asker has sent the request, so a code that
-    /// says "this attempt did not run" would be a guess.
+    /// "Not run" ([`ResultCode::Fenced`]) holds for ever, whatever is still in
+    /// transit. If this gate cannot know the outcome (the ticket is for another
+    /// incarnation, or it expired and its record was removed), the answer is
+    /// [`ResultCode::GateLost`]. The requester has already sent the call, so a
+    /// code that means "this attempt did not run" would be a guess.
     pub fn fence(&mut self, ticket: &Ticket, now: Millis) -> FenceAnswer {
         let now = self.advance(now);
         if !self.names_this_gate(ticket) {
--- a/crates/core/src/gate/limit.rs
+++ b/crates/core/src/gate/limit.rs
@@ -1,35 +1,38 @@
-//! The adaptive concurrency limit, at or below the target's slots.
+//! The adaptive concurrency limit, which never exceeds the target's slots.
 
 use strum::VariantArray;
 
 use crate::prelude::*;
 
-/// Shortest time over which service times are judged.
+/// Minimum length of a measurement window.
 const WINDOW: Millis = Millis(250);
-/// Fewest answers on which a window is judged.
+/// Minimum number of answers in a window.
 const MIN_SAMPLES: usize = 16;
-/// Most answers that a window keeps; later ones overwrite earlier ones.
+/// Maximum number of answers stored per window; later ones overwrite earlier
+/// ones.
 const MAX_SAMPLES: usize = 64;
-/// Slowdown against the baseline that is taken for noise.
+/// Slowdown relative to the baseline that counts as noise.
 const TOLERATED_SLOWDOWN: f64 = 2.0;
-/// Windows in a row that must be slow before the limit is cut. A stall of a
-/// noisy neighbour (5 to 50 ms) spoils the median of at most one.
+/// Number of consecutive slow windows after which the limit is cut. A stall
+/// caused by a noisy neighbour (5 to 50 ms) affects the median of at most one
+/// window.
 const SLOW_WINDOWS_TO_CUT: u32 = 2;
-/// Most that one window may cut.
+/// Smallest factor by which one window may cut the limit.
 const MIN_CUT_FACTOR: f64 = 0.9;
-/// Share of its limit that a window must have used for its slowness to be put
-/// down to concurrency.
+/// Share of the limit that must have been in use for slowness to be attributed
+/// to concurrency.
 const BUSY_SHARE: f64 = 0.5;
-/// By how much the baseline rises in each window, so that it follows a target
-/// that has become slower for good.
+/// Relative increase of the baseline per window, so that it follows a target
+/// that has become permanently slower.
 const BASELINE_DRIFT: f64 = 1.0 / 64.0;
-/// Depth of cuts at which it is checked whether they helped.
+/// Share of the original limit at which the effect of the cuts is checked.
 const JUDGE_CUTS_AT_SHARE: f64 = 0.7;
-/// Share of the slowdown that must be gone by then.
+/// The cuts count as ineffective if the slowdown is still above this share of
+/// the slowdown at the first cut.
 const MAX_REMAINING_SLOWDOWN: f64 = 0.85;
-/// The limit never falls below this share of the slots.
+/// Minimum limit as a share of the slots.
 const FLOOR_SHARE: f64 = 0.25;
-/// Weight of one answer in the fast average that feeds the baseline.
+/// Weight of one answer in the fast average from which the baseline is derived.
 const FAST_SMOOTHING: f64 = 1.0 / 8.0;
 
 const CLASSES: usize = CallClass::VARIANTS.len();
@@ -42,7 +45,7 @@
 }
 
 impl Baseline {
-    /// Slowdown of one answer against the baseline.
+    /// Records an answer and returns its slowdown relative to the baseline.
     fn record(&mut self, sample_us: f64) -> f64 {
         if self.low_us == 0.0 {
             self.fast_us = sample_us;
@@ -58,25 +61,25 @@
     }
 }
 
-/// What the first of a series of cuts started from.
+/// Limit and slowdown at the first of a series of cuts.
 #[derive(Clone, Copy, Debug)]
 struct FirstCut {
     limit: f64,
     slowdown: f64,
 }
 
-/// The limit with what it learns from.
+/// The concurrency limit and the measurements from which it is derived.
 #[derive(Debug)]
 pub(super) struct ConcurrencyLimit {
     cap: u32,
     cold_ramp: Millis,
-    /// When the target got its first call, or the first one after a crash.
+    /// When the target got its first call, or its first one after a crash.
     first_call_at: Option<Millis>,
     limit: f64,
     first_cut: Option<FirstCut>,
     baselines: [Baseline; CLASSES],
     window_started_at: Millis,
-    /// Slowdowns of this window's answers.
+    /// Slowdowns of the answers in this window.
     slowdowns: Vec<f64>,
     samples: usize,
     peak_in_flight: u32,
@@ -101,7 +104,8 @@
         }
     }
 
-    /// Takes over changed slots; a limit that stood at the old cap follows.
+    /// Applies a changed number of slots, which also resets the limit to the
+    /// new maximum.
     pub(super) fn update(&mut self, policy: &ServicePolicy) {
         let cap = cap_of(policy);
         self.cold_ramp = policy.cold_ramp_ms;
@@ -114,24 +118,24 @@
         self.slow_windows = 0;
     }
 
-    /// The limit in force, at least 1.
+    /// Returns the current limit, at least 1.
     pub(super) fn current(&self, now: Millis) -> u32 {
         let limit = self.limit.min(self.ramp_limit(now));
         (limit as u32).clamp(1, self.cap)
     }
 
-    /// Notes how many calls run after one was started.
+    /// Records the number of running calls after one was started.
     pub(super) fn note_start(&mut self, in_flight: u32, now: Millis) {
         self.first_call_at.get_or_insert(now);
         self.peak_in_flight = self.peak_in_flight.max(in_flight);
     }
 
-    /// The target comes up anew and is cold.
+    /// Restarts the warm-up, because the target was restarted and is cold.
     pub(super) const fn restart_ramp(&mut self) {
         self.first_call_at = None;
     }
 
-    /// Learns from an answer that was no failure.
+    /// Records an answer that was no failure.
     pub(super) fn record(&mut self, class: CallClass, service_time_us: u32, now: Millis) {
         let sample_us = f64::from(service_time_us.max(1));
         let slowdown = self.baselines[class as usize].record(sample_us);
@@ -183,9 +187,10 @@
         self.limit = (self.limit * cut).max(self.floor());
     }
 
-    /// Fewer calls at once did not make the target faster, so concurrency is
-    /// not what slows it. Without this, a host that became slower for good
-    /// would lose its throughput as well, and refuse what it could serve.
+    /// Restores the limit, because less concurrency did not make the target
+    /// faster and therefore is not the cause of the slowness. Otherwise a host
+    /// that became permanently slower would also lose throughput and refuse
+    /// calls that it could serve.
     fn undo_cuts(&mut self, from: FirstCut) {
         self.limit = from.limit;
         self.first_cut = None;
@@ -212,7 +217,7 @@
         (f64::from(self.cap) * FLOOR_SHARE).max(1.0)
     }
 
-    /// The share of the slots that a cold target may use by now.
+    /// Returns how many slots a cold target may use by now.
     fn ramp_limit(&self, now: Millis) -> f64 {
         if self.cold_ramp == Millis::ZERO {
             return f64::from(self.cap);
@@ -226,7 +231,8 @@
     }
 }
 
-/// Calls beyond the connections would only wait for one, unseen.
+/// Returns the maximum limit. Calls beyond the number of connections would only
+/// wait for a connection, where the gate cannot see them.
 fn cap_of(policy: &ServicePolicy) -> u32 {
     policy.slots.min(policy.connections).max(1)
 }
--- a/crates/core/src/gate/pump.rs
+++ b/crates/core/src/gate/pump.rs
@@ -1,4 +1,4 @@
-//! Hands out starts: the next call of the queue, or a suspect's turn.
+//! Starts waiting calls: the next one from the queue, or a suspect.
 
 use super::queue::QueuePosition;
 use super::run::Phase;
@@ -7,11 +7,11 @@
 use crate::suspects::SuspicionLevel;
 
 impl Gate {
-    /// Starts every held call that may start now.
+    /// Starts every waiting call that may start now.
     ///
-    /// Each deadline is checked at the very moment of its start: after a pause
-    /// of the process the queue is full of calls whose callers have long given
-    /// up, and running them would only delay the living.
+    /// Each deadline is checked again at the start of the call. After a pause
+    /// of the process the queue is full of calls whose callers have given up,
+    /// and running them would only delay the others.
     pub(super) fn pump(&mut self, now: Millis) {
         if let Some(run) = self.quarantine.end_overdue(now) {
             self.resume_sharing(run, now);
@@ -19,7 +19,7 @@
         while self.step(now) {}
     }
 
-    /// Refuses held calls that cannot make their deadline any more.
+    /// Refuses waiting calls that can no longer meet their deadline.
     pub(super) fn refuse_late_calls(&mut self, now: Millis) {
         let mut late = Vec::new();
         let mut ahead = 0;
@@ -42,13 +42,14 @@
         }
     }
 
-    /// Puts a suspect where it waits for the target to itself.
+    /// Places a suspect in quarantine, where it waits until it can run alone.
     pub(super) fn quarantine_call(&mut self, run: RunId, position: QueuePosition) {
         self.quarantine.insert(position);
         self.set_phase(run, Phase::Quarantined);
     }
 
-    /// Decides about one held call; false when there is nothing to decide.
+    /// Decides about one waiting call; returns false if there is nothing to
+    /// decide.
     fn step(&mut self, now: Millis) -> bool {
         if self.quarantine.is_running_alone() {
             return false;
--- a/crates/core/src/gate/quarantine.rs
+++ b/crates/core/src/gate/quarantine.rs
@@ -1,5 +1,5 @@
-//! Suspects run alone: they wait until nothing runs, and nothing starts beside
-//! them. Innocent calls get their turn between two suspects.
+//! Suspects run alone: they wait until no call is running, and no other call
+//! starts beside them. Other calls get their turn between two suspects.
 
 use std::collections::BTreeSet;
 
@@ -7,32 +7,32 @@
 use super::queue::QueuePosition;
 use crate::prelude::*;
 
-/// Suspects that may wait at one gate.
+/// Maximum number of suspects waiting at one gate.
 const MAX_WAITING: usize = 16;
 
-/// Longest time for which a suspect keeps the target to itself. One that hangs
-/// must not take the target from everyone else.
+/// Maximum time for which a suspect runs alone. A suspect that hangs must not
+/// block the target for all others.
 const MAX_ALONE: Millis = Millis(1_000);
 
-/// Longest time for which a suspect may hold others back until the target is
-/// empty; one long upload must not stop the target.
+/// Maximum time for which other calls are held back until the target is idle.
+/// One long upload must not block the target.
 const MAX_DRAIN: Millis = Millis(500);
 
-/// The suspect that has the target to itself.
+/// The suspect that is running alone.
 #[derive(Clone, Copy, Debug)]
 struct Alone {
     run: RunId,
     until: Millis,
 }
 
-/// Suspects that wait or run.
+/// Suspects that are waiting or running.
 #[derive(Debug, Default)]
 pub(super) struct Quarantine {
     waiting: BTreeSet<QueuePosition>,
     alone: Option<Alone>,
-    /// While set, nothing starts until the target is empty.
+    /// While set, no call starts until the target is idle.
     drain_until: Option<Millis>,
-    /// Innocent calls to be started before the next suspect.
+    /// Number of other calls to start before the next suspect.
     reserved_starts: u32,
 }
 
@@ -45,12 +45,12 @@
         self.waiting.len() < MAX_WAITING
     }
 
-    /// No suspect waits or runs alone.
+    /// Whether no suspect is waiting or running alone.
     pub(super) fn is_idle(&self) -> bool {
         self.waiting.is_empty() && self.alone.is_none()
     }
 
-    /// Whether nothing may be started now.
+    /// Whether no call may start now.
     pub(super) const fn blocks(&self) -> bool {
         self.alone.is_some() || self.drain_until.is_some()
     }
@@ -78,21 +78,22 @@
         self.waiting.iter()
     }
 
-    /// Whether the next turn is a suspect's. A drain once begun is not broken
-    /// off by innocents that arrive meanwhile.
+    /// Whether the next turn is a suspect's. A drain that has begun continues
+    /// although other calls arrive meanwhile.
     pub(super) fn is_turn(&self, is_queue_empty: bool) -> bool {
         let is_due = self.reserved_starts == 0 || is_queue_empty || self.drain_until.is_some();
         !self.waiting.is_empty() && is_due
     }
 
-    /// Holds others back until the target is empty; false when that has taken
-    /// too long.
+    /// Holds other calls back until the target is idle; returns false if that
+    /// has taken too long.
     pub(super) fn drain(&mut self, now: Millis) -> bool {
         let until = *self.drain_until.get_or_insert(now + MAX_DRAIN);
         now < until
     }
 
-    /// Ends a suspect's turn: the next so many starts are for the innocent.
+    /// Ends a suspect's turn: the next `starts` starts are reserved for other
+    /// calls.
     pub(super) const fn reserve_starts(&mut self, starts: u32) {
         self.drain_until = None;
         self.reserved_starts = starts;
@@ -104,8 +105,8 @@
         self.drain_until = None;
     }
 
-    /// Ends the turn of the suspect that runs alone; the next so many starts
-    /// are for the innocent.
+    /// Ends the turn of the suspect that runs alone; the next `starts` starts
+    /// are reserved for other calls.
     pub(super) fn end_alone(&mut self, run: RunId, starts: u32) {
         if self.alone.is_some_and(|alone| alone.run == run) {
             self.alone = None;
@@ -113,7 +114,7 @@
         }
     }
 
-    /// Ends the time of a suspect that has kept the target too long.
+    /// Ends the exclusive time of a suspect that has run alone for too long.
     pub(super) fn end_overdue(&mut self, now: Millis) -> Option<RunId> {
         let alone = self.alone.filter(|alone| alone.until <= now)?;
         self.alone = None;
--- a/crates/core/src/gate/queue.rs
+++ b/crates/core/src/gate/queue.rs
@@ -1,4 +1,4 @@
-//! The short queue: by class, then by deadline, then by arrival.
+//! The queue, ordered by class, then by deadline, then by arrival.
 
 use std::collections::BTreeSet;
 
@@ -7,18 +7,18 @@
 use super::RunId;
 use crate::prelude::*;
 
-/// Every so many calls taken from the queue, one goes to the next class in
-/// turn instead of the best one, so that a steady load of better classes
+/// Every this many calls, the next one is taken from the classes in rotation
+/// and not from the highest class, so that a steady load of higher classes
 /// cannot starve the others.
 const FAIR_TURN_EVERY: u32 = 8;
 
 const CLASSES: usize = CallClass::VARIANTS.len();
 
-/// Where a call stands within its class.
+/// Position of a call within its class.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct QueuePosition {
     pub(super) deadline_at: Millis,
-    /// Grows with arrival, so it keeps equal deadlines in order.
+    /// Increases with each arrival, so it orders calls with equal deadlines.
     pub(super) run: RunId,
 }
 
@@ -48,7 +48,7 @@
         self.len -= usize::from(self.by_class[rank(class)].remove(position));
     }
 
-    /// Takes the call to serve next.
+    /// Removes and returns the call to serve next.
     pub(super) fn pop(&mut self) -> Option<QueuePosition> {
         if self.is_empty() {
             return None;
@@ -67,8 +67,9 @@
         None
     }
 
-    /// How many calls would be served before a newcomer; counting stops above
-    /// `enough`, so an arrival costs no more in a long queue than in a short.
+    /// Returns how many calls would be served before a new one. Counting stops
+    /// above `enough`, so that an arrival costs no more with a long queue than
+    /// with a short one.
     pub(super) fn ahead(&self, class: CallClass, deadline_at: Millis, enough: usize) -> usize {
         let mut ahead = 0;
         for positions in &self.by_class[..rank(class)] {
@@ -87,12 +88,12 @@
         ahead
     }
 
-    /// Whom a call of `class` may displace from a full queue: the last of the
-    /// lowest class, if that ranks below `class`.
+    /// Returns the call that a call of `class` may displace from a full queue:
+    /// the last one of the lowest class, if that class ranks below `class`.
     ///
     /// The only waiting call of a class is never displaced. Otherwise a steady
-    /// load of better classes would push each call of the class out before its
-    /// fair turn came, and the class would starve in spite of it.
+    /// load of higher classes would displace each call of the class before its
+    /// fair turn, and the class would starve.
     pub(super) fn displaceable(&self, class: CallClass) -> Option<RunId> {
         for positions in self.by_class[rank(class) + 1..].iter().rev() {
             if positions.len() < 2 {
@@ -103,8 +104,8 @@
         None
     }
 
-    /// All waiting calls in the order in which they are served, but for fair
-    /// turns.
+    /// Returns all queued calls in the order in which they are served, ignoring
+    /// fair turns.
     pub(super) fn iter(&self) -> impl Iterator<Item = &QueuePosition> {
         self.by_class.iter().flatten()
     }
--- a/crates/core/src/gate/records.rs
+++ b/crates/core/src/gate/records.rs
@@ -1,13 +1,14 @@
-//! Records of ticketed calls: what is known about each key, until its ticket
-//! has expired.
+//! Records of ticketed calls: what is known about each key until its ticket
+//! expires.
 //!
-//! Two rules make "at most once" hold in constant memory:
+//! Two rules guarantee "at most once" in constant memory:
 //!
-//! - a record is only forgotten once every ticket that was presented for its
-//!   key has expired, and an expired ticket without a record never runs;
-//! - when no record can be added, nothing new may start. A key that must be
-//!   fenced then raises the *floor*: tickets without a record that expire at or
-//!   before it never run. That fences more keys than asked for, never fewer.
+//! - a record is removed only once every ticket presented for its key has
+//!   expired, and an expired ticket without a record never runs;
+//! - when no record can be added, no new key may start. If a key must then be
+//!   fenced, the *floor* is raised: tickets without a record that expire at or
+//!   before the floor never run. This fences more keys than requested, never
+//!   fewer.
 
 use std::cmp::Reverse;
 use std::collections::hash_map::Entry;
@@ -17,57 +18,59 @@
 use super::{RunId, StoredAnswer};
 use crate::prelude::*;
 
-/// Bytes counted for each stored header beside its name and value.
+/// Bytes counted for each stored header in addition to its name and value.
 const HEADER_OVERHEAD_BYTES: u64 = 64;
 
-/// How long the record of a run that outlives its ticket is kept at a time.
+/// Extension of the record of a run that outlives its ticket.
 const LIVE_EXTENSION: Millis = Millis(1_000);
 
-/// Fenced tickets with an absurdly distant expiry that one life of a gate
-/// remembers. They hold their record for so long that they need a bound of
-/// their own.
+/// Maximum number of tickets with an excessive expiry that are fenced by a
+/// record per incarnation. Such records are kept for so long that they need a
+/// separate limit.
 const MAX_EXCESSIVE_EXPIRY_FENCES: u32 = 64;
 
 /// What is known about a key.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) enum RecordState {
-    /// Held or running as this run.
+    /// Waiting or running as this run.
     Live(RunId),
-    /// It ran; here is its answer.
+    /// The call ran, with this answer.
     Answered(Arc<StoredAnswer>),
-    /// It ran; its answer was too large to be kept.
+    /// The call ran; its answer was too large to store.
     AnswerNotKept,
-    /// It was started and its end was never seen. Never run again.
+    /// The call was started and its end was not observed. It never runs again.
     Unknown,
-    /// It did not run and never will under a ticket that expires no later than
-    /// the record's `fenced_through`. A later ticket may still run it.
+    /// The call did not run and never will under a ticket that expires no later
+    /// than the record's `fenced_through`. A later ticket may still run it.
     Fenced {
-        /// When the caller was told to come back.
+        /// The retry time that the caller was given.
         retry_after_ms: Option<Millis>,
     },
 }
 
-/// One key's record.
+/// The record of one key.
 #[derive(Debug)]
 pub(super) struct Record {
-    /// Digest of the request; `None` when the key was fenced unseen.
+    /// Digest of the request; `None` if the key was fenced before the request
+    /// arrived.
     pub(super) digest: Option<u64>,
     /// Latest expiry of all tickets presented for the key.
     expires_at: Millis,
     created_at: Millis,
-    /// Tickets that expire no later were told, or will be told, "not run".
+    /// Tickets that expire no later than this have been or will be answered
+    /// with "not run".
     fenced_through: Option<Millis>,
     pub(super) state: RecordState,
 }
 
-/// When a record is next looked at; one such entry per record.
+/// When a record is next checked for expiry; there is one entry per record.
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Due {
     at: Millis,
     key: CallKey,
 }
 
-/// All records of one life of a gate.
+/// All records of one incarnation of a gate.
 #[derive(Debug, Default)]
 pub(super) struct Records {
     by_key: HashMap<CallKey, Record>,
@@ -79,16 +82,17 @@
 }
 
 impl Records {
-    /// Finds the record that speaks for a ticket, and keeps it at least as long
-    /// as the ticket.
+    /// Returns the record that applies to a ticket, and extends its expiry to
+    /// that of the ticket.
     ///
-    /// Without the extension a second ticket for the key, told "not run" from
-    /// this record, could start after the record was forgotten.
+    /// Without the extension, a second ticket for the key that was answered
+    /// with "not run" from this record could start after the record was
+    /// removed.
     ///
-    /// A ticket that had expired before the record was made is not spoken for:
-    /// its own record may have been forgotten, and the key may have been given
-    /// a second ticket since. Answering "fenced" for the second would deny a
-    /// run under the first.
+    /// The record does not apply to a ticket that had expired before the record
+    /// was created. That ticket's own record may have been removed, and the key
+    /// may have got a second ticket since. Answering with the second ticket's
+    /// "fenced" would deny a run under the first one.
     pub(super) fn find_and_extend(&mut self, ticket: &Ticket) -> Option<&Record> {
         let record = self.by_key.get_mut(&ticket.key)?;
         if ticket.expires_at <= record.created_at {
@@ -98,14 +102,14 @@
         Some(record)
     }
 
-    /// The refusal of a ticket that was fenced, or that is no newer than one
-    /// that was.
+    /// Returns the refusal of a ticket that was fenced, or that expires no
+    /// later than a fenced one.
     ///
-    /// A caller that was told "not run" comes back with its own idempotency key
-    /// and a new ticket, which must not meet the old refusal until the old
-    /// ticket has expired: an overload of seconds would lock the call out for
-    /// minutes. Expiry tells the two apart, because a gate's clock only goes
-    /// up. The old ticket stays denied also while the new one runs.
+    /// A caller that was told "not run" returns with its own idempotency key
+    /// and a new ticket. The new ticket must not be refused until the old one
+    /// expires, because an overload of seconds would then block the call for
+    /// minutes. The expiry distinguishes the two, because a gate's clock only
+    /// moves forward. The old ticket stays refused even while the new one runs.
     pub(super) fn fenced_refusal(&self, ticket: &Ticket) -> Option<Refusal> {
         let record = self.by_key.get(&ticket.key)?;
         if ticket.expires_at <= record.created_at {
@@ -132,7 +136,7 @@
         }
     }
 
-    /// Whether the floor forbids a ticket without a record to run.
+    /// Whether the floor prevents a ticket without a record from running.
     pub(super) fn below_floor(&self, ticket: &Ticket) -> bool {
         self.floor.is_some_and(|floor| ticket.expires_at <= floor)
     }
@@ -142,7 +146,7 @@
         self.floor = self.floor.max(Some(expires_at));
     }
 
-    /// Whether another record fits, after forgetting what has expired.
+    /// Whether another record fits, after expired ones have been removed.
     pub(super) fn has_room(&mut self, max_records: u32, now: Millis) -> bool {
         if self.by_key.len() < max_records as usize {
             return true;
@@ -151,7 +155,8 @@
         self.by_key.len() < max_records as usize
     }
 
-    /// Spends one of the few records for tickets that expire absurdly late.
+    /// Takes one of the few records for tickets with an excessive expiry;
+    /// returns false if none is left.
     pub(super) fn take_excessive_expiry_fence(&mut self) -> bool {
         if self.excessive_expiry_fences >= MAX_EXCESSIVE_EXPIRY_FENCES {
             return false;
@@ -160,8 +165,8 @@
         true
     }
 
-    /// Adds a record for a key that has none, or takes a fenced key up again
-    /// for a ticket newer than those that were fenced.
+    /// Adds a record for a key that has none, or reuses the record of a fenced
+    /// key for a ticket newer than the fenced ones.
     pub(super) fn insert(
         &mut self,
         ticket: &Ticket,
@@ -200,8 +205,9 @@
         }));
     }
 
-    /// Records the end of a live run. The answer becomes "not kept" when it
-    /// would exceed the bytes that all records may hold.
+    /// Records the end of a waiting or running call. The state becomes "answer
+    /// not kept" if the answer would exceed the total size allowed for stored
+    /// answers.
     pub(super) fn settle(&mut self, key: CallKey, state: RecordState, max_stored_bytes: u64) {
         let state = self.within_bytes(state, max_stored_bytes);
         let record = self.by_key.get_mut(&key);
@@ -209,13 +215,14 @@
         debug_assert!(matches!(record.state, RecordState::Live(_)));
         if is_fenced(&state) {
             self.fenced += 1;
-            // Whoever presented a ticket for this run is told "not run".
+            // Every ticket presented for this run is answered with "not run".
             record.fenced_through = record.fenced_through.max(Some(record.expires_at));
         }
         record.state = state;
     }
 
-    /// Forgets records whose tickets have all expired, except of live runs.
+    /// Removes records whose tickets have all expired, except those of waiting
+    /// or running calls.
     pub(super) fn purge(&mut self, now: Millis) {
         while let Some(Reverse(due)) = self.due.peek() {
             if due.at > now {
@@ -231,17 +238,17 @@
         }
     }
 
-    /// Keys that did not run and hold a record.
+    /// Returns the number of records of keys that did not run.
     pub(super) const fn fenced(&self) -> usize {
         self.fenced
     }
 
-    /// Bytes of all stored answers.
+    /// Returns the total size of all stored answers in bytes.
     pub(super) const fn stored_bytes(&self) -> u64 {
         self.stored_bytes
     }
 
-    /// Records held.
+    /// Returns the number of records.
     pub(super) fn len(&self) -> usize {
         self.by_key.len()
     }
@@ -284,7 +291,7 @@
     matches!(state, RecordState::Fenced { .. })
 }
 
-/// Bytes that a stored answer counts for.
+/// Returns the number of bytes that a stored answer counts for.
 pub(super) fn size_bytes(answer: &StoredAnswer) -> u64 {
     let mut bytes = answer.body.len() as u64;
     for header in &answer.headers {
--- a/crates/core/src/gate/run.rs
+++ b/crates/core/src/gate/run.rs
@@ -1,22 +1,22 @@
-//! Calls in hand: from admission to their end.
+//! Admitted calls, from admission to their end.
 
 use super::queue::QueuePosition;
 use super::records::{RecordState, size_bytes};
 use super::{Arrival, Gate, RunEnd, RunId, Settlement, Verdict, Wake};
 use crate::prelude::*;
 
-/// How far a call in hand has come.
+/// The state of an admitted call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Phase {
     /// Waits for a slot.
     Queued,
-    /// Waits for the target to itself.
+    /// Waits until it can run alone.
     Quarantined,
-    /// Was handed out to be sent to the target.
+    /// Has been handed to the driver to be sent to the target.
     Running,
 }
 
-/// One call in hand.
+/// One admitted call.
 #[derive(Clone, Debug)]
 pub(super) struct Run {
     pub(super) class: CallClass,
@@ -25,13 +25,13 @@
     pub(super) key: Option<CallKey>,
     pub(super) fingerprint: u64,
     pub(super) phase: Phase,
-    /// Callers, the first and those that joined, while it is held.
+    /// Number of callers, including those that joined, while the call waits.
     pub(super) callers: u32,
-    /// Whether the target runs nothing else.
+    /// Whether the target runs no other call.
     pub(super) alone: bool,
-    /// Place of its start in the order of starts and breaks.
+    /// Sequence number of its start among starts and breaks.
     pub(super) started: u64,
-    /// Whether it was counted in a crash of the target already.
+    /// Whether the call was already counted in a crash of the target.
     pub(super) in_crash: bool,
 }
 
@@ -53,7 +53,7 @@
     Quarantine,
 }
 
-/// What the end of a ticketed run leaves behind.
+/// The result of a ticketed run, for its record and for its callers.
 struct RunOutcome {
     state: RecordState,
     settlement: Settlement,
@@ -71,7 +71,7 @@
 }
 
 impl Gate {
-    /// Takes an admitted call in hand.
+    /// Registers an admitted call and starts or queues it.
     pub(super) fn register_call(
         &mut self,
         arrival: &Arrival<'_>,
@@ -106,7 +106,8 @@
         }
     }
 
-    /// Counts a call as running. Whoever calls this hands the start out.
+    /// Counts a call as running. The caller of this method reports the start to
+    /// the driver.
     pub(super) fn mark_started(&mut self, id: RunId, alone: bool, now: Millis) {
         let started = self.crash_evidence.next_order();
         let run = self.runs.get_mut(&id);
@@ -123,7 +124,7 @@
         }
     }
 
-    /// Removes a run from those running.
+    /// Removes a run from the running calls.
     pub(super) fn take_running(&mut self, id: RunId, now: Millis) -> Option<Run> {
         if self.runs.get(&id)?.phase != Phase::Running {
             return None;
@@ -143,7 +144,7 @@
         self.settle_ticketed(id, &run, RunOutcome::fenced(refusal));
     }
 
-    /// One caller of a held call has left.
+    /// Counts that one caller of a waiting call has left.
     pub(super) fn drop_caller(&mut self, id: RunId) {
         let Some(run) = self.runs.get_mut(&id) else {
             return;
@@ -162,7 +163,8 @@
         self.settle_ticketed(id, &run, fenced);
     }
 
-    /// Draws the lesson from a run for limits, times and suspicion.
+    /// Updates the limit, the service times and the crash evidence with the end
+    /// of a run.
     pub(super) fn record_end(
         &mut self,
         run: &Run,
@@ -185,7 +187,7 @@
         }
     }
 
-    /// Writes the end of a ticketed run into its record.
+    /// Writes the end of a ticketed run to its record.
     pub(super) fn settle_ended(&mut self, id: RunId, run: &Run, end: RunEnd) {
         if run.key.is_none() {
             return;
--- a/crates/core/src/gate/tests/admission.rs
+++ b/crates/core/src/gate/tests/admission.rs
@@ -1,4 +1,4 @@
-//! Admission, the queue and the limit under load and noise.
+//! Tests of admission, the queue and the limit under load and noise.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -59,8 +59,8 @@
 #[test]
 fn higher_class_displaces_the_last_of_a_lower_one() {
     // The queue is full of background work when a payment arrives. The last of
-    // the background calls is refused at once, with a time to come back, and
-    // the only one left of its class keeps its place.
+    // the background calls is refused at once with a retry time. The only
+    // remaining call of its class keeps its place.
     let mut gate = gate(&policy());
     run_of(gate.arrive(&plain(FAR_MS), Millis(0)));
     let [keeps, goes] = [5_000, 6_000]
@@ -78,8 +78,9 @@
 
 #[test]
 fn call_that_cannot_make_its_deadline_is_refused_at_once() {
-    // The target takes 100 ms. A call with 40 ms left would only fail late; a
-    // call behind a queue that takes longer than its deadline likewise.
+    // The target takes 100 ms. A call with 40 ms left would miss its deadline,
+    // and so would a call behind a queue that takes longer than the call's
+    // remaining time.
     let mut gate = gate(&policy());
     for _ in 0..20 {
         let run = run_of(gate.arrive(&plain(FAR_MS), Millis(0)));
@@ -101,8 +102,9 @@
 
 #[test]
 fn target_that_was_slow_once_is_tried_again() {
-    // The target took 10 s a call, far beyond any deadline, and has recovered.
-    // If predictions alone decided, no call would ever show the recovery.
+    // The target took 10 s per call, far beyond any deadline, and has
+    // recovered. If predictions alone decided, no call would ever show the
+    // recovery.
     let mut gate = gate(&policy());
     for _ in 0..20 {
         let run = run_of(gate.arrive(&plain(FAR_MS), Millis(0)));
@@ -119,8 +121,8 @@
 
 #[test]
 fn fast_failures_do_not_count_as_fast_service() {
-    // A sick target answers 500 in no time. If that counted as service time,
-    // its gate would look like the fastest of all and draw all the load.
+    // An unhealthy target answers 500 immediately. If that counted as service
+    // time, its gate would look like the fastest one and attract all the load.
     let mut gate = gate(&policy());
     for failed in [false, true, true, true] {
         let run = run_of(gate.arrive(&plain(FAR_MS), Millis(0)));
@@ -151,8 +153,9 @@
 
 #[test]
 fn leaving_gate_refuses_new_work_and_finishes_the_rest() {
-    // The VM is leaving. What is running or waiting is finished; new calls hear
-    // at once that nothing ran, also from late duplicates after a return.
+    // When the VM is leaving, running and waiting calls are finished. New calls
+    // are told at once that they did not run, and late duplicates of them must
+    // not run after the gate accepts work again.
     let mut gate = gate(&policy());
     let running = run_of(gate.arrive(&plain(FAR_MS), Millis(0)));
     let waiting = run_of(gate.arrive(&plain(FAR_MS), Millis(0)));
@@ -170,7 +173,7 @@
     assert_eq!(code_of(late), ResultCode::Fenced);
 }
 
-/// What a load of one kind of call has come to.
+/// Results of an offered load.
 #[derive(Debug, Default)]
 struct Outcome {
     in_time: u32,
@@ -182,11 +185,12 @@
     retry_after_ms: Vec<u64>,
 }
 
-/// A target whose service time depends on the time and the calls in it.
+/// The service time of a target, depending on the time and the number of calls
+/// in flight.
 type Service = fn(now_ms: u64, in_flight: u32) -> u64;
 
-/// Offers `per_s` calls a second for `span_ms`; one in `background_every` is
-/// background work.
+/// Offers `per_s` calls per second for `span_ms`. One in `background_every`
+/// calls is background work.
 fn offer(per_s: u64, span_ms: u64, background_every: u64, service_ms: Service) -> Outcome {
     const DEADLINE_MS: u64 = 1_000;
     let mut gate = gate(&roomy_policy());
@@ -259,8 +263,8 @@
 
 #[test]
 fn goodput_holds_at_twice_the_capacity() {
-    // 12 slots of 20 ms serve 600 calls a second; 1,200 come. Without a bound
-    // on the wait every call would spend its deadline in the queue.
+    // 12 slots of 20 ms serve 600 calls per second; 1,200 are offered. Without
+    // a bound on the wait, every call would use up its deadline in the queue.
     let peak = offer(600, 10_000, u64::MAX, |_, _| 20);
     let over = offer(1_200, 10_000, u64::MAX, |_, _| 20);
     assert!(over.in_time * 100 >= peak.in_time * 97, "{over:?} {peak:?}");
@@ -275,7 +279,7 @@
 #[test]
 fn background_is_served_beside_a_flood_of_payments() {
     // Payments alone exceed the capacity for ten seconds. Background work must
-    // still get its fair turn (one in eight when it asks for that much).
+    // still get its fair turn (one in eight if there is that much of it).
     let over = offer(1_200, 10_000, 5, |_, _| 20);
     let share = f64::from(over.background_in_time) / f64::from(over.in_time);
     assert!(share > 0.02, "{share} of {}", over.in_time);
@@ -283,8 +287,9 @@
 
 #[test]
 fn noisy_neighbour_does_not_collapse_the_limit() {
-    // A neighbour stalls the host for 50 ms in every 300 ms. The slots are as
-    // good as before; a limit that shrank would refuse what can be served.
+    // A neighbour stalls the host for 50 ms in every 300 ms. The capacity of
+    // the slots has not changed, so a smaller limit would refuse calls that can
+    // be served.
     let stalls = |now, _| 5 + 50_u64.saturating_sub(now % 300);
     let noisy = offer(1_500, 20_000, u64::MAX, stalls);
     assert_eq!(noisy.lowest_limit, 12);
@@ -293,9 +298,9 @@
 
 #[test]
 fn limit_shrinks_only_where_that_helps() {
-    // First a target whose work slows each other down beyond four at once, so
-    // that fewer at once serve as much, faster. Then one that has become four
-    // times slower whatever its load: there the limit must come back.
+    // The first target slows down with more than four concurrent calls, so a
+    // lower limit serves as many calls faster. The second one has become four
+    // times slower regardless of load, so its limit must be restored.
     let contended = offer(2_000, 20_000, u64::MAX, |now, in_flight| {
         let crowd = u64::from(in_flight.saturating_sub(4));
         if now < 2_000 { 5 } else { 5 + crowd * 4 }
--- a/crates/core/src/gate/tests/at_most_once.rs
+++ b/crates/core/src/gate/tests/at_most_once.rs
@@ -1,4 +1,4 @@
-//! A ticketed call starts at most once, and "not run" stays true.
+//! A ticketed call starts at most once, and "not run" remains true.
 
 use super::*;
 
@@ -6,9 +6,9 @@
 
 #[test]
 fn duplicates_join_or_replay_and_never_start() {
-    // The caller's stream breaks and it sends the same ticket again: once while
-    // the call waits, once while it runs, once after it ended. It must get the
-    // one answer each time, since a second run is a second charge.
+    // The caller's stream breaks and it sends the same ticket again: while the
+    // call waits, while it runs, and after it has ended. It must get the same
+    // answer each time, because a second run would charge twice.
     let mut gate = gate(&policy());
     let first = run_of(gate.arrive(&plain(FAR_MS), Millis(1)));
     let ticket = ticket(1, END);
@@ -33,9 +33,9 @@
 
 #[test]
 fn late_duplicate_of_a_refused_call_stays_refused() {
-    // The gate is full and refuses with "not run"; the caller takes a ticket
-    // for another gate and is served there. Then a duplicate of the first send
-    // arrives late, when this gate is idle. It must not start.
+    // The gate is full and refuses with "not run". The caller gets a ticket for
+    // another gate and is served there. A late duplicate of the first send then
+    // arrives when this gate is idle. It must not start.
     let mut gate = gate(&policy());
     let running = run_of(gate.arrive(&plain(FAR_MS), Millis(1)));
     let waiting = [2, 3].map(|now| run_of(gate.arrive(&plain(FAR_MS), Millis(now))));
@@ -58,9 +58,9 @@
 
 #[test]
 fn fence_wins_over_a_late_packet() {
-    // The entry's stream to the gate breaks before it knows whether the request
-    // arrived. It asks, hears "not run" and the caller moves on. The request,
-    // delayed in the network, arrives afterwards.
+    // The entry's stream to the gate breaks before the entry knows whether the
+    // request arrived. The entry sends a fence, receives "not run", and the
+    // caller moves on. The delayed request arrives afterwards and must not run.
     let mut gate = gate(&policy());
     let ticket = ticket(1, END);
     let asked = gate.fence(&ticket, Millis(1));
@@ -71,8 +71,8 @@
 
 #[test]
 fn fence_of_a_waiting_call_notifies_every_caller() {
-    // The call waits, another send has joined it, and a third party asks. All
-    // of them must hear "not run", and no start may follow.
+    // The call waits, another send has joined it, and a fence arrives. All of
+    // them must receive "not run", and no start may follow.
     let mut gate = gate(&policy());
     let first = run_of(gate.arrive(&plain(FAR_MS), Millis(1)));
     let ticket = ticket(1, END);
@@ -89,8 +89,8 @@
 
 #[test]
 fn fence_of_a_running_call_waits_for_its_end() {
-    // The call has started when the entry asks: "not run" would be a lie, so
-    // the answer is the run, and its end follows.
+    // The call has started when the fence arrives, so "not run" would be false.
+    // The fence returns the run, and its end follows.
     let mut gate = gate(&policy());
     let ticket = ticket(1, END);
     let run = run_of(gate.arrive(&with_ticket(&ticket), Millis(1)));
@@ -104,9 +104,9 @@
 
 #[test]
 fn broken_or_cancelled_run_is_unknown_for_good() {
-    // The target's connection breaks in the middle of a payment, or the run is
-    // cancelled. Nobody knows whether it was charged; the gate must neither run
-    // it again nor say that it did not run.
+    // The target's connection breaks during a payment, or the run is cancelled.
+    // Whether the payment was charged is unknown, so the gate must neither run
+    // it again nor report that it did not run.
     let mut gate = gate(&policy());
     for (key, end) in [(1, RunEnd::Broken), (2, RunEnd::Cancelled)] {
         let ticket = ticket(key, END);
@@ -119,8 +119,9 @@
 
 #[test]
 fn call_that_the_target_did_not_run_is_fenced() {
-    // The target sheds, or no connection to it can be had: nothing ran, all who
-    // wait hear so, and no late duplicate starts it.
+    // The target rejects the call, or no connection to it can be opened.
+    // Nothing ran, all waiting callers are told so, and no late duplicate
+    // starts the call.
     let mut gate = gate(&policy());
     let ends = [
         (1, RunEnd::NotRun, ResultCode::Overloaded),
@@ -139,9 +140,9 @@
 
 #[test]
 fn process_pause_does_not_start_expired_calls() {
-    // The process is stopped for a minute while calls wait, and wakes with the
-    // end of a run in hand. The callers have given up long ago; starting their
-    // payments now would surprise everyone.
+    // The process is stopped for a minute while calls wait, and the first event
+    // after it resumes is the end of a run. The callers have given up, so their
+    // payments must not start now.
     let mut gate = gate(&policy());
     let first = run_of(gate.arrive(&plain(500), Millis(1)));
     let ticket = ticket(1, END);
@@ -162,8 +163,8 @@
 #[test]
 fn thread_with_an_old_time_cannot_revive_a_ticket() {
     // A thread reads the clock, is paused, and gets the gate's lock after
-    // another thread has seen the ticket expire and its record forgotten. By
-    // its own old time the ticket is valid and unknown.
+    // another thread has seen the ticket expire and its record was removed. By
+    // the paused thread's time the ticket is valid and unknown.
     let mut gate = gate(&policy());
     let ticket = ticket(1, 1_000);
     let run = run_of(gate.arrive(&with_ticket(&ticket), Millis(1)));
@@ -176,8 +177,9 @@
 
 #[test]
 fn another_incarnation_never_runs_the_ticket() {
-    // The process was replaced on the same VM and address. The new life has no
-    // records, so it can neither run the call nor say that it did not run.
+    // The process was replaced on the same VM and address. The new incarnation
+    // has no records, so it can neither run the call nor report that it did not
+    // run.
     let policy = policy();
     let mut gate = gate_of("vm-1", Incarnation(8), &policy);
     let ticket = ticket(1, END);
@@ -189,8 +191,9 @@
 
 #[test]
 fn expired_ticket_is_answered_from_its_record_only() {
-    // A caller comes back late. While the record is there it gets its answer,
-    // afterwards nobody knows, and a fence must not claim "not run" either.
+    // A caller returns late. While the record exists, the caller gets its
+    // answer. Afterwards the outcome is unknown, and a fence must not report
+    // "not run" either.
     let mut gate = gate(&policy());
     let ticket = ticket(1, 1_000);
     let run = run_of(gate.arrive(&with_ticket(&ticket), Millis(1)));
@@ -211,9 +214,9 @@
 
 #[test]
 fn full_records_refuse_new_keys_and_forget_none() {
-    // Records are full of settled calls whose tickets are valid. Forgetting one
-    // would let its duplicate run; so new keys wait with "not yet" until
-    // records expire.
+    // The records are full of settled calls whose tickets are valid. Removing
+    // one would let its duplicate run, so new keys are refused with "not yet"
+    // until records expire.
     let mut gate = gate(&policy());
     for key in 0..8 {
         let run = run_of(gate.arrive(&with_ticket(&ticket(key, 1_000)), Millis(1)));
@@ -230,9 +233,9 @@
 
 #[test]
 fn fence_holds_even_when_records_are_full() {
-    // An entry asks about a key that never arrived, and no record can be added.
-    // The floor fences it with all unknown tickets that expire no later; keys
-    // that have a record are not touched.
+    // A fence arrives for a key that never arrived, and no record can be added.
+    // The floor fences it along with all unknown tickets that expire no later;
+    // keys with a record are not affected.
     let mut gate = gate(&policy());
     for key in 0..8 {
         let run = run_of(gate.arrive(&with_ticket(&ticket(key, 1_000)), Millis(1)));
@@ -257,9 +260,9 @@
 
 #[test]
 fn refusals_leave_room_for_calls_that_run() {
-    // In an overload, refused calls come back with a new ticket each time. If
-    // each refusal took a record, no record would be left for calls that could
-    // be served. Beyond half the records the refusal is "not yet".
+    // In an overload, refused calls return with a new ticket each time. If each
+    // refusal used a record, no record would be left for calls that could be
+    // served. Beyond half of the records the refusal is "not yet".
     let mut gate = gate(&policy());
     let running = run_of(gate.arrive(&plain(FAR_MS), Millis(1)));
     for now in [1, 2] {
@@ -299,8 +302,8 @@
 
 #[test]
 fn key_with_another_body_is_refused_and_changes_nothing() {
-    // A caller reuses its key for another payment. The first one's answer must
-    // not be taken for the second's.
+    // A caller reuses its key for another payment. The answer of the first
+    // payment must not be returned for the second.
     let mut gate = gate(&policy());
     let ticket = ticket(1, END);
     let run = run_of(gate.arrive(&with_ticket(&ticket), Millis(1)));
@@ -319,8 +322,8 @@
 
 #[test]
 fn second_ticket_refused_as_not_run_stays_refused() {
-    // Two tickets of one key were handed out. The first is fenced, then the
-    // second, which expires later, is refused by the leaving gate. When the
+    // Two tickets of one key were issued. The first is fenced, then the second,
+    // which expires later, is refused because the gate is leaving. After the
     // first has expired, a late duplicate of the second must still not start.
     let mut gate = gate(&policy());
     let (first, second) = (ticket(1, 1_000), ticket(1, 1_040));
@@ -338,10 +341,10 @@
 
 #[test]
 fn fenced_key_runs_under_a_newer_ticket_and_never_under_the_old() {
-    // An overload refuses a payment: "not run". Its caller comes back with the
-    // same idempotency key and is given a newer ticket for the same gate. The
-    // payment must run now and not after minutes; and a late duplicate of the
-    // refused send must be denied before, during and after that run.
+    // An overload refuses a payment with "not run". The caller returns with the
+    // same idempotency key and gets a newer ticket for the same gate. The
+    // payment must run now and not after minutes, and a late duplicate of the
+    // refused send must be refused before, during and after that run.
     let mut gate = gate(&policy());
     let (old, new) = (ticket(1, 1_000), ticket(1, 1_001));
     gate.fence(&old, Millis(1));
@@ -362,8 +365,9 @@
 
 #[test]
 fn key_that_ran_is_replayed_to_a_newer_ticket() {
-    // A caller leaves its contract and takes a second ticket although the
-    // first was answered. The same gate still knows the key: it replays.
+    // A caller violates its contract and gets a second ticket although the
+    // first was answered. The same gate still knows the key and replays the
+    // answer.
     let mut gate = gate(&policy());
     let (first, second) = (ticket(1, 1_000), ticket(1, 2_000));
     let run = run_of(gate.arrive(&with_ticket(&first), Millis(1)));
@@ -374,8 +378,8 @@
 
 #[test]
 fn second_record_does_not_deny_the_run_under_an_expired_ticket() {
-    // The first ticket ran and its record was forgotten at its expiry. A second
-    // ticket of the same key is fenced. A duplicate of the first must not hear
+    // The first ticket ran and its record was removed at its expiry. A second
+    // ticket of the same key is fenced. A duplicate of the first must not get
     // "not run" from the second's record.
     let mut gate = gate(&policy());
     let (first, second) = (ticket(1, 1_000), ticket(1, 3_000));
@@ -391,9 +395,10 @@
 
 #[test]
 fn ticket_that_expires_absurdly_late_never_runs() {
-    // A damaged writer issues a ticket valid for a day. Its record would be
-    // kept for a day; it is refused, and stays refused when its expiry is near.
-    // A flood of them must not fill the records for a day either.
+    // A faulty issuer creates a ticket that is valid for a day. Its record
+    // would be kept for a day, so the ticket is refused, and stays refused when
+    // its expiry is near. Many such tickets must not fill the records for a day
+    // either.
     let mut policy = policy();
     policy.max_records = 1_000;
     let mut gate = gate(&policy);
@@ -411,8 +416,8 @@
 
 #[test]
 fn held_call_is_dropped_when_its_last_caller_leaves() {
-    // The first caller of a waiting call leaves while another has joined: the
-    // call stays. When that one leaves too, the key is fenced.
+    // The first caller of a waiting call leaves after another has joined, and
+    // the call stays. When the second one leaves too, the key is fenced.
     let mut gate = gate(&policy());
     let running = run_of(gate.arrive(&plain(FAR_MS), Millis(1)));
     let ticket = ticket(1, END);
@@ -432,8 +437,8 @@
 
 #[test]
 fn started_call_goes_on_without_its_caller() {
-    // The caller of a running payment disconnects. The run goes on, and its
-    // answer is there when the caller comes back.
+    // The caller of a running payment disconnects. The run continues, and its
+    // answer is available when the caller returns.
     let mut gate = gate(&policy());
     let ticket = ticket(1, END);
     let run = run_of(gate.arrive(&with_ticket(&ticket), Millis(1)));
--- a/crates/core/src/gate/tests/crash.rs
+++ b/crates/core/src/gate/tests/crash.rs
@@ -1,4 +1,4 @@
-//! Requests that crash targets, and innocents beside them.
+//! Requests that crash targets, and the treatment of other requests in flight.
 
 use super::*;
 use crate::suspects::SuspicionLevel;
@@ -29,7 +29,8 @@
     report
 }
 
-/// A gate at which `BAD` and three innocents were in flight in a crash.
+/// Creates a gate at which `BAD` and three other requests were in flight in a
+/// crash.
 fn crashed_gate() -> Gate {
     let mut gate = gate(&wide_policy());
     let runs = [1, 2, 3, BAD].map(|mark| run_of(gate.arrive(&with_fingerprint(mark), Millis(1))));
@@ -39,9 +40,9 @@
 
 #[test]
 fn request_is_refused_after_two_crashes_in_the_fleet() {
-    // A request crashes each target that runs it, and its caller sends it again
-    // to one gate after the other. After the first crash it runs alone, after
-    // the second it is refused everywhere.
+    // A request crashes each target that runs it, and its caller sends it to
+    // one gate after the other. After the first crash it runs alone; after the
+    // second it is refused everywhere.
     let mut fleet = Suspects::new();
     let mut crashes = 0;
     for (vm, at) in [("vm-1", 1_000), ("vm-2", 2_000), ("vm-3", 3_000)] {
@@ -96,8 +97,9 @@
 #[test]
 fn suspect_that_broke_before_the_report_is_convicted() {
     // The suspect runs alone and its connection breaks. Before the driver knows
-    // that the target is gone, the next calls are started. They met a dead
-    // target and must not be taken for culprits, nor excuse the suspect.
+    // that the target has crashed, the next calls are started. They reached a
+    // crashed target, so they must neither be suspected nor keep the suspect
+    // from being convicted.
     let mut gate = crashed_gate();
     let bad = run_of(gate.arrive(&with_fingerprint(BAD), Millis(10)));
     run_of(gate.arrive(&with_fingerprint(77), Millis(11)));
@@ -123,7 +125,7 @@
 #[test]
 fn calls_that_met_a_dead_target_are_not_suspected() {
     // Two calls break in a crash. Before the driver reports it, a third is
-    // started; it cannot have crashed a target that was dead.
+    // started, which cannot have caused the crash.
     let mut gate = gate(&wide_policy());
     let runs = [1, 2].map(|mark| run_of(gate.arrive(&with_fingerprint(mark), Millis(1))));
     for run in runs {
@@ -137,8 +139,8 @@
 
 #[test]
 fn suspect_alone_is_the_culprit_even_if_another_breaks_after_it() {
-    // The suspect ran alone and broke. The next call was still accepted by the
-    // dying target and broke as well, before the report.
+    // The suspect ran alone and its connection broke. The crashing target still
+    // accepted the next call, which broke as well before the report.
     let mut gate = crashed_gate();
     let bad = run_of(gate.arrive(&with_fingerprint(BAD), Millis(10)));
     let next = run_of(gate.arrive(&with_fingerprint(77), Millis(11)));
@@ -152,9 +154,9 @@
 
 #[test]
 fn second_report_of_one_crash_suspects_nobody() {
-    // Each broken connection makes the driver report the same crash, before and
-    // after its run is ended. Counted twice, one crash would convict a lone
-    // innocent.
+    // For each broken connection the driver reports the same crash, before or
+    // after its run is ended. If it counted twice, one crash would convict a
+    // request that was alone in flight.
     let mut gate = gate(&wide_policy());
     let run = run_of(gate.arrive(&with_fingerprint(1), Millis(1)));
     assert_eq!(gate.target_crashed(Millis(2)).in_flight, 1);
@@ -166,8 +168,9 @@
 
 #[test]
 fn other_calls_are_served_between_suspects() {
-    // Many suspects wait at once, as after the crash of a busy target. Each
-    // empties the target; without turns the innocents would wait for them all.
+    // Many suspects wait at once, as after the crash of a busy target. The
+    // target must be idle for each of them; without turns the other calls would
+    // wait for all suspects.
     let mut gate = crashed_gate();
     let first = run_of(gate.arrive(&with_fingerprint(1), Millis(10)));
     for mark in [2, 3, BAD] {
@@ -183,7 +186,8 @@
 #[test]
 fn long_call_does_not_let_a_suspect_block_the_target() {
     // An upload runs for half a minute when a suspect arrives. The target may
-    // stand idle for a moment to run it alone, not for half a minute.
+    // be held idle for a moment so that the suspect can run alone, but not for
+    // half a minute.
     let mut gate = crashed_gate();
     run_of(gate.arrive(&plain(FAR_MS), Millis(10)));
     let suspect = run_of(gate.arrive(&with_fingerprint(1), Millis(11)));
@@ -207,9 +211,10 @@
 
 #[test]
 fn reported_suspect_is_convicted_by_its_second_crash() {
-    // A request crashes its target; its entry retries at once elsewhere, where
-    // nobody has heard of the crash. It runs alone there, so that innocents are
-    // spared; when it crashes that target too, it is refused from then on.
+    // A request crashes its target, and its entry retries it at once at a gate
+    // that does not know of the crash. It runs alone there, so that no other
+    // call is affected. When it crashes that target too, it is refused from
+    // then on.
     let mut gate = gate(&wide_policy());
     let now = Millis(1);
     let innocent = run_of(gate.arrive(&with_fingerprint(1), now));
@@ -229,8 +234,9 @@
 
 #[test]
 fn reporting_a_known_or_missing_fingerprint_changes_nothing() {
-    // Word of the crash came first, or the entry named no fingerprint: nothing
-    // is counted a second time, and an innocent is cleared by one good run.
+    // The gate already knows of the crash, or the entry sent no fingerprint.
+    // Nothing is counted twice, and an innocent request is cleared by one
+    // successful run.
     let mut gate = crashed_gate();
     assert_eq!(gate.report_suspect(BAD, Millis(3)), None);
     assert_eq!(gate.report_suspect(0, Millis(3)), None);
--- a/crates/core/src/gate/tests/interleavings.rs
+++ b/crates/core/src/gate/tests/interleavings.rs
@@ -1,7 +1,8 @@
-//! Random interleavings against a model: two VMs, one of which is replaced.
+//! Random interleavings checked against a model of two VMs, whose gates may be
+//! replaced.
 //!
-//! The model counts starts per ticket and remembers every "not run". A failing
-//! case is shrunk by proptest and printed as its list of steps.
+//! The model counts starts per ticket and records every "not run". Proptest
+//! shrinks a failing case and prints its list of steps.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -15,10 +16,10 @@
 const MAX_RECORDS: u32 = 6;
 const SLOTS: u32 = 2;
 
-/// One step, decoded from plain numbers so that proptest shrinks it well.
+/// One step, decoded from plain numbers so that proptest can shrink it well.
 type Step = (u8, u8, u8);
 
-/// A request under a ticket, as the caller sees it.
+/// A request with a ticket, as the caller sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Request {
     ticket: usize,
@@ -33,7 +34,7 @@
     callers: u32,
 }
 
-/// One life of a gate with what its driver holds.
+/// One incarnation of a gate and the calls that its driver tracks.
 struct GateInstance {
     gate: Gate,
     vm: &'static str,
@@ -65,10 +66,10 @@
     gates: Vec<GateInstance>,
     tickets: Vec<Ticket>,
     starts: BTreeMap<usize, u32>,
-    /// Requests of which the target did run something.
+    /// Requests that the target ran at least in part.
     ran: BTreeSet<Request>,
     not_run: BTreeSet<Request>,
-    /// Tickets fenced whole, whatever the digest.
+    /// Tickets that were fenced, whatever the digest.
     fenced: BTreeSet<usize>,
 }
 
@@ -91,7 +92,8 @@
 
     fn step(&mut self, (action, a, b): Step) {
         let gate = usize::from(a) % self.gates.len();
-        // Some events carry a time read before a pause of their thread.
+        // Some events carry a time that was read before a pause of their
+        // thread.
         let now = self.now.minus(Millis(u64::from(b % 3 == 0) * 50));
         match action % 12 {
             0 => self.issue(gate, b),
@@ -123,7 +125,7 @@
         }
         let index = usize::from(b) % self.tickets.len();
         let ticket = self.tickets[index].clone();
-        // Mostly to the right gate, at times astray.
+        // Most requests go to the right gate, some to another one.
         let mut gate = gate;
         if !a.is_multiple_of(8) {
             gate = self.find_issuer(&ticket).unwrap_or(gate);
@@ -362,7 +364,7 @@
         assert!(gate.gate.stored_bytes() <= 2_000);
     }
 
-    /// Nothing is lost: every call in hand ends once its run does.
+    /// Checks that no call is lost: every call ends once its run does.
     fn drain(&mut self) {
         for gate in 0..self.gates.len() {
             self.gates[gate].gate.set_leaving(true);
@@ -380,7 +382,7 @@
 proptest! {
     #![proptest_config(ProptestConfig {
         cases: 2_000,
-        // The same cases on every run; a trial with other seeds edits this line.
+        // The same cases on every run; change this line to try other seeds.
         rng_seed: proptest::test_runner::RngSeed::Fixed(SEED),
         failure_persistence: None,
         ..ProptestConfig::default()
@@ -388,9 +390,9 @@
 
     #[test]
     fn at_most_once_and_not_run_is_true(steps in vec(any::<Step>(), 1..200)) {
-        // Sends, duplicates, fences, leavers, ends, crashes, pauses and a new
-        // life come in any order. A ticket may start once at most, never after
-        // anyone was told "not run", and never past its deadline.
+        // Sends, duplicates, fences, departing callers, ends, crashes, pauses
+        // and a new incarnation occur in any order. A ticket may start at most
+        // once, never after a "not run" answer, and never past its deadline.
         let mut model = Model::new();
         for step in steps {
             model.step(step);
--- a/crates/core/src/gate/ticketed.rs
+++ b/crates/core/src/gate/ticketed.rs
@@ -1,26 +1,26 @@
-//! Arrivals under a ticket: at most one start per key in this life.
+//! Arrivals with a ticket: at most one start per key in this incarnation.
 
 use super::records::RecordState;
 use super::{Arrival, Gate, RunId, Verdict};
 use crate::prelude::*;
 
-/// Slack on top of twice the longest validity that a policy has allowed;
-/// writers of tickets may hold an older or newer policy than this gate.
+/// Margin on top of twice the longest validity that a policy has allowed,
+/// because issuers of tickets may have an older or newer policy than this gate.
 const EXPIRY_MARGIN: Millis = Millis::from_secs(60);
 
-/// Calls refused on arrival may use one record out of this many. Refusals
-/// outnumber runs in an overload, and their records must not take the room of
-/// calls that can be served.
+/// Calls refused on arrival may use one of this many records. In an overload,
+/// refusals outnumber runs, and their records must not displace calls that can
+/// be served.
 const FENCED_SHARE_DIVISOR: usize = 2;
 
-/// What a record says to another arrival of its key.
+/// What a record answers to another arrival of its key.
 enum RecordedOutcome {
     Verdict(Verdict),
     Live(RunId),
 }
 
 impl Gate {
-    /// Whether the ticket names this life of this gate.
+    /// Whether the ticket names this incarnation of this gate.
     pub(super) fn names_this_gate(&self, ticket: &Ticket) -> bool {
         ticket.incarnation == self.settings.incarnation
             && ticket.gate == self.settings.vm
@@ -51,8 +51,9 @@
         self.arrive_new_key(ticket, arrival, now)
     }
 
-    /// Fences a key that has no record: by a record, or when they are full by
-    /// the floor. Either way no ticket up to this one's expiry runs it later.
+    /// Fences a key that has no record, by a record or, if the records are
+    /// full, by the floor. In either case no ticket that expires up to this
+    /// one's expiry runs the key later.
     pub(super) fn fence_new(
         &mut self,
         ticket: &Ticket,
@@ -68,17 +69,18 @@
         self.records.insert(ticket, digest, fenced, now);
     }
 
-    /// Whether the expiry lies so far ahead that no policy can have allowed it.
+    /// Whether the ticket expires so far ahead that no policy can have allowed
+    /// it.
     pub(super) fn has_excessive_expiry(&self, ticket: &Ticket, now: Millis) -> bool {
         let ttl = self.max_ticket_ttl;
         ticket.expires_at > now + ttl + ttl + EXPIRY_MARGIN
     }
 
-    /// Refuses a ticket that would hold its record absurdly long.
+    /// Refuses a ticket whose record would be kept far too long.
     ///
-    /// "Not run" has to stay true when the expiry has come nearer and a late
-    /// duplicate looks reasonable, so the key is fenced by a record. Such
-    /// records are few; beyond them the answer is "not yet".
+    /// "Not run" must remain true when the expiry is nearer and a late
+    /// duplicate looks valid, so the key is fenced by a record. There are few
+    /// such records; when they are used up, the answer is "not yet".
     fn refuse_excessive_expiry(&mut self, ticket: &Ticket, now: Millis) -> Option<Refusal> {
         if !self.has_excessive_expiry(ticket, now) || self.records.covers(ticket) {
             return None;
@@ -101,7 +103,8 @@
         }
         let record = self.records.find_and_extend(ticket)?;
         if matches!(record.state, RecordState::Fenced { .. }) {
-            // A newer ticket than the fenced ones: as good as a first arrival.
+            // The ticket is newer than the fenced ones and counts as a first
+            // arrival.
             return None;
         }
         if record.digest.is_some_and(|known| known != digest) {
@@ -138,9 +141,9 @@
         }
     }
 
-    /// Makes "not run" certain before it is said: the caller may take a ticket
-    /// for another gate on the strength of it, and a late duplicate of this
-    /// arrival must find the key fenced.
+    /// Makes "not run" certain before it is reported. The caller may then get a
+    /// ticket for another gate, so a late duplicate of this arrival must find
+    /// the key fenced.
     fn refuse_new_key(
         &mut self,
         ticket: &Ticket,
@@ -159,7 +162,7 @@
         refusal
     }
 
-    /// Whether a refusal on arrival may take a record of its own.
+    /// Whether a refusal on arrival may use a record of its own.
     fn may_fence_refused(&self, code: ResultCode) -> bool {
         let share = (self.policy.max_records as usize).div_ceil(FENCED_SHARE_DIVISOR);
         let is_final = matches!(code, ResultCode::Leaving | ResultCode::CrashSuspect);
--- a/crates/core/src/suspects.rs
+++ b/crates/core/src/suspects.rs
@@ -1,11 +1,12 @@
 //! Requests that are suspected or convicted of crashing targets.
 //!
-//! A request is known by its fingerprint only; fingerprint 0 means none and is
-//! never held against anyone. Each node keeps [`Suspects`], hears
-//! [`SuspectEntry`] values from others, and publishes a [`SuspectSet`] to its
-//! traffic threads.
+//! A request is identified only by its fingerprint. Fingerprint 0 means none
+//! and is never suspected. Each node keeps a [`Suspects`] store, receives
+//! [`SuspectEntry`] values from other nodes, and publishes a [`SuspectSet`] to
+//! its traffic threads.
 //!
-//! `docs/design/crash-requests.md` gives the rules and the bound on crashes.
+//! See `docs/design/crash-requests.md` for the rules and the bound on the
+//! number of crashes.
 
 use hornbeamhitch_types::clock::Millis;
 use serde::{Deserialize, Serialize};
@@ -23,13 +24,14 @@
 pub use set::SuspectSet;
 pub use store::{MAX_SUSPECTS, Suspects};
 
-/// When the sender of a convicted request may ask again.
+/// Time after which the sender of a convicted request may retry.
 pub const CONVICTED_RETRY_AFTER_MS: Millis = Millis::from_secs(600);
 
 /// Fingerprint of a call that has none.
 pub const NO_FINGERPRINT: u64 = 0;
 
-/// What is held against a request; a later variant outranks an earlier one.
+/// The suspicion level of a request. Later variants take precedence over
+/// earlier ones.
 #[derive(
     Clone,
     Copy,
@@ -46,12 +48,13 @@
 )]
 #[strum(serialize_all = "kebab-case")]
 pub enum SuspicionLevel {
-    /// Nothing.
+    /// The request is not suspected.
     #[default]
     Clear,
-    /// It was in flight in a crash: it runs alone.
+    /// The request was in flight in a crash. It runs alone.
     Suspect,
-    /// It crashed a target while it ran alone as a suspect, or was in too many
-    /// crashes without ever running well: it is refused everywhere.
+    /// The request crashed a target while it ran alone as a suspect, or was in
+    /// flight in too many crashes without a successful run in between. It is
+    /// refused everywhere.
     Convicted,
 }
--- a/crates/core/src/suspects/mark.rs
+++ b/crates/core/src/suspects/mark.rs
@@ -1,37 +1,38 @@
-//! What is known about one fingerprint, and how two nodes' knowledge merges.
+//! What is known about one fingerprint, and how the knowledge of two nodes is
+//! merged.
 
 use hornbeamhitch_types::prelude::*;
 use serde::{Deserialize, Serialize};
 
 use super::SuspicionLevel;
 
-/// Crashes without a good run in between after which a suspect is convicted
-/// even though it never crashed a target alone.
+/// Number of crashes without a successful run in between after which a suspect
+/// is convicted although it never crashed a target while running alone.
 ///
-/// A suspect whose run outlasts its time alone shares the target again, so its
-/// crash never counts as a crash alone; without this bound it would go on for
-/// ever. An innocent request is cleared by its first good run alone, long
-/// before it has been in this many.
+/// A suspect that exceeds its exclusive time shares the target again, so its
+/// crash never counts as a crash alone; without this limit it could continue to
+/// crash targets. An innocent request is cleared by its first successful run
+/// alone, long before it reaches this number.
 pub(crate) const SHARED_CRASHES_TO_CONVICT: u8 = 4;
 
 /// The mergeable part of what is known about a fingerprint.
 ///
-/// The derived order is the merge rule: the higher version wins, then the
-/// graver standing, then the higher count. A maximum is commutative,
-/// associative and idempotent, so nodes may hear each other in any order and
-/// any number of times.
+/// The derived order is the merge rule: the higher version wins, then the more
+/// severe level, then the higher count. A maximum is commutative, associative
+/// and idempotent, so nodes may exchange entries in any order and any number of
+/// times.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct Mark {
-    /// Goes up by one with each observation on top of what was known.
+    /// Increases by one with each observation.
     pub(crate) version: u32,
-    /// What is held against the fingerprint.
+    /// The suspicion level of the fingerprint.
     pub(crate) standing: SuspicionLevel,
-    /// Crashes since it was last cleared.
+    /// Number of crashes since the request was last cleared.
     pub(crate) crashes: u8,
 }
 
 impl Mark {
-    /// This mark after one more crash.
+    /// Returns this mark after one more crash.
     pub(crate) fn after_crash(self, alone: bool) -> Self {
         let crashes = self.crashes.saturating_add(1);
         let repeated_alone = alone && self.standing != SuspicionLevel::Clear;
@@ -47,7 +48,8 @@
         }
     }
 
-    /// This mark after a good run alone. A conviction only ages out.
+    /// Returns this mark after a successful run alone. A conviction only ends
+    /// by expiry.
     pub(crate) fn after_successful_run(self) -> Self {
         if self.standing != SuspicionLevel::Suspect {
             return self;
@@ -59,10 +61,10 @@
         }
     }
 
-    /// How long a mark of this standing is kept.
+    /// Returns how long a mark of this level is kept.
     ///
     /// A clearance is kept as long as a suspicion, so that it outlives every
-    /// older suspicion that it has to beat.
+    /// older suspicion that it overrides.
     pub(crate) const fn lifetime(self) -> Millis {
         match self.standing {
             SuspicionLevel::Clear | SuspicionLevel::Suspect => Millis::from_secs(10 * 60),
@@ -71,19 +73,19 @@
     }
 }
 
-/// What one node tells others about one fingerprint.
+/// What one node sends to others about one fingerprint.
 ///
-/// Times travel as spans of age, because clocks of two nodes must not be
+/// Times are sent as ages, because clocks of different nodes cannot be
 /// compared.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SuspectEntry {
     /// Fingerprint of the request.
     pub fingerprint: u64,
-    /// Count of observations that led here.
+    /// Number of observations that led to this entry.
     pub version: u32,
-    /// What is held against the request.
+    /// The suspicion level of the request.
     pub standing: SuspicionLevel,
-    /// Crashes since it was last cleared.
+    /// Number of crashes since the request was last cleared.
     pub crashes: u8,
     /// Time since the observation.
     pub age_ms: Millis,
--- a/crates/core/src/suspects/set.rs
+++ b/crates/core/src/suspects/set.rs
@@ -1,15 +1,16 @@
-//! The immutable set of marks that traffic reads.
+//! The immutable set of marks that traffic threads read.
 
 use super::{Mark, SuspicionLevel};
 
-/// One fingerprint with its mark.
+/// One fingerprint and its mark.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct MarkedFingerprint {
     fingerprint: u64,
     mark: Mark,
 }
 
-/// Immutable set of standings by fingerprint, published to traffic.
+/// An immutable set of suspicion levels by fingerprint, published to traffic
+/// threads.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct SuspectSet {
     /// Sorted by fingerprint.
@@ -17,7 +18,7 @@
 }
 
 impl SuspectSet {
-    /// Adds the mark of a fingerprint above all those in the set.
+    /// Adds a mark. The fingerprint must be higher than all those in the set.
     pub(crate) fn push(&mut self, fingerprint: u64, mark: Mark) {
         debug_assert!(
             self.marked
@@ -27,19 +28,19 @@
         self.marked.push(MarkedFingerprint { fingerprint, mark });
     }
 
-    /// What is held against a fingerprint.
+    /// Returns the suspicion level of a fingerprint.
     #[must_use]
     pub fn level(&self, fingerprint: u64) -> SuspicionLevel {
         self.mark(fingerprint).standing
     }
 
-    /// Whether nothing at all is known; the usual case.
+    /// Whether the set is empty, which is the usual case.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.marked.is_empty()
     }
 
-    /// How many fingerprints have a standing.
+    /// Returns the number of fingerprints with this level.
     #[must_use]
     pub fn count(&self, standing: SuspicionLevel) -> usize {
         let mut count = 0;
@@ -49,7 +50,7 @@
         count
     }
 
-    /// Every fingerprint with its standing, ordered by fingerprint.
+    /// Returns every fingerprint with its level, ordered by fingerprint.
     pub fn iter(&self) -> impl Iterator<Item = (u64, SuspicionLevel)> + '_ {
         self.marked
             .iter()
--- a/crates/core/src/suspects/store.rs
+++ b/crates/core/src/suspects/store.rs
@@ -1,4 +1,4 @@
-//! One node's knowledge of suspects: bounded, ageing, mergeable.
+//! The suspects known to one node: bounded, expiring and mergeable.
 
 use std::collections::BTreeMap;
 
@@ -6,25 +6,26 @@
 
 use super::{Mark, NO_FINGERPRINT, SuspectEntry, SuspectSet, SuspicionLevel};
 
-/// How long an entry that has aged out is still remembered, though no longer
-/// held against anyone.
+/// How long an expired entry is kept as a tombstone that has no effect on
+/// requests.
 ///
-/// Each hop between nodes makes an entry look younger by its time on the way.
-/// If it were forgotten at once, an echo from a node that heard it later would
-/// bring it back for a moment, and in a large fleet those moments could follow
-/// each other for ever. Remembered, the older copy wins against every echo.
+/// Each hop between nodes makes an entry look younger by its transit time. If
+/// an expired entry were removed at once, an echo from a node that received it
+/// later would restore it briefly, and in a large fleet such echoes could
+/// follow each other for ever. The tombstone is older than every echo and
+/// therefore wins.
 const TOMBSTONE_RETENTION: Millis = Millis::from_secs(60);
 
-/// Fingerprints that one node remembers.
+/// Maximum number of fingerprints that one node stores.
 pub const MAX_SUSPECTS: usize = 1024;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct StoredMark {
     mark: Mark,
-    /// End of life in this node's clock. Kept instead of the time of birth,
-    /// which may lie before the clock's origin.
+    /// Time of expiry by this node's clock. The time of the observation is not
+    /// stored because it may lie before the origin of this clock.
     expires_at: Millis,
-    /// It has aged out, and only serves to outlast its echoes.
+    /// The entry has expired and only serves as a tombstone against echoes.
     expired: bool,
 }
 
@@ -37,7 +38,8 @@
         }
     }
 
-    /// What is in force: the version goes on, but nothing is held any more.
+    /// Returns the mark in force. An expired entry keeps its version, but the
+    /// request is no longer suspected.
     const fn in_force(&self) -> Mark {
         if !self.expired {
             return self.mark;
@@ -55,7 +57,7 @@
     }
 }
 
-/// Order in which marks are evicted; the least goes first.
+/// Order in which marks are evicted, lowest first.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct EvictionRank {
     standing: SuspicionLevel,
@@ -70,14 +72,15 @@
 }
 
 impl Suspects {
-    /// A store that suspects nobody.
+    /// Creates an empty store.
     #[must_use]
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Notes that a target crashed with these requests in flight; `alone` when
-    /// there was just one. Returns what has to be told to others.
+    /// Records that a target crashed with these requests in flight; `alone` if
+    /// there was exactly one call in flight. Returns the entries to send to
+    /// other nodes.
     pub fn observe_crash(
         &mut self,
         fingerprints: &[u64],
@@ -99,8 +102,8 @@
         entries
     }
 
-    /// Notes that a suspect ran alone and the target lived. Returns what has to
-    /// be told to others; `None` when nothing was held against it.
+    /// Records that a suspect ran alone without a crash. Returns the entry to
+    /// send to other nodes; `None` if the request was not a suspect.
     pub fn clear(&mut self, fingerprint: u64, now: Millis) -> Option<SuspectEntry> {
         let before = self.mark(fingerprint);
         let mark = before.after_successful_run();
@@ -112,10 +115,10 @@
         Some(SuspectEntry::new(fingerprint, mark, Millis::ZERO))
     }
 
-    /// Takes in what another node says; true when something changed.
+    /// Merges an entry from another node; returns true if something changed.
     ///
-    /// Of two equal marks the older one stays, so an entry that nodes pass
-    /// round and round still ages out: no echo makes it younger.
+    /// Of two equal marks the older one is kept, so an entry that nodes keep
+    /// exchanging still expires: no echo makes it younger.
     pub fn merge(&mut self, entry: &SuspectEntry, now: Millis) -> bool {
         let mark = entry.mark();
         let expires_at = now + mark.lifetime().minus(entry.age_ms);
@@ -132,7 +135,8 @@
         self.put(entry.fingerprint, received)
     }
 
-    /// Ages out what has reached its time; true when a standing changed.
+    /// Expires entries that have reached their time; returns true if a
+    /// suspicion level changed.
     pub fn tick(&mut self, now: Millis) -> bool {
         let mut changed = false;
         for known in self.known.values_mut() {
@@ -147,7 +151,7 @@
         changed
     }
 
-    /// What traffic reads.
+    /// Returns the set that traffic threads read.
     #[must_use]
     pub fn snapshot(&self) -> SuspectSet {
         let mut set = SuspectSet::default();
@@ -159,25 +163,26 @@
         set
     }
 
-    /// All that others should hear, in the order of fingerprints.
+    /// Returns all entries to send to other nodes, ordered by fingerprint.
     pub fn entries(&self, now: Millis) -> impl Iterator<Item = SuspectEntry> + '_ {
         let active = self.known.iter().filter(|(_, known)| !known.expired);
         active.map(move |(key, known)| SuspectEntry::new(*key, known.mark, known.age_ms(now)))
     }
 
-    /// What is held against a fingerprint.
+    /// Returns the suspicion level of a fingerprint.
     #[must_use]
     pub fn level(&self, fingerprint: u64) -> SuspicionLevel {
         self.mark(fingerprint).standing
     }
 
-    /// Fingerprints remembered, cleared ones included.
+    /// Returns the number of stored fingerprints, including cleared and expired
+    /// ones.
     #[must_use]
     pub fn len(&self) -> usize {
         self.known.len()
     }
 
-    /// Whether no fingerprint is remembered.
+    /// Whether the store is empty.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.known.is_empty()
@@ -190,8 +195,8 @@
         }
     }
 
-    /// Raises a mark to one that is known elsewhere in this process, so that
-    /// an observation counts on from there.
+    /// Raises a mark to one known elsewhere in this process, so that the next
+    /// observation builds on it.
     pub(crate) fn raise(&mut self, fingerprint: u64, mark: Mark, now: Millis) {
         if self.mark(fingerprint) < mark {
             let expires_at = now + mark.lifetime();
@@ -199,7 +204,8 @@
         }
     }
 
-    /// Stores what is known; false when the store is full of graver things.
+    /// Stores an entry; returns false if the store is full of more severe
+    /// entries.
     fn put(&mut self, fingerprint: u64, known: StoredMark) -> bool {
         if !self.known.contains_key(&fingerprint)
             && self.known.len() >= MAX_SUSPECTS
@@ -211,11 +217,12 @@
         true
     }
 
-    /// Makes room for a mark: the least grave goes first, then the oldest.
+    /// Makes room for a mark: the least severe one is evicted first, then the
+    /// one that expires first.
     ///
     /// A flood of suspects (many requests in flight in each crash) must not
-    /// wash out a conviction, or the convicted request would crash targets
-    /// anew; so nothing graver than the newcomer is ever evicted.
+    /// evict a conviction, because the convicted request would crash targets
+    /// again. Nothing more severe than the new mark is ever evicted.
     fn evict(&mut self, newcomer: SuspicionLevel) -> bool {
         let mut least: Option<EvictionRank> = None;
         for (fingerprint, known) in &self.known {
--- a/crates/core/src/suspects/tests.rs
+++ b/crates/core/src/suspects/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of suspicion and of its spreading.
+//! Tests of suspicions and their exchange between nodes.
 
 use proptest::prelude::*;
 
@@ -36,8 +36,8 @@
 
 #[test]
 fn repeated_shared_crashes_lead_to_conviction() {
-    // A request that outlasts its time alone is never alone in its crash. It
-    // must not crash targets for ever.
+    // A request that exceeds its exclusive time is never alone in its crash. It
+    // must not be able to crash targets for ever.
     let mut suspects = Suspects::new();
     for crash in 1..=4 {
         assert_ne!(suspects.level(1), SuspicionLevel::Convicted, "{crash}");
@@ -48,8 +48,8 @@
 
 #[test]
 fn clearance_beats_an_older_suspicion_that_arrives_later() {
-    // One node clears a request; the suspicion from before is still passed
-    // round and reaches others after the clearance, and again.
+    // One node clears a request. The earlier suspicion is still in circulation
+    // and reaches other nodes after the clearance, more than once.
     let mut suspects = Suspects::new();
     assert!(suspects.merge(&entry(1, 2, SuspicionLevel::Clear, 10), Millis(1)));
     assert!(!suspects.merge(&entry(1, 1, SuspicionLevel::Suspect, 500), Millis(2)));
@@ -60,9 +60,9 @@
 
 #[test]
 fn suspicion_expires_despite_echoes() {
-    // Two nodes tell each other the same entry over and over, each time a bit
-    // too young by the time on the way. It must still age out, also when an
-    // echo arrives just after one node has dropped it.
+    // Two nodes exchange the same entry repeatedly, each time too young by its
+    // transit time. It must still expire, also when an echo arrives just after
+    // one node has expired it.
     const TRANSIT_TIME: Millis = Millis(20);
     let mut nodes = [Suspects::new(), Suspects::new()];
     nodes[0].observe_crash(&[1], false, Millis(0));
@@ -97,8 +97,8 @@
 
 #[test]
 fn flood_of_suspects_does_not_evict_a_conviction() {
-    // Busy targets crash again and again, each time with hundreds of requests
-    // in flight. The convicted request must not be forgotten for them.
+    // Busy targets crash repeatedly, each time with hundreds of requests in
+    // flight. The convicted request must not be evicted because of them.
     let mut suspects = Suspects::new();
     suspects.observe_crash(&[1], true, Millis(0));
     suspects.observe_crash(&[1], true, Millis(1));
@@ -113,7 +113,7 @@
 
 #[test]
 fn store_full_of_convictions_takes_no_suspects() {
-    // Only a newer conviction may take the place of the oldest one.
+    // Only a newer conviction may replace the oldest one.
     let mut suspects = Suspects::new();
     let full = MAX_SUSPECTS as u64;
     for fingerprint in 1..=full {
@@ -144,8 +144,8 @@
 proptest! {
     #[test]
     fn order_and_repetition_of_news_do_not_matter(news in entries(), shuffled in entries()) {
-        // Nodes hear the same news in different orders, some of it twice, and
-        // must come to the same view.
+        // Nodes receive the same entries in different orders, some of them
+        // twice, and must reach the same state.
         let all: Vec<SuspectEntry> = news.iter().chain(&shuffled).copied().collect();
         let mut one = Suspects::new();
         let mut other = Suspects::new();
