--- a/crates/core/src/entry.rs
+++ b/crates/core/src/entry.rs
@@ -275,7 +275,7 @@
         self.table.count_ticket(index);
         let target = self.table.at(index.0);
         let report = target.stats.report();
-        let report = report.expect("only a gate that was heard is chosen");
+        let report = report.expect("only a gate that has reported is chosen");
         Ok(TicketGate {
             vm: target.vm.clone(),
             incarnation: report.incarnation,
--- a/crates/core/src/entry/tests/ejection.rs
+++ b/crates/core/src/entry/tests/ejection.rs
@@ -144,7 +144,7 @@
 fn a_retry_is_never_made_a_trial() {
     let mut service = service(&view(3));
     fail_at(&mut service, 0, 5, 0);
-    let retry = pick_excluding(&mut service, &[TargetIndex(1)], 5_000).expect("one is left");
+    let retry = pick_excluding(&mut service, &[TargetIndex(1)], 5_000).expect("one target is left");
     assert_eq!((retry.target, retry.is_trial), (TargetIndex(2), false));
 }
 
--- a/crates/core/src/entry/tests/herding.rs
+++ b/crates/core/src/entry/tests/herding.rs
@@ -101,7 +101,7 @@
     let ageing = avoidable_wait(1.0);
     assert!(
         believing > 10_000,
-        "the fault does not show: {believing} ms of avoidable waiting"
+        "the baseline does not show the fault: {believing} ms of avoidable waiting"
     );
     assert!(
         ageing * 8 < believing,
--- a/crates/core/src/entry/tests/picking.rs
+++ b/crates/core/src/entry/tests/picking.rs
@@ -41,7 +41,7 @@
         seen.targets[0].load = received_load(0, 0, clock_ms);
         service.update(Arc::new(seen.clone()), Millis(400));
         let count = run(&mut service, 400, 300, |_| SUCCESS)[0];
-        assert_eq!(count > 0, works_again, "a report of {clock_ms} ms");
+        assert_eq!(count > 0, works_again, "report created at {clock_ms} ms");
     }
 }
 
@@ -55,7 +55,11 @@
         seen.targets[0].load = received_load(0, 0, received_at);
         service.update(Arc::new(seen.clone()), Millis(2_000));
         let count = run(&mut service, 2_000, 300, |_| SUCCESS)[0];
-        assert_eq!(count > 0, works_again, "heard at {received_at} ms");
+        assert_eq!(
+            count > 0,
+            works_again,
+            "report received at {received_at} ms"
+        );
     }
 }
 
@@ -65,7 +69,7 @@
     for target in &mut seen.targets {
         target.leaving = true;
     }
-    let refusal = pick_excluding(&mut service(&seen), &[], 1).expect_err("none is usable");
+    let refusal = pick_excluding(&mut service(&seen), &[], 1).expect_err("no target is usable");
     assert_eq!(refusal.code, ResultCode::NoTarget);
     assert!(refusal.retry_after_ms.is_some());
 }
@@ -80,9 +84,15 @@
     let early = run(&mut service, 20_000, 1_000, |_| SUCCESS)[2];
     let middle = run(&mut service, 25_000, 1_000, |_| SUCCESS)[2];
     let warm = run(&mut service, 31_000, 1_000, |_| SUCCESS)[2];
-    assert!((1..=60).contains(&early), "{early} of 1000 when cold");
-    assert!((60..=250).contains(&middle), "{middle} of 1000 half way");
-    assert!((270..=400).contains(&warm), "{warm} of 1000 when warm");
+    assert!((1..=60).contains(&early), "{early} of 1000 calls when cold");
+    assert!(
+        (60..=250).contains(&middle),
+        "{middle} of 1000 calls half-way through the ramp"
+    );
+    assert!(
+        (270..=400).contains(&warm),
+        "{warm} of 1000 calls when warm"
+    );
 }
 
 /// The ramp also holds under load, when the warm targets are much busier.
@@ -94,7 +104,7 @@
         pick(&mut service, 20_000);
     }
     let cold = service.in_flight(TargetIndex(2));
-    assert!((1..=12).contains(&cold), "{cold} of 224 at once");
+    assert!((1..=12).contains(&cold), "{cold} of 224 concurrent calls");
 }
 
 /// A restarted target must not inherit the slowness and the failures of its
@@ -112,7 +122,10 @@
     assert_eq!(service.ejected_targets(), 0);
     assert_eq!(service.in_flight(old.target), 0);
     let share = run(&mut service, 20_002, 1_000, |_| SUCCESS)[number];
-    assert!((1..=60).contains(&share), "{share} of 1000 when cold again");
+    assert!(
+        (1..=60).contains(&share),
+        "{share} of 1000 calls when cold again"
+    );
 }
 
 /// The view lags behind: it names the old incarnation after an answer came from
@@ -320,10 +333,13 @@
         .fold((u32::MAX, 0), |(least, most), count| {
             (least.min(*count), most.max(*count))
         });
-    assert!(least >= 50 && most <= 170, "{least} to {most}");
+    assert!(
+        least >= 50 && most <= 170,
+        "{least} to {most} calls per target"
+    );
     let tried = [TargetIndex(0), TargetIndex(1)];
     for _ in 0..2_000 {
-        let pick = pick_excluding(&mut service, &tried, 60_000).expect("others are there");
+        let pick = pick_excluding(&mut service, &tried, 60_000).expect("other targets are usable");
         assert!(!tried.contains(&pick.target));
     }
 }
--- a/crates/core/src/entry/tests/retries.rs
+++ b/crates/core/src/entry/tests/retries.rs
@@ -143,7 +143,7 @@
     }
     let mut service = service(&view(1));
     let tried = [TargetIndex(0)];
-    let refusal = pick_excluding(&mut service, &tried, 1).expect_err("all were tried");
+    let refusal = pick_excluding(&mut service, &tried, 1).expect_err("every target was tried");
     assert_eq!(refusal.code.certainty(), Certainty::Unknown);
 }
 
@@ -154,7 +154,11 @@
     {
         let progress = CallProgress { attempts, ..call() };
         let next = service(&view(targets)).after_failure(&progress, &end, Millis(1));
-        assert_eq!(next == Next::Retry, retried, "{attempts} of {targets}");
+        assert_eq!(
+            next == Next::Retry,
+            retried,
+            "{attempts} attempts with {targets} targets"
+        );
     }
 }
 
@@ -179,14 +183,16 @@
     assert_eq!(
         service.hedge_delay_ms(&call()),
         None,
-        "nothing is known yet"
+        "no latency has been recorded yet"
     );
     for sample in 0..1_000 {
         let mut outcome = ended(SUCCESS);
         outcome.latency_us = if sample % 10 == 0 { 200_000 } else { 20_000 };
         outcome_at(&mut service, 0, &outcome, sample);
     }
-    let delay = service.hedge_delay_ms(&call()).expect("much is known");
+    let delay = service
+        .hedge_delay_ms(&call())
+        .expect("enough latencies were recorded");
     assert!((200..=225).contains(&delay.0), "p95 is 200 ms, not {delay}");
     let payment = CallProgress {
         idempotent: false,
@@ -214,7 +220,9 @@
         outcome.latency_us = 300_000;
         outcome_at(&mut service, 0, &outcome, now);
     }
-    let delay = service.hedge_delay_ms(&call()).expect("much is known");
+    let delay = service
+        .hedge_delay_ms(&call())
+        .expect("enough latencies were recorded");
     assert!(delay >= Millis(300), "{delay}");
 }
 
@@ -226,7 +234,8 @@
         let first = pick(&mut service, now);
         if service.try_hedge(&call(), Millis(now)) {
             hedges += 1;
-            let hedge = pick_excluding(&mut service, &[first.target], now).expect("two are left");
+            let hedge =
+                pick_excluding(&mut service, &[first.target], now).expect("two targets are left");
             assert_ne!(hedge.target, first.target);
             service.finish(&hedge, &ended(SUCCESS), Millis(now));
         }
--- a/crates/core/src/entry/tests/tickets.rs
+++ b/crates/core/src/entry/tests/tickets.rs
@@ -117,7 +117,7 @@
     seen.targets[1].load = received_load(1, 0, 100);
     let refusal = service(&seen)
         .ticket_gate(CallKey(1), Millis(1))
-        .expect_err("none is usable");
+        .expect_err("no gate is usable");
     assert_eq!(refusal.code, ResultCode::NoTarget);
 }
 
@@ -138,11 +138,14 @@
     };
     assert!(
         keys_of_first(&mut over, 9_000) > 10,
-        "the report is too old"
+        "the report is too old to count"
     );
     seen.targets[1].load = received_load(1, 48, 100);
     let mut all_over = service(&seen);
-    assert!(keys_of_first(&mut all_over, 200) > 10, "no gate is better");
+    assert!(
+        keys_of_first(&mut all_over, 200) > 10,
+        "the other gate is no better"
+    );
 }
 
 /// Kiosks fetch tickets ahead at a high load. With hashed keys a gate is
@@ -156,7 +159,7 @@
         let gate = service.ticket_gate_in_turn(Millis(200)).expect("usable");
         *by_gate.entry(gate.vm).or_insert(0) += 1;
         let most = by_gate.values().max().copied().unwrap_or(0);
-        assert!(most <= number / 3 + 2, "{by_gate:?} after {number}");
+        assert!(most <= number / 3 + 2, "{by_gate:?} after {number} tickets");
     }
     assert_eq!(by_gate.values().sum::<i32>(), 900);
     assert_eq!(by_gate.len(), 3);
@@ -174,5 +177,5 @@
         let gate = service.ticket_gate_in_turn(Millis(101)).expect("usable");
         loaded += u32::from(gate.vm.as_str() == "vm-000");
     }
-    assert!((90..=100).contains(&loaded), "{loaded} of 300");
+    assert!((90..=100).contains(&loaded), "{loaded} of 300 tickets");
 }
--- a/crates/core/src/gate/fence.rs
+++ b/crates/core/src/gate/fence.rs
@@ -55,7 +55,7 @@
 
     fn fence_live(&mut self, id: RunId) -> FenceAnswer {
         let run = self.runs.get(&id);
-        let run = run.expect("a live record names a call in hand");
+        let run = run.expect("a live record refers to an active call");
         if run.phase == Phase::Running {
             return FenceAnswer::Running(id);
         }
--- a/crates/core/src/gate/pump.rs
+++ b/crates/core/src/gate/pump.rs
@@ -141,6 +141,6 @@
 
     fn set_phase(&mut self, run: RunId, phase: Phase) {
         let run = self.runs.get_mut(&run);
-        run.expect("only calls in hand are held").phase = phase;
+        run.expect("only active calls wait").phase = phase;
     }
 }
--- a/crates/core/src/gate/records.rs
+++ b/crates/core/src/gate/records.rs
@@ -182,7 +182,7 @@
                 let record = known.get_mut();
                 assert!(
                     is_fenced(&record.state),
-                    "only a key that has not run is taken up again"
+                    "only the record of a key that has not run is reused"
                 );
                 self.fenced -= 1;
                 record.digest = digest;
@@ -211,7 +211,7 @@
     pub(super) fn settle(&mut self, key: CallKey, state: RecordState, max_stored_bytes: u64) {
         let state = self.within_bytes(state, max_stored_bytes);
         let record = self.by_key.get_mut(&key);
-        let record = record.expect("the record of a live run is never forgotten");
+        let record = record.expect("the record of an active call is never removed");
         debug_assert!(matches!(record.state, RecordState::Live(_)));
         if is_fenced(&state) {
             self.fenced += 1;
--- a/crates/core/src/gate/run.rs
+++ b/crates/core/src/gate/run.rs
@@ -111,7 +111,7 @@
     pub(super) fn mark_started(&mut self, id: RunId, alone: bool, now: Millis) {
         let started = self.crash_evidence.next_order();
         let run = self.runs.get_mut(&id);
-        let run = run.expect("only a call in hand is started");
+        let run = run.expect("only an active call is started");
         run.phase = Phase::Running;
         run.alone = alone;
         run.started = started;
--- a/crates/core/src/gate/tests/admission.rs
+++ b/crates/core/src/gate/tests/admission.rs
@@ -48,7 +48,7 @@
     for _ in &expected {
         let wakes = gate.finish(next, answered_plain(), 100, Millis(2));
         let [Wake::Start(run)] = wakes[..] else {
-            panic!("one start for one end: {wakes:?}");
+            panic!("expected one start per finished run: {wakes:?}");
         };
         served.push(run);
         next = run;
@@ -220,7 +220,7 @@
                 }
                 Verdict::Refuse(refusal) => {
                     outcome.refused += 1;
-                    let retry_after_ms = refusal.retry_after_ms.expect("come back").0;
+                    let retry_after_ms = refusal.retry_after_ms.expect("a retry time").0;
                     outcome.retry_after_ms.push(retry_after_ms);
                 }
                 other => panic!("{other:?}"),
@@ -234,7 +234,7 @@
             ends.pop();
             let took_us = (now - started) as u32 * 1_000;
             wakes.extend(gate.finish(run, answered_plain(), took_us, Millis(now)));
-            let (arrived_at, class) = arrivals.remove(&run).expect("a run that came");
+            let (arrived_at, class) = arrivals.remove(&run).expect("the run has arrived");
             outcome.max_time_in_gate_ms = outcome.max_time_in_gate_ms.max(now - arrived_at);
             if now >= arrived_at + DEADLINE_MS {
                 outcome.late += 1;
@@ -282,7 +282,11 @@
     // still get its fair turn (one in eight if there is that much of it).
     let over = offer(1_200, 10_000, 5, |_, _| 20);
     let share = f64::from(over.background_in_time) / f64::from(over.in_time);
-    assert!(share > 0.02, "{share} of {}", over.in_time);
+    assert!(
+        share > 0.02,
+        "background share {share} of {} calls",
+        over.in_time
+    );
 }
 
 #[test]
@@ -331,5 +335,5 @@
         assert!((50..=10_000).contains(retry_after_ms));
     }
     let (low, high) = (heavy.iter().min(), heavy.iter().max());
-    assert!(high > low, "all refused callers would come back together");
+    assert!(high > low, "all refused callers would return together");
 }
--- a/crates/core/src/gate/tests/crash.rs
+++ b/crates/core/src/gate/tests/crash.rs
@@ -60,7 +60,11 @@
         let mut runs = vec![innocent, bad];
         if crashes > 0 {
             let wakes = gate.finish(innocent, answered_plain(), 1_000, now);
-            assert_eq!(wakes, [Wake::Start(bad)], "alone, after the innocent");
+            assert_eq!(
+                wakes,
+                [Wake::Start(bad)],
+                "it runs alone, after the other call"
+            );
             runs.remove(0);
         }
         crashes += 1;
@@ -80,7 +84,7 @@
     let other = gate.arrive(&with_fingerprint(77), Millis(11));
     assert!(
         matches!(other, Verdict::Wait(_)),
-        "nothing beside a suspect"
+        "no call runs beside a suspect"
     );
     let wakes = gate.finish(alone, answered_plain(), 1_000, Millis(12));
     assert_eq!(wakes, [Wake::Start(run_of(other))]);
@@ -90,7 +94,7 @@
     let again = gate.arrive(&with_fingerprint(1), Millis(13));
     assert!(
         matches!(again, Verdict::Run(_)),
-        "beside another: {again:?}"
+        "it runs beside another call: {again:?}"
     );
 }
 
@@ -119,7 +123,11 @@
     );
     assert_eq!(code_of(refused), ResultCode::CrashSuspect);
     let late = gate.arrive(&with_ticket(&ticket), Millis(14));
-    assert_eq!(code_of(late), ResultCode::Fenced, "also when it is cleared");
+    assert_eq!(
+        code_of(late),
+        ResultCode::Fenced,
+        "stays fenced even without the conviction"
+    );
 }
 
 #[test]
@@ -180,7 +188,11 @@
         run_of(gate.arrive(&with_fingerprint(mark), Millis(12)));
     }
     let wakes = gate.finish(first, answered_plain(), 1_000, Millis(13));
-    assert_eq!(wakes.len(), 4, "a full round of innocents: {wakes:?}");
+    assert_eq!(
+        wakes.len(),
+        4,
+        "one start per slot for the other calls: {wakes:?}"
+    );
 }
 
 #[test]
@@ -206,7 +218,11 @@
     let wakes = gate.tick(Millis(1_100));
     assert_eq!(wakes, [Wake::Start(innocent)]);
     gate.finish(suspect, answered_plain(), 1_000, Millis(1_200));
-    assert_eq!(gate.take_cleared(), [], "it did not run alone to its end");
+    assert_eq!(
+        gate.take_cleared(),
+        [],
+        "it did not run alone until its end"
+    );
 }
 
 #[test]
@@ -223,7 +239,7 @@
         Some(SuspicionLevel::Suspect)
     );
     let Verdict::Wait(bad) = gate.arrive(&with_fingerprint(BAD), now) else {
-        panic!("an accused request waits until it can run alone");
+        panic!("a reported suspect waits until it can run alone");
     };
     let wakes = gate.finish(innocent, answered_plain(), 1_000, Millis(5));
     assert_eq!(wakes, vec![Wake::Start(bad)]);
--- a/crates/core/src/gate/tests/interleavings.rs
+++ b/crates/core/src/gate/tests/interleavings.rs
@@ -177,7 +177,11 @@
         let wakes = self.gates[gate].gate.finish(run, end, 5_000, now);
         let is_settled = |wake: &&Wake| matches!(wake, Wake::Settled(id, _) if *id == run);
         let settled = wakes.iter().filter(is_settled).count();
-        assert_eq!(settled, usize::from(request.is_some()), "not told once");
+        assert_eq!(
+            settled,
+            usize::from(request.is_some()),
+            "a ticketed run is settled exactly once"
+        );
         self.take_wakes(gate, wakes);
         self.gates[gate].active_calls.remove(&run);
     }
@@ -193,7 +197,7 @@
         match self.gates[gate].gate.fence(&ticket, now) {
             FenceAnswer::Running(run) => {
                 let call = &self.gates[gate].active_calls[&run];
-                assert!(call.running, "said to run before its start");
+                assert!(call.running, "reported as running before its start");
             }
             FenceAnswer::Settled(Settlement::Refused(refusal)) => {
                 let certainty = refusal.code.certainty();
@@ -212,7 +216,10 @@
         let Some(nth) = usize::from(b).checked_rem(active_calls.len()) else {
             return;
         };
-        let run = *active_calls.keys().nth(nth).expect("within the length");
+        let run = *active_calls
+            .keys()
+            .nth(nth)
+            .expect("the index is within the map");
         let call = active_calls.get_mut(&run).expect("just found");
         if call.running {
             return;
@@ -287,7 +294,7 @@
             }
             Verdict::Join(run) => {
                 let call = self.gates[gate].active_calls.get_mut(&run);
-                let call = call.expect("only a call in hand is joined");
+                let call = call.expect("only an active call is joined");
                 call.callers += 1;
             }
             Verdict::Replay(_) => {}
@@ -307,7 +314,7 @@
                 Wake::Start(run) => self.start(gate, run),
                 Wake::Refuse(run, refusal) => {
                     let call = self.gates[gate].active_calls.remove(&run);
-                    let call = call.expect("only a call in hand is refused");
+                    let call = call.expect("only an active call is refused");
                     assert!(!call.running, "refused while running");
                     assert_eq!(refusal.code.certainty(), Certainty::NotRun);
                     if let Some(request) = call.request {
@@ -321,7 +328,7 @@
 
     fn start(&mut self, gate: usize, run: RunId) {
         let call = self.gates[gate].active_calls.get_mut(&run);
-        let call = call.expect("only a call in hand is started");
+        let call = call.expect("only an active call is started");
         assert!(!call.running, "started twice");
         assert!(self.now < call.deadline_at, "started past its deadline");
         call.running = true;
@@ -359,7 +366,7 @@
             .count();
         assert_eq!(load.in_flight as usize, running);
         assert_eq!(gate.gate.active_calls(), gate.active_calls.len());
-        assert!(running <= SLOTS as usize, "over its slots");
+        assert!(running <= SLOTS as usize, "more calls running than slots");
         assert!(gate.gate.record_count() <= MAX_RECORDS as usize);
         assert!(gate.gate.stored_bytes() <= 2_000);
     }
@@ -374,7 +381,7 @@
         }
         self.advance_time(5_000);
         for gate in &self.gates {
-            assert_eq!(gate.gate.active_calls(), 0, "not drained");
+            assert_eq!(gate.gate.active_calls(), 0, "calls were lost");
         }
     }
 }
--- a/crates/core/src/gate/ticketed.rs
+++ b/crates/core/src/gate/ticketed.rs
@@ -118,7 +118,7 @@
 
     fn join(&mut self, id: RunId) -> Verdict {
         let run = self.runs.get_mut(&id);
-        let run = run.expect("a live record names a call in hand");
+        let run = run.expect("a live record refers to an active call");
         run.callers += 1;
         Verdict::Join(id)
     }
@@ -178,7 +178,7 @@
             RecordState::AnswerNotKept => refuse(ResultCode::AnswerNotKept),
             RecordState::Unknown => refuse(ResultCode::RunBroken),
             RecordState::Fenced { .. } => {
-                unreachable!("a fenced key denies a ticket or is taken up again")
+                unreachable!("a fenced key refuses the ticket or counts as new")
             }
         })
     }
--- a/crates/core/src/suspects/tests.rs
+++ b/crates/core/src/suspects/tests.rs
@@ -31,7 +31,11 @@
     }
     assert_eq!(suspects.level(1), SuspicionLevel::Convicted);
     assert_eq!(suspects.level(2), SuspicionLevel::Suspect);
-    assert_eq!(suspects.clear(1, Millis(5)), None, "a conviction ages out");
+    assert_eq!(
+        suspects.clear(1, Millis(5)),
+        None,
+        "a conviction only ends by expiry"
+    );
 }
 
 #[test]
@@ -107,7 +111,11 @@
     }
     assert_eq!(suspects.len(), MAX_SUSPECTS);
     assert_eq!(suspects.level(1), SuspicionLevel::Convicted);
-    assert_eq!(suspects.level(2), SuspicionLevel::Clear, "the oldest goes");
+    assert_eq!(
+        suspects.level(2),
+        SuspicionLevel::Clear,
+        "the oldest is evicted"
+    );
     assert_eq!(suspects.snapshot().level(4_999), SuspicionLevel::Suspect);
 }
 
