--- a/crates/core/src/entry/target.rs
+++ b/crates/core/src/entry/target.rs
@@ -96,10 +96,10 @@
         if let Some(incarnation) = view.incarnation {
             self.observe_incarnation(incarnation, now);
         }
-        if let Some(heard) = &view.load {
+        if let Some(received) = &view.load {
             self.record_report(
-                &heard.report,
-                heard.received_at,
+                &received.report,
+                received.received_at,
                 ReportSource::Published,
                 now,
             );
@@ -282,12 +282,12 @@
             });
             return;
         }
-        let Some(heard) = &self.leaving_notice else {
+        let Some(notice) = &self.leaving_notice else {
             return;
         };
-        let is_newer = match heard.gate_clock_ms {
+        let is_newer = match notice.gate_clock_ms {
             Some(clock_ms) => report.gate_clock_ms > clock_ms,
-            None => received_at > heard.at + LEAVING_SETTLE_MS,
+            None => received_at > notice.at + LEAVING_SETTLE_MS,
         };
         if is_newer {
             self.leaving_notice = None;
--- a/crates/core/src/entry/tests/bounds.rs
+++ b/crates/core/src/entry/tests/bounds.rs
@@ -23,7 +23,7 @@
     View {
         targets: usize,
         leaving: usize,
-        renewed: usize,
+        restarted: usize,
     },
     Wait {
         ms: u64,
@@ -37,8 +37,8 @@
         4 => (0..64_usize, 0..9_usize).prop_map(|(open, end)| Step::Finish { open, end }),
         2 => (0..3_u32).prop_map(|depth| Step::Retry { depth }),
         1 => Just(Step::Hedge),
-        1 => (0..7_usize, 0..7_usize, 0..7_usize).prop_map(|(targets, leaving, renewed)| {
-            Step::View { targets, leaving, renewed }
+        1 => (0..7_usize, 0..7_usize, 0..7_usize).prop_map(|(targets, leaving, restarted)| {
+            Step::View { targets, leaving, restarted }
         }),
         1 => (0..3_000_u64).prop_map(|ms| Step::Wait { ms }),
     ];
@@ -102,12 +102,12 @@
                     }
                 }
                 Step::Hedge => hedges += u32::from(service.try_hedge(&call(), Millis(now))),
-                Step::View { targets, leaving, renewed } => {
+                Step::View { targets, leaving, restarted } => {
                     seen = view(targets);
                     if let Some(target) = seen.targets.get_mut(leaving) {
                         target.leaving = true;
                     }
-                    if let Some(target) = seen.targets.get_mut(renewed) {
+                    if let Some(target) = seen.targets.get_mut(restarted) {
                         target.incarnation = Some(Incarnation(5_000 + now));
                     }
                     service.update(Arc::new(seen.clone()), Millis(now));
--- a/crates/core/src/entry/tests/ejection.rs
+++ b/crates/core/src/entry/tests/ejection.rs
@@ -10,10 +10,18 @@
     let mut service = service(&view(3));
     run(&mut service, 0, 100, |_| SUCCESS);
     let failing = |number| if number == 0 { FAILURE } else { SUCCESS };
-    let broken = run(&mut service, 100, 3_000, failing);
-    assert!(broken[0] <= 12, "{} of 3000 calls failed", broken[0]);
-    let healed = run(&mut service, 30_000, 20_000, |_| SUCCESS);
-    assert!(healed[0] > 5_000, "{} of 20000 calls", healed[0]);
+    let while_failing = run(&mut service, 100, 3_000, failing);
+    assert!(
+        while_failing[0] <= 12,
+        "{} of 3000 calls failed",
+        while_failing[0]
+    );
+    let after_recovery = run(&mut service, 30_000, 20_000, |_| SUCCESS);
+    assert!(
+        after_recovery[0] > 5_000,
+        "{} of 20000 calls",
+        after_recovery[0]
+    );
 }
 
 fn fail_at(service: &mut EntryService, target: u32, times: u32, now: u64) {
@@ -38,10 +46,10 @@
     let mut service = service(&with_max_ejected(3, 0.0));
     run(&mut service, 0, 100, |_| SUCCESS);
     let failing = |number| if number == 0 { FAILURE } else { SUCCESS };
-    let broken = run(&mut service, 100, 10_000, failing)[0];
+    let while_failing = run(&mut service, 100, 10_000, failing)[0];
     assert!(
-        (1..=100).contains(&broken),
-        "{broken} of 10000 calls failed"
+        (1..=100).contains(&while_failing),
+        "{while_failing} of 10000 calls failed"
     );
 }
 
@@ -227,13 +235,13 @@
 #[test]
 fn a_gate_of_another_service_is_ejected() {
     let mut service = service(&view(3));
-    let misled = |number| {
+    let end_of_target = |number| {
         if number == 0 {
             refused(ResultCode::WrongGate)
         } else {
             SUCCESS
         }
     };
-    let counts = run(&mut service, 0, 900, misled);
+    let counts = run(&mut service, 0, 900, end_of_target);
     assert!(counts[0] <= 5, "{counts:?}");
 }
--- a/crates/core/src/entry/tests/herding.rs
+++ b/crates/core/src/entry/tests/herding.rs
@@ -97,15 +97,15 @@
 /// baseline in the same run is a policy that trusts reports of any age.
 #[test]
 fn stale_reports_do_not_make_entries_herd() {
-    let believing = avoidable_wait(1e9);
-    let ageing = avoidable_wait(1.0);
+    let without_ageing = avoidable_wait(1e9);
+    let with_ageing = avoidable_wait(1.0);
     assert!(
-        believing > 10_000,
-        "the baseline does not show the fault: {believing} ms of avoidable waiting"
+        without_ageing > 10_000,
+        "the baseline does not show the fault: {without_ageing} ms of avoidable waiting"
     );
     assert!(
-        ageing * 8 < believing,
-        "avoidable waiting: {ageing} ms with ageing, {believing} ms without"
+        with_ageing * 8 < without_ageing,
+        "avoidable waiting: {with_ageing} ms with ageing, {without_ageing} ms without"
     );
 }
 
--- a/crates/core/src/entry/tests/picking.rs
+++ b/crates/core/src/entry/tests/picking.rs
@@ -134,11 +134,11 @@
 #[test]
 fn the_incarnation_that_answers_is_current() {
     let mut service = service(&view(3));
-    let renewed = LoadReport {
+    let restarted = LoadReport {
         incarnation: NEW_INCARNATION,
         ..report(0, 0, 5)
     };
-    answer_with_load(&mut service, &renewed, 1);
+    answer_with_load(&mut service, &restarted, 1);
     service.update(Arc::new(view(3)), Millis(2));
     assert_eq!(service.table.at(0).incarnation, Some(NEW_INCARNATION));
     answer_with_load(&mut service, &report(0, 0, 5), 3);
--- a/crates/core/src/entry/tests/retries.rs
+++ b/crates/core/src/entry/tests/retries.rs
@@ -279,7 +279,7 @@
 fn retry_after_is_spread_and_grows_with_refusals() {
     let mut service = service(&view(3));
     run(&mut service, 0, 200, |_| SUCCESS);
-    let calm: Vec<u64> = (0..100)
+    let unloaded: Vec<u64> = (0..100)
         .map(|_| service.retry_after_ms(Millis(200)).0)
         .collect();
     run(&mut service, 200, 1_000, |_| {
@@ -288,8 +288,11 @@
     let now = Millis(1_200);
     let loaded: Vec<u64> = (0..100).map(|_| service.retry_after_ms(now).0).collect();
     let mean = |times: &[u64]| times.iter().sum::<u64>() / times.len() as u64;
-    assert!(mean(&loaded) > 5 * mean(&calm), "{calm:?} {loaded:?}");
-    for times in [&calm, &loaded] {
+    assert!(
+        mean(&loaded) > 5 * mean(&unloaded),
+        "{unloaded:?} {loaded:?}"
+    );
+    for times in [&unloaded, &loaded] {
         let (least, most) = (times.iter().min(), times.iter().max());
         assert!(
             most.zip(least)
@@ -301,8 +304,8 @@
 
 #[test]
 fn the_gates_retry_after_is_respected_within_bounds() {
-    for (told_ms, expected) in [(3_000, 3_000), (60_000, 10_000)] {
-        let refusal = Refusal::retry_after(ResultCode::Overloaded, Millis(told_ms));
+    for (gate_retry_ms, expected) in [(3_000, 3_000), (60_000, 10_000)] {
+        let refusal = Refusal::retry_after(ResultCode::Overloaded, Millis(gate_retry_ms));
         let end = AttemptEnd::Refused(refusal);
         let last = CallProgress {
             attempts: 3,
@@ -317,10 +320,10 @@
 /// usual maximum, it would retry dozens of times in vain.
 #[test]
 fn a_convicted_request_keeps_its_gates_retry_after() {
-    let told = Refusal::retry_after(ResultCode::CrashSuspect, Millis::from_secs(600));
-    let end = AttemptEnd::Refused(told);
+    let gate_refusal = Refusal::retry_after(ResultCode::CrashSuspect, Millis::from_secs(600));
+    let end = AttemptEnd::Refused(gate_refusal);
     let refusal = given_up(service(&view(3)).after_failure(&call(), &end, Millis(1)));
-    assert_eq!(refusal, told);
+    assert_eq!(refusal, gate_refusal);
     let long = Refusal::retry_after(ResultCode::Overloaded, Millis::from_secs(600));
     let end = AttemptEnd::Refused(long);
     let single = CallProgress {
--- a/crates/core/src/entry/tests/tickets.rs
+++ b/crates/core/src/entry/tests/tickets.rs
@@ -95,7 +95,7 @@
         received_at: Millis(300),
     });
     service.update(Arc::new(seen), Millis(300));
-    let mut renewed = 0;
+    let mut with_new_incarnation = 0;
     for number in 0..50 {
         let gate = service
             .ticket_gate(CallKey(key(number)), Millis(300))
@@ -103,10 +103,10 @@
         if gate.vm.as_str() == "vm-000" {
             assert_eq!(gate.incarnation, NEW_INCARNATION);
             assert_eq!(gate.expires_at, Millis(7 + 120_000));
-            renewed += 1;
+            with_new_incarnation += 1;
         }
     }
-    assert!(renewed > 0);
+    assert!(with_new_incarnation > 0);
 }
 
 #[test]
--- a/crates/core/src/gate/queue.rs
+++ b/crates/core/src/gate/queue.rs
@@ -75,11 +75,11 @@
         for positions in &self.by_class[..rank(class)] {
             ahead += positions.len();
         }
-        let newcomer = QueuePosition {
+        let new_position = QueuePosition {
             deadline_at,
             run: RunId(u64::MAX),
         };
-        for _ in self.by_class[rank(class)].range(..newcomer) {
+        for _ in self.by_class[rank(class)].range(..new_position) {
             if ahead > enough {
                 break;
             }
--- a/crates/core/src/gate/tests/admission.rs
+++ b/crates/core/src/gate/tests/admission.rs
@@ -63,17 +63,20 @@
     // remaining call of its class keeps its place.
     let mut gate = gate(&policy());
     run_of(gate.arrive(&plain(FAR_MS), Millis(0)));
-    let [keeps, goes] = [5_000, 6_000]
+    let [remaining, displaced] = [5_000, 6_000]
         .map(|deadline| run_of(gate.arrive(&of_class(CallClass::Background, deadline), Millis(1))));
     let payment = of_class(CallClass::Payment, 3_000);
     assert!(matches!(gate.arrive(&payment, Millis(2)), Verdict::Wait(_)));
     let wakes = gate.take_wakes();
     assert_eq!(wakes.len(), 1);
-    assert!(refused(goes, ResultCode::Overloaded, &wakes), "{wakes:?}");
+    assert!(
+        refused(displaced, ResultCode::Overloaded, &wakes),
+        "{wakes:?}"
+    );
     let second = gate.arrive(&payment, Millis(3));
     assert_eq!(code_of(second), ResultCode::Overloaded);
     assert_eq!(gate.take_wakes(), []);
-    assert!(gate.runs.contains_key(&keeps));
+    assert!(gate.runs.contains_key(&remaining));
 }
 
 #[test]
@@ -306,8 +309,8 @@
     // lower limit serves as many calls faster. The second one has become four
     // times slower regardless of load, so its limit must be restored.
     let contended = offer(2_000, 20_000, u64::MAX, |now, in_flight| {
-        let crowd = u64::from(in_flight.saturating_sub(4));
-        if now < 2_000 { 5 } else { 5 + crowd * 4 }
+        let excess = u64::from(in_flight.saturating_sub(4));
+        if now < 2_000 { 5 } else { 5 + excess * 4 }
     });
     assert!(contended.lowest_limit <= 8, "{}", contended.lowest_limit);
     assert!(contended.lowest_limit >= 3);
--- a/crates/core/src/gate/tests/at_most_once.rs
+++ b/crates/core/src/gate/tests/at_most_once.rs
@@ -63,8 +63,8 @@
     // caller moves on. The delayed request arrives afterwards and must not run.
     let mut gate = gate(&policy());
     let ticket = ticket(1, END);
-    let asked = gate.fence(&ticket, Millis(1));
-    assert_eq!(fence_code(asked), ResultCode::Fenced);
+    let answer = gate.fence(&ticket, Millis(1));
+    assert_eq!(fence_code(answer), ResultCode::Fenced);
     let late = gate.arrive(&with_ticket(&ticket), Millis(2));
     assert_eq!(code_of(late), ResultCode::Fenced);
 }
@@ -78,8 +78,8 @@
     let ticket = ticket(1, END);
     let run = run_of(gate.arrive(&with_ticket(&ticket), Millis(2)));
     gate.arrive(&with_ticket(&ticket), Millis(3));
-    let asked = gate.fence(&ticket, Millis(4));
-    assert_eq!(fence_code(asked), ResultCode::Fenced);
+    let answer = gate.fence(&ticket, Millis(4));
+    assert_eq!(fence_code(answer), ResultCode::Fenced);
     let wakes = gate.take_wakes();
     assert!(refused(run, ResultCode::Fenced, &wakes), "{wakes:?}");
     assert!(settled(run, ResultCode::Fenced, &wakes), "{wakes:?}");
@@ -94,12 +94,12 @@
     let mut gate = gate(&policy());
     let ticket = ticket(1, END);
     let run = run_of(gate.arrive(&with_ticket(&ticket), Millis(1)));
-    let asked = gate.fence(&ticket, Millis(2));
-    assert_eq!(asked, FenceAnswer::Running(run));
+    let answer = gate.fence(&ticket, Millis(2));
+    assert_eq!(answer, FenceAnswer::Running(run));
     let wakes = gate.finish(run, RunEnd::Broken, 1_000, Millis(3));
     assert!(settled(run, ResultCode::RunBroken, &wakes), "{wakes:?}");
-    let asked = gate.fence(&ticket, Millis(4));
-    assert_eq!(fence_code(asked), ResultCode::RunBroken);
+    let answer = gate.fence(&ticket, Millis(4));
+    assert_eq!(fence_code(answer), ResultCode::RunBroken);
 }
 
 #[test]
@@ -185,8 +185,8 @@
     let ticket = ticket(1, END);
     let verdict = gate.arrive(&with_ticket(&ticket), Millis(1));
     assert_eq!(code_of(verdict), ResultCode::WrongGate);
-    let asked = gate.fence(&ticket, Millis(2));
-    assert_eq!(fence_code(asked), ResultCode::GateLost);
+    let answer = gate.fence(&ticket, Millis(2));
+    assert_eq!(fence_code(answer), ResultCode::GateLost);
 }
 
 #[test]
@@ -208,8 +208,8 @@
     gate.tick(Millis(9_000));
     let late = gate.arrive(&with_ticket(&ticket), Millis(9_001));
     assert_eq!(code_of(late), ResultCode::TicketExpired);
-    let asked = gate.fence(&ticket, Millis(9_002));
-    assert_eq!(fence_code(asked), ResultCode::GateLost);
+    let answer = gate.fence(&ticket, Millis(9_002));
+    assert_eq!(fence_code(answer), ResultCode::GateLost);
 }
 
 #[test]
@@ -241,13 +241,13 @@
         let run = run_of(gate.arrive(&with_ticket(&ticket(key, 1_000)), Millis(1)));
         gate.finish(run, answered(1), 1_000, Millis(2));
     }
-    let asked = ticket(100, 2_000);
+    let unknown = ticket(100, 2_000);
     assert_eq!(
-        fence_code(gate.fence(&asked, Millis(3))),
+        fence_code(gate.fence(&unknown, Millis(3))),
         ResultCode::Fenced
     );
     for now in [4, 1_500] {
-        let late = gate.arrive(&with_ticket(&asked), Millis(now));
+        let late = gate.arrive(&with_ticket(&unknown), Millis(now));
         assert_eq!(code_of(late), ResultCode::Fenced, "at {now}");
     }
     let earlier = gate.arrive(&with_ticket(&ticket(101, 1_900)), Millis(1_500));
@@ -389,8 +389,8 @@
     gate.fence(&second, Millis(2_001));
     let late = gate.arrive(&with_ticket(&first), Millis(2_002));
     assert_eq!(code_of(late), ResultCode::TicketExpired);
-    let asked = gate.fence(&first, Millis(2_003));
-    assert_eq!(fence_code(asked), ResultCode::GateLost);
+    let answer = gate.fence(&first, Millis(2_003));
+    assert_eq!(fence_code(answer), ResultCode::GateLost);
 }
 
 #[test]
--- a/crates/core/src/gate/tests/crash.rs
+++ b/crates/core/src/gate/tests/crash.rs
@@ -49,7 +49,7 @@
         let now = Millis(at);
         let mut gate = gate_of(vm, INCARNATION, &wide_policy());
         gate.update_suspects(Arc::new(fleet.snapshot()));
-        let innocent = run_of(gate.arrive(&with_fingerprint(at), now));
+        let other = run_of(gate.arrive(&with_fingerprint(at), now));
         let bad = match gate.arrive(&with_fingerprint(BAD), now) {
             Verdict::Run(run) | Verdict::Wait(run) => run,
             refused => {
@@ -57,9 +57,9 @@
                 continue;
             }
         };
-        let mut runs = vec![innocent, bad];
+        let mut runs = vec![other, bad];
         if crashes > 0 {
-            let wakes = gate.finish(innocent, answered_plain(), 1_000, now);
+            let wakes = gate.finish(other, answered_plain(), 1_000, now);
             assert_eq!(
                 wakes,
                 [Wake::Start(bad)],
@@ -203,20 +203,20 @@
     let mut gate = crashed_gate();
     run_of(gate.arrive(&plain(FAR_MS), Millis(10)));
     let suspect = run_of(gate.arrive(&with_fingerprint(1), Millis(11)));
-    let innocent = run_of(gate.arrive(&plain(FAR_MS), Millis(12)));
+    let other = run_of(gate.arrive(&plain(FAR_MS), Millis(12)));
     assert_eq!(gate.tick(Millis(400)), []);
     let wakes = gate.tick(Millis(600));
     assert!(refused(suspect, ResultCode::Overloaded, &wakes));
-    assert!(wakes.contains(&Wake::Start(innocent)), "{wakes:?}");
+    assert!(wakes.contains(&Wake::Start(other)), "{wakes:?}");
 }
 
 #[test]
 fn hanging_suspect_loses_exclusive_use_of_the_target() {
     let mut gate = crashed_gate();
     let suspect = run_of(gate.arrive(&with_fingerprint(1), Millis(10)));
-    let innocent = run_of(gate.arrive(&plain(FAR_MS), Millis(11)));
+    let other = run_of(gate.arrive(&plain(FAR_MS), Millis(11)));
     let wakes = gate.tick(Millis(1_100));
-    assert_eq!(wakes, [Wake::Start(innocent)]);
+    assert_eq!(wakes, [Wake::Start(other)]);
     gate.finish(suspect, answered_plain(), 1_000, Millis(1_200));
     assert_eq!(
         gate.take_cleared(),
@@ -233,7 +233,7 @@
     // then on.
     let mut gate = gate(&wide_policy());
     let now = Millis(1);
-    let innocent = run_of(gate.arrive(&with_fingerprint(1), now));
+    let other = run_of(gate.arrive(&with_fingerprint(1), now));
     assert_eq!(
         gate.report_suspect(BAD, now).map(|entry| entry.standing),
         Some(SuspicionLevel::Suspect)
@@ -241,7 +241,7 @@
     let Verdict::Wait(bad) = gate.arrive(&with_fingerprint(BAD), now) else {
         panic!("a reported suspect waits until it can run alone");
     };
-    let wakes = gate.finish(innocent, answered_plain(), 1_000, Millis(5));
+    let wakes = gate.finish(other, answered_plain(), 1_000, Millis(5));
     assert_eq!(wakes, vec![Wake::Start(bad)]);
     crash(&mut gate, &[bad], Millis(6));
     let again = gate.arrive(&with_fingerprint(BAD), Millis(7));
--- a/crates/core/src/suspects/store.rs
+++ b/crates/core/src/suspects/store.rs
@@ -223,7 +223,7 @@
     /// A flood of suspects (many requests in flight in each crash) must not
     /// evict a conviction, because the convicted request would crash targets
     /// again. Nothing more severe than the new mark is ever evicted.
-    fn evict(&mut self, newcomer: SuspicionLevel) -> bool {
+    fn evict(&mut self, new_level: SuspicionLevel) -> bool {
         let mut least: Option<EvictionRank> = None;
         for (fingerprint, known) in &self.known {
             let rank = EvictionRank {
@@ -235,7 +235,7 @@
                 least = Some(rank);
             }
         }
-        let Some(victim) = least.filter(|victim| victim.standing <= newcomer) else {
+        let Some(victim) = least.filter(|victim| victim.standing <= new_level) else {
             return false;
         };
         self.known.remove(&victim.fingerprint);
--- a/crates/core/src/suspects/tests.rs
+++ b/crates/core/src/suspects/tests.rs
@@ -129,8 +129,8 @@
             suspects.observe_crash(&[fingerprint], true, Millis(fingerprint + at));
         }
     }
-    let told = suspects.observe_crash(&[full + 1], false, Millis(5_000));
-    assert_eq!(told, []);
+    let sent = suspects.observe_crash(&[full + 1], false, Millis(5_000));
+    assert_eq!(sent, []);
     assert_eq!(suspects.level(1), SuspicionLevel::Convicted);
     let convicted = entry(full + 2, 2, SuspicionLevel::Convicted, 0);
     assert!(suspects.merge(&convicted, Millis(5_001)));
