--- a/crates/core/src/gate/admission.rs
+++ b/crates/core/src/gate/admission.rs
@@ -112,7 +112,7 @@
             return Err(self.overload_refusal());
         };
         let refusal = self.overload_refusal();
-        self.refuse_waiting(displaced, refusal);
+        self.refuse_call(displaced, refusal);
         Ok(Admission::Queue)
     }
 
--- a/crates/core/src/gate/fence.rs
+++ b/crates/core/src/gate/fence.rs
@@ -60,7 +60,7 @@
             return FenceAnswer::Running(id);
         }
         let refusal = Refusal::fixed(ResultCode::Fenced);
-        self.refuse_waiting(id, refusal);
+        self.refuse_call(id, refusal);
         refused(refusal)
     }
 }
--- a/crates/core/src/gate/pump.rs
+++ b/crates/core/src/gate/pump.rs
@@ -75,9 +75,7 @@
         }
         match self.suspicion_level(fingerprint) {
             SuspicionLevel::Clear => self.start_waiting(position.run, false, now),
-            SuspicionLevel::Convicted => {
-                self.refuse_waiting(position.run, Self::convicted_refusal())
-            }
+            SuspicionLevel::Convicted => self.refuse_call(position.run, Self::convicted_refusal()),
             SuspicionLevel::Suspect if self.quarantine.has_room() => {
                 self.quarantine_call(position.run, position);
             }
@@ -96,9 +94,7 @@
             return true;
         }
         match self.suspicion_level(fingerprint) {
-            SuspicionLevel::Convicted => {
-                self.refuse_waiting(position.run, Self::convicted_refusal())
-            }
+            SuspicionLevel::Convicted => self.refuse_call(position.run, Self::convicted_refusal()),
             SuspicionLevel::Clear => {
                 self.quarantine.remove(&position);
                 self.queue.insert(class, position);
@@ -124,12 +120,12 @@
 
     fn refuse_for_deadline(&mut self, run: RunId) {
         let refusal = self.refusal(ResultCode::DeadlineTooShort);
-        self.refuse_waiting(run, refusal);
+        self.refuse_call(run, refusal);
     }
 
     fn refuse_for_overload(&mut self, run: RunId) {
         let refusal = self.overload_refusal();
-        self.refuse_waiting(run, refusal);
+        self.refuse_call(run, refusal);
     }
 
     fn resume_sharing(&mut self, run: RunId, now: Millis) {
--- a/crates/core/src/gate/run.rs
+++ b/crates/core/src/gate/run.rs
@@ -136,7 +136,7 @@
     }
 
     /// Removes a call that was not started; it ends with this refusal.
-    pub(super) fn refuse_waiting(&mut self, id: RunId, refusal: Refusal) {
+    pub(super) fn refuse_call(&mut self, id: RunId, refusal: Refusal) {
         let Some(run) = self.remove_waiting(id) else {
             return;
         };
