--- a/crates/core/src/entry.rs
+++ b/crates/core/src/entry.rs
@@ -137,8 +137,8 @@
     /// Returns the target at an index if it is in the view.
     #[must_use]
     pub fn target(&self, index: TargetIndex) -> Option<&TargetView> {
-        let place = self.table.get(index)?.view_position?;
-        self.view.targets.get(place as usize)
+        let position = self.table.get(index)?.view_position?;
+        self.view.targets.get(position as usize)
     }
 
     /// Returns the target on a VM, to which a ticketed call must go.
@@ -384,8 +384,8 @@
         match Observation::of(outcome, self.latency.median_us()) {
             Observation::Success => {
                 target.record_success(pick, service_us, now);
-                let typical_us = target.stats.reported_service_us().unwrap_or(service_us);
-                self.averages.record_service(typical_us);
+                let sample_us = target.stats.reported_service_us().unwrap_or(service_us);
+                self.averages.record_service(sample_us);
                 self.latency.record(outcome.latency_us, now);
             }
             Observation::Failure => {
--- a/crates/core/src/entry/latency.rs
+++ b/crates/core/src/entry/latency.rs
@@ -124,17 +124,17 @@
 fn bucket_of(latency_us: u32) -> usize {
     let value = latency_us.max(1);
     let octave = value.ilog2();
-    let place = if octave >= OCTAVE_BITS {
+    let offset = if octave >= OCTAVE_BITS {
         value >> (octave - OCTAVE_BITS)
     } else {
         value << (OCTAVE_BITS - octave)
     };
-    octave as usize * BUCKETS_PER_OCTAVE + (place as usize - BUCKETS_PER_OCTAVE)
+    octave as usize * BUCKETS_PER_OCTAVE + (offset as usize - BUCKETS_PER_OCTAVE)
 }
 
 fn upper_edge_us(bucket: usize) -> u32 {
     let octave = (bucket / BUCKETS_PER_OCTAVE) as u32;
-    let place = (bucket % BUCKETS_PER_OCTAVE + BUCKETS_PER_OCTAVE + 1) as u64;
-    let edge = (place << octave) >> OCTAVE_BITS;
+    let offset = (bucket % BUCKETS_PER_OCTAVE + BUCKETS_PER_OCTAVE + 1) as u64;
+    let edge = (offset << octave) >> OCTAVE_BITS;
     u32::try_from(edge.max(1)).unwrap_or(u32::MAX)
 }
--- a/crates/core/src/entry/picker.rs
+++ b/crates/core/src/entry/picker.rs
@@ -76,11 +76,11 @@
         }
         match best {
             Some((index, _)) => Some(TargetIndex(index)),
-            None => self.next_from_random_place(tier, rng),
+            None => self.next_from_random_position(tier, rng),
         }
     }
 
-    fn next_from_random_place(
+    fn next_from_random_position(
         &self,
         tier: &[u32],
         rng: &mut Xoshiro256PlusPlus,
--- a/crates/core/src/entry/score.rs
+++ b/crates/core/src/entry/score.rs
@@ -8,7 +8,7 @@
 /// distance.
 const DEFAULT_SERVICE_US: f32 = 10_000.0;
 /// Weight of one report in the averages over the targets of a service.
-const TYPICAL_WEIGHT: f32 = 1.0 / 32.0;
+const AVERAGE_WEIGHT: f32 = 1.0 / 32.0;
 /// A load report describes the calls that were running when it was created. Its
 /// half-life is this many service times.
 const LOAD_HALF_LIFE_SERVICE_TIMES: f32 = 1.0;
@@ -70,8 +70,8 @@
     /// Updates the averages with the share of its limit that others use on some
     /// target, and the share that this entry uses itself.
     pub(crate) fn record_load(&mut self, others_ratio: f32, own_ratio: f32) {
-        self.load_ratio += (others_ratio - self.load_ratio) * TYPICAL_WEIGHT;
-        self.own_ratio += (own_ratio - self.own_ratio) * TYPICAL_WEIGHT;
+        self.load_ratio += (others_ratio - self.load_ratio) * AVERAGE_WEIGHT;
+        self.own_ratio += (own_ratio - self.own_ratio) * AVERAGE_WEIGHT;
     }
 
     /// Estimates the share of a target's limit that others use, from this
@@ -89,7 +89,7 @@
     /// Updates the average with the service time of some target.
     pub(crate) fn record_service(&mut self, service_us: f32) {
         let known = self.service_us.get_or_insert(service_us);
-        *known += (service_us - *known) * TYPICAL_WEIGHT;
+        *known += (service_us - *known) * AVERAGE_WEIGHT;
     }
 
     pub(crate) fn service_us(&self) -> f32 {
--- a/crates/core/src/entry/table.rs
+++ b/crates/core/src/entry/table.rs
@@ -23,7 +23,7 @@
     /// Time of the earliest pending trial; `MAX` if there is none.
     next_trial_at: Millis,
     /// When the longest-known usable target was first seen.
-    oldest_seen: Millis,
+    earliest_seen: Millis,
     /// When the newest target will have finished its warm-up.
     warm_at: Millis,
 }
@@ -38,7 +38,7 @@
             doubtful: Vec::new(),
             ejected: Vec::new(),
             next_trial_at: Millis::MAX,
-            oldest_seen: Millis::MAX,
+            earliest_seen: Millis::MAX,
             warm_at: Millis::ZERO,
         }
     }
@@ -49,9 +49,9 @@
         for target in &mut self.targets {
             target.view_position = None;
         }
-        for (place, target_view) in view.targets.iter().enumerate() {
+        for (position, target_view) in view.targets.iter().enumerate() {
             let index = self.index_for(target_view, now);
-            self.targets[index as usize].update(target_view, place as u32, now);
+            self.targets[index as usize].update(target_view, position as u32, now);
         }
         for index in 0..self.targets.len() {
             self.release_if_gone(index as u32);
@@ -116,7 +116,7 @@
     /// If all targets are equally new, as when this node has just started, none
     /// is restricted.
     pub(crate) fn relative_ramp(&self, target: &Target, ramp_ms: Millis, now: Millis) -> f32 {
-        let warmest = ramp_after(now.since(self.oldest_seen), ramp_ms);
+        let warmest = ramp_after(now.since(self.earliest_seen), ramp_ms);
         (target.stats.ramp(ramp_ms, now) / warmest).min(1.0)
     }
 
@@ -126,8 +126,8 @@
         if now < self.next_trial_at {
             return None;
         }
-        for place in 0..self.ejected.len() {
-            let index = self.ejected[place];
+        for position in 0..self.ejected.len() {
+            let index = self.ejected[position];
             let target = &mut self.targets[index as usize];
             if target.is_doubtful() {
                 continue;
@@ -266,11 +266,11 @@
     }
 
     fn find_ramp_times(&mut self, cold_ramp_ms: Millis) {
-        self.oldest_seen = Millis::MAX;
+        self.earliest_seen = Millis::MAX;
         self.warm_at = Millis::ZERO;
         for index in self.ready.iter().chain(&self.doubtful) {
             let seen = self.targets[*index as usize].stats.first_seen();
-            self.oldest_seen = self.oldest_seen.min(seen);
+            self.earliest_seen = self.earliest_seen.min(seen);
             self.warm_at = self.warm_at.max(seen + cold_ramp_ms);
         }
     }
--- a/crates/core/src/entry/target.rs
+++ b/crates/core/src/entry/target.rs
@@ -87,8 +87,8 @@
     }
 
     /// Applies the data of a view published by the control thread.
-    pub(crate) fn update(&mut self, view: &TargetView, place: u32, now: Millis) {
-        self.view_position = Some(place);
+    pub(crate) fn update(&mut self, view: &TargetView, position: u32, now: Millis) {
+        self.view_position = Some(position);
         self.distance_us = view.distance_us;
         self.view_leaving = view.leaving;
         self.doubtful = view.doubtful;
--- a/crates/core/src/entry/target_stats.rs
+++ b/crates/core/src/entry/target_stats.rs
@@ -329,7 +329,7 @@
     /// Returns the service time as a multiple of the average one, converging to
     /// 1 with age.
     fn relative_service(&self, averages: &ServiceAverages, now: Millis) -> f32 {
-        let typical_us = averages.service_us();
+        let average_us = averages.service_us();
         let (measured_us, at) = match (self.own_service_us, &self.load) {
             (None, None) => return 1.0,
             (Some(own), None) => (own.value, own.at),
@@ -344,7 +344,7 @@
             }
         };
         let left = decay(now.since(at), SERVICE_HALF_LIFE_MS);
-        let relative = (measured_us / typical_us).min(MAX_RELATIVE_SERVICE);
+        let relative = (measured_us / average_us).min(MAX_RELATIVE_SERVICE);
         1.0 + (relative - 1.0) * left
     }
 
--- a/crates/core/src/entry/tests.rs
+++ b/crates/core/src/entry/tests.rs
@@ -13,7 +13,7 @@
 mod slow_start;
 mod tickets;
 
-const FAR: Millis = Millis(1_000_000);
+const FAR_DEADLINE: Millis = Millis(1_000_000);
 const NEW_INCARNATION: Incarnation = Incarnation(9_000);
 const SERVICE_US: u32 = 20_000;
 
@@ -122,7 +122,7 @@
 ) -> Result<Pick, Refusal> {
     let request = PickRequest {
         exclude,
-        deadline_at: FAR,
+        deadline_at: FAR_DEADLINE,
     };
     service.pick(&request, Millis(now))
 }
@@ -171,7 +171,7 @@
         idempotent: true,
         attempts: 1,
         depth: 0,
-        deadline_at: FAR,
+        deadline_at: FAR_DEADLINE,
         may_have_run: false,
     }
 }
--- a/crates/core/src/entry/tests/bounds.rs
+++ b/crates/core/src/entry/tests/bounds.rs
@@ -65,8 +65,8 @@
     /// respected.
     #[test]
     fn counts_budgets_and_shares_hold(steps in steps()) {
-        let mut seen = view(4);
-        let mut service = service(&seen);
+        let mut snapshot = view(4);
+        let mut service = service(&snapshot);
         let mut now = 0;
         let mut open: Vec<Pick> = Vec::new();
         let (mut firsts, mut retry_cost, mut hedges) = (0_u32, 0_u32, 0_u32);
@@ -88,11 +88,11 @@
                         open.push(service.pick_fixed(TargetIndex(target), Millis(now)));
                     }
                 }
-                Step::Finish { open: place, end } => {
+                Step::Finish { open: position, end } => {
                     if open.is_empty() {
                         continue;
                     }
-                    let pick = open.swap_remove(place % open.len());
+                    let pick = open.swap_remove(position % open.len());
                     service.finish(&pick, &ended(end_of(end)), Millis(now));
                 }
                 Step::Retry { depth } => {
@@ -103,14 +103,14 @@
                 }
                 Step::Hedge => hedges += u32::from(service.try_hedge(&call(), Millis(now))),
                 Step::View { targets, leaving, restarted } => {
-                    seen = view(targets);
-                    if let Some(target) = seen.targets.get_mut(leaving) {
+                    snapshot = view(targets);
+                    if let Some(target) = snapshot.targets.get_mut(leaving) {
                         target.leaving = true;
                     }
-                    if let Some(target) = seen.targets.get_mut(restarted) {
+                    if let Some(target) = snapshot.targets.get_mut(restarted) {
                         target.incarnation = Some(Incarnation(5_000 + now));
                     }
-                    service.update(Arc::new(seen.clone()), Millis(now));
+                    service.update(Arc::new(snapshot.clone()), Millis(now));
                 }
                 Step::Wait { ms } => now += ms,
             }
--- a/crates/core/src/entry/tests/ejection.rs
+++ b/crates/core/src/entry/tests/ejection.rs
@@ -109,12 +109,12 @@
 /// from.
 #[test]
 fn a_doubtful_target_gets_no_trial() {
-    let mut seen = view(4);
-    let mut service = service(&seen);
+    let mut snapshot = view(4);
+    let mut service = service(&snapshot);
     fail_at(&mut service, 0, 5, 0);
     fail_at(&mut service, 1, 5, 0);
-    seen.targets[0].doubtful = true;
-    service.update(Arc::new(seen), Millis(1));
+    snapshot.targets[0].doubtful = true;
+    service.update(Arc::new(snapshot), Millis(1));
     let trial = pick(&mut service, 1_000);
     assert_eq!((trial.target, trial.is_trial), (TargetIndex(1), true));
     assert!(!pick(&mut service, 1_000).is_trial);
@@ -207,10 +207,10 @@
 fn an_ejected_target_is_readmitted_when_the_others_leave() {
     let mut service = service(&view(3));
     fail_at(&mut service, 0, 5, 1);
-    let mut seen = view(3);
-    seen.targets[1].leaving = true;
-    seen.targets[2].leaving = true;
-    service.update(Arc::new(seen), Millis(2));
+    let mut snapshot = view(3);
+    snapshot.targets[1].leaving = true;
+    snapshot.targets[2].leaving = true;
+    service.update(Arc::new(snapshot), Millis(2));
     assert_eq!(pick(&mut service, 3).target, TargetIndex(0));
 }
 
--- a/crates/core/src/entry/tests/herding.rs
+++ b/crates/core/src/entry/tests/herding.rs
@@ -31,11 +31,11 @@
 /// free slot, which a better choice would have avoided.
 fn avoidable_wait(half_life_factor: f32) -> u64 {
     let mut rng = Xoshiro256PlusPlus::seed_from_u64(11);
-    let mut seen = view(TARGETS);
+    let mut snapshot = view(TARGETS);
     let mut entries = Vec::new();
     for seed in 0..ENTRIES as u64 {
         let settings = EntrySettings { seed };
-        let mut entry = EntryService::new(&settings, Arc::new(seen.clone()), Millis::ZERO);
+        let mut entry = EntryService::new(&settings, Arc::new(snapshot.clone()), Millis::ZERO);
         entry.averages.set_half_life_factor(half_life_factor);
         entries.push(entry);
     }
@@ -56,9 +56,9 @@
         }
         if now % REPORT_GAP_MS == 1 {
             for (number, target) in targets.iter().enumerate() {
-                seen.targets[number].load = received_load(number, target.outstanding(), now);
+                snapshot.targets[number].load = received_load(number, target.outstanding(), now);
             }
-            let published = Arc::new(seen.clone());
+            let published = Arc::new(snapshot.clone());
             for entry in &mut entries {
                 entry.update(Arc::clone(&published), Millis(now));
             }
--- a/crates/core/src/entry/tests/picking.rs
+++ b/crates/core/src/entry/tests/picking.rs
@@ -6,20 +6,20 @@
 /// at once, although all of them still work. Calls must not be refused.
 #[test]
 fn doubtful_targets_serve_when_no_others_are_there() {
-    let mut seen = view(3);
-    for target in &mut seen.targets {
+    let mut snapshot = view(3);
+    for target in &mut snapshot.targets {
         target.doubtful = true;
     }
-    let mut service = service(&seen);
+    let mut service = service(&snapshot);
     let counts = run(&mut service, 0, 300, |_| SUCCESS);
     assert!(counts[..3].iter().all(|count| *count > 50), "{counts:?}");
 }
 
 #[test]
 fn a_doubtful_target_gets_nothing_while_others_are_there() {
-    let mut seen = view(3);
-    seen.targets[1].doubtful = true;
-    let mut service = service(&seen);
+    let mut snapshot = view(3);
+    snapshot.targets[1].doubtful = true;
+    let mut service = service(&snapshot);
     assert_eq!(run(&mut service, 0, 300, |_| SUCCESS)[1], 0);
 }
 
@@ -36,10 +36,10 @@
     answer_with_load(&mut service, &leaving, 1);
     assert_eq!(run(&mut service, 2, 300, |_| SUCCESS)[0], 0);
 
-    let mut seen = view(3);
+    let mut snapshot = view(3);
     for (clock_ms, works_again) in [(40, false), (60, true)] {
-        seen.targets[0].load = received_load(0, 0, clock_ms);
-        service.update(Arc::new(seen.clone()), Millis(400));
+        snapshot.targets[0].load = received_load(0, 0, clock_ms);
+        service.update(Arc::new(snapshot.clone()), Millis(400));
         let count = run(&mut service, 400, 300, |_| SUCCESS)[0];
         assert_eq!(count > 0, works_again, "report created at {clock_ms} ms");
     }
@@ -50,10 +50,10 @@
     let mut service = service(&view(3));
     end_at(&mut service, 0, refused(ResultCode::Leaving), 1);
     assert_eq!(run(&mut service, 2, 300, |_| SUCCESS)[0], 0);
-    let mut seen = view(3);
+    let mut snapshot = view(3);
     for (received_at, works_again) in [(500, false), (1_500, true)] {
-        seen.targets[0].load = received_load(0, 0, received_at);
-        service.update(Arc::new(seen.clone()), Millis(2_000));
+        snapshot.targets[0].load = received_load(0, 0, received_at);
+        service.update(Arc::new(snapshot.clone()), Millis(2_000));
         let count = run(&mut service, 2_000, 300, |_| SUCCESS)[0];
         assert_eq!(
             count > 0,
@@ -65,11 +65,11 @@
 
 #[test]
 fn a_service_whose_targets_all_leave_is_refused_as_not_run() {
-    let mut seen = view(2);
-    for target in &mut seen.targets {
+    let mut snapshot = view(2);
+    for target in &mut snapshot.targets {
         target.leaving = true;
     }
-    let refusal = pick_excluding(&mut service(&seen), &[], 1).expect_err("no target is usable");
+    let refusal = pick_excluding(&mut service(&snapshot), &[], 1).expect_err("no target is usable");
     assert_eq!(refusal.code, ResultCode::NoTarget);
     assert!(refusal.retry_after_ms.is_some());
 }
@@ -115,9 +115,9 @@
     let mut service = service(&view(3));
     let old = pick(&mut service, 1);
     let number = old.target.0 as usize;
-    let mut seen = view(3);
-    seen.targets[number].incarnation = Some(NEW_INCARNATION);
-    service.update(Arc::new(seen), Millis(20_000));
+    let mut snapshot = view(3);
+    snapshot.targets[number].incarnation = Some(NEW_INCARNATION);
+    service.update(Arc::new(snapshot), Millis(20_000));
     service.finish(&old, &ended(AttemptEnd::Unreachable), Millis(20_001));
     assert_eq!(service.ejected_targets(), 0);
     assert_eq!(service.in_flight(old.target), 0);
@@ -228,9 +228,9 @@
 /// wait. Sending it to another data centre would cost 3 ms for nothing.
 #[test]
 fn a_half_loaded_near_target_is_preferred() {
-    let mut seen = view(2);
-    seen.targets[1].distance_us = 1_500;
-    let mut service = service(&seen);
+    let mut snapshot = view(2);
+    snapshot.targets[1].distance_us = 1_500;
+    let mut service = service(&snapshot);
     for now in 0..200 {
         answer_with_load(&mut service, &report(0, 6, now), now);
         answer_with_load(&mut service, &report(1, 2, now), now);
@@ -310,9 +310,9 @@
 
 #[test]
 fn a_near_target_is_preferred_until_it_is_busy() {
-    let mut seen = view(2);
-    seen.targets[1].distance_us = 5_000;
-    let mut service = service(&seen);
+    let mut snapshot = view(2);
+    snapshot.targets[1].distance_us = 5_000;
+    let mut service = service(&snapshot);
     let mut counts = [0; 2];
     for _ in 0..40 {
         counts[pick(&mut service, 1).target.0 as usize] += 1;
@@ -324,9 +324,9 @@
 /// and excluded and leaving targets are never drawn.
 #[test]
 fn many_targets_share_evenly() {
-    let mut seen = view(500);
-    seen.targets[17].leaving = true;
-    let mut service = service(&seen);
+    let mut snapshot = view(500);
+    snapshot.targets[17].leaving = true;
+    let mut service = service(&snapshot);
     let counts = run(&mut service, 0, 50_000, |_| SUCCESS);
     assert_eq!(counts[17], 0);
     let (least, most) = (counts[..500].iter().filter(|count| **count > 0))
@@ -349,15 +349,15 @@
     let mut service = service(&view(2));
     let (index, _) = service.target_on(&VmId::new("vm-001")).expect("known");
     let open = service.pick_fixed(index, Millis(1));
-    let mut seen = view(3);
-    seen.targets.remove(1);
-    service.update(Arc::new(seen.clone()), Millis(2));
+    let mut snapshot = view(3);
+    snapshot.targets.remove(1);
+    service.update(Arc::new(snapshot.clone()), Millis(2));
     assert!(service.target(index).is_none());
     let (other, _) = service.target_on(&VmId::new("vm-002")).expect("known");
     assert_ne!(other, index);
     service.finish(&open, &ended(SUCCESS), Millis(3));
-    seen.targets.push(target_view(3));
-    service.update(Arc::new(seen), Millis(4));
+    snapshot.targets.push(target_view(3));
+    service.update(Arc::new(snapshot), Millis(4));
     let (reused, found) = service.target_on(&VmId::new("vm-003")).expect("known");
     assert_eq!((reused, found.vm.as_str()), (index, "vm-003"));
 }
--- a/crates/core/src/entry/tests/retries.rs
+++ b/crates/core/src/entry/tests/retries.rs
@@ -260,12 +260,12 @@
 
 #[test]
 fn a_share_of_zero_turns_hedges_and_retries_off() {
-    let mut seen = view(3);
+    let mut snapshot = view(3);
     let mut changed = policy();
     changed.budgets.hedge_share = 0.0;
     changed.budgets.retry_share = 0.0;
-    seen.policy = Arc::new(changed);
-    let mut service = service(&seen);
+    snapshot.policy = Arc::new(changed);
+    let mut service = service(&snapshot);
     run(&mut service, 0, 100, |_| SUCCESS);
     assert_eq!(service.hedge_delay_ms(&call()), None);
     assert!(!service.try_hedge(&call(), Millis(100)));
--- a/crates/core/src/entry/tests/slow_start.rs
+++ b/crates/core/src/entry/tests/slow_start.rs
@@ -4,7 +4,7 @@
 use crate::entry::target_stats::{ReportSource, TargetStats};
 use crate::prelude::*;
 
-const TYPICAL_US: f32 = 1_000.0;
+const AVERAGE_US: f32 = 1_000.0;
 /// Service times up to this multiple of the average count as equal.
 const NORMAL: f32 = 1.5;
 
@@ -16,7 +16,7 @@
 fn a_slow_call_is_forgotten_although_its_report_is_repeated() {
     const SLOW_US: u32 = 200_000;
     let mut averages = ServiceAverages::new();
-    averages.record_service(TYPICAL_US);
+    averages.record_service(AVERAGE_US);
     let mut stats = TargetStats::new(Millis::ZERO);
     stats.record_success(SLOW_US as f32, Millis::ZERO);
     let mut report = LoadReport {
--- a/crates/core/src/entry/tests/tickets.rs
+++ b/crates/core/src/entry/tests/tickets.rs
@@ -3,11 +3,11 @@
 use super::*;
 
 fn view_with_reports(targets: usize) -> ServiceView {
-    let mut seen = view(targets);
+    let mut snapshot = view(targets);
     for number in 0..targets {
-        seen.targets[number].load = received_load(number, 1, 100);
+        snapshot.targets[number].load = received_load(number, 1, 100);
     }
-    seen
+    snapshot
 }
 
 fn gate_of(service: &mut EntryService, key: u128, now: u64) -> VmId {
@@ -24,9 +24,9 @@
 /// twice.
 #[test]
 fn entries_whose_views_agree_name_the_same_gate() {
-    let seen = view_with_reports(3);
-    let mut one = service(&seen);
-    let mut other = EntryService::new(&EntrySettings { seed: 99 }, Arc::new(seen), Millis(5));
+    let snapshot = view_with_reports(3);
+    let mut one = service(&snapshot);
+    let mut other = EntryService::new(&EntrySettings { seed: 99 }, Arc::new(snapshot), Millis(5));
     run(&mut one, 0, 500, |_| SUCCESS);
     let mut by_gate = std::collections::BTreeMap::new();
     for number in 0..900 {
@@ -43,10 +43,10 @@
 
 #[test]
 fn a_leaving_gate_moves_only_its_own_keys() {
-    let mut seen = view_with_reports(4);
-    let mut before = service(&seen);
-    seen.targets[2].leaving = true;
-    let mut after = service(&seen);
+    let mut snapshot = view_with_reports(4);
+    let mut before = service(&snapshot);
+    snapshot.targets[2].leaving = true;
+    let mut after = service(&snapshot);
     for number in 0..400 {
         let old = gate_of(&mut before, key(number), 200);
         let new = gate_of(&mut after, key(number), 200);
@@ -79,10 +79,10 @@
 /// A ticket for an earlier incarnation can never run.
 #[test]
 fn tickets_name_a_new_incarnation_after_its_first_report() {
-    let mut seen = view_with_reports(2);
-    let mut service = service(&seen);
-    seen.targets[0].incarnation = Some(NEW_INCARNATION);
-    service.update(Arc::new(seen.clone()), Millis(200));
+    let mut snapshot = view_with_reports(2);
+    let mut service = service(&snapshot);
+    snapshot.targets[0].incarnation = Some(NEW_INCARNATION);
+    service.update(Arc::new(snapshot.clone()), Millis(200));
     for number in 0..50 {
         assert_eq!(gate_of(&mut service, key(number), 200).as_str(), "vm-001");
     }
@@ -90,11 +90,11 @@
         incarnation: NEW_INCARNATION,
         ..report(0, 0, 7)
     };
-    seen.targets[0].load = Some(ReceivedLoad {
+    snapshot.targets[0].load = Some(ReceivedLoad {
         report: fresh,
         received_at: Millis(300),
     });
-    service.update(Arc::new(seen), Millis(300));
+    service.update(Arc::new(snapshot), Millis(300));
     let mut with_new_incarnation = 0;
     for number in 0..50 {
         let gate = service
@@ -111,11 +111,11 @@
 
 #[test]
 fn no_ticket_is_issued_without_a_known_incarnation() {
-    let mut seen = view(2);
-    seen.targets[0].incarnation = None;
-    seen.targets[1].leaving = true;
-    seen.targets[1].load = received_load(1, 0, 100);
-    let refusal = service(&seen)
+    let mut snapshot = view(2);
+    snapshot.targets[0].incarnation = None;
+    snapshot.targets[1].leaving = true;
+    snapshot.targets[1].load = received_load(1, 0, 100);
+    let refusal = service(&snapshot)
         .ticket_gate(CallKey(1), Millis(1))
         .expect_err("no gate is usable");
     assert_eq!(refusal.code, ResultCode::NoTarget);
@@ -123,9 +123,9 @@
 
 #[test]
 fn a_gate_far_over_its_limit_or_ejected_is_passed_over_while_others_are_there() {
-    let mut seen = view_with_reports(2);
-    seen.targets[0].load = received_load(0, 48, 100);
-    let mut over = service(&seen);
+    let mut snapshot = view_with_reports(2);
+    snapshot.targets[0].load = received_load(0, 48, 100);
+    let mut over = service(&snapshot);
     let mut ejected = service(&view_with_reports(2));
     end_at(&mut ejected, 0, AttemptEnd::Unreachable, 150);
     for number in 0..50 {
@@ -140,8 +140,8 @@
         keys_of_first(&mut over, 9_000) > 10,
         "the report is too old to count"
     );
-    seen.targets[1].load = received_load(1, 48, 100);
-    let mut all_over = service(&seen);
+    snapshot.targets[1].load = received_load(1, 48, 100);
+    let mut all_over = service(&snapshot);
     assert!(
         keys_of_first(&mut all_over, 200) > 10,
         "the other gate is no better"
@@ -169,9 +169,9 @@
 /// to its load; entries must not all avoid it.
 #[test]
 fn load_reduces_a_gates_share_of_tickets_only_slightly() {
-    let mut seen = view_with_reports(3);
-    seen.targets[0].load = received_load(0, 12, 100);
-    let mut service = service(&seen);
+    let mut snapshot = view_with_reports(3);
+    snapshot.targets[0].load = received_load(0, 12, 100);
+    let mut service = service(&snapshot);
     let mut loaded = 0;
     for _ in 0..300 {
         let gate = service.ticket_gate_in_turn(Millis(101)).expect("usable");
--- a/crates/core/src/gate.rs
+++ b/crates/core/src/gate.rs
@@ -204,7 +204,7 @@
     /// Calls that are waiting or running.
     runs: HashMap<RunId, Run>,
     in_flight: u32,
-    last_run: u64,
+    last_run_id: u64,
     wakes: Vec<Wake>,
 }
 
@@ -228,7 +228,7 @@
             cleared: Vec::new(),
             runs: HashMap::new(),
             in_flight: 0,
-            last_run: 0,
+            last_run_id: 0,
             wakes: Vec::new(),
             settings,
             policy,
--- a/crates/core/src/gate/queue.rs
+++ b/crates/core/src/gate/queue.rs
@@ -68,9 +68,9 @@
     }
 
     /// Returns how many calls would be served before a new one. Counting stops
-    /// above `enough`, so that an arrival costs no more with a long queue than
+    /// above `max_counted`, so that an arrival costs no more with a long queue than
     /// with a short one.
-    pub(super) fn ahead(&self, class: CallClass, deadline_at: Millis, enough: usize) -> usize {
+    pub(super) fn ahead(&self, class: CallClass, deadline_at: Millis, max_counted: usize) -> usize {
         let mut ahead = 0;
         for positions in &self.by_class[..rank(class)] {
             ahead += positions.len();
@@ -80,7 +80,7 @@
             run: RunId(u64::MAX),
         };
         for _ in self.by_class[rank(class)].range(..new_position) {
-            if ahead > enough {
+            if ahead > max_counted {
                 break;
             }
             ahead += 1;
--- a/crates/core/src/gate/records.rs
+++ b/crates/core/src/gate/records.rs
@@ -65,7 +65,7 @@
 
 /// When a record is next checked for expiry; there is one entry per record.
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
-struct Due {
+struct ExpiryCheck {
     at: Millis,
     key: CallKey,
 }
@@ -74,7 +74,7 @@
 #[derive(Debug, Default)]
 pub(super) struct Records {
     by_key: HashMap<CallKey, Record>,
-    due: BinaryHeap<Reverse<Due>>,
+    expiry_checks: BinaryHeap<Reverse<ExpiryCheck>>,
     floor: Option<Millis>,
     fenced: usize,
     excessive_expiry_fences: u32,
@@ -199,7 +199,7 @@
             fenced_through,
             state,
         });
-        self.due.push(Reverse(Due {
+        self.expiry_checks.push(Reverse(ExpiryCheck {
             at: ticket.expires_at,
             key: ticket.key,
         }));
@@ -224,16 +224,18 @@
     /// Removes records whose tickets have all expired, except those of waiting
     /// or running calls.
     pub(super) fn purge(&mut self, now: Millis) {
-        while let Some(Reverse(due)) = self.due.peek() {
-            if due.at > now {
+        while let Some(Reverse(check)) = self.expiry_checks.peek() {
+            if check.at > now {
                 return;
             }
-            let Some(Reverse(due)) = self.due.pop() else {
+            let Some(Reverse(check)) = self.expiry_checks.pop() else {
                 return;
             };
-            match self.next_check_at(due.key, now) {
-                Some(at) => self.due.push(Reverse(Due { at, key: due.key })),
-                None => self.remove(due.key),
+            match self.next_check_at(check.key, now) {
+                Some(at) => self
+                    .expiry_checks
+                    .push(Reverse(ExpiryCheck { at, key: check.key })),
+                None => self.remove(check.key),
             }
         }
     }
--- a/crates/core/src/gate/run.rs
+++ b/crates/core/src/gate/run.rs
@@ -79,8 +79,8 @@
         now: Millis,
     ) -> Verdict {
         self.backoff.note_admitted();
-        self.last_run += 1;
-        let id = RunId(self.last_run);
+        self.last_run_id += 1;
+        let id = RunId(self.last_run_id);
         let run = Run {
             class: arrival.class,
             deadline_at: arrival.deadline_at,
--- a/crates/core/src/gate/tests.rs
+++ b/crates/core/src/gate/tests.rs
@@ -11,7 +11,7 @@
 
 const INCARNATION: Incarnation = Incarnation(7);
 const TICKET_TTL_MS: u64 = 120_000;
-const FAR_MS: u64 = 60_000;
+const FAR_DEADLINE_MS: u64 = 60_000;
 
 fn policy() -> ServicePolicy {
     ServicePolicy {
@@ -82,7 +82,7 @@
     Arrival {
         ticket: Some(ticket),
         digest: 42,
-        ..plain(FAR_MS)
+        ..plain(FAR_DEADLINE_MS)
     }
 }
 
--- a/crates/core/src/gate/tests/admission.rs
+++ b/crates/core/src/gate/tests/admission.rs
@@ -30,7 +30,7 @@
         }),
         Millis(0),
     );
-    let running = run_of(gate.arrive(&plain(FAR_MS), Millis(0)));
+    let running = run_of(gate.arrive(&plain(FAR_DEADLINE_MS), Millis(0)));
     let mut expected = Vec::new();
     for (class, deadline) in [
         (CallClass::Background, 10_000),
@@ -62,7 +62,7 @@
     // the background calls is refused at once with a retry time. The only
     // remaining call of its class keeps its place.
     let mut gate = gate(&policy());
-    run_of(gate.arrive(&plain(FAR_MS), Millis(0)));
+    run_of(gate.arrive(&plain(FAR_DEADLINE_MS), Millis(0)));
     let [remaining, displaced] = [5_000, 6_000]
         .map(|deadline| run_of(gate.arrive(&of_class(CallClass::Background, deadline), Millis(1))));
     let payment = of_class(CallClass::Payment, 3_000);
@@ -86,10 +86,10 @@
     // remaining time.
     let mut gate = gate(&policy());
     for _ in 0..20 {
-        let run = run_of(gate.arrive(&plain(FAR_MS), Millis(0)));
+        let run = run_of(gate.arrive(&plain(FAR_DEADLINE_MS), Millis(0)));
         gate.finish(run, answered_plain(), 100_000, Millis(0));
     }
-    run_of(gate.arrive(&plain(FAR_MS), Millis(0)));
+    run_of(gate.arrive(&plain(FAR_DEADLINE_MS), Millis(0)));
     let short = gate.arrive(&plain(40), Millis(0));
     assert_eq!(code_of(short), ResultCode::DeadlineTooShort);
     let behind = gate.arrive(&plain(150), Millis(0));
@@ -110,7 +110,7 @@
     // recovery.
     let mut gate = gate(&policy());
     for _ in 0..20 {
-        let run = run_of(gate.arrive(&plain(FAR_MS), Millis(0)));
+        let run = run_of(gate.arrive(&plain(FAR_DEADLINE_MS), Millis(0)));
         gate.finish(run, answered_plain(), 10_000_000, Millis(0));
     }
     let mut tries = 0;
@@ -128,7 +128,7 @@
     // time, its gate would look like the fastest one and attract all the load.
     let mut gate = gate(&policy());
     for failed in [false, true, true, true] {
-        let run = run_of(gate.arrive(&plain(FAR_MS), Millis(0)));
+        let run = run_of(gate.arrive(&plain(FAR_DEADLINE_MS), Millis(0)));
         let end = RunEnd::Answered {
             answer: None,
             failed,
@@ -160,8 +160,8 @@
     // are told at once that they did not run, and late duplicates of them must
     // not run after the gate accepts work again.
     let mut gate = gate(&policy());
-    let running = run_of(gate.arrive(&plain(FAR_MS), Millis(0)));
-    let waiting = run_of(gate.arrive(&plain(FAR_MS), Millis(0)));
+    let running = run_of(gate.arrive(&plain(FAR_DEADLINE_MS), Millis(0)));
+    let waiting = run_of(gate.arrive(&plain(FAR_DEADLINE_MS), Millis(0)));
     gate.set_leaving(true);
     assert!(gate.load(Millis(0)).leaving);
     let ticket = ticket(1, TICKET_TTL_MS);
--- a/crates/core/src/gate/tests/at_most_once.rs
+++ b/crates/core/src/gate/tests/at_most_once.rs
@@ -10,7 +10,7 @@
     // call waits, while it runs, and after it has ended. It must get the same
     // answer each time, because a second run would charge twice.
     let mut gate = gate(&policy());
-    let first = run_of(gate.arrive(&plain(FAR_MS), Millis(1)));
+    let first = run_of(gate.arrive(&plain(FAR_DEADLINE_MS), Millis(1)));
     let ticket = ticket(1, END);
     let run = run_of(gate.arrive(&with_ticket(&ticket), Millis(2)));
     assert_eq!(
@@ -37,8 +37,8 @@
     // another gate and is served there. A late duplicate of the first send then
     // arrives when this gate is idle. It must not start.
     let mut gate = gate(&policy());
-    let running = run_of(gate.arrive(&plain(FAR_MS), Millis(1)));
-    let waiting = [2, 3].map(|now| run_of(gate.arrive(&plain(FAR_MS), Millis(now))));
+    let running = run_of(gate.arrive(&plain(FAR_DEADLINE_MS), Millis(1)));
+    let waiting = [2, 3].map(|now| run_of(gate.arrive(&plain(FAR_DEADLINE_MS), Millis(now))));
     let ticket = ticket(1, END);
     let Verdict::Refuse(refusal) = gate.arrive(&with_ticket(&ticket), Millis(4)) else {
         panic!("a full gate must refuse");
@@ -74,7 +74,7 @@
     // The call waits, another send has joined it, and a fence arrives. All of
     // them must receive "not run", and no start may follow.
     let mut gate = gate(&policy());
-    let first = run_of(gate.arrive(&plain(FAR_MS), Millis(1)));
+    let first = run_of(gate.arrive(&plain(FAR_DEADLINE_MS), Millis(1)));
     let ticket = ticket(1, END);
     let run = run_of(gate.arrive(&with_ticket(&ticket), Millis(2)));
     gate.arrive(&with_ticket(&ticket), Millis(3));
@@ -264,9 +264,9 @@
     // refusal used a record, no record would be left for calls that could be
     // served. Beyond half of the records the refusal is "not yet".
     let mut gate = gate(&policy());
-    let running = run_of(gate.arrive(&plain(FAR_MS), Millis(1)));
+    let running = run_of(gate.arrive(&plain(FAR_DEADLINE_MS), Millis(1)));
     for now in [1, 2] {
-        run_of(gate.arrive(&plain(FAR_MS), Millis(now)));
+        run_of(gate.arrive(&plain(FAR_DEADLINE_MS), Millis(now)));
     }
     let mut codes = Vec::new();
     for key in 0..6 {
@@ -419,7 +419,7 @@
     // The first caller of a waiting call leaves after another has joined, and
     // the call stays. When the second one leaves too, the key is fenced.
     let mut gate = gate(&policy());
-    let running = run_of(gate.arrive(&plain(FAR_MS), Millis(1)));
+    let running = run_of(gate.arrive(&plain(FAR_DEADLINE_MS), Millis(1)));
     let ticket = ticket(1, END);
     let run = run_of(gate.arrive(&with_ticket(&ticket), Millis(2)));
     gate.arrive(&with_ticket(&ticket), Millis(3));
--- a/crates/core/src/gate/tests/crash.rs
+++ b/crates/core/src/gate/tests/crash.rs
@@ -8,7 +8,7 @@
 fn with_fingerprint(fingerprint: u64) -> Arrival<'static> {
     Arrival {
         fingerprint,
-        ..plain(FAR_MS)
+        ..plain(FAR_DEADLINE_MS)
     }
 }
 
@@ -201,9 +201,9 @@
     // be held idle for a moment so that the suspect can run alone, but not for
     // half a minute.
     let mut gate = crashed_gate();
-    run_of(gate.arrive(&plain(FAR_MS), Millis(10)));
+    run_of(gate.arrive(&plain(FAR_DEADLINE_MS), Millis(10)));
     let suspect = run_of(gate.arrive(&with_fingerprint(1), Millis(11)));
-    let other = run_of(gate.arrive(&plain(FAR_MS), Millis(12)));
+    let other = run_of(gate.arrive(&plain(FAR_DEADLINE_MS), Millis(12)));
     assert_eq!(gate.tick(Millis(400)), []);
     let wakes = gate.tick(Millis(600));
     assert!(refused(suspect, ResultCode::Overloaded, &wakes));
@@ -214,7 +214,7 @@
 fn hanging_suspect_loses_exclusive_use_of_the_target() {
     let mut gate = crashed_gate();
     let suspect = run_of(gate.arrive(&with_fingerprint(1), Millis(10)));
-    let other = run_of(gate.arrive(&plain(FAR_MS), Millis(11)));
+    let other = run_of(gate.arrive(&plain(FAR_DEADLINE_MS), Millis(11)));
     let wakes = gate.tick(Millis(1_100));
     assert_eq!(wakes, [Wake::Start(other)]);
     gate.finish(suspect, answered_plain(), 1_000, Millis(1_200));
--- a/crates/core/src/suspects/store.rs
+++ b/crates/core/src/suspects/store.rs
@@ -94,7 +94,7 @@
             }
             let mark = self.mark(*fingerprint).after_crash(alone);
             let expires_at = now + mark.lifetime();
-            if !self.put(*fingerprint, StoredMark::new(mark, expires_at)) {
+            if !self.store(*fingerprint, StoredMark::new(mark, expires_at)) {
                 continue;
             }
             entries.push(SuspectEntry::new(*fingerprint, mark, Millis::ZERO));
@@ -111,7 +111,7 @@
             return None;
         }
         let expires_at = now + mark.lifetime();
-        self.put(fingerprint, StoredMark::new(mark, expires_at));
+        self.store(fingerprint, StoredMark::new(mark, expires_at));
         Some(SuspectEntry::new(fingerprint, mark, Millis::ZERO))
     }
 
@@ -127,12 +127,12 @@
         }
         let received = StoredMark::new(mark, expires_at);
         let Some(known) = self.known.get(&entry.fingerprint) else {
-            return self.put(entry.fingerprint, received);
+            return self.store(entry.fingerprint, received);
         };
         if known.mark > mark || (known.mark == mark && known.expires_at <= expires_at) {
             return false;
         }
-        self.put(entry.fingerprint, received)
+        self.store(entry.fingerprint, received)
     }
 
     /// Expires entries that have reached their time; returns true if a
@@ -200,13 +200,13 @@
     pub(crate) fn raise(&mut self, fingerprint: u64, mark: Mark, now: Millis) {
         if self.mark(fingerprint) < mark {
             let expires_at = now + mark.lifetime();
-            self.put(fingerprint, StoredMark::new(mark, expires_at));
+            self.store(fingerprint, StoredMark::new(mark, expires_at));
         }
     }
 
     /// Stores an entry; returns false if the store is full of more severe
     /// entries.
-    fn put(&mut self, fingerprint: u64, known: StoredMark) -> bool {
+    fn store(&mut self, fingerprint: u64, known: StoredMark) -> bool {
         if !self.known.contains_key(&fingerprint)
             && self.known.len() >= MAX_SUSPECTS
             && !self.evict(known.mark.standing)
