--- a/crates/core/src/gate/admission.rs
+++ b/crates/core/src/gate/admission.rs
@@ -5,10 +5,10 @@
 use crate::prelude::*;
 use crate::suspects::{CONVICTED_RETRY_AFTER_MS, NO_FINGERPRINT, SuspicionLevel};
 
-/// A predicted wait of up to this many service times is accepted.
+/// Bound of the predicted wait in service times.
 const MAX_WAIT_SERVICE_TIMES: f64 = 3.0;
-/// A predicted wait of up to this long is accepted in any case, so that calls
-/// wait in the queue during a stall caused by a noisy neighbour (5 to 50 ms).
+/// Minimum of that bound, so that calls wait in the queue during a stall caused
+/// by a noisy neighbour (5 to 50 ms).
 const MIN_WAIT_BOUND_US: f64 = 50_000.0;
 /// Share of its remaining time that a call may spend waiting.
 const MAX_WAIT_SHARE: f64 = 0.5;
--- a/crates/edge/src/feed/subscriptions.rs
+++ b/crates/edge/src/feed/subscriptions.rs
@@ -17,53 +17,54 @@
 use crate::prelude::*;
 use crate::source::Change;
 
-/// First pause before a reader that was lost, or was none, is asked again; doubled with
-/// each attempt in vain. Nodes that start together are ready some tenths of a second apart.
+/// First delay before a subscription is retried, after a reader was lost or turned out
+/// not to be one. The delay doubles with each failed attempt. Nodes that start together
+/// become ready within a few tenths of a second of each other.
 const FIRST_RETRY: Duration = Duration::from_millis(100);
-/// Longest such pause.
+/// Longest delay before a subscription is retried.
 const MAX_RETRY: Duration = Duration::from_secs(1);
 
-/// What a reader told.
+/// An event from the subscriptions of a node.
 #[derive(Debug)]
 pub enum FeedEvent {
-    /// Every change up to the revision, of those after the revision that was
-    /// known at the subscription.
-    Known {
+    /// An update from a reader: all changes up to `revision` since the previous update,
+    /// or since the revision that was known when the node subscribed.
+    Update {
         /// The reader.
         reader: IpAddr,
-        /// Changes in their order.
+        /// Changes in the order of their revisions.
         changes: Vec<Change>,
-        /// Nothing up to this revision is left out.
+        /// Revision up to which no change is missing.
         revision: u64,
-        /// The reader's own last read failed.
-        is_troubled: bool,
-        /// This was all that the source had published by then, but for the time that
-        /// the word was on its way.
+        /// Whether the reader's own last read of the source failed.
+        last_read_failed: bool,
+        /// Time as of which the source had published nothing newer, not corrected for the
+        /// network delay of the update.
         as_of: Millis,
     },
-    /// This node has read a configuration that its readers could not tell.
-    Read(RouteSet),
-    /// The reader tells nothing for now.
+    /// This node has read a configuration that was too large for the change feed.
+    RoutesRead(RouteSet),
+    /// The connection to the reader was lost.
     Lost {
         /// The reader.
         reader: IpAddr,
     },
 }
 
-/// The readers that this node hears.
+/// Subscriptions to the readers of this node.
 #[derive(Debug)]
 pub struct Subscriptions {
-    listening: Listening,
-    /// Everything up to this revision is known here.
-    known: Arc<AtomicU64>,
+    context: SubscriptionContext,
+    /// Revision up to which this node knows all changes.
+    known_revision: Arc<AtomicU64>,
     events: mpsc::UnboundedReceiver<FeedEvent>,
-    told: mpsc::UnboundedSender<FeedEvent>,
+    event_sender: mpsc::UnboundedSender<FeedEvent>,
     readers: BTreeMap<IpAddr, Subscription>,
 }
 
-/// How readers are heard.
+/// What the task of a subscription needs.
 #[derive(Clone, Debug)]
-struct Listening {
+struct SubscriptionContext {
     links: Arc<dyn FeedLinks>,
     waits: Waits,
     clock: ProcessClock,
@@ -75,14 +76,14 @@
     health: ReaderHealth,
 }
 
-/// What is known of a reader.
+/// Health of a reader, as seen by a subscriber.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ReaderHealth {
-    /// It is not connected, or silent.
+    /// The reader is not connected or silent.
     Lost,
-    /// It publishes, and its own last read failed.
+    /// The reader publishes, but its own last read failed.
     Unhealthy,
-    /// It publishes, and its own reads succeed.
+    /// The reader publishes, and its own reads succeed.
     Healthy,
 }
 
@@ -93,76 +94,77 @@
 }
 
 impl Subscriptions {
-    /// None yet; readers are reached over these links.
+    /// Creates an empty set of subscriptions that reaches readers over these links.
     pub(crate) fn new(links: Arc<dyn FeedLinks>, waits: Waits, clock: ProcessClock) -> Self {
-        let (told, events) = mpsc::unbounded_channel();
+        let (event_sender, events) = mpsc::unbounded_channel();
         Self {
-            listening: Listening {
+            context: SubscriptionContext {
                 links,
                 waits,
                 clock,
             },
-            known: Arc::default(),
+            known_revision: Arc::default(),
             events,
-            told,
+            event_sender,
             readers: BTreeMap::new(),
         }
     }
 
-    /// Where this node's own reads are put in beside what readers tell.
-    pub fn beside(&self) -> mpsc::UnboundedSender<FeedEvent> {
-        self.told.clone()
+    /// Returns a sender that adds this node's own reads to the events from readers.
+    pub fn event_sender(&self) -> mpsc::UnboundedSender<FeedEvent> {
+        self.event_sender.clone()
     }
 
-    /// Everything up to this revision is known here.
-    pub fn note_known(&self, revision: u64) {
-        self.known.store(revision, Ordering::Release);
+    /// Sets the revision up to which this node knows all changes.
+    pub fn set_known_revision(&self, revision: u64) {
+        self.known_revision.store(revision, Ordering::Release);
     }
 
-    /// Subscribes to these readers and to no others.
-    pub fn keep_to(&mut self, wanted: &[IpAddr]) {
+    /// Subscribes to exactly these readers.
+    pub fn set_readers(&mut self, wanted: &[IpAddr]) {
         self.readers.retain(|reader, _| wanted.contains(reader));
         let mut delay = Duration::ZERO;
         for reader in wanted {
             if self.readers.contains_key(reader) {
                 continue;
             }
-            let hearing = hear(
+            let subscription_task = run_subscription(
                 *reader,
                 delay,
-                self.listening.clone(),
-                Arc::clone(&self.known),
-                self.told.clone(),
+                self.context.clone(),
+                Arc::clone(&self.known_revision),
+                self.event_sender.clone(),
             );
             delay += self.next_subscription_delay();
             let subscription = Subscription {
-                task: tokio::spawn(hearing).abort_handle(),
+                task: tokio::spawn(subscription_task).abort_handle(),
                 health: ReaderHealth::Lost,
             };
             self.readers.insert(*reader, subscription);
         }
     }
 
-    /// Delay of each further subscription. A node without state receives all of it from
-    /// every reader that it subscribes to before the first update; when a whole fleet
-    /// starts, that would saturate the readers' links.
+    /// Delay between consecutive new subscriptions. A node without state receives the
+    /// complete state from every reader that it subscribes to before the first update.
+    /// When a whole fleet starts, that would saturate the readers' links.
     fn next_subscription_delay(&self) -> Duration {
-        match self.known.load(Ordering::Acquire) {
-            0 => self.listening.waits.publish_interval_ms().to_duration(),
+        match self.known_revision.load(Ordering::Acquire) {
+            0 => self.context.waits.publish_interval_ms().to_duration(),
             _ => Duration::ZERO,
         }
     }
 
-    /// Readers that speak and whose own reads succeed.
+    /// Number of readers that publish and whose own reads succeed.
     #[must_use]
-    pub fn sound(&self) -> usize {
+    pub fn healthy_readers(&self) -> usize {
         self.count(ReaderHealth::Healthy)
     }
 
-    /// Whether some readers publish, and none of these reaches the source.
+    /// Whether at least one reader publishes and none of the publishing readers reaches
+    /// the source.
     #[must_use]
     pub fn all_unhealthy(&self) -> bool {
-        self.sound() == 0 && self.count(ReaderHealth::Unhealthy) > 0
+        self.healthy_readers() == 0 && self.count(ReaderHealth::Unhealthy) > 0
     }
 
     fn count(&self, health: ReaderHealth) -> usize {
@@ -170,19 +172,19 @@
         readers.filter(|reader| reader.health == health).count()
     }
 
-    /// What is told next. Safe to cancel.
+    /// Returns the next event. Cancel safe.
     pub async fn next(&mut self) -> FeedEvent {
         let event = self.events.recv().await;
         let event = event.expect("this struct holds a sender");
         let (reader, health) = match &event {
-            FeedEvent::Known {
+            FeedEvent::Update {
                 reader,
-                is_troubled: true,
+                last_read_failed: true,
                 ..
             } => (reader, ReaderHealth::Unhealthy),
-            FeedEvent::Known { reader, .. } => (reader, ReaderHealth::Healthy),
+            FeedEvent::Update { reader, .. } => (reader, ReaderHealth::Healthy),
             FeedEvent::Lost { reader } => (reader, ReaderHealth::Lost),
-            FeedEvent::Read(_) => return event,
+            FeedEvent::RoutesRead(_) => return event,
         };
         if let Some(subscription) = self.readers.get_mut(reader) {
             subscription.health = health;
@@ -191,25 +193,32 @@
     }
 }
 
-/// Hears one reader for as long as it is wanted.
-async fn hear(
+/// Keeps a subscription to one reader open until the task is aborted.
+async fn run_subscription(
     reader: IpAddr,
     delay: Duration,
-    listening: Listening,
-    known: Arc<AtomicU64>,
-    told: mpsc::UnboundedSender<FeedEvent>,
+    context: SubscriptionContext,
+    known_revision: Arc<AtomicU64>,
+    event_sender: mpsc::UnboundedSender<FeedEvent>,
 ) {
-    let mut was_heard = false;
+    let mut is_established = false;
     let mut retry = FIRST_RETRY;
     tokio::time::sleep(delay).await;
     loop {
-        let ended = hear_once(reader, &listening, &known, &told, &mut was_heard).await;
-        if was_heard {
-            log::info!("the reader {reader} is not heard any more: {ended}");
-            was_heard = false;
+        let fault = subscribe_once(
+            reader,
+            &context,
+            &known_revision,
+            &event_sender,
+            &mut is_established,
+        )
+        .await;
+        if is_established {
+            log::info!("lost the subscription to the reader {reader}: {fault}");
+            is_established = false;
             retry = FIRST_RETRY;
             let lost = FeedEvent::Lost { reader };
-            if told.send(lost).is_err() {
+            if event_sender.send(lost).is_err() {
                 return;
             }
         }
@@ -218,28 +227,28 @@
     }
 }
 
-async fn hear_once(
+async fn subscribe_once(
     reader: IpAddr,
-    listening: &Listening,
-    known: &AtomicU64,
-    told: &mpsc::UnboundedSender<FeedEvent>,
-    was_heard: &mut bool,
+    context: &SubscriptionContext,
+    known_revision: &AtomicU64,
+    event_sender: &mpsc::UnboundedSender<FeedEvent>,
+    is_established: &mut bool,
 ) -> LinkFault {
-    let known = known.load(Ordering::Acquire);
-    let timeout = listening.waits.publish_interval_ms().to_duration();
-    let opening = tokio::time::timeout(timeout, listening.links.open(reader, known));
-    let mut words = match opening.await {
-        Ok(Ok(words)) => words,
+    let known_revision = known_revision.load(Ordering::Acquire);
+    let timeout = context.waits.publish_interval_ms().to_duration();
+    let opening = tokio::time::timeout(timeout, context.links.open(reader, known_revision));
+    let mut stream = match opening.await {
+        Ok(Ok(stream)) => stream,
         Ok(Err(fault)) => return fault,
-        Err(silence) => return LinkFault::Io(silence.into()),
+        Err(elapsed) => return LinkFault::Io(elapsed.into()),
     };
     let mut changes = Vec::new();
     loop {
-        let silence = listening.waits.reader_timeout_ms().to_duration();
-        let frame = match tokio::time::timeout(silence, words.next()).await {
+        let reader_timeout = context.waits.reader_timeout_ms().to_duration();
+        let frame = match tokio::time::timeout(reader_timeout, stream.next()).await {
             Ok(Ok(frame)) => frame,
             Ok(Err(fault)) => return fault,
-            Err(silence) => return LinkFault::Io(silence.into()),
+            Err(elapsed) => return LinkFault::Io(elapsed.into()),
         };
         match frame {
             ToEntry::Change(encoded) => match decode(&encoded) {
@@ -251,23 +260,23 @@
                 last_read_failed,
                 age_ms,
             } => {
-                if !*was_heard {
-                    *was_heard = true;
-                    log::info!(revision; "changes are heard from the reader {reader}");
+                if !*is_established {
+                    *is_established = true;
+                    log::info!(revision; "subscribed to changes from the reader {reader}");
                 }
-                let event = FeedEvent::Known {
+                let event = FeedEvent::Update {
                     reader,
                     changes: std::mem::take(&mut changes),
                     revision,
-                    is_troubled: last_read_failed,
-                    as_of: listening.clock.now().minus(age_ms),
+                    last_read_failed,
+                    as_of: context.clock.now().minus(age_ms),
                 };
-                if told.send(event).is_err() {
+                if event_sender.send(event).is_err() {
                     return LinkFault::Closed;
                 }
             }
             ToEntry::FeedUnavailable => return LinkFault::Closed,
-            // What a gate tells its entries is of no use here.
+            // Messages from a gate to its entries are irrelevant here.
             _ => {}
         }
     }
--- a/crates/edge/src/link/server.rs
+++ b/crates/edge/src/link/server.rs
@@ -72,7 +72,7 @@
             incarnation: self.incarnation,
         };
         let _ = answers.send(hello);
-        let (known, updates) = self.suspicion.follow();
+        let (known, updates) = self.suspicion.subscribe();
         for notice in known {
             let _ = answers.send(ToEntry::Suspect(notice));
         }
@@ -168,7 +168,7 @@
                     let sink = answer_sink(id, self.answers.clone(), ActiveCalls::default());
                     self.gate.fence(key, sink);
                 }
-                ToGate::Suspect(notice) => self.suspicion.hear(&notice),
+                ToGate::Suspect(notice) => self.suspicion.merge_notice(&notice),
                 ToGate::Facts(encoded) => adopt_facts(&self.directory, &encoded),
                 ToGate::Ping => {
                     let _ = self.answers.send(ToEntry::Pong);
@@ -176,7 +176,7 @@
                 ToGate::Subscribe { revision } => {
                     let feed = Arc::clone(&self.feed);
                     let answers = self.answers.clone();
-                    tokio::spawn(async move { feed.tell(revision, &answers).await });
+                    tokio::spawn(async move { feed.serve(revision, &answers).await });
                 }
             }
         }
--- a/crates/edge/src/suspicion.rs
+++ b/crates/edge/src/suspicion.rs
@@ -1,4 +1,5 @@
-//! Requests that crash targets: what this node knows, and what it tells others.
+//! Requests that are suspected of crashing targets, and the notices by which nodes share
+//! them.
 
 use hornbeamhitch_core::suspects::{SuspectEntry, Suspects, SuspicionLevel};
 use hornbeamhitch_wire::link::SuspectNotice;
@@ -11,95 +12,99 @@
 #[cfg(test)]
 mod tests;
 
-/// Notices that wait for a link to send them; a link that lags further has been
-/// told most, and hears the rest from others.
-const WAITING_NOTICES: usize = 256;
+/// Notices queued for a slow link. A link that lags further has already sent most of
+/// them, and its peer receives the rest from other nodes.
+const NOTICE_CAPACITY: usize = 256;
 
-/// What is held against requests, shared by this node's entry, gate and links.
+/// The suspected requests, shared by this node's entry, gate and links.
 ///
-/// Failure answered: a request crashes each target that runs it, and its caller
-/// sends it again, to any node. Every node that hears of the crashes refuses it;
-/// the word goes over all open links and on from there. Links exist wherever
-/// calls go, so who might send the request to a target hears of it.
+/// A request may crash each target that runs it while its caller retries it at any node.
+/// All nodes that learn of the crashes reject it. Notices are sent over all open links,
+/// and each node forwards them. Links exist wherever calls are sent, so each node that
+/// could send the request to a target receives the notice.
 #[derive(Debug)]
 pub struct Suspicion {
-    known: Mutex<Suspects>,
-    news: broadcast::Sender<SuspectNotice>,
+    suspects: Mutex<Suspects>,
+    notices: broadcast::Sender<SuspectNotice>,
     clock: ProcessClock,
 }
 
 impl Suspicion {
-    /// Nothing is held against anyone yet.
+    /// Creates an empty set of suspected requests.
     #[must_use]
     pub fn new(clock: ProcessClock) -> Self {
         Self {
-            known: Mutex::new(Suspects::new()),
-            news: broadcast::channel(WAITING_NOTICES).0,
+            suspects: Mutex::new(Suspects::new()),
+            notices: broadcast::channel(NOTICE_CAPACITY).0,
             clock,
         }
     }
 
-    /// Whether a request is refused everywhere.
+    /// Whether the request is rejected by all nodes.
     #[must_use]
     pub fn is_convicted(&self, fingerprint: u64) -> bool {
-        self.known.lock().level(fingerprint) == SuspicionLevel::Convicted
+        self.suspects.lock().level(fingerprint) == SuspicionLevel::Convicted
     }
 
-    /// The target has crashed with these requests in flight.
+    /// Records that the target crashed with these requests in flight.
     pub fn observe_crash(&self, fingerprints: &[u64]) {
-        let alone = fingerprints.len() == 1;
+        let is_only_request = fingerprints.len() == 1;
         let now = self.clock.now();
-        let entries = self.known.lock().observe_crash(fingerprints, alone, now);
+        let entries = self
+            .suspects
+            .lock()
+            .observe_crash(fingerprints, is_only_request, now);
         for entry in &entries {
             let standing: &'static str = entry.standing.into();
             let crashes = entry.crashes;
             let fingerprint = format!("{:016x}", entry.fingerprint);
-            log::warn!(fingerprint, standing, crashes; "a request was in flight in a crash");
-            self.tell(entry);
+            log::warn!(fingerprint, standing, crashes; "a target crashed with a request in flight");
+            self.broadcast(entry);
         }
     }
 
-    /// A request ran well. It may share its fingerprint with others that do, so
-    /// any good run clears it, not only one alone.
-    pub fn ran_well(&self, fingerprint: u64) {
-        let mut known = self.known.lock();
-        if known.is_empty() {
+    /// Records that a request succeeded. Other requests may share its fingerprint, so any
+    /// success clears it, not only that of a request running on its own.
+    pub fn note_success(&self, fingerprint: u64) {
+        let mut suspects = self.suspects.lock();
+        if suspects.is_empty() {
             return;
         }
-        let cleared = known.clear(fingerprint, self.clock.now());
-        drop(known);
+        let cleared = suspects.clear(fingerprint, self.clock.now());
+        drop(suspects);
         if let Some(entry) = cleared {
-            self.tell(&entry);
+            self.broadcast(&entry);
         }
     }
 
-    /// Takes in what another node says, and passes on what is new.
-    pub fn hear(&self, notice: &SuspectNotice) {
+    /// Merges a notice from another node, and forwards it if it is new.
+    pub fn merge_notice(&self, notice: &SuspectNotice) {
         let Some(entry) = from_notice(notice) else {
-            log::warn!("a notice with an unknown standing was dropped");
+            log::warn!("dropped a notice with an unknown standing");
             return;
         };
-        if self.known.lock().merge(&entry, self.clock.now()) {
-            self.tell(&entry);
+        if self.suspects.lock().merge(&entry, self.clock.now()) {
+            self.broadcast(&entry);
         }
     }
 
-    /// All that is known, for a link that has just opened, and what follows.
-    pub fn follow(&self) -> (Vec<SuspectNotice>, broadcast::Receiver<SuspectNotice>) {
-        let news = self.news.subscribe();
-        let known = self.known.lock();
-        let entries = known.entries(self.clock.now());
-        (entries.map(|entry| to_notice(&entry)).collect(), news)
+    /// Returns all current notices, for a link that has just opened, and a receiver of
+    /// later ones.
+    pub fn subscribe(&self) -> (Vec<SuspectNotice>, broadcast::Receiver<SuspectNotice>) {
+        let notices = self.notices.subscribe();
+        let suspects = self.suspects.lock();
+        let entries = suspects.entries(self.clock.now());
+        (entries.map(|entry| to_notice(&entry)).collect(), notices)
     }
 
-    fn tell(&self, entry: &SuspectEntry) {
-        // Without links there is nobody to tell.
-        let _ = self.news.send(to_notice(entry));
+    fn broadcast(&self, entry: &SuspectEntry) {
+        // Sending fails only if there are no links.
+        let _ = self.notices.send(to_notice(entry));
     }
 }
 
-/// Hash of what a request has in common with its next sending: method, path,
-/// body, and the service beside which it began.
+/// Hash of the properties that a request shares with its retries: method, path, body and
+/// the service of the caller.
 #[must_use]
 pub fn fingerprint(method: &str, path: &str, body: &[u8], caller: &ServiceName) -> u64 {
     let mut hash = Xxh3::new();
--- a/crates/edge/tests/all/bounded_age.rs
+++ b/crates/edge/tests/all/bounded_age.rs
@@ -1,4 +1,4 @@
-//! How old that may be which a node acts on.
+//! Tests that the staleness of the state that a node acts on stays bounded.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,23 +12,23 @@
 use hornbeamhitch_edge::source::Fact;
 
 use crate::support::caller::request;
-use crate::support::source::{Mood, Published, TestSource};
+use crate::support::source::{Published, SourceMode, TestSource};
 use crate::support::target::FakeTarget;
-use crate::support::{self, member, route, same_port, start_following_vm};
+use crate::support::{self, bind_same_port, member, route, start_following_vm};
 
-/// Within this a change must be in force.
+/// Time within which a change must be in force.
 const IN_FORCE_MS: Millis = Millis(2_000);
-/// A gate looks its target's entry up in the source of a test within this.
-const LOOK_UP_WITHIN: Duration = Duration::from_millis(500);
+/// Time within which a gate looks up its target's entry in the source of a test.
+const LOOKUP_DEADLINE: Duration = Duration::from_millis(500);
 
-/// A node that reads for itself, on this runtime.
-struct Alone {
+/// A node without readers, on the runtime of the test.
+struct StandaloneNode {
     published: Published,
     source: TestSource,
     directory: SharedDirectory,
 }
 
-impl Alone {
+impl StandaloneNode {
     fn start() -> Self {
         let published = Published::new();
         published.put_version(1);
@@ -57,33 +57,33 @@
     }
 }
 
-/// Callers are answered 404 for a route that was confirmed 2.6 s ago. The platform had
-/// taken a watch and fallen silent; it came back, and took a new configuration. The node
-/// still waited for the answer to its watch, which nobody would send: no change and no
-/// platform look alike.
+/// Guards against callers that receive 404 for a route that was confirmed 2.6 s ago. The
+/// platform had accepted a watch, fallen silent, and accepted a new configuration when it
+/// was back. The node was still waiting for the lost watch, because a lost watch looks
+/// like one without changes.
 #[tokio::test(start_paused = true)]
-async fn a_watch_that_is_never_answered_hides_no_change() {
-    let node = Alone::start();
+async fn a_lost_watch_hides_no_change() {
+    let node = StandaloneNode::start();
     tokio::time::sleep(Duration::from_secs(60)).await;
     assert_eq!(node.version(), Some(1));
     for version in 2..50 {
-        node.source.set_mood(Mood::Losing);
-        // The outage ends at another point of the node's wait each time.
+        node.source.set_mode(SourceMode::DroppingCalls);
+        // The outage ends at a different point of the node's watch each time.
         tokio::time::sleep(Duration::from_millis(4_000 + version * 130)).await;
-        node.source.set_mood(Mood::Calm);
+        node.source.set_mode(SourceMode::Normal);
         node.published.put_version(version);
         tokio::time::sleep(IN_FORCE_MS.to_duration()).await;
         assert_eq!(node.version(), Some(version));
     }
 }
 
-/// Work reaches a target 2.6 s after it has said that it leaves, through the gate beside
-/// it. The gate asked the target's health before each start and was told so each time; it
-/// waited to hear it from afar, where a large configuration was on the way. Here nothing
-/// comes from afar at all.
+/// Guards against work that reaches a target through its own gate 2.6 s after the target
+/// announced that it drains. The gate checked the target's health before each call and
+/// learnt of it each time, but waited for the entry's change, which was delayed behind a
+/// large configuration. In this test the change never arrives at all.
 #[tokio::test]
-async fn a_gate_learns_from_its_own_target_that_it_leaves() {
-    let (gate_port, mut listeners) = same_port(1).await;
+async fn a_gate_learns_from_its_own_target_that_it_is_draining() {
+    let (gate_port, mut listeners) = bind_same_port(1).await;
     let (ip, links) = listeners.remove(0);
     let target = FakeTarget::start(ip, "life-0").await;
     let entry = member(0, "s", target.address);
@@ -100,27 +100,33 @@
         async |number: usize| request(vm.callers, "POST", "/pay/", &format!("id-{number}")).await;
     while pay(0).await.status() != 200 {}
 
-    source.set_mood(Mood::LosingWatches);
+    source.set_mode(SourceMode::DroppingWatches);
     vm.target.set_leaving(true);
     published.put(Fact::Listed(Member {
         draining: true,
         ..entry
     }));
     let mut number = 1;
-    let refused = async {
+    let rejected = async {
         while pay(number).await.status() == 200 {
             number += 1;
         }
     };
-    let mut refused = std::pin::pin!(refused);
-    // The target was asked just before it began to leave, and is asked again after this.
-    let asked_again = Waits::new(support::IN_FORCE_MS).own_health_interval_ms();
-    let learnt = asked_again.to_duration() + LOOK_UP_WITHIN;
-    let is_refused = tokio::time::timeout(learnt, &mut refused).await.is_ok();
+    let mut rejected = std::pin::pin!(rejected);
+    // The target's health was checked just before it began to drain, and is checked again
+    // after this interval.
+    let health_interval = Waits::new(support::IN_FORCE_MS).own_health_interval_ms();
+    let detection_limit = health_interval.to_duration() + LOOKUP_DEADLINE;
+    let is_rejected = tokio::time::timeout(detection_limit, &mut rejected)
+        .await
+        .is_ok();
     let ran = vm.target.ran().len();
-    if !is_refused {
-        let at_last = tokio::time::timeout(Duration::from_secs(10), refused).await;
-        assert!(at_last.is_ok(), "payments run in a leaving target");
+    if !is_rejected {
+        let eventually = tokio::time::timeout(Duration::from_secs(10), rejected).await;
+        assert!(
+            eventually.is_ok(),
+            "payments still run in a draining target"
+        );
     }
     assert_eq!(vm.target.ran().len(), ran);
 }
--- a/crates/edge/tests/all/support/follower.rs
+++ b/crates/edge/tests/all/support/follower.rs
@@ -21,21 +21,21 @@
 use tokio::sync::oneshot;
 
 use super::source::{Published, TestSource};
-use super::{TestDialect, link_server, member, same_port};
+use super::{TestDialect, bind_same_port, link_server, member};
 
-/// Where the members of tests stand.
+/// Data centre of the tests' members.
 const DATA_CENTRE: &str = "here";
-/// Within this changes must be in force.
+/// Time within which changes must be in force.
 const IN_FORCE_MS: Millis = Millis(1_000);
 
-/// One node, on a thread of its own.
+/// A node on a thread of its own.
 pub struct Follower {
     pub ip: IpAddr,
     pub source: TestSource,
     pub directory: SharedDirectory,
     runtime: Handle,
-    /// Its drop ends the thread.
-    _alive: oneshot::Sender<()>,
+    /// Dropping it ends the thread.
+    _shutdown: oneshot::Sender<()>,
 }
 
 /// Nodes of one data centre that follow the same source.
@@ -44,19 +44,19 @@
     pub nodes: Vec<Follower>,
 }
 
-/// Starts nodes, and waits until each knows all and has its role.
+/// Starts nodes, and waits until each knows the complete state and has its role.
 pub async fn followers(count: usize) -> Followers {
-    let (followers, listed) = unlisted(count, IN_FORCE_MS).await;
+    let (followers, listed) = start_unlisted(count, IN_FORCE_MS).await;
     followers.published.put_all(listed);
-    followers.until_told().await;
+    followers.until_settled().await;
     followers
 }
 
-/// Starts nodes whose targets are not listed yet, and gives the entries to come.
-pub async fn unlisted(count: usize, in_force_ms: Millis) -> (Followers, Vec<Fact>) {
+/// Starts nodes whose targets are not listed yet, and returns the entries to be listed.
+pub async fn start_unlisted(count: usize, in_force_ms: Millis) -> (Followers, Vec<Fact>) {
     let published = Published::new();
     published.put_version(1);
-    let (port, listeners) = same_port(count).await;
+    let (port, listeners) = bind_same_port(count).await;
     let mut nodes = Vec::new();
     let mut listed = Vec::new();
     for (number, (ip, listener)) in listeners.into_iter().enumerate() {
@@ -68,9 +68,9 @@
 }
 
 impl Followers {
-    /// Waits until whoever follows others has stopped to read for itself: a
-    /// change then costs it no call.
-    async fn until_told(&self) {
+    /// Waits until followers have stopped reading the source, so that a change costs them
+    /// no call.
+    async fn until_settled(&self) {
         let mut version = 1;
         loop {
             let before: Vec<u64> = self.nodes.iter().map(|node| node.source.calls()).collect();
@@ -81,7 +81,7 @@
             let mut before = before.into_iter();
             let settled = self.nodes.iter().all(|node| {
                 let before = before.next().expect("as many as nodes");
-                node.reads() || node.source.calls() == before
+                node.is_reader() || node.source.calls() == before
             });
             if settled {
                 return;
@@ -89,29 +89,29 @@
         }
     }
 
-    /// Waits until a version is in force everywhere.
+    /// Waits until a version is in force on all nodes.
     pub async fn until_version(&self, version: u64) {
         for node in &self.nodes {
             node.until_version(version).await;
         }
     }
 
-    /// The entry of a node's VM lapses, and those of so many others that read
-    /// for nobody.
-    pub fn lapse(&self, node: &Follower, others: usize) -> Vec<TargetId> {
-        let mut lapsing = vec![node.target_id()];
+    /// Removes the entry of a node's VM and those of `others` further nodes that are not
+    /// readers, as if they had expired. Returns the removed targets.
+    pub fn expire_entries(&self, node: &Follower, others: usize) -> Vec<TargetId> {
+        let mut expiring = vec![node.target_id()];
         let rest = self
             .nodes
             .iter()
-            .filter(|other| other.ip != node.ip && !other.reads());
-        lapsing.extend(rest.skip(1).take(others).map(Follower::target_id));
-        for id in &lapsing {
-            self.published.put(Fact::Left(id.clone()));
+            .filter(|other| other.ip != node.ip && !other.is_reader());
+        expiring.extend(rest.skip(1).take(others).map(Follower::target_id));
+        for id in &expiring {
+            self.published.put(Fact::Removed(id.clone()));
         }
-        lapsing
+        expiring
     }
 
-    /// The version in force at the first node.
+    /// The version in force on the first node.
     pub fn version(&self) -> u64 {
         self.nodes[0].version()
     }
@@ -121,7 +121,7 @@
     }
 
     pub fn readers(&self) -> impl Iterator<Item = &Follower> {
-        self.nodes.iter().filter(|node| node.reads())
+        self.nodes.iter().filter(|node| node.is_reader())
     }
 }
 
@@ -163,8 +163,8 @@
         let writer = DirectoryWriter::new(Arc::clone(&directory), clock);
         let following = following::follow(Arc::new(source.clone()), writer, feed, settings);
         let listener = listener.into_std().expect("an open socket");
-        let (alive, ended) = oneshot::channel();
-        let runtime = on_own_thread(ended);
+        let (shutdown, stopped) = oneshot::channel();
+        let runtime = on_own_thread(stopped);
         runtime.spawn(async move {
             let listener = TcpListener::from_std(listener).expect("an open socket");
             server.accept(listener).await;
@@ -175,11 +175,11 @@
             source,
             directory,
             runtime,
-            _alive: alive,
+            _shutdown: shutdown,
         }
     }
 
-    /// The node does nothing more; its links stay open.
+    /// Blocks the node's thread; its links stay open.
     pub fn freeze(&self) {
         self.runtime.spawn(async {
             loop {
@@ -188,12 +188,12 @@
         });
     }
 
-    /// Whether it reads for others.
-    pub fn reads(&self) -> bool {
+    /// Whether the node is a reader.
+    pub fn is_reader(&self) -> bool {
         self.role().is_reader()
     }
 
-    /// Whether it reads when the readers cannot.
+    /// Whether the node is a reserve, which reads when the readers cannot.
     pub fn is_reserve(&self) -> bool {
         self.role().is_reserve()
     }
@@ -215,8 +215,8 @@
         directory.routes.as_ref().map_or(0, |known| known.version())
     }
 
-    /// Waits for its next call to the source.
-    pub async fn until_read(&self) {
+    /// Waits for the next call of the node to the source.
+    pub async fn until_next_call(&self) {
         let before = self.source.calls();
         self.until("a read", |_| self.source.calls() > before).await;
     }
@@ -226,28 +226,28 @@
             .await;
     }
 
-    /// Waits until its directory is so.
-    pub async fn until(&self, what: &str, holds: impl Fn(&Directory) -> bool) {
+    /// Waits until the node's directory fulfils a condition.
+    pub async fn until(&self, what: &str, condition: impl Fn(&Directory) -> bool) {
         let waiting = async {
-            while !holds(&self.directory.load()) {
+            while !condition(&self.directory.load()) {
                 tokio::time::sleep(Duration::from_millis(2)).await;
             }
         };
         let waited = tokio::time::timeout(Duration::from_secs(30), waiting).await;
-        assert!(waited.is_ok(), "{} waited in vain for {what}", self.ip);
+        assert!(waited.is_ok(), "{} timed out waiting for {what}", self.ip);
     }
 }
 
-/// A runtime that runs until the channel is closed.
-fn on_own_thread(ended: oneshot::Receiver<()>) -> Handle {
+/// Starts a runtime that runs until the channel is closed.
+fn on_own_thread(stopped: oneshot::Receiver<()>) -> Handle {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build();
     let runtime = runtime.expect("a runtime");
     let handle = runtime.handle().clone();
     std::thread::spawn(move || {
-        // The sender is only ever dropped.
-        let _ = runtime.block_on(ended);
+        // The sender is dropped without sending.
+        let _ = runtime.block_on(stopped);
     });
     handle
 }
--- a/crates/routed/src/source.rs
+++ b/crates/routed/src/source.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use hornbeamhitch_dispatch::prelude::*;
-use hornbeamhitch_edge::source::{Change, Changes, Fact, Listing, Reading, Source, SourceFault};
+use hornbeamhitch_edge::source::{Change, Changes, Fact, Listing, ReadFuture, Source, SourceFault};
 use hornbeamhitch_node::platform::{PlatformReader, PublishedText, PublishedVms};
 use hornbeamhitch_text::CheckedText;
 use hornbeamhitch_types::prelude::ConfigVersion;
@@ -185,20 +185,25 @@
 }
 
 impl Source for NativeSource {
-    fn read_all(&self, silence_ms: Millis) -> Reading<'_, Listing> {
+    fn read_all(&self, idle_timeout_ms: Millis) -> ReadFuture<'_, Listing> {
         Box::pin(with_timeout(
-            silence_ms.to_duration(),
+            idle_timeout_ms.to_duration(),
             self.read_text_and_vms(),
         ))
     }
 
-    fn read_stale(&self, silence_ms: Millis) -> Reading<'_, Listing> {
+    fn read_stale(&self, idle_timeout_ms: Millis) -> ReadFuture<'_, Listing> {
         // This platform has no cheaper stale read.
-        self.read_all(silence_ms)
+        self.read_all(idle_timeout_ms)
     }
 
-    fn watch(&self, after: u64, wait_ms: Millis, silence_ms: Millis) -> Reading<'_, Changes> {
-        let limit = wait_ms.to_duration() + silence_ms.to_duration();
+    fn watch(
+        &self,
+        after: u64,
+        wait_ms: Millis,
+        idle_timeout_ms: Millis,
+    ) -> ReadFuture<'_, Changes> {
+        let limit = wait_ms.to_duration() + idle_timeout_ms.to_duration();
         Box::pin(with_timeout(limit, async move {
             let known = self.published.lock().revision();
             if after != known {
@@ -213,9 +218,9 @@
     fn read_target<'a>(
         &'a self,
         id: &'a TargetId,
-        silence_ms: Millis,
-    ) -> Reading<'a, Option<Member>> {
-        Box::pin(with_timeout(silence_ms.to_duration(), async move {
+        idle_timeout_ms: Millis,
+    ) -> ReadFuture<'a, Option<Member>> {
+        Box::pin(with_timeout(idle_timeout_ms.to_duration(), async move {
             let read = self.reader.vms(None, ListVersion(0), Millis::ZERO).await;
             let Some(read) = read.map_err(read_failed)? else {
                 return Ok(None);
@@ -226,8 +231,8 @@
         }))
     }
 
-    fn read_routes(&self, silence_ms: Millis) -> Reading<'_, Option<RouteSet>> {
-        Box::pin(with_timeout(silence_ms.to_duration(), async move {
+    fn read_routes(&self, idle_timeout_ms: Millis) -> ReadFuture<'_, Option<RouteSet>> {
+        Box::pin(with_timeout(idle_timeout_ms.to_duration(), async move {
             let read = self.reader.text(ConfigVersion(0), Millis::ZERO).await;
             Ok(read.map_err(read_failed)?.as_ref().and_then(route_set))
         }))
@@ -263,7 +268,7 @@
 
 fn diff_members(before: &BTreeMap<TargetId, Member>, now: BTreeMap<TargetId, Member>) -> Vec<Fact> {
     let gone = before.keys().filter(|id| !now.contains_key(*id));
-    let mut facts: Vec<Fact> = gone.cloned().map(Fact::Left).collect();
+    let mut facts: Vec<Fact> = gone.cloned().map(Fact::Removed).collect();
     for (id, member) in now {
         if before.get(&id) != Some(&member) {
             facts.push(Fact::Listed(member));
