--- a/crates/core/src/control/leaving.rs
+++ b/crates/core/src/control/leaving.rs
@@ -1,35 +1,36 @@
-//! Announcing that this node takes no new work.
+//! Announces that this node accepts no new work.
 //!
-//! The promise that a leaving target gets no new work is kept by its gate,
-//! which refuses. Announcements keep callers from running into refusals; they
-//! go at once to those that lately sent work here and to peers of the service,
-//! three times, because a single datagram may be lost. Every heartbeat repeats
-//! the word from then on.
+//! The gate of a leaving target enforces that it gets no new work by rejecting calls.
+//! Announcements spare callers these rejections. They go at once to the nodes that
+//! recently sent work here and to peers of the same service, three times because a single
+//! datagram may be lost. Every later heartbeat repeats the state.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
 use hornbeamhitch_wire::control::DatagramBody;
 
-use super::board::{Board, Controller, Dirt, Input};
+use super::board::{Board, Controller, Input, PendingPublish};
 use crate::prelude::*;
 
-/// Senders of work remembered; the longest silent gives way.
+/// Limit of stored senders of work. When it is reached, the one that has been idle
+/// longest is replaced.
 const MAX_SENDERS: usize = 128;
-/// Senders that sent nothing for this long are forgotten.
+/// Senders are dropped after this time without work from them.
 const SENDER_IDLE_AFTER: Millis = Millis::from_secs(60);
-/// Peers of the own service told at once; the rest hear by heartbeats.
-const KIN_TOLD: usize = 16;
-/// When the word is sent, counted from the start of leaving.
-const REPEATS: [Millis; 3] = [Millis(0), Millis(300), Millis(900)];
+/// Peers of the node's own service that are notified directly. The others learn of it from
+/// heartbeats.
+const SERVICE_PEERS_NOTIFIED: usize = 16;
+/// Times of the announcements, relative to the start of leaving.
+const ANNOUNCE_DELAYS: [Millis; 3] = [Millis(0), Millis(300), Millis(900)];
 
-/// The controller of leaving.
+/// Controller that announces leaving.
 #[derive(Debug, Default)]
 pub(super) struct Leaving {
     senders: BTreeMap<SocketAddr, Millis>,
-    /// When this node stopped to take work.
+    /// Time since which this node accepts no new work.
     since: Option<Millis>,
-    repeats_done: usize,
+    announcements_sent: usize,
 }
 
 impl Leaving {
@@ -49,25 +50,25 @@
         let Some(since) = self.since else {
             return;
         };
-        let Some(delay) = REPEATS.get(self.repeats_done) else {
+        let Some(delay) = ANNOUNCE_DELAYS.get(self.announcements_sent) else {
             return;
         };
         if board.now < since + *delay {
             return;
         }
-        self.repeats_done += 1;
+        self.announcements_sent += 1;
         let service = board.settings.service.clone();
         let rng = &mut board.rng;
-        let kin = board
-            .members
-            .choose(rng, KIN_TOLD, |member| member.service == service);
-        let mut told: Vec<SocketAddr> = self.senders.keys().copied().collect();
-        for recipient in kin {
-            if !told.contains(&recipient.control) {
-                told.push(recipient.control);
+        let service_peers = board.members.choose(rng, SERVICE_PEERS_NOTIFIED, |member| {
+            member.service == service
+        });
+        let mut recipients: Vec<SocketAddr> = self.senders.keys().copied().collect();
+        for recipient in service_peers {
+            if !recipients.contains(&recipient.control) {
+                recipients.push(recipient.control);
             }
         }
-        for address in told {
+        for address in recipients {
             board.send(address, DatagramBody::Leaving);
         }
     }
@@ -87,12 +88,12 @@
         match (board.takes_no_work(), self.since) {
             (true, None) => {
                 self.since = Some(board.now);
-                self.repeats_done = 0;
-                board.soil(Dirt::Routes);
+                self.announcements_sent = 0;
+                board.request_publish(PendingPublish::Routes);
             }
             (false, Some(_)) => {
                 self.since = None;
-                board.soil(Dirt::Routes);
+                board.request_publish(PendingPublish::Routes);
             }
             _ => {}
         }
--- a/crates/core/src/control/probing.rs
+++ b/crates/core/src/control/probing.rs
@@ -1,8 +1,8 @@
-//! Probes of gates, within the measuring budget of the text.
+//! Probes of gates, within the probe budget of the configuration text.
 //!
-//! Only a target that this node may soon send to, and of which nothing recent
-//! is known, is worth a probe. The probe goes to the gate, which knows its
-//! target's load exactly; the target itself is never asked.
+//! A probe is sent only for a target to which this node may soon send calls and about
+//! which it has no recent information. It goes to the gate, which knows the exact load of
+//! its target. The target itself is never probed.
 
 use std::collections::BTreeMap;
 
@@ -13,63 +13,64 @@
 use crate::budget::TokenBucket;
 use crate::prelude::*;
 
-/// A service is sent to as long as the last call is no older than this.
+/// A service is in use if the last call to it is at most this old.
 const IN_USE_FOR: Millis = Millis::from_secs(10);
-/// What is older than this is not recent.
-const RECENT: Millis = Millis::from_secs(3);
-/// The same gate is not probed again within this time.
-const PROBED_EVERY: Millis = Millis::from_secs(3);
-/// How often probes are considered.
-const LOOK_EVERY: Millis = Millis(200);
-/// Probes answered a second, and at once.
+/// Information older than this is not recent.
+const RECENT_WITHIN: Millis = Millis::from_secs(3);
+/// Minimum time between two probes of the same gate.
+const MIN_PROBE_INTERVAL: Millis = Millis::from_secs(3);
+/// Interval between searches for gates to probe.
+const CHECK_INTERVAL: Millis = Millis(200);
+/// Rate and burst of answered probes per second.
 const REPLIES_PER_S: f64 = 50.0;
 const REPLY_BURST: u32 = 100;
 
-/// One service that is sent to.
+/// A service to which this node sends calls.
 #[derive(Debug)]
-struct InUse {
+struct UsedService {
     used_at: Millis,
     budget: Option<TokenBucket>,
 }
 
-/// The controller of probes.
+/// Controller that sends and answers probes.
 #[derive(Debug)]
 pub(super) struct Probing {
-    in_use: BTreeMap<ServiceName, InUse>,
-    looked_at: Millis,
-    replies: TokenBucket,
+    used_services: BTreeMap<ServiceName, UsedService>,
+    checked_at: Millis,
+    reply_budget: TokenBucket,
 }
 
 impl Probing {
-    /// No service is sent to yet.
+    /// Creates the controller before any call.
     pub(super) fn new(now: Millis) -> Self {
         Self {
-            in_use: BTreeMap::new(),
-            looked_at: Millis::ZERO,
-            replies: TokenBucket::new(REPLIES_PER_S, REPLY_BURST, now),
+            used_services: BTreeMap::new(),
+            checked_at: Millis::ZERO,
+            reply_budget: TokenBucket::new(REPLIES_PER_S, REPLY_BURST, now),
         }
     }
 
     fn note_use(&mut self, service: &ServiceName, now: Millis) {
-        if let Some(known) = self.in_use.get_mut(service) {
+        if let Some(known) = self.used_services.get_mut(service) {
             known.used_at = now;
             return;
         }
-        let known = InUse {
+        let known = UsedService {
             used_at: now,
             budget: None,
         };
-        self.in_use.insert(service.clone(), known);
+        self.used_services.insert(service.clone(), known);
     }
 
-    /// The budget outlives short idle times, so that coming and going of calls
-    /// never refills it.
-    fn forget_unheld(&mut self, board: &Board) {
-        let held = board.held_services();
-        self.in_use.retain(|service, _| held.contains(service));
+    /// Drops services that are no longer tracked. Idle services keep their budget, so
+    /// that calls which stop and start again never refill it.
+    fn forget_untracked(&mut self, board: &Board) {
+        let tracked = board.tracked_services();
+        self.used_services
+            .retain(|service, _| tracked.contains(service));
     }
 
-    fn probe_service(known: &mut InUse, board: &mut Board, service: &ServiceName) {
+    fn probe_service(known: &mut UsedService, board: &mut Board, service: &ServiceName) {
         let Some(policy) = board.config.policy(service) else {
             return;
         };
@@ -83,7 +84,7 @@
         if now.since(known.used_at) > IN_USE_FOR {
             return;
         }
-        for vm in unknown_targets(board, service) {
+        for vm in targets_to_probe(board, service) {
             if !budget.try_take(now) {
                 board.counters.probes_withheld += 1;
                 return;
@@ -99,7 +100,7 @@
         let DatagramBody::Probe { nonce } = datagram.body else {
             return;
         };
-        if !self.replies.try_take(board.now) {
+        if !self.reply_budget.try_take(board.now) {
             return;
         }
         board.counters.probes_answered += 1;
@@ -108,21 +109,24 @@
     }
 }
 
-/// Targets of which nothing recent is known, the longest silent first.
-fn unknown_targets(board: &Board, service: &ServiceName) -> Vec<VmId> {
+/// Returns the targets without recent information, the longest silent first.
+fn targets_to_probe(board: &Board, service: &ServiceName) -> Vec<VmId> {
     let now = board.now;
     let mut found = Vec::new();
     for member in board.members.reachable() {
-        if member.service != *service || member.leaving() || member.is_fresh(now, RECENT) {
+        if member.service != *service || member.leaving() || member.is_fresh(now, RECENT_WITHIN) {
             continue;
         }
         if member
             .probed_at
-            .is_some_and(|at| now.since(at) < PROBED_EVERY)
+            .is_some_and(|at| now.since(at) < MIN_PROBE_INTERVAL)
         {
             continue;
         }
-        found.push((member.heard_at.max(member.probed_at), member.vm.clone()));
+        found.push((
+            member.last_statement_at.max(member.probed_at),
+            member.vm.clone(),
+        ));
     }
     found.sort();
     found.into_iter().map(|(_, vm)| vm).collect()
@@ -150,12 +154,12 @@
     }
 
     fn on_tick(&mut self, board: &mut Board) {
-        if board.now.since(self.looked_at) < LOOK_EVERY {
+        if board.now.since(self.checked_at) < CHECK_INTERVAL {
             return;
         }
-        self.looked_at = board.now;
-        self.forget_unheld(board);
-        for (service, known) in &mut self.in_use {
+        self.checked_at = board.now;
+        self.forget_untracked(board);
+        for (service, known) in &mut self.used_services {
             Self::probe_service(known, board, service);
         }
     }
