--- a/crates/node/src/callers/tickets.rs
+++ b/crates/node/src/callers/tickets.rs
@@ -1,4 +1,4 @@
-//! Writing tickets: one in a redirect, or a batch ahead of time.
+//! Issues tickets: one in a redirect, or a batch in advance.
 
 use std::sync::Arc;
 
@@ -15,7 +15,7 @@
 use crate::answer;
 use crate::body::{self, NodeBody};
 
-/// Most tickets that one request may fetch.
+/// The maximum number of tickets per request.
 const MAX_BATCH: u32 = 32;
 const MAX_IDEMPOTENCY_KEY_BYTES: usize = 256;
 
@@ -25,13 +25,13 @@
     valid_ms: u64,
 }
 
-/// Writes a ticket for the caller's key, or for a fresh one.
-pub(super) fn write(
+/// Issues a ticket for the caller's idempotency key, or for a generated key.
+pub(super) fn issue(
     entry: &Entry,
     call: &CallerCall,
     idempotency_key: Option<&str>,
 ) -> Result<Ticket, Refusal> {
-    write_for(
+    issue_for(
         entry,
         &call.to.service,
         call.tenant.as_str(),
@@ -39,7 +39,7 @@
     )
 }
 
-fn write_for(
+fn issue_for(
     entry: &Entry,
     service: &ServiceName,
     tenant: &str,
@@ -64,8 +64,8 @@
     })
 }
 
-/// Answers a non-idempotent call without a ticket: nothing has run, and the
-/// same request belongs to the ticketed URL.
+/// Answers a non-idempotent call that has no ticket with a redirect to the
+/// ticketed URL. Nothing has run; the caller sends the same request there.
 pub(super) async fn redirect(
     server: &Arc<CallerServer>,
     entry: &Arc<Entry>,
@@ -77,7 +77,7 @@
     if idempotency_key.is_some_and(|key| key.len() > MAX_IDEMPOTENCY_KEY_BYTES) {
         return answer::from_code(ResultCode::TooLarge, "the idempotency key is too long");
     }
-    let ticket = match write(entry, call, idempotency_key) {
+    let ticket = match issue(entry, call, idempotency_key) {
         Ok(ticket) => ticket,
         Err(refusal) => return answer::from_refusal(&refusal),
     };
@@ -105,33 +105,33 @@
     response
 }
 
-/// Reads the body away. Many callers send it before they look for an answer;
-/// if the connection were closed on them meanwhile, they would see a reset in
-/// place of the redirect.
+/// Reads and discards the body. Many callers send it before they read the
+/// answer; if the connection were closed meanwhile, they would see a reset
+/// instead of the redirect.
 async fn discard(server: &CallerServer, call: &CallerCall, body: NodeBody) {
     if body.is_end_stream() {
         return;
     }
     let deadline = server.clock.to_instant(call.deadline_at);
-    let reading = body::discard(body, call.policy.max_request_bytes);
-    let _ = tokio::time::timeout_at(deadline, reading).await;
+    let discarding = body::discard(body, call.policy.max_request_bytes);
+    let _ = tokio::time::timeout_at(deadline, discarding).await;
 }
 
-/// Answers a request for tickets ahead of time.
+/// Answers a request for a batch of tickets.
 pub(super) fn batch(
     entry: &Entry,
     policy: &ServicePolicy,
     headers: &HeaderMap,
     query: Option<&str>,
 ) -> Response<NodeBody> {
-    let count = match count_of(query) {
+    let count = match parse_count(query) {
         Ok(count) => count,
         Err(reason) => return answer::from_code(ResultCode::BadRequest, &reason),
     };
     let tenant = tenant_of(headers);
     let mut tickets = Vec::new();
     for _ in 0..count {
-        match write_for(entry, &policy.service, tenant.as_str(), None) {
+        match issue_for(entry, &policy.service, tenant.as_str(), None) {
             Ok(ticket) => tickets.push(ticket.encode()),
             Err(refusal) => return answer::from_refusal(&refusal),
         }
@@ -150,7 +150,7 @@
     response
 }
 
-fn count_of(query: Option<&str>) -> Result<u32, String> {
+fn parse_count(query: Option<&str>) -> Result<u32, String> {
     for pair in query.unwrap_or_default().split('&') {
         let Some(count) = pair.strip_prefix("count=") else {
             continue;
--- a/crates/text/src/explain.rs
+++ b/crates/text/src/explain.rs
@@ -1,4 +1,4 @@
-//! Puts together what a service resolves to.
+//! Builds the explanation of a service.
 
 use strum::VariantArray;
 
@@ -11,7 +11,7 @@
 ///
 /// # Errors
 ///
-/// [`UnknownService`] when the text has no such service.
+/// Returns [`UnknownService`] if the text does not list the service.
 pub fn explain(text: &CheckedText, service: &str) -> Result<Explanation, UnknownService> {
     let Some(index) = text.service_index(service) else {
         let known = text.services.iter().map(|known| known.service.as_str());
@@ -41,10 +41,13 @@
         });
     }
     let mut routes = Vec::new();
-    for one in &text.routes {
-        let parts = &one.route.destinations;
-        if parts.iter().any(|part| part.service == policy.service) {
-            routes.push(one.clone());
+    for host_route in &text.routes {
+        let destinations = &host_route.route.destinations;
+        if destinations
+            .iter()
+            .any(|destination| destination.service == policy.service)
+        {
+            routes.push(host_route.clone());
         }
     }
     Ok(Explanation {
--- a/crates/text/src/read/call.rs
+++ b/crates/text/src/read/call.rs
@@ -1,4 +1,4 @@
-//! Reads the calls that a service names.
+//! Reads the named calls of a service.
 
 use std::collections::HashMap;
 
@@ -17,10 +17,10 @@
 use crate::reader::Reader;
 use crate::setting::Setting;
 
-/// Any method.
+/// Matches any HTTP method.
 pub(crate) const ANY_METHOD: &str = "*";
 
-/// The calls that a match covers.
+/// The parsed `match` of a call.
 #[derive(Clone, Copy)]
 struct Pattern<'v> {
     method: &'v str,
@@ -28,7 +28,7 @@
     offset: usize,
 }
 
-/// Reads a list of calls; a faulty one is left out.
+/// Reads a list of calls. Faulty calls are reported and left out.
 pub(crate) fn read_all<'v>(
     reader: &mut Reader<'_, '_, '_, 'v>,
     value: &'v Value<'v>,
@@ -38,7 +38,7 @@
     let mut seen_matches = HashMap::new();
     let mut calls = Vec::new();
     for (index, element) in array.elements.iter().enumerate() {
-        let Some(call) = reader.at(index, |reader| read(reader, element)) else {
+        let Some(call) = reader.at_index(index, |reader| read(reader, element)) else {
             continue;
         };
         let pattern = format!("{} {}", call.method, call.path_prefix);
@@ -69,7 +69,7 @@
     let mut deadline_ms = None;
     for (key, prop) in reader.entries(object, CallEntryKey::VARIANTS) {
         let value = &prop.value;
-        reader.under(key.name(), |reader| match key {
+        reader.at_key(key.name(), |reader| match key {
             CallEntryKey::Name => name = reader.name(value, NameKind::Call),
             CallEntryKey::Match => matched = read_match(reader, value),
             CallEntryKey::Idempotent => idempotent = reader.boolean(value),
--- a/crates/text/src/syntax.rs
+++ b/crates/text/src/syntax.rs
@@ -1,18 +1,19 @@
-//! From text to a tree of values with positions.
+//! Parses a text into a syntax tree with positions.
 
 use jsonc_parser::ast::Value;
 use jsonc_parser::errors::ParseError;
 use jsonc_parser::{CollectOptions, ParseOptions, parse_to_ast};
 
 use crate::depth::too_deep;
-use crate::fault::{FaultKind, Place};
+use crate::fault::{FaultKind, KeyPath};
 use crate::limits::{LARGE_TEXT_BYTES, MAX_TEXT_BYTES};
 use crate::report::Report;
 use crate::warning::WarningKind;
 
-/// Comments and trailing commas, and no other leniency: what else the parser
-/// could forgive is more often a slip than a wish. Nodes read their settings by
-/// the same rules.
+/// Parser options of the configuration text and of the nodes' settings.
+///
+/// They allow comments and trailing commas. The parser's other extensions stay
+/// disabled because a text that uses them more likely contains a mistake.
 pub const SYNTAX: ParseOptions = ParseOptions {
     allow_comments: true,
     allow_trailing_commas: true,
@@ -26,10 +27,11 @@
     allow_extended_string_escapes: false,
 };
 
-/// As [`SYNTAX`], but reads on where a comma, a quote or a digit is missing.
+/// Returns options that accept more than [`SYNTAX`], such as missing commas,
+/// unquoted keys and other number formats.
 ///
-/// Strings in single quotes stay refused: [`too_deep`] must find the end of
-/// each string where the parser does.
+/// Single-quoted strings stay disabled, because [`too_deep`] must find the same
+/// end of each string as the parser.
 fn lenient() -> ParseOptions {
     ParseOptions {
         allow_single_quoted_strings: false,
@@ -37,42 +39,42 @@
     }
 }
 
-/// Parses the text; `None` when it cannot be read at all.
+/// Parses the text. Returns `None` if it cannot be parsed at all.
 ///
-/// The parser stops at its first error. Where only a comma or a quote is
-/// missing, a second, lenient run lets the other faults of the text show in
-/// the same check; the syntax error is reported all the same.
+/// The parser stops at its first error. That error is reported, and the text is
+/// then parsed again with lenient options, so that the same check can report the
+/// other faults too if only a comma or a quote is missing.
 pub(crate) fn parse<'t>(text: &'t str, report: &mut Report<'_, '_>) -> Option<Value<'t>> {
     if text.len() > MAX_TEXT_BYTES {
         let size_bytes = text.len();
         report.fault(0, || {
-            (Place::default(), FaultKind::TextTooLong { size_bytes })
+            (KeyPath::default(), FaultKind::TextTooLong { size_bytes })
         });
         return None;
     }
     if let Some(offset) = too_deep(text) {
-        report.fault(offset, || (Place::default(), FaultKind::TooDeep));
+        report.fault(offset, || (KeyPath::default(), FaultKind::TooDeep));
         return None;
     }
     warn_if_large(report);
-    let strict_error = match run(text, &SYNTAX) {
-        Ok(root) => return root.or_else(|| empty(report)),
+    let strict_error = match parse_with(text, &SYNTAX) {
+        Ok(root) => return root.or_else(|| report_empty(report)),
         Err(error) => error,
     };
     let strict_start = strict_error.range().start;
-    record(&strict_error, report);
-    match run(text, &lenient()) {
+    report_error(&strict_error, report);
+    match parse_with(text, &lenient()) {
         Ok(root) => root,
         Err(lenient_error) => {
             if lenient_error.range().start != strict_start {
-                record(&lenient_error, report);
+                report_error(&lenient_error, report);
             }
             None
         }
     }
 }
 
-fn run<'t>(text: &'t str, options: &ParseOptions) -> Result<Option<Value<'t>>, ParseError> {
+fn parse_with<'t>(text: &'t str, options: &ParseOptions) -> Result<Option<Value<'t>>, ParseError> {
     let parsed = parse_to_ast(text, &CollectOptions::default(), options)?;
     Ok(parsed.value)
 }
@@ -87,25 +89,25 @@
             size_bytes,
             limit_bytes: MAX_TEXT_BYTES,
         };
-        (Place::default(), kind)
+        (KeyPath::default(), kind)
     });
 }
 
-fn record(error: &ParseError, report: &mut Report<'_, '_>) {
+fn report_error(error: &ParseError, report: &mut Report<'_, '_>) {
     report.fault(error.range().start, || {
         let kind = FaultKind::Syntax {
             message: lower_first(&error.kind().to_string()),
         };
-        (Place::default(), kind)
+        (KeyPath::default(), kind)
     });
 }
 
-fn empty<'t>(report: &mut Report<'_, '_>) -> Option<Value<'t>> {
+fn report_empty<'t>(report: &mut Report<'_, '_>) -> Option<Value<'t>> {
     report.fault(0, || {
         let kind = FaultKind::Syntax {
             message: "the text is empty".to_owned(),
         };
-        (Place::default(), kind)
+        (KeyPath::default(), kind)
     });
     None
 }
