--- a/crates/core/src/entry/tests/bounds.rs
+++ b/crates/core/src/entry/tests/bounds.rs
@@ -1,4 +1,4 @@
-//! Invariants under any order of events.
+//! Invariants that hold under any order of events.
 
 use proptest::prelude::*;
 
@@ -23,7 +23,7 @@
     View {
         targets: usize,
         leaving: usize,
-        renewed: usize,
+        restarted: usize,
     },
     Wait {
         ms: u64,
@@ -37,8 +37,8 @@
         4 => (0..64_usize, 0..9_usize).prop_map(|(open, end)| Step::Finish { open, end }),
         2 => (0..3_u32).prop_map(|depth| Step::Retry { depth }),
         1 => Just(Step::Hedge),
-        1 => (0..7_usize, 0..7_usize, 0..7_usize).prop_map(|(targets, leaving, renewed)| {
-            Step::View { targets, leaving, renewed }
+        1 => (0..7_usize, 0..7_usize, 0..7_usize).prop_map(|(targets, leaving, restarted)| {
+            Step::View { targets, leaving, restarted }
         }),
         1 => (0..3_000_u64).prop_map(|ms| Step::Wait { ms }),
     ];
@@ -47,8 +47,8 @@
 
 fn end_of(number: usize) -> AttemptEnd {
     [
-        WORKS,
-        FAILS,
+        SUCCESS,
+        FAILURE,
         AttemptEnd::Unreachable,
         AttemptEnd::Broken,
         AttemptEnd::TimedOut,
@@ -60,12 +60,13 @@
 }
 
 proptest! {
-    /// Whatever happens in whatever order: in-flight counts are exact, budgets
-    /// hold, work goes only where it may, and the ejected share holds.
+    /// In any order of events: in-flight counts are exact, budgets are not
+    /// exceeded, only usable targets get work, and the maximum ejected share is
+    /// respected.
     #[test]
     fn counts_budgets_and_shares_hold(steps in steps()) {
-        let mut seen = view(4);
-        let mut service = service(&seen);
+        let mut snapshot = view(4);
+        let mut service = service(&snapshot);
         let mut now = 0;
         let mut open: Vec<Pick> = Vec::new();
         let (mut firsts, mut retry_cost, mut hedges) = (0_u32, 0_u32, 0_u32);
@@ -87,29 +88,29 @@
                         open.push(service.pick_fixed(TargetIndex(target), Millis(now)));
                     }
                 }
-                Step::Finish { open: place, end } => {
+                Step::Finish { open: position, end } => {
                     if open.is_empty() {
                         continue;
                     }
-                    let pick = open.swap_remove(place % open.len());
+                    let pick = open.swap_remove(position % open.len());
                     service.finish(&pick, &ended(end_of(end)), Millis(now));
                 }
                 Step::Retry { depth } => {
                     let deep = CallProgress { depth, ..call() };
-                    if service.after_failure(&deep, &FAILS, Millis(now)) == Next::Retry {
+                    if service.after_failure(&deep, &FAILURE, Millis(now)) == Next::Retry {
                         retry_cost += 1 << depth;
                     }
                 }
                 Step::Hedge => hedges += u32::from(service.try_hedge(&call(), Millis(now))),
-                Step::View { targets, leaving, renewed } => {
-                    seen = view(targets);
-                    if let Some(target) = seen.targets.get_mut(leaving) {
+                Step::View { targets, leaving, restarted } => {
+                    snapshot = view(targets);
+                    if let Some(target) = snapshot.targets.get_mut(leaving) {
                         target.leaving = true;
                     }
-                    if let Some(target) = seen.targets.get_mut(renewed) {
+                    if let Some(target) = snapshot.targets.get_mut(restarted) {
                         target.incarnation = Some(Incarnation(5_000 + now));
                     }
-                    service.update(Arc::new(seen.clone()), Millis(now));
+                    service.update(Arc::new(snapshot.clone()), Millis(now));
                 }
                 Step::Wait { ms } => now += ms,
             }
--- a/crates/core/src/entry/tests/tickets.rs
+++ b/crates/core/src/entry/tests/tickets.rs
@@ -1,13 +1,13 @@
-//! Which gate a ticket names.
+//! Which gate a ticket is issued for.
 
 use super::*;
 
-fn known(targets: usize) -> ServiceView {
-    let mut seen = view(targets);
+fn view_with_reports(targets: usize) -> ServiceView {
+    let mut snapshot = view(targets);
     for number in 0..targets {
-        seen.targets[number].load = heard(number, 1, 100);
+        snapshot.targets[number].load = received_load(number, 1, 100);
     }
-    seen
+    snapshot
 }
 
 fn gate_of(service: &mut EntryService, key: u128, now: u64) -> VmId {
@@ -19,14 +19,15 @@
     CallKey::from_parts("cashier", "hall-7", &number.to_string()).0
 }
 
-/// A citizen is charged twice: the kiosk lost its ticket, came back through
-/// another entry with the same key, and got a ticket for another gate.
+/// A kiosk that lost its ticket returns through another entry with the same
+/// key. If it got a ticket for another gate, the citizen could be charged
+/// twice.
 #[test]
 fn entries_whose_views_agree_name_the_same_gate() {
-    let seen = known(3);
-    let mut one = service(&seen);
-    let mut other = EntryService::new(&EntrySettings { seed: 99 }, Arc::new(seen), Millis(5));
-    run(&mut one, 0, 500, |_| WORKS);
+    let snapshot = view_with_reports(3);
+    let mut one = service(&snapshot);
+    let mut other = EntryService::new(&EntrySettings { seed: 99 }, Arc::new(snapshot), Millis(5));
+    run(&mut one, 0, 500, |_| SUCCESS);
     let mut by_gate = std::collections::BTreeMap::new();
     for number in 0..900 {
         let gate = gate_of(&mut one, key(number), 500);
@@ -42,10 +43,10 @@
 
 #[test]
 fn a_leaving_gate_moves_only_its_own_keys() {
-    let mut seen = known(4);
-    let mut before = service(&seen);
-    seen.targets[2].leaving = true;
-    let mut after = service(&seen);
+    let mut snapshot = view_with_reports(4);
+    let mut before = service(&snapshot);
+    snapshot.targets[2].leaving = true;
+    let mut after = service(&snapshot);
     for number in 0..400 {
         let old = gate_of(&mut before, key(number), 200);
         let new = gate_of(&mut after, key(number), 200);
@@ -54,16 +55,17 @@
     }
 }
 
-/// The gate refuses every ticket as expired, or keeps records for too short a
-/// time: the issuer added the time since the report, by its own clock.
+/// The expiry must not include the time since the report by the issuer's clock.
+/// Otherwise the gate would refuse every ticket as expired, or keep records for
+/// too short a time.
 #[test]
 fn expiry_is_in_the_gates_clock_as_last_heard() {
-    let mut service = service(&known(1));
+    let mut service = service(&view_with_reports(1));
     let first = service
         .ticket_gate(CallKey(1), Millis(60_000))
         .expect("usable");
     assert_eq!(first.expires_at, Millis(100 + 120_000));
-    assert_eq!(first.incarnation, life(0));
+    assert_eq!(first.incarnation, incarnation_of(0));
 
     for (clock_ms, expected) in [(5_000, 5_000), (3_000, 5_000), (6_000, 6_000)] {
         answer_with_load(&mut service, &report(0, 0, clock_ms), 60_001);
@@ -74,57 +76,57 @@
     }
 }
 
-/// A ticket for a life that is over can never run.
+/// A ticket for an earlier incarnation can never run.
 #[test]
-fn a_new_life_is_named_once_it_was_heard() {
-    let mut seen = known(2);
-    let mut service = service(&seen);
-    seen.targets[0].incarnation = Some(NEW_LIFE);
-    service.update(Arc::new(seen.clone()), Millis(200));
+fn tickets_name_a_new_incarnation_after_its_first_report() {
+    let mut snapshot = view_with_reports(2);
+    let mut service = service(&snapshot);
+    snapshot.targets[0].incarnation = Some(NEW_INCARNATION);
+    service.update(Arc::new(snapshot.clone()), Millis(200));
     for number in 0..50 {
         assert_eq!(gate_of(&mut service, key(number), 200).as_str(), "vm-001");
     }
     let fresh = LoadReport {
-        incarnation: NEW_LIFE,
+        incarnation: NEW_INCARNATION,
         ..report(0, 0, 7)
     };
-    seen.targets[0].load = Some(HeardLoad {
+    snapshot.targets[0].load = Some(ReceivedLoad {
         report: fresh,
-        heard_at: Millis(300),
+        received_at: Millis(300),
     });
-    service.update(Arc::new(seen), Millis(300));
-    let mut renewed = 0;
+    service.update(Arc::new(snapshot), Millis(300));
+    let mut with_new_incarnation = 0;
     for number in 0..50 {
         let gate = service
             .ticket_gate(CallKey(key(number)), Millis(300))
             .expect("usable");
         if gate.vm.as_str() == "vm-000" {
-            assert_eq!(gate.incarnation, NEW_LIFE);
+            assert_eq!(gate.incarnation, NEW_INCARNATION);
             assert_eq!(gate.expires_at, Millis(7 + 120_000));
-            renewed += 1;
+            with_new_incarnation += 1;
         }
     }
-    assert!(renewed > 0);
+    assert!(with_new_incarnation > 0);
 }
 
 #[test]
-fn without_a_gate_whose_life_is_known_none_is_named() {
-    let mut seen = view(2);
-    seen.targets[0].incarnation = None;
-    seen.targets[1].leaving = true;
-    seen.targets[1].load = heard(1, 0, 100);
-    let refusal = service(&seen)
+fn no_ticket_is_issued_without_a_known_incarnation() {
+    let mut snapshot = view(2);
+    snapshot.targets[0].incarnation = None;
+    snapshot.targets[1].leaving = true;
+    snapshot.targets[1].load = received_load(1, 0, 100);
+    let refusal = service(&snapshot)
         .ticket_gate(CallKey(1), Millis(1))
-        .expect_err("none is usable");
+        .expect_err("no gate is usable");
     assert_eq!(refusal.code, ResultCode::NoTarget);
 }
 
 #[test]
 fn a_gate_far_over_its_limit_or_ejected_is_passed_over_while_others_are_there() {
-    let mut seen = known(2);
-    seen.targets[0].load = heard(0, 48, 100);
-    let mut over = service(&seen);
-    let mut ejected = service(&known(2));
+    let mut snapshot = view_with_reports(2);
+    snapshot.targets[0].load = received_load(0, 48, 100);
+    let mut over = service(&snapshot);
+    let mut ejected = service(&view_with_reports(2));
     end_at(&mut ejected, 0, AttemptEnd::Unreachable, 150);
     for number in 0..50 {
         assert_eq!(gate_of(&mut over, key(number), 200).as_str(), "vm-001");
@@ -136,41 +138,44 @@
     };
     assert!(
         keys_of_first(&mut over, 9_000) > 10,
-        "the report is too old"
+        "the report is too old to count"
+    );
+    snapshot.targets[1].load = received_load(1, 48, 100);
+    let mut all_over = service(&snapshot);
+    assert!(
+        keys_of_first(&mut all_over, 200) > 10,
+        "the other gate is no better"
     );
-    seen.targets[1].load = heard(1, 48, 100);
-    let mut all_over = service(&seen);
-    assert!(keys_of_first(&mut all_over, 200) > 10, "no gate is better");
 }
 
-/// Kiosks fetch tickets ahead at a high load. With hashed keys a gate is drawn
-/// too often at times and refuses payments while its neighbour idles; in turn,
-/// no gate is ever ahead by more than a few.
+/// Kiosks fetch tickets ahead at a high load. With hashed keys a gate is
+/// sometimes drawn too often and refuses payments while its neighbour is idle.
+/// In turn, no gate is ever more than a few tickets ahead.
 #[test]
-fn tickets_without_a_callers_key_go_round() {
-    let mut service = service(&known(3));
+fn tickets_without_a_callers_key_are_issued_round_robin() {
+    let mut service = service(&view_with_reports(3));
     let mut by_gate = std::collections::BTreeMap::new();
     for number in 1..=900 {
         let gate = service.ticket_gate_in_turn(Millis(200)).expect("usable");
         *by_gate.entry(gate.vm).or_insert(0) += 1;
         let most = by_gate.values().max().copied().unwrap_or(0);
-        assert!(most <= number / 3 + 2, "{by_gate:?} after {number}");
+        assert!(most <= number / 3 + 2, "{by_gate:?} after {number} tickets");
     }
     assert_eq!(by_gate.values().sum::<i32>(), 900);
     assert_eq!(by_gate.len(), 3);
 }
 
-/// A gate with a long queue by its newest report is behind in turn only as far
-/// as the load goes: it is passed over now and then, not shunned by everybody.
+/// A gate that reports a long queue gets slightly fewer tickets in proportion
+/// to its load; entries must not all avoid it.
 #[test]
-fn load_shifts_turns_without_shunning_a_gate() {
-    let mut seen = known(3);
-    seen.targets[0].load = heard(0, 12, 100);
-    let mut service = service(&seen);
+fn load_reduces_a_gates_share_of_tickets_only_slightly() {
+    let mut snapshot = view_with_reports(3);
+    snapshot.targets[0].load = received_load(0, 12, 100);
+    let mut service = service(&snapshot);
     let mut loaded = 0;
     for _ in 0..300 {
         let gate = service.ticket_gate_in_turn(Millis(101)).expect("usable");
         loaded += u32::from(gate.vm.as_str() == "vm-000");
     }
-    assert!((90..=100).contains(&loaded), "{loaded} of 300");
+    assert!((90..=100).contains(&loaded), "{loaded} of 300 tickets");
 }
--- a/crates/core/src/gate/admission.rs
+++ b/crates/core/src/gate/admission.rs
@@ -1,20 +1,20 @@
-//! Admission: run now, hold, or refuse at once.
+//! Admission: run a call now, queue it, or refuse it at once.
 
 use super::run::Admission;
 use super::{Arrival, Gate};
 use crate::prelude::*;
-use crate::suspects::{CONVICTED_RETRY_AFTER_MS, NO_FINGERPRINT, Standing};
+use crate::suspects::{CONVICTED_RETRY_AFTER_MS, NO_FINGERPRINT, SuspicionLevel};
 
-/// A predicted wait of up to this many service times is accepted ...
+/// Bound of the predicted wait in service times.
 const MAX_WAIT_SERVICE_TIMES: f64 = 3.0;
-/// ... or of this long, so that a stall of a noisy neighbour (5 to 50 ms) is
-/// sat out in the queue.
+/// Minimum of that bound, so that calls wait in the queue during a stall caused
+/// by a noisy neighbour (5 to 50 ms).
 const MIN_WAIT_BOUND_US: f64 = 50_000.0;
-/// Share of what is left of its deadline that a call may spend waiting.
+/// Share of its remaining time that a call may spend waiting.
 const MAX_WAIT_SHARE: f64 = 0.5;
-/// A call is hopeless when less is left than this share of what is predicted.
-/// Predictions are averages, and half of all calls are faster than usual.
-const HOPELESS_SHARE: f64 = 0.5;
+/// A call is refused if it has less than this share of the predicted time left.
+/// Predictions are averages, and half of all calls are faster than average.
+const MIN_TIME_LEFT_SHARE: f64 = 0.5;
 
 const US_PER_MS: f64 = 1_000.0;
 
@@ -28,12 +28,12 @@
         if self.leaving {
             return Err(self.refusal(ResultCode::Leaving));
         }
-        match self.standing(arrival.fingerprint) {
-            Standing::Convicted => return Err(Self::convicted_refusal()),
-            Standing::Suspect => return self.admit_suspect(arrival, now),
-            Standing::Clear => {}
+        match self.suspicion_level(arrival.fingerprint) {
+            SuspicionLevel::Convicted => return Err(Self::convicted_refusal()),
+            SuspicionLevel::Suspect => return self.admit_suspect(arrival, now),
+            SuspicionLevel::Clear => {}
         }
-        if self.is_hopeless(arrival.class, arrival.deadline_at, 0.0, now) {
+        if self.will_miss_deadline(arrival.class, arrival.deadline_at, 0.0, now) {
             return Err(self.refusal(ResultCode::DeadlineTooShort));
         }
         if self.may_start(now) {
@@ -42,31 +42,32 @@
         self.admit_to_queue(arrival, now)
     }
 
-    /// What is held against a fingerprint, here or in the fleet.
-    pub(super) fn standing(&self, fingerprint: u64) -> Standing {
+    /// Returns the suspicion level of a fingerprint, from this gate and the
+    /// fleet.
+    pub(super) fn suspicion_level(&self, fingerprint: u64) -> SuspicionLevel {
         if fingerprint == NO_FINGERPRINT {
-            return Standing::Clear;
+            return SuspicionLevel::Clear;
         }
-        let heard = self.fleet_suspects.mark(fingerprint);
-        heard.max(self.own_suspects.mark(fingerprint)).standing
+        let fleet_mark = self.fleet_suspects.mark(fingerprint);
+        fleet_mark.max(self.own_suspects.mark(fingerprint)).standing
     }
 
     pub(super) const fn convicted_refusal() -> Refusal {
         Refusal::retry_after(ResultCode::CrashSuspect, CONVICTED_RETRY_AFTER_MS)
     }
 
-    /// A refusal for want of room.
-    pub(super) fn overload(&mut self) -> Refusal {
+    /// Creates a refusal for overload and counts it.
+    pub(super) fn overload_refusal(&mut self) -> Refusal {
         self.backoff.note_refused();
         self.refusal(ResultCode::Overloaded)
     }
 
-    /// Whether a call cannot make its deadline after this wait.
+    /// Whether a call would miss its deadline after this wait.
     ///
-    /// An idle target takes every call whose deadline has not passed. Otherwise
-    /// a target that was slow once would be refused all calls from then on, and
-    /// nothing would ever show that it has recovered.
-    pub(super) fn is_hopeless(
+    /// An idle target accepts every call whose deadline has not passed.
+    /// Otherwise a target that was slow once would get no more calls, and
+    /// nothing would show that it has recovered.
+    pub(super) fn will_miss_deadline(
         &self,
         class: CallClass,
         deadline_at: Millis,
@@ -80,10 +81,10 @@
             return false;
         }
         let needed_us = wait_us + self.service_times.class_us(class);
-        left_us(deadline_at, now) < needed_us * HOPELESS_SHARE
+        left_us(deadline_at, now) < needed_us * MIN_TIME_LEFT_SHARE
     }
 
-    /// Predicted wait behind `ahead` calls that wait already.
+    /// Returns the predicted wait behind `ahead` queued calls.
     pub(super) fn wait_us(&self, ahead: usize, now: Millis) -> f64 {
         let slots = f64::from(self.limit.current(now));
         (ahead + 1) as f64 * self.service_times.overall_us() / slots
@@ -102,21 +103,22 @@
             .ahead(arrival.class, arrival.deadline_at, queue_limit);
         let wait_us = self.wait_us(ahead, now);
         if self.waits_too_long(arrival, wait_us, now) {
-            return Err(self.overload());
+            return Err(self.overload_refusal());
         }
         if self.queue.len() < queue_limit {
             return Ok(Admission::Queue);
         }
         let Some(displaced) = self.queue.displaceable(arrival.class) else {
-            return Err(self.overload());
+            return Err(self.overload_refusal());
         };
-        let refusal = self.overload();
-        self.refuse_held(displaced, refusal);
+        let refusal = self.overload_refusal();
+        self.refuse_call(displaced, refusal);
         Ok(Admission::Queue)
     }
 
-    /// Bounds the wait, so that an overload leads to refusals at once and not
-    /// to a long queue in which every call spends its deadline.
+    /// Whether the predicted wait is too long. The bound makes an overload
+    /// cause immediate refusals and not a long queue in which every call uses
+    /// up its deadline.
     fn waits_too_long(&self, arrival: &Arrival<'_>, wait_us: f64, now: Millis) -> bool {
         let bound_us =
             (MAX_WAIT_SERVICE_TIMES * self.service_times.overall_us()).max(MIN_WAIT_BOUND_US);
@@ -133,7 +135,7 @@
             return Ok(Admission::RunAlone);
         }
         if !self.quarantine.has_room() {
-            return Err(self.overload());
+            return Err(self.overload_refusal());
         }
         Ok(Admission::Quarantine)
     }
--- a/crates/core/src/gate/fence.rs
+++ b/crates/core/src/gate/fence.rs
@@ -1,4 +1,4 @@
-//! Asking about a key, which fences it if it has not started.
+//! Fence requests, which settle a key and prevent a call that has not started.
 
 use super::records::RecordState;
 use super::run::Phase;
@@ -6,27 +6,27 @@
 use crate::prelude::*;
 
 impl Gate {
-    /// Settles a key as far as it can be settled; see [`FenceAnswer`]. Call
-    /// [`Self::take_wakes`] afterwards: callers of a held call that is fenced
-    /// are told there.
+    /// Settles a key as far as possible; see [`FenceAnswer`]. Call
+    /// [`Self::take_wakes`] afterwards, which returns the refusal for the
+    /// callers of a waiting call that was fenced.
     ///
-    /// "Not run" ([`ResultCode::Fenced`]) is certain for ever, whatever is
-    /// still on its way. Where this gate cannot know (the ticket is another
-    /// life's, or it expired and its record is forgotten) the answer is
-    /// [`ResultCode::GateLost`]: the asker has sent the request, so a code that
-    /// says "this attempt did not run" would be a guess.
+    /// "Not run" ([`ResultCode::Fenced`]) holds for ever, whatever is still in
+    /// transit. If this gate cannot know the outcome (the ticket is for another
+    /// incarnation, or it expired and its record was removed), the answer is
+    /// [`ResultCode::GateLost`]. The requester has already sent the call, so a
+    /// code that means "this attempt did not run" would be a guess.
     pub fn fence(&mut self, ticket: &Ticket, now: Millis) -> FenceAnswer {
         let now = self.advance(now);
-        if !self.is_mine(ticket) {
+        if !self.names_this_gate(ticket) {
             return refused(Refusal::fixed(ResultCode::GateLost));
         }
-        if self.is_far(ticket, now) && !self.records.covers(ticket) {
+        if self.has_excessive_expiry(ticket, now) && !self.records.covers(ticket) {
             return refused(Refusal::fixed(ResultCode::GateLost));
         }
-        if let Some(denial) = self.records.denial(ticket) {
-            return refused(denial);
+        if let Some(fenced_refusal) = self.records.fenced_refusal(ticket) {
+            return refused(fenced_refusal);
         }
-        let Some(record) = self.records.touch(ticket) else {
+        let Some(record) = self.records.find_and_extend(ticket) else {
             return self.fence_unknown(ticket, now);
         };
         match &record.state {
@@ -55,12 +55,12 @@
 
     fn fence_live(&mut self, id: RunId) -> FenceAnswer {
         let run = self.runs.get(&id);
-        let run = run.expect("a live record names a call in hand");
+        let run = run.expect("a live record refers to an active call");
         if run.phase == Phase::Running {
             return FenceAnswer::Running(id);
         }
         let refusal = Refusal::fixed(ResultCode::Fenced);
-        self.refuse_held(id, refusal);
+        self.refuse_call(id, refusal);
         refused(refusal)
     }
 }
--- a/crates/core/src/gate/limit.rs
+++ b/crates/core/src/gate/limit.rs
@@ -1,35 +1,38 @@
-//! The adaptive concurrency limit, at or below the target's slots.
+//! The adaptive concurrency limit, which never exceeds the target's slots.
 
 use strum::VariantArray;
 
 use crate::prelude::*;
 
-/// Shortest time over which service times are judged.
+/// Minimum length of a measurement window.
 const WINDOW: Millis = Millis(250);
-/// Fewest answers on which a window is judged.
+/// Minimum number of answers in a window.
 const MIN_SAMPLES: usize = 16;
-/// Most answers that a window keeps; later ones overwrite earlier ones.
+/// Maximum number of answers stored per window; later ones overwrite earlier
+/// ones.
 const MAX_SAMPLES: usize = 64;
-/// Slowdown against the baseline that is taken for noise.
+/// Slowdown relative to the baseline that counts as noise.
 const TOLERATED_SLOWDOWN: f64 = 2.0;
-/// Windows in a row that must be slow before the limit is cut. A stall of a
-/// noisy neighbour (5 to 50 ms) spoils the median of at most one.
+/// Number of consecutive slow windows after which the limit is cut. A stall
+/// caused by a noisy neighbour (5 to 50 ms) affects the median of at most one
+/// window.
 const SLOW_WINDOWS_TO_CUT: u32 = 2;
-/// Most that one window may cut.
-const DEEPEST_CUT: f64 = 0.9;
-/// Share of its limit that a window must have used for its slowness to be put
-/// down to concurrency.
+/// Smallest factor by which one window may cut the limit.
+const MIN_CUT_FACTOR: f64 = 0.9;
+/// Share of the limit that must have been in use for slowness to be attributed
+/// to concurrency.
 const BUSY_SHARE: f64 = 0.5;
-/// By how much the baseline rises in each window, so that it follows a target
-/// that has become slower for good.
+/// Relative increase of the baseline per window, so that it follows a target
+/// that has become permanently slower.
 const BASELINE_DRIFT: f64 = 1.0 / 64.0;
-/// Depth of cuts at which it is checked whether they helped.
-const CUTS_TO_JUDGE: f64 = 0.7;
-/// Share of the slowdown that must be gone by then.
-const HELPED: f64 = 0.85;
-/// The limit never falls below this share of the slots.
+/// Share of the original limit at which the effect of the cuts is checked.
+const JUDGE_CUTS_AT_SHARE: f64 = 0.7;
+/// The cuts count as ineffective if the slowdown is still above this share of
+/// the slowdown at the first cut.
+const MAX_REMAINING_SLOWDOWN: f64 = 0.85;
+/// Minimum limit as a share of the slots.
 const FLOOR_SHARE: f64 = 0.25;
-/// Weight of one answer in the fast average that feeds the baseline.
+/// Weight of one answer in the fast average from which the baseline is derived.
 const FAST_SMOOTHING: f64 = 1.0 / 8.0;
 
 const CLASSES: usize = CallClass::VARIANTS.len();
@@ -42,7 +45,7 @@
 }
 
 impl Baseline {
-    /// Slowdown of one answer against the baseline.
+    /// Records an answer and returns its slowdown relative to the baseline.
     fn record(&mut self, sample_us: f64) -> f64 {
         if self.low_us == 0.0 {
             self.fast_us = sample_us;
@@ -58,25 +61,25 @@
     }
 }
 
-/// What the first of a series of cuts started from.
+/// Limit and slowdown at the first of a series of cuts.
 #[derive(Clone, Copy, Debug)]
-struct CutFrom {
+struct FirstCut {
     limit: f64,
     slowdown: f64,
 }
 
-/// The limit with what it learns from.
+/// The concurrency limit and the measurements from which it is derived.
 #[derive(Debug)]
 pub(super) struct ConcurrencyLimit {
     cap: u32,
     cold_ramp: Millis,
-    /// When the target got its first call, or the first one after a crash.
+    /// When the target got its first call, or its first one after a crash.
     first_call_at: Option<Millis>,
     limit: f64,
-    cut_from: Option<CutFrom>,
+    first_cut: Option<FirstCut>,
     baselines: [Baseline; CLASSES],
     window_started_at: Millis,
-    /// Slowdowns of this window's answers.
+    /// Slowdowns of the answers in this window.
     slowdowns: Vec<f64>,
     samples: usize,
     peak_in_flight: u32,
@@ -91,7 +94,7 @@
             cold_ramp: policy.cold_ramp_ms,
             first_call_at: None,
             limit: f64::from(cap),
-            cut_from: None,
+            first_cut: None,
             baselines: [Baseline::default(); CLASSES],
             window_started_at: now,
             slowdowns: Vec::with_capacity(MAX_SAMPLES),
@@ -101,7 +104,8 @@
         }
     }
 
-    /// Takes over changed slots; a limit that stood at the old cap follows.
+    /// Applies a changed number of slots, which also resets the limit to the
+    /// new maximum.
     pub(super) fn update(&mut self, policy: &ServicePolicy) {
         let cap = cap_of(policy);
         self.cold_ramp = policy.cold_ramp_ms;
@@ -110,28 +114,28 @@
         }
         self.cap = cap;
         self.limit = f64::from(cap);
-        self.cut_from = None;
+        self.first_cut = None;
         self.slow_windows = 0;
     }
 
-    /// The limit in force, at least 1.
+    /// Returns the current limit, at least 1.
     pub(super) fn current(&self, now: Millis) -> u32 {
-        let limit = self.limit.min(self.ramped(now));
+        let limit = self.limit.min(self.ramp_limit(now));
         (limit as u32).clamp(1, self.cap)
     }
 
-    /// Notes how many calls run after one was started.
+    /// Records the number of running calls after one was started.
     pub(super) fn note_start(&mut self, in_flight: u32, now: Millis) {
         self.first_call_at.get_or_insert(now);
         self.peak_in_flight = self.peak_in_flight.max(in_flight);
     }
 
-    /// The target comes up anew and is cold.
+    /// Restarts the warm-up, because the target was restarted and is cold.
     pub(super) const fn restart_ramp(&mut self) {
         self.first_call_at = None;
     }
 
-    /// Learns from an answer that was no failure.
+    /// Records an answer that was no failure.
     pub(super) fn record(&mut self, class: CallClass, service_time_us: u32, now: Millis) {
         let sample_us = f64::from(service_time_us.max(1));
         let slowdown = self.baselines[class as usize].record(sample_us);
@@ -169,24 +173,27 @@
         if self.slow_windows < SLOW_WINDOWS_TO_CUT {
             return;
         }
-        let from = *self.cut_from.get_or_insert(CutFrom {
+        let from = *self.first_cut.get_or_insert(FirstCut {
             limit: self.limit,
             slowdown,
         });
-        if self.limit <= from.limit * CUTS_TO_JUDGE && slowdown > from.slowdown * HELPED {
-            self.give_up_cutting(from);
+        if self.limit <= from.limit * JUDGE_CUTS_AT_SHARE
+            && slowdown > from.slowdown * MAX_REMAINING_SLOWDOWN
+        {
+            self.undo_cuts(from);
             return;
         }
-        let cut = (TOLERATED_SLOWDOWN / slowdown).max(DEEPEST_CUT);
+        let cut = (TOLERATED_SLOWDOWN / slowdown).max(MIN_CUT_FACTOR);
         self.limit = (self.limit * cut).max(self.floor());
     }
 
-    /// Fewer calls at once did not make the target faster, so concurrency is
-    /// not what slows it. Without this, a host that became slower for good
-    /// would lose its throughput as well, and refuse what it could serve.
-    fn give_up_cutting(&mut self, from: CutFrom) {
+    /// Restores the limit, because less concurrency did not make the target
+    /// faster and therefore is not the cause of the slowness. Otherwise a host
+    /// that became permanently slower would also lose throughput and refuse
+    /// calls that it could serve.
+    fn undo_cuts(&mut self, from: FirstCut) {
         self.limit = from.limit;
-        self.cut_from = None;
+        self.first_cut = None;
         self.slow_windows = 0;
         for baseline in &mut self.baselines {
             baseline.low_us = baseline.fast_us;
@@ -197,7 +204,7 @@
         self.slow_windows = 0;
         let cap = f64::from(self.cap);
         if self.limit >= cap {
-            self.cut_from = None;
+            self.first_cut = None;
             return;
         }
         let was_used = f64::from(self.peak_in_flight) >= self.limit.floor();
@@ -210,8 +217,8 @@
         (f64::from(self.cap) * FLOOR_SHARE).max(1.0)
     }
 
-    /// The share of the slots that a cold target may use by now.
-    fn ramped(&self, now: Millis) -> f64 {
+    /// Returns how many slots a cold target may use by now.
+    fn ramp_limit(&self, now: Millis) -> f64 {
         if self.cold_ramp == Millis::ZERO {
             return f64::from(self.cap);
         }
@@ -224,7 +231,8 @@
     }
 }
 
-/// Calls beyond the connections would only wait for one, unseen.
+/// Returns the maximum limit. Calls beyond the number of connections would only
+/// wait for a connection, where the gate cannot see them.
 fn cap_of(policy: &ServicePolicy) -> u32 {
     policy.slots.min(policy.connections).max(1)
 }
--- a/crates/core/src/gate/ticketed.rs
+++ b/crates/core/src/gate/ticketed.rs
@@ -1,27 +1,27 @@
-//! Arrivals under a ticket: at most one start per key in this life.
+//! Arrivals with a ticket: at most one start per key in this incarnation.
 
 use super::records::RecordState;
 use super::{Arrival, Gate, RunId, Verdict};
 use crate::prelude::*;
 
-/// Slack on top of twice the longest validity that a policy has allowed;
-/// writers of tickets may hold an older or newer policy than this gate.
+/// Margin on top of twice the longest validity that a policy has allowed,
+/// because issuers of tickets may have an older or newer policy than this gate.
 const EXPIRY_MARGIN: Millis = Millis::from_secs(60);
 
-/// Calls refused on arrival may use one record out of this many. Refusals
-/// outnumber runs in an overload, and their records must not take the room of
-/// calls that can be served.
+/// Calls refused on arrival may use one of this many records. In an overload,
+/// refusals outnumber runs, and their records must not displace calls that can
+/// be served.
 const FENCED_SHARE_DIVISOR: usize = 2;
 
-/// What a record says to another arrival of its key.
-enum Known {
+/// What a record answers to another arrival of its key.
+enum RecordedOutcome {
     Verdict(Verdict),
     Live(RunId),
 }
 
 impl Gate {
-    /// Whether the ticket names this life of this gate.
-    pub(super) fn is_mine(&self, ticket: &Ticket) -> bool {
+    /// Whether the ticket names this incarnation of this gate.
+    pub(super) fn names_this_gate(&self, ticket: &Ticket) -> bool {
         ticket.incarnation == self.settings.incarnation
             && ticket.gate == self.settings.vm
             && ticket.service == self.policy.service
@@ -33,13 +33,13 @@
         arrival: &Arrival<'_>,
         now: Millis,
     ) -> Verdict {
-        if !self.is_mine(ticket) {
+        if !self.names_this_gate(ticket) {
             return refuse(ResultCode::WrongGate);
         }
-        if let Some(refusal) = self.refuse_far(ticket, now) {
+        if let Some(refusal) = self.refuse_excessive_expiry(ticket, now) {
             return Verdict::Refuse(refusal);
         }
-        if let Some(verdict) = self.answer_again(ticket, arrival.digest) {
+        if let Some(verdict) = self.answer_from_record(ticket, arrival.digest) {
             return verdict;
         }
         if now >= ticket.expires_at {
@@ -48,11 +48,12 @@
         if self.records.below_floor(ticket) {
             return refuse(ResultCode::Fenced);
         }
-        self.arrive_first(ticket, arrival, now)
+        self.arrive_new_key(ticket, arrival, now)
     }
 
-    /// Fences a key that has no record: by a record, or when they are full by
-    /// the floor. Either way no ticket up to this one's expiry runs it later.
+    /// Fences a key that has no record, by a record or, if the records are
+    /// full, by the floor. In either case no ticket that expires up to this
+    /// one's expiry runs the key later.
     pub(super) fn fence_new(
         &mut self,
         ticket: &Ticket,
@@ -68,26 +69,27 @@
         self.records.insert(ticket, digest, fenced, now);
     }
 
-    /// Whether the expiry lies so far ahead that no policy can have allowed it.
-    pub(super) fn is_far(&self, ticket: &Ticket, now: Millis) -> bool {
-        let ttl = self.longest_ticket_ttl;
+    /// Whether the ticket expires so far ahead that no policy can have allowed
+    /// it.
+    pub(super) fn has_excessive_expiry(&self, ticket: &Ticket, now: Millis) -> bool {
+        let ttl = self.max_ticket_ttl;
         ticket.expires_at > now + ttl + ttl + EXPIRY_MARGIN
     }
 
-    /// Refuses a ticket that would hold its record absurdly long.
+    /// Refuses a ticket whose record would be kept far too long.
     ///
-    /// "Not run" has to stay true when the expiry has come nearer and a late
-    /// duplicate looks reasonable, so the key is fenced by a record. Such
-    /// records are few; beyond them the answer is "not yet".
-    fn refuse_far(&mut self, ticket: &Ticket, now: Millis) -> Option<Refusal> {
-        if !self.is_far(ticket, now) || self.records.covers(ticket) {
+    /// "Not run" must remain true when the expiry is nearer and a late
+    /// duplicate looks valid, so the key is fenced by a record. There are few
+    /// such records; when they are used up, the answer is "not yet".
+    fn refuse_excessive_expiry(&mut self, ticket: &Ticket, now: Millis) -> Option<Refusal> {
+        if !self.has_excessive_expiry(ticket, now) || self.records.covers(ticket) {
             return None;
         }
         let max_records = self.policy.max_records;
-        if !self.records.has_room(max_records, now) || !self.records.take_far_fence() {
+        if !self.records.has_room(max_records, now) || !self.records.take_excessive_expiry_fence() {
             return Some(self.refusal(ResultCode::RecordsFull));
         }
-        if self.records.touch(ticket).is_some() {
+        if self.records.find_and_extend(ticket).is_some() {
             return None;
         }
         self.fence_new(ticket, None, None, now);
@@ -95,38 +97,39 @@
     }
 
     /// Answers from the key's record, if there is one.
-    fn answer_again(&mut self, ticket: &Ticket, digest: u64) -> Option<Verdict> {
-        if let Some(denial) = self.records.denial(ticket) {
-            return Some(Verdict::Refuse(denial));
+    fn answer_from_record(&mut self, ticket: &Ticket, digest: u64) -> Option<Verdict> {
+        if let Some(fenced_refusal) = self.records.fenced_refusal(ticket) {
+            return Some(Verdict::Refuse(fenced_refusal));
         }
-        let record = self.records.touch(ticket)?;
+        let record = self.records.find_and_extend(ticket)?;
         if matches!(record.state, RecordState::Fenced { .. }) {
-            // A newer ticket than the fenced ones: as good as a first arrival.
+            // The ticket is newer than the fenced ones and counts as a first
+            // arrival.
             return None;
         }
         if record.digest.is_some_and(|known| known != digest) {
             return Some(refuse(ResultCode::KeyReused));
         }
-        match Known::from(&record.state) {
-            Known::Verdict(verdict) => Some(verdict),
-            Known::Live(run) => Some(self.join(run)),
+        match RecordedOutcome::from(&record.state) {
+            RecordedOutcome::Verdict(verdict) => Some(verdict),
+            RecordedOutcome::Live(run) => Some(self.join(run)),
         }
     }
 
     fn join(&mut self, id: RunId) -> Verdict {
         let run = self.runs.get_mut(&id);
-        let run = run.expect("a live record names a call in hand");
+        let run = run.expect("a live record refers to an active call");
         run.callers += 1;
         Verdict::Join(id)
     }
 
-    fn arrive_first(&mut self, ticket: &Ticket, arrival: &Arrival<'_>, now: Millis) -> Verdict {
+    fn arrive_new_key(&mut self, ticket: &Ticket, arrival: &Arrival<'_>, now: Millis) -> Verdict {
         if !self.leaving && !self.records.has_room(self.policy.max_records, now) {
             return Verdict::Refuse(self.refusal(ResultCode::RecordsFull));
         }
         match self.admit(arrival, now) {
             Ok(admission) => {
-                let verdict = self.enlist(arrival, admission, now);
+                let verdict = self.register_call(arrival, admission, now);
                 let (Verdict::Run(run) | Verdict::Wait(run)) = verdict else {
                     unreachable!("an admitted call runs or waits");
                 };
@@ -134,14 +137,14 @@
                 self.records.insert(ticket, Some(arrival.digest), live, now);
                 verdict
             }
-            Err(refusal) => Verdict::Refuse(self.refuse_first(ticket, arrival, refusal, now)),
+            Err(refusal) => Verdict::Refuse(self.refuse_new_key(ticket, arrival, refusal, now)),
         }
     }
 
-    /// Makes "not run" certain before it is said: the caller may take a ticket
-    /// for another gate on the strength of it, and a late duplicate of this
-    /// arrival must find the key fenced.
-    fn refuse_first(
+    /// Makes "not run" certain before it is reported. The caller may then get a
+    /// ticket for another gate, so a late duplicate of this arrival must find
+    /// the key fenced.
+    fn refuse_new_key(
         &mut self,
         ticket: &Ticket,
         arrival: &Arrival<'_>,
@@ -159,7 +162,7 @@
         refusal
     }
 
-    /// Whether a refusal on arrival may take a record of its own.
+    /// Whether a refusal on arrival may use a record of its own.
     fn may_fence_refused(&self, code: ResultCode) -> bool {
         let share = (self.policy.max_records as usize).div_ceil(FENCED_SHARE_DIVISOR);
         let is_final = matches!(code, ResultCode::Leaving | ResultCode::CrashSuspect);
@@ -167,7 +170,7 @@
     }
 }
 
-impl From<&RecordState> for Known {
+impl From<&RecordState> for RecordedOutcome {
     fn from(state: &RecordState) -> Self {
         Self::Verdict(match state {
             RecordState::Live(run) => return Self::Live(*run),
@@ -175,7 +178,7 @@
             RecordState::AnswerNotKept => refuse(ResultCode::AnswerNotKept),
             RecordState::Unknown => refuse(ResultCode::RunBroken),
             RecordState::Fenced { .. } => {
-                unreachable!("a fenced key denies a ticket or is taken up again")
+                unreachable!("a fenced key refuses the ticket or counts as new")
             }
         })
     }
--- a/crates/node/src/gate_server/board.rs
+++ b/crates/node/src/gate_server/board.rs
@@ -311,9 +311,9 @@
 
     /// Returns the number of calls that are queued or running.
     #[must_use]
-    pub fn in_hand(&self) -> usize {
+    pub fn active_calls(&self) -> usize {
         match self.state.lock().gate.as_ref() {
-            Some(gate) => gate.in_hand(),
+            Some(gate) => gate.active_calls(),
             None => 0,
         }
     }
@@ -334,9 +334,13 @@
 
     /// Records an entry's report that an earlier attempt of this request broke.
     /// Returns the suspicion to spread, if any.
-    pub fn accuse(&self, fingerprint: u64) -> Option<SuspectEntry> {
+    pub fn report_suspect(&self, fingerprint: u64) -> Option<SuspectEntry> {
         let now = self.clock.now();
-        self.state.lock().gate.as_mut()?.accuse(fingerprint, now)
+        self.state
+            .lock()
+            .gate
+            .as_mut()?
+            .report_suspect(fingerprint, now)
     }
 
     /// Returns the requests that were cleared of suspicion since the previous
