--- a/crates/standins/src/bin/hornbeamhitch-platform-standin.rs
+++ b/crates/standins/src/bin/hornbeamhitch-platform-standin.rs
@@ -33,8 +33,8 @@
     if let Some(path) = &options.vms {
         platform.set_vms(program::read_json_file::<Vec<VmEntry>>(path)?)?;
     }
-    program::announce(platform.addr());
-    program::wait_for_end().await?;
+    program::log_listening_addr(platform.addr());
+    program::wait_for_shutdown_signal().await?;
     platform.stop().await;
     Ok(())
 }
--- a/crates/standins/src/bin/hornbeamhitch-target-standin.rs
+++ b/crates/standins/src/bin/hornbeamhitch-target-standin.rs
@@ -35,8 +35,8 @@
         config.name = name;
     }
     let target = TargetStandin::start(config).await?;
-    program::announce(target.addr());
-    program::wait_for_end().await?;
+    program::log_listening_addr(target.addr());
+    program::wait_for_shutdown_signal().await?;
     target.stop().await;
     Ok(())
 }
--- a/crates/standins/src/commands/bangkok.rs
+++ b/crates/standins/src/commands/bangkok.rs
@@ -6,7 +6,7 @@
 use gumdrop::Options;
 
 use crate::demo::bangkok::deployment;
-use crate::demo::{NodeKind, Programs, Stage};
+use crate::demo::{NodeKind, Programs, RunningDeployment};
 use crate::load::{self, Report};
 use crate::prelude::*;
 use crate::program;
@@ -38,8 +38,8 @@
 /// Runs the demonstration; fails when anything was lost or run twice.
 pub(super) async fn run(options: &BangkokOptions) -> Result<ExitCode> {
     let bound = EXTRA_TIME + Duration::from_secs_f64(options.seconds.max(0.0));
-    let playing = play(options);
-    let report = program::run_bounded(playing, bound, "the demonstration took too long").await?;
+    let running = run_traffic(options);
+    let report = program::run_bounded(running, bound, "the demonstration took too long").await?;
     print!("{}", report.table());
     if let Some(path) = &options.json {
         std::fs::write(path, report.json()?)?;
@@ -53,7 +53,7 @@
     Ok(ExitCode::FAILURE)
 }
 
-async fn play(options: &BangkokOptions) -> Result<Report> {
+async fn run_traffic(options: &BangkokOptions) -> Result<Report> {
     let path = options.text.as_deref();
     let path = path.unwrap_or(Path::new(DEFAULT_TEXT));
     let text = std::fs::read_to_string(path)
@@ -63,16 +63,16 @@
         "starting the platform, {} targets and as many nodes",
         deployment.targets().len()
     );
-    let programs = Programs::beside_this(NodeKind::Ticketed)?;
-    let mut stage = Stage::start(&programs, &deployment, &text).await?;
-    println!("all nodes are ready in {} ms", stage.ready_in().0);
-    let mut plan = deployment.plan(stage.entries());
+    let programs = Programs::beside_current_exe(NodeKind::Ticketed)?;
+    let mut running = RunningDeployment::start(&programs, &deployment, &text).await?;
+    println!("all nodes are ready in {} ms", running.ready_in().0);
+    let mut plan = deployment.plan(running.entries());
     plan.rate_per_s = options.rate;
     plan.seconds = options.seconds;
     plan.seed = options.seed;
     let outcome = load::run(plan).await?;
-    let runs = load::fetch_runs(&stage.target_addrs()).await?;
-    stage.stop().await?;
+    let runs = load::fetch_runs(&running.target_addrs()).await?;
+    running.stop().await?;
     println!("all processes have ended with status 0\n");
     Ok(outcome.report(Some(&runs)))
 }
--- a/crates/standins/src/commands/overhead.rs
+++ b/crates/standins/src/commands/overhead.rs
@@ -58,7 +58,7 @@
     };
     let programs = match &options.programs {
         Some(dir) => Programs::in_dir(dir, kind)?,
-        None => Programs::beside_this(kind)?,
+        None => Programs::beside_current_exe(kind)?,
     };
     let plan = Plan {
         nodes: kind,
@@ -77,11 +77,11 @@
     if !options.check {
         return Ok(ExitCode::SUCCESS);
     }
-    let broken = bounds::broken(&report);
-    for bound in &broken {
+    let violations = bounds::violations(&report);
+    for bound in &violations {
         println!("BROKEN: {bound}");
     }
-    match broken.is_empty() {
+    match violations.is_empty() {
         true => Ok(ExitCode::SUCCESS),
         false => Ok(ExitCode::FAILURE),
     }
--- a/crates/standins/src/demo.rs
+++ b/crates/standins/src/demo.rs
@@ -12,15 +12,15 @@
 use crate::prelude::*;
 use crate::program::listening_addr;
 use crate::target::TargetConfig;
-use crate::target::admin::NodeOrder;
+use crate::target::admin::SetNodeRequest;
 
 pub mod bangkok;
 pub mod deployment;
 
 pub use deployment::{Deployment, TargetSpec};
 
-const START_BOUND: Duration = Duration::from_secs(10);
-const STOP_BOUND: Duration = Duration::from_secs(40);
+const START_TIMEOUT: Duration = Duration::from_secs(10);
+const STOP_TIMEOUT: Duration = Duration::from_secs(40);
 const POLL: Duration = Duration::from_millis(5);
 
 /// Which program the nodes run.
@@ -45,7 +45,7 @@
     fn addressing(self) -> Addressing {
         match self {
             Self::Ticketed => Addressing::OneAddress,
-            Self::Routed => Addressing::address_each(),
+            Self::Routed => Addressing::address_per_node(),
         }
     }
 }
@@ -69,7 +69,7 @@
     /// # Errors
     ///
     /// Names the first one that is missing.
-    pub fn beside_this(kind: NodeKind) -> Result<Self> {
+    pub fn beside_current_exe(kind: NodeKind) -> Result<Self> {
         let this = std::env::current_exe()?;
         let dir = this.parent().ok_or_else(|| eyre!("no directory"))?;
         Self::in_dir(dir, kind)
@@ -102,7 +102,7 @@
 }
 
 /// All processes of a deployment; they end with this value.
-pub struct Stage {
+pub struct RunningDeployment {
     fleet: Fleet,
     targets: Vec<TargetProcess>,
     platform: ChildProcess,
@@ -112,7 +112,7 @@
     _dir: TempDir,
 }
 
-impl Stage {
+impl RunningDeployment {
     /// Starts everything and waits until every node has the text in force.
     ///
     /// # Errors
@@ -142,7 +142,7 @@
             addressing: programs.kind.addressing(),
             ..FleetConfig::new(&programs.node, platform_addr)
         })?;
-        let mut stage = Self {
+        let mut running = Self {
             fleet,
             targets: started,
             platform,
@@ -151,8 +151,8 @@
             ready_in: Millis::ZERO,
             _dir: dir,
         };
-        stage.start_nodes().await?;
-        Ok(stage)
+        running.start_nodes().await?;
+        Ok(running)
     }
 
     async fn start_nodes(&mut self) -> Result<()> {
@@ -174,9 +174,9 @@
         self.ready_in = Millis::from_duration(started_at.elapsed());
         for target in &self.targets {
             let node = self.fleet.addresses(&target.spec.vm)?.callers;
-            let order = NodeOrder { node };
+            let command = SetNodeRequest { node };
             self.client
-                .post_json(target.addr, "/admin/node", &order)
+                .post_json(target.addr, "/admin/node", &command)
                 .await?;
         }
         Ok(())
@@ -221,7 +221,7 @@
     ///
     /// Fails when one does not end in time or not with status 0.
     pub async fn stop(&mut self) -> Result<()> {
-        for (vm, end) in self.fleet.stop_all(STOP_BOUND).await? {
+        for (vm, end) in self.fleet.stop_all(STOP_TIMEOUT).await? {
             if end == Some(0) {
                 continue;
             }
@@ -254,7 +254,7 @@
 }
 
 async fn wait_listening(process: &mut ChildProcess) -> Result<SocketAddr> {
-    let deadline = Instant::now() + START_BOUND;
+    let deadline = Instant::now() + START_TIMEOUT;
     loop {
         if let Some(addr) = listening_addr(&process.logs()) {
             return Ok(addr);
@@ -269,7 +269,7 @@
 
 async fn end_process(process: &mut ChildProcess) -> Result<()> {
     process.signal(Signal::TERM)?;
-    let status = process.wait_exit(STOP_BOUND).await?;
+    let status = process.wait_exit(STOP_TIMEOUT).await?;
     ensure!(
         status.success(),
         "ended with {status}: {}",
--- a/crates/standins/src/demo/bangkok.rs
+++ b/crates/standins/src/demo/bangkok.rs
@@ -55,7 +55,7 @@
     let charge = CallKind {
         class: "payment".to_owned(),
         weight: 15,
-        headers: calls_on("ledger/records/last"),
+        headers: downstream_calls("ledger/records/last"),
         ..change("charge", "cashier", "/charge")
     };
     let portrait = CallKind {
@@ -95,6 +95,6 @@
     }
 }
 
-fn calls_on(chain: &str) -> BTreeMap<String, String> {
+fn downstream_calls(chain: &str) -> BTreeMap<String, String> {
     BTreeMap::from([(headers::CALL.to_owned(), chain.to_owned())])
 }
--- a/crates/standins/src/fleet.rs
+++ b/crates/standins/src/fleet.rs
@@ -24,7 +24,7 @@
 pub use process::{ChildProcess, Signal};
 pub use settings::NodeSettings;
 
-use ports::HeldPort;
+use ports::ReservedPortPair;
 use settings::LogSettings;
 use temp_dir::TempDir;
 
@@ -60,13 +60,13 @@
     /// Address of the platform.
     pub platform: SocketAddr,
     /// Bound on the time from start to ready.
-    pub ready_within: Duration,
+    pub ready_timeout: Duration,
     /// Bound of a node on its own graceful shutdown.
     pub drain_timeout_ms: u64,
     /// Level of the nodes' logs.
     pub log_level: String,
     /// Settings added to, or put in place of, the fleet's own, by key.
-    pub more_settings: serde_json::Map<String, serde_json::Value>,
+    pub extra_settings: serde_json::Map<String, serde_json::Value>,
 }
 
 impl FleetConfig {
@@ -79,10 +79,10 @@
             node_binary: node_binary.to_owned(),
             addressing: Addressing::default(),
             platform,
-            ready_within: Duration::from_secs(30),
+            ready_timeout: Duration::from_secs(30),
             drain_timeout_ms: 30_000,
             log_level: "info".to_owned(),
-            more_settings: serde_json::Map::new(),
+            extra_settings: serde_json::Map::new(),
         }
     }
 }
@@ -91,7 +91,7 @@
     spec: NodeSpec,
     addresses: NodeAddresses,
     /// Its ports, through all its lives.
-    held_ports: Vec<HeldPort>,
+    reserved_ports: Vec<ReservedPortPair>,
     settings_file: PathBuf,
     process: Option<ChildProcess>,
     /// Log lines of earlier lives on the same addresses.
@@ -140,7 +140,7 @@
         let node = Node {
             spec,
             addresses,
-            held_ports: reserved.ports,
+            reserved_ports: reserved.ports,
             settings_file,
             process: None,
             earlier_logs: Vec::new(),
@@ -170,7 +170,7 @@
         let mut value = serde_json::to_value(&settings)?;
         let object = value.as_object_mut();
         let object = object.expect("settings are written as an object");
-        for (key, more) in &self.config.more_settings {
+        for (key, more) in &self.config.extra_settings {
             object.insert(key.clone(), more.clone());
         }
         let text = serde_json::to_string_pretty(&value)?;
@@ -240,8 +240,8 @@
         }
         let mut command = Command::new(&binary);
         command.arg("--settings").arg(&node.settings_file);
-        for port in &mut node.held_ports {
-            port.hand_over();
+        for port in &mut node.reserved_ports {
+            port.release_udp();
         }
         node.process = Some(ChildProcess::spawn(vm, &mut command)?);
         Ok(())
@@ -254,7 +254,7 @@
     /// Fails when the node exits first or the bound passes; the message has
     /// the end of its log.
     pub async fn wait_ready(&mut self, vm: &str) -> Result<()> {
-        let deadline = Instant::now() + self.config.ready_within;
+        let deadline = Instant::now() + self.config.ready_timeout;
         loop {
             if self.is_ready(vm).await? {
                 return Ok(());
@@ -287,7 +287,7 @@
         if !ready.is_ok_and(|answer| answer.status == StatusCode::OK) {
             return Ok(false);
         }
-        if matches!(self.config.addressing, Addressing::AddressEach(_)) {
+        if matches!(self.config.addressing, Addressing::AddressPerNode(_)) {
             // Nobody else listens at the node's own address.
             return Ok(true);
         }
@@ -316,10 +316,10 @@
             let mut retries = 0;
             while let Err(error) = self.wait_ready(&vm).await {
                 retries += 1;
-                if retries > COLLISION_RETRIES || !self.lost_its_port(&vm)? {
+                if retries > COLLISION_RETRIES || !self.lost_port(&vm)? {
                     return Err(error);
                 }
-                self.renew_addresses(&vm)?;
+                self.reassign_addresses(&vm)?;
                 publish(self.vm_entries()).await?;
                 self.start(&vm)?;
             }
@@ -327,7 +327,7 @@
         Ok(())
     }
 
-    fn lost_its_port(&mut self, vm: &str) -> Result<bool> {
+    fn lost_port(&mut self, vm: &str) -> Result<bool> {
         let node = self.node_mut(vm)?;
         let Some(process) = &mut node.process else {
             return Ok(false);
@@ -338,11 +338,11 @@
         Ok(process.log_tail().to_lowercase().contains("in use"))
     }
 
-    fn renew_addresses(&mut self, vm: &str) -> Result<()> {
+    fn reassign_addresses(&mut self, vm: &str) -> Result<()> {
         let reserved = self.config.addressing.take()?;
         let node = self.node_mut(vm)?;
         node.addresses = reserved.addresses;
-        node.held_ports = reserved.ports;
+        node.reserved_ports = reserved.ports;
         self.write_settings(self.node(vm)?)
     }
 
@@ -352,7 +352,7 @@
     ///
     /// Fails when it does not run.
     pub fn signal(&mut self, vm: &str, signal: Signal) -> Result<()> {
-        self.running(vm)?.signal(signal)
+        self.process_mut(vm)?.signal(signal)
     }
 
     /// Ends one node without notice (SIGKILL) and waits for its end.
@@ -361,7 +361,7 @@
     ///
     /// Fails when it does not run.
     pub fn kill(&mut self, vm: &str) -> Result<()> {
-        self.running(vm)?.kill()
+        self.process_mut(vm)?.kill()
     }
 
     /// Pauses one node (SIGSTOP).
@@ -397,7 +397,7 @@
     ///
     /// Fails when the bound passes first.
     pub async fn wait_exit(&mut self, vm: &str, bound: Duration) -> Result<ExitStatus> {
-        self.running(vm)?.wait_exit(bound).await
+        self.process_mut(vm)?.wait_exit(bound).await
     }
 
     /// Kills one node and starts it again on the same addresses.
@@ -406,7 +406,7 @@
     ///
     /// Fails when its program cannot be started.
     pub fn restart(&mut self, vm: &str) -> Result<()> {
-        if self.running(vm)?.has_exited()?.is_none() {
+        if self.process_mut(vm)?.has_exited()?.is_none() {
             self.kill(vm)?;
         }
         self.start(vm)
@@ -433,7 +433,7 @@
     ///
     /// Fails when it was never started.
     pub fn process_id(&mut self, vm: &str) -> Result<u32> {
-        Ok(self.running(vm)?.id())
+        Ok(self.process_mut(vm)?.id())
     }
 
     /// Asks all running nodes to shut down at once and waits for each.
@@ -480,7 +480,7 @@
         self.nodes.get_mut(vm).ok_or_else(|| eyre!("no node {vm}"))
     }
 
-    fn running(&mut self, vm: &str) -> Result<&mut ChildProcess> {
+    fn process_mut(&mut self, vm: &str) -> Result<&mut ChildProcess> {
         let process = &mut self.node_mut(vm)?.process;
         process
             .as_mut()
--- a/crates/standins/src/fleet/node.rs
+++ b/crates/standins/src/fleet/node.rs
@@ -4,7 +4,7 @@
 
 use crate::prelude::*;
 
-use super::ports::{self, HeldPort};
+use super::ports::{self, ReservedPortPair};
 
 const PORTS_PER_NODE: usize = 4;
 
@@ -40,7 +40,7 @@
     /// The addresses.
     pub addresses: NodeAddresses,
     /// Their ports, to be dropped when the node is started.
-    pub ports: Vec<HeldPort>,
+    pub ports: Vec<ReservedPortPair>,
 }
 
 /// Where the nodes of a fleet listen.
@@ -51,17 +51,17 @@
     OneAddress,
     /// Each at a loopback address of its own and all with the same ports, as
     /// programs need it that know the ports of the others by their own.
-    AddressEach(LoopbackNet),
+    AddressPerNode(LoopbackNet),
 }
 
 impl Addressing {
     /// An address each, out of a net that no other fleet is likely to use.
     #[must_use]
-    pub fn address_each() -> Self {
-        Self::AddressEach(LoopbackNet {
+    pub fn address_per_node() -> Self {
+        Self::AddressPerNode(LoopbackNet {
             // Above the nets that tests name by hand, and below the broadcast.
-            second: rand::random_range(128..255),
-            third: rand::random(),
+            second_octet: rand::random_range(128..255),
+            third_octet: rand::random(),
             ports: Vec::new(),
             nodes: 0,
         })
@@ -75,7 +75,7 @@
     pub fn take(&mut self) -> Result<ReservedAddresses> {
         match self {
             Self::OneAddress => ReservedAddresses::of(ports::reserve(PORTS_PER_NODE)?),
-            Self::AddressEach(net) => ReservedAddresses::of(net.take()?),
+            Self::AddressPerNode(net) => ReservedAddresses::of(net.take()?),
         }
     }
 }
@@ -83,28 +83,28 @@
 /// A net 127.a.b.0, of which each node gets an address.
 #[derive(Clone, Debug)]
 pub struct LoopbackNet {
-    second: u8,
-    third: u8,
+    second_octet: u8,
+    third_octet: u8,
     /// The first node's, which all others take as well.
     ports: Vec<u16>,
     nodes: u8,
 }
 
 impl LoopbackNet {
-    fn take(&mut self) -> Result<Vec<HeldPort>> {
+    fn take(&mut self) -> Result<Vec<ReservedPortPair>> {
         if self.ports.is_empty() {
             for port in ports::reserve(PORTS_PER_NODE)? {
                 self.ports.push(port.addr().port());
             }
         }
         self.nodes += 1;
-        let ip = Ipv4Addr::new(127, self.second, self.third, self.nodes);
+        let ip = Ipv4Addr::new(127, self.second_octet, self.third_octet, self.nodes);
         ports::reserve_at(ip, &self.ports)
     }
 }
 
 impl ReservedAddresses {
-    fn of(ports: Vec<HeldPort>) -> Result<Self> {
+    fn of(ports: Vec<ReservedPortPair>) -> Result<Self> {
         let [callers, peer, control, operators] = &ports[..] else {
             bail!("asked for {PORTS_PER_NODE} ports and got {}", ports.len());
         };
--- a/crates/standins/src/fleet/ports.rs
+++ b/crates/standins/src/fleet/ports.rs
@@ -7,12 +7,12 @@
 
 use crate::prelude::*;
 
-const TRIES: usize = 200;
+const MAX_REJECTED: usize = 200;
 /// Beyond this many, ports of fleets that have long ended are handed out again.
-const MAX_HANDED_OUT: usize = 12_000;
+const MAX_ISSUED: usize = 12_000;
 
 /// Addresses that this process has handed out.
-static HANDED_OUT: Mutex<BTreeSet<SocketAddr>> = Mutex::new(BTreeSet::new());
+static ISSUED: Mutex<BTreeSet<SocketAddr>> = Mutex::new(BTreeSet::new());
 
 /// A TCP port that is kept for a program until this value is dropped, also while the
 /// program listens there, and between two of its lives.
@@ -59,12 +59,12 @@
 ///
 /// Nothing listens on it meanwhile: connections to it are refused.
 #[derive(Debug)]
-pub struct HeldPort {
+pub struct ReservedPortPair {
     tcp: ReservedPort,
     udp: Option<UdpSocket>,
 }
 
-impl HeldPort {
+impl ReservedPortPair {
     /// Holds an address, with any port where that is 0; `None` when the port that
     /// was found is taken for UDP.
     fn take(wanted: SocketAddr) -> Result<Option<Self>> {
@@ -85,7 +85,7 @@
 
     /// Lets its program bind the port. A UDP socket stands beside no other, so from
     /// now on another process can take that.
-    pub fn hand_over(&mut self) {
+    pub fn release_udp(&mut self) {
         self.udp = None;
     }
 }
@@ -103,21 +103,21 @@
 /// # Errors
 ///
 /// Fails when the kernel has no more ports.
-pub fn reserve(count: usize) -> Result<Vec<HeldPort>> {
-    let mut passed_over = Vec::new();
-    let mut held = Vec::new();
-    for _ in 0..TRIES + count {
-        if held.len() == count {
-            return Ok(held);
+pub fn reserve(count: usize) -> Result<Vec<ReservedPortPair>> {
+    let mut already_issued = Vec::new();
+    let mut reserved = Vec::new();
+    for _ in 0..MAX_REJECTED + count {
+        if reserved.len() == count {
+            return Ok(reserved);
         }
-        let Some(port) = HeldPort::take((Ipv4Addr::LOCALHOST, 0).into())? else {
+        let Some(port) = ReservedPortPair::take((Ipv4Addr::LOCALHOST, 0).into())? else {
             continue;
         };
         if is_new(port.addr()) {
-            held.push(port);
+            reserved.push(port);
         } else {
             // Held as well, or the kernel would offer it again.
-            passed_over.push(port);
+            already_issued.push(port);
         }
     }
     bail!("no {count} ports that are free for TCP and UDP");
@@ -128,20 +128,20 @@
 /// # Errors
 ///
 /// Fails when one of them is taken.
-pub fn reserve_at(ip: Ipv4Addr, ports: &[u16]) -> Result<Vec<HeldPort>> {
-    let mut held = Vec::new();
+pub fn reserve_at(ip: Ipv4Addr, ports: &[u16]) -> Result<Vec<ReservedPortPair>> {
+    let mut reserved = Vec::new();
     for port in ports {
         let wanted = SocketAddr::from((ip, *port));
-        let port = HeldPort::take(wanted)?;
-        held.push(port.ok_or_else(|| eyre!("{wanted} is taken for UDP"))?);
+        let port = ReservedPortPair::take(wanted)?;
+        reserved.push(port.ok_or_else(|| eyre!("{wanted} is taken for UDP"))?);
     }
-    Ok(held)
+    Ok(reserved)
 }
 
 fn is_new(addr: SocketAddr) -> bool {
-    let mut handed_out = HANDED_OUT.lock();
-    if handed_out.len() >= MAX_HANDED_OUT {
-        handed_out.clear();
+    let mut issued = ISSUED.lock();
+    if issued.len() >= MAX_ISSUED {
+        issued.clear();
     }
-    handed_out.insert(addr)
+    issued.insert(addr)
 }
--- a/crates/standins/src/http_server.rs
+++ b/crates/standins/src/http_server.rs
@@ -22,7 +22,7 @@
 mod stream;
 
 pub use answers::{Answer, AnswerBody, BodyCut, json_answer, text_answer, whole_body};
-pub use control::{ControlEnd, ServerControl, control};
+pub use control::{CommandReceiver, ServerControl, control_channel};
 pub use requests::{
     MAX_REQUEST_BYTES, header_number, header_text, query_value, read_body, read_json,
 };
@@ -31,7 +31,7 @@
 use stream::ResettableStream;
 
 const BIND_ATTEMPTS: u32 = 200;
-const BIND_PAUSE: Duration = Duration::from_millis(10);
+const BIND_RETRY_DELAY: Duration = Duration::from_millis(10);
 
 /// A handler's wish to end the connection without an answer.
 #[derive(Clone, Copy, Debug)]
@@ -87,9 +87,9 @@
     pub async fn start(
         addr: SocketAddr,
         handler: Arc<dyn Handler>,
-        end: ControlEnd,
+        end: CommandReceiver,
     ) -> Result<Self> {
-        let listener = bind_with_patience(addr).await?;
+        let listener = bind_with_retries(addr).await?;
         let addr = listener.local_addr().wrap_err("no local address")?;
         let supervisor = Supervisor {
             addr,
@@ -119,7 +119,7 @@
 }
 
 /// Binds, waiting for a port that its last owner has not quite freed.
-async fn bind_with_patience(addr: SocketAddr) -> Result<TcpListener> {
+async fn bind_with_retries(addr: SocketAddr) -> Result<TcpListener> {
     let mut attempt = 0;
     loop {
         match TcpListener::bind(addr).await {
@@ -127,7 +127,7 @@
             Err(error) if attempt >= BIND_ATTEMPTS => {
                 return Err(error).wrap_err_with(|| format!("cannot bind {addr}"));
             }
-            Err(_) => sleep(BIND_PAUSE).await,
+            Err(_) => sleep(BIND_RETRY_DELAY).await,
         }
         attempt += 1;
     }
@@ -181,7 +181,7 @@
                 }
                 accepted = accept(listener.as_ref()) => {
                     let Ok((stream, peer)) = accepted else {
-                        sleep(BIND_PAUSE).await;
+                        sleep(BIND_RETRY_DELAY).await;
                         continue;
                     };
                     self.serve(stream, peer);
@@ -198,7 +198,7 @@
     }
 
     async fn reopen(&self) -> Option<TcpListener> {
-        match bind_with_patience(self.addr).await {
+        match bind_with_retries(self.addr).await {
             Ok(listener) => Some(listener),
             Err(error) => {
                 log::error!("stand-in cannot listen again: {error:#}");
--- a/crates/standins/src/http_server/control.rs
+++ b/crates/standins/src/http_server/control.rs
@@ -5,8 +5,8 @@
 
 use crate::prelude::*;
 
-const COMMAND_BOUND: Duration = Duration::from_secs(5);
-const COMMANDS: usize = 16;
+const COMMAND_TIMEOUT: Duration = Duration::from_secs(5);
+const COMMAND_CAPACITY: usize = 16;
 
 /// What a server is told.
 pub(super) enum Command {
@@ -54,20 +54,20 @@
     }
 
     async fn command(&self, command: impl FnOnce(oneshot::Sender<()>) -> Command) {
-        let (done, obeyed) = oneshot::channel();
+        let (done, completed) = oneshot::channel();
         if self.commands.send(command(done)).await.is_err() {
             return;
         }
-        let _ = timeout(COMMAND_BOUND, obeyed).await;
+        let _ = timeout(COMMAND_TIMEOUT, completed).await;
     }
 }
 
 /// A control and the end to hand to [`super::HttpServer::start`].
 #[must_use]
-pub fn control() -> (ServerControl, ControlEnd) {
-    let (commands, receiver) = mpsc::channel(COMMANDS);
-    (ServerControl { commands }, ControlEnd(receiver))
+pub fn control_channel() -> (ServerControl, CommandReceiver) {
+    let (commands, receiver) = mpsc::channel(COMMAND_CAPACITY);
+    (ServerControl { commands }, CommandReceiver(receiver))
 }
 
 /// Receives what a [`ServerControl`] commands.
-pub struct ControlEnd(pub(super) mpsc::Receiver<Command>);
+pub struct CommandReceiver(pub(super) mpsc::Receiver<Command>);
--- a/crates/standins/src/load.rs
+++ b/crates/standins/src/load.rs
@@ -99,7 +99,12 @@
     })
 }
 
-async fn make_call(plan: &LoadPlan, caller: &Caller, due: pace::Due, nonce: String) -> CallRecord {
+async fn make_call(
+    plan: &LoadPlan,
+    caller: &Caller,
+    due: pace::DueCall,
+    nonce: String,
+) -> CallRecord {
     let call = Call {
         kind: &plan.kinds[due.kind],
         kind_index: due.kind,
--- a/crates/standins/src/load/answer.rs
+++ b/crates/standins/src/load/answer.rs
@@ -8,7 +8,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) struct Meaning {
     pub(super) code: Option<u16>,
-    pub(super) what: What,
+    pub(super) kind: AnswerKind,
     /// When to come back, as far as the answer says.
     pub(super) wait: Option<Duration>,
     /// A ticket to go on with.
@@ -16,7 +16,7 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(super) enum What {
+pub(super) enum AnswerKind {
     Answered,
     /// Nothing has run; the request belongs to this path.
     Redirect(String),
@@ -36,7 +36,7 @@
     let number = number.and_then(|number| u16::try_from(number).ok());
     Meaning {
         code: number,
-        what: what_of(number.and_then(ResultCode::from_number), headers),
+        kind: kind_of(number.and_then(ResultCode::from_number), headers),
         wait: wait_of(headers),
         next_ticket: header_text(headers, header::NEXT_TICKET).map(str::to_owned),
     }
@@ -44,41 +44,43 @@
 
 /// Reads an answer of a target that was called without nodes.
 pub(super) fn from_target(answer: &WholeAnswer) -> Meaning {
-    let what = match answer.headers.contains_key(header::NOT_RUN) {
-        true => What::NotRun,
-        false => What::Answered,
+    let kind = match answer.headers.contains_key(header::NOT_RUN) {
+        true => AnswerKind::NotRun,
+        false => AnswerKind::Answered,
     };
     Meaning {
         code: None,
-        what,
+        kind,
         wait: wait_of(&answer.headers),
         next_ticket: None,
     }
 }
 
-fn what_of(code: Option<ResultCode>, headers: &HeaderMap) -> What {
+fn kind_of(code: Option<ResultCode>, headers: &HeaderMap) -> AnswerKind {
     let Some(code) = code else {
         // Not from a node that keeps to the protocol, so nothing is certain.
-        return What::Unknown;
+        return AnswerKind::Unknown;
     };
     match code {
         ResultCode::TicketNeeded => {
             let location = header_text(headers, http::header::LOCATION.as_str());
-            return location.map_or(What::Unknown, |url| What::Redirect(path_of(url)));
+            return location.map_or(AnswerKind::Unknown, |url| {
+                AnswerKind::Redirect(path_of(url))
+            });
         }
         ResultCode::CrashSuspect
         | ResultCode::TooLarge
         | ResultCode::KeyReused
-        | ResultCode::UnknownService => return What::Refused,
+        | ResultCode::UnknownService => return AnswerKind::Refused,
         _ => {}
     }
     match code.certainty() {
-        Certainty::Answered => What::Answered,
-        Certainty::NotRun => What::NotRun,
-        Certainty::NotYet => What::NotYet,
-        Certainty::TicketDead => What::TicketDead,
-        Certainty::Pending => What::Pending,
-        Certainty::Unknown => What::Unknown,
+        Certainty::Answered => AnswerKind::Answered,
+        Certainty::NotRun => AnswerKind::NotRun,
+        Certainty::NotYet => AnswerKind::NotYet,
+        Certainty::TicketDead => AnswerKind::TicketDead,
+        Certainty::Pending => AnswerKind::Pending,
+        Certainty::Unknown => AnswerKind::Unknown,
     }
 }
 
--- a/crates/standins/src/load/caller.rs
+++ b/crates/standins/src/load/caller.rs
@@ -15,14 +15,14 @@
 use crate::target::echo::{EchoRequest, digest, echo_body, push_filler};
 use crate::target::headers;
 
-use super::answer::{What, from_node, from_target};
+use super::answer::{AnswerKind, from_node, from_target};
 use super::plan::{CallKind, CallerLimits, Destination, LoadPlan};
 use super::progress::Progress;
 use super::record::{CallRecord, Verdict};
-use super::tickets::{TicketBatch, TicketStash};
+use super::tickets::{TicketBatch, TicketCache};
 
 /// Wait after a fault for which nobody named a time; it doubles each time.
-const FIRST_BACKOFF: Duration = Duration::from_millis(20);
+const INITIAL_BACKOFF: Duration = Duration::from_millis(20);
 const MAX_BACKOFF_DOUBLINGS: u32 = 6;
 /// Validity of a `hitch-next-ticket`, whose header names none.
 const NEXT_TICKET_VALID_MS: u64 = 60_000;
@@ -49,14 +49,14 @@
     client: HttpClient,
     destination: Destination,
     limits: CallerLimits,
-    stash: TicketStash,
+    ticket_cache: TicketCache,
 }
 
 /// What to do next.
 enum Step {
     Done(Verdict),
-    Again,
-    AgainAfter(Duration),
+    Retry,
+    RetryAfter(Duration),
 }
 
 impl Caller {
@@ -67,14 +67,14 @@
             client: HttpClient::new(plan.http),
             destination: plan.destination.clone(),
             limits: plan.caller,
-            stash: TicketStash::default(),
+            ticket_cache: TicketCache::default(),
         }
     }
 
     /// Makes one call, bounded in requests and time.
     pub async fn call(&self, call: &Call<'_>) -> CallRecord {
         let mut progress = self.begin(call).await;
-        let verdict = self.pursue(call, &mut progress).await;
+        let verdict = self.run_to_verdict(call, &mut progress).await;
         let mut record = progress.record;
         record.verdict = verdict;
         record.latency_us = micros(call.intended_at.elapsed());
@@ -87,7 +87,7 @@
         let entry = usize::try_from(call.entry_draw % entries as u64).unwrap_or(0);
         let mut progress = Progress::begin(call, body_of(call), entry);
         if self.is_ticketed(call) && self.limits.tickets_ahead > 0 {
-            let ticket = match self.stash.take(&call.kind.service) {
+            let ticket = match self.ticket_cache.take(&call.kind.service) {
                 Some(ticket) => Some(ticket),
                 None => self.fetch_tickets(call, &mut progress).await,
             };
@@ -100,7 +100,7 @@
         !call.kind.idempotent && !self.destination.is_direct()
     }
 
-    async fn pursue(&self, call: &Call<'_>, progress: &mut Progress) -> Verdict {
+    async fn run_to_verdict(&self, call: &Call<'_>, progress: &mut Progress) -> Verdict {
         let give_up_after = Duration::from_millis(self.limits.give_up_after_ms);
         loop {
             let late = call.intended_at.elapsed() >= give_up_after;
@@ -109,8 +109,8 @@
             }
             match self.step(call, progress).await {
                 Step::Done(verdict) => return verdict,
-                Step::Again => {}
-                Step::AgainAfter(wait) => {
+                Step::Retry => {}
+                Step::RetryAfter(wait) => {
                     if call.intended_at.elapsed() + wait >= give_up_after {
                         return progress.give_up();
                     }
@@ -122,12 +122,12 @@
 
     async fn step(&self, call: &Call<'_>, progress: &mut Progress) -> Step {
         match self.send(call, progress).await {
-            Ok(answer) => self.take(call, progress, &answer).await,
-            Err(fault) => self.take_fault(call, progress, fault),
+            Ok(answer) => self.handle_answer(call, progress, &answer).await,
+            Err(fault) => self.handle_fault(call, progress, fault),
         }
     }
 
-    fn take_fault(&self, call: &Call<'_>, progress: &mut Progress, fault: SendFault) -> Step {
+    fn handle_fault(&self, call: &Call<'_>, progress: &mut Progress, fault: SendFault) -> Step {
         progress.record.broken_sends += 1;
         progress.entry += 1;
         progress.faults += 1;
@@ -135,7 +135,7 @@
         // Without a ticket an entry runs nothing that is not idempotent.
         let runs_nothing = self.is_ticketed(call) && progress.ticket_path.is_none();
         if !nothing_was_sent && !runs_nothing {
-            progress.clean = false;
+            progress.certainly_not_run = false;
             if self.destination.is_direct() && !call.kind.idempotent {
                 return Step::Done(Verdict::Unknown);
             }
@@ -143,62 +143,67 @@
         if call.kind.idempotent {
             progress.next_idempotent_try();
         }
-        Step::AgainAfter(backoff(progress.faults))
+        Step::RetryAfter(backoff(progress.faults))
     }
 
-    async fn take(&self, call: &Call<'_>, progress: &mut Progress, answer: &WholeAnswer) -> Step {
+    async fn handle_answer(
+        &self,
+        call: &Call<'_>,
+        progress: &mut Progress,
+        answer: &WholeAnswer,
+    ) -> Step {
         let meaning = match self.destination.is_direct() {
             true => from_target(answer),
             false => from_node(answer),
         };
         progress.note(answer, &meaning);
         let wait = meaning.wait.unwrap_or_else(|| backoff(progress.faults + 1));
-        match &meaning.what {
-            What::Answered => {
-                progress.record.wrong_answer = !is_right(call, &progress.body, answer);
-                self.keep_next(call, meaning.next_ticket);
+        match &meaning.kind {
+            AnswerKind::Answered => {
+                progress.record.wrong_answer = !is_expected_answer(call, &progress.body, answer);
+                self.store_next_ticket(call, meaning.next_ticket);
                 Step::Done(Verdict::Answered)
             }
-            What::Redirect(path) => {
+            AnswerKind::Redirect(path) => {
                 progress.redirect(path);
-                Step::Again
+                Step::Retry
             }
-            What::NotRun => {
-                self.try_anew(call, progress, meaning.next_ticket, wait)
+            AnswerKind::NotRun => {
+                self.retry_with_new_ticket(call, progress, meaning.next_ticket, wait)
                     .await
             }
-            What::Refused => {
+            AnswerKind::Refused => {
                 progress.conclude_not_run();
-                Step::Done(progress.certain_not_run())
+                Step::Done(progress.not_run_verdict())
             }
-            What::NotYet if meaning.code == Some(ResultCode::BadRequest.number()) => {
+            AnswerKind::NotYet if meaning.code == Some(ResultCode::BadRequest.number()) => {
                 Step::Done(progress.give_up())
             }
-            What::NotYet => {
+            AnswerKind::NotYet => {
                 progress.faults += 1;
                 progress.entry += 1;
                 if call.kind.idempotent {
                     progress.conclude_not_run();
                     progress.next_idempotent_try();
                 }
-                Step::AgainAfter(wait)
+                Step::RetryAfter(wait)
             }
-            What::TicketDead if progress.clean => {
+            AnswerKind::TicketDead if progress.certainly_not_run => {
                 let none = Duration::ZERO;
-                self.try_anew(call, progress, meaning.next_ticket, none)
+                self.retry_with_new_ticket(call, progress, meaning.next_ticket, none)
                     .await
             }
-            What::TicketDead => Step::Done(Verdict::Unknown),
-            What::Pending => {
-                progress.clean = false;
-                Step::AgainAfter(wait)
+            AnswerKind::TicketDead => Step::Done(Verdict::Unknown),
+            AnswerKind::Pending => {
+                progress.certainly_not_run = false;
+                Step::RetryAfter(wait)
             }
-            What::Unknown => self.take_unknown(call, progress, wait),
+            AnswerKind::Unknown => self.handle_unknown(call, progress, wait),
         }
     }
 
-    fn take_unknown(&self, call: &Call<'_>, progress: &mut Progress, wait: Duration) -> Step {
-        progress.clean = false;
+    fn handle_unknown(&self, call: &Call<'_>, progress: &mut Progress, wait: Duration) -> Step {
+        progress.certainly_not_run = false;
         progress.entry += 1;
         if progress.unknowns >= self.limits.unknown_resends {
             return Step::Done(Verdict::Unknown);
@@ -207,12 +212,12 @@
         if call.kind.idempotent {
             progress.next_idempotent_try();
         }
-        Step::AgainAfter(wait)
+        Step::RetryAfter(wait)
     }
 
     /// Goes on after a certain "not run": with a new ticket, whose key is new
     /// as well, because the old key is fenced at its gate.
-    async fn try_anew(
+    async fn retry_with_new_ticket(
         &self,
         call: &Call<'_>,
         progress: &mut Progress,
@@ -221,27 +226,27 @@
     ) -> Step {
         progress.conclude_not_run();
         if progress.try_number + 1 >= u64::from(self.limits.max_tickets) {
-            return Step::Done(progress.certain_not_run());
+            return Step::Done(progress.not_run_verdict());
         }
         progress.faults += 1;
         progress.entry += 1;
         if call.kind.idempotent || self.destination.is_direct() {
             progress.next_idempotent_try();
-            return Step::AgainAfter(wait);
+            return Step::RetryAfter(wait);
         }
         let had_ticket = progress.ticket_path.take().is_some();
         progress.try_number += 1;
-        progress.clean = true;
+        progress.certainly_not_run = true;
         let ticket = match next_ticket {
             Some(ticket) => Some(ticket),
             None if had_ticket => self.fetch_tickets(call, progress).await,
             None => None,
         };
         progress.use_ticket(call, ticket);
-        Step::AgainAfter(wait)
+        Step::RetryAfter(wait)
     }
 
-    fn keep_next(&self, call: &Call<'_>, next_ticket: Option<String>) {
+    fn store_next_ticket(&self, call: &Call<'_>, next_ticket: Option<String>) {
         if self.limits.tickets_ahead == 0 {
             return;
         }
@@ -252,7 +257,7 @@
             tickets: vec![ticket],
             valid_ms: NEXT_TICKET_VALID_MS,
         };
-        self.stash.keep(&call.kind.service, batch);
+        self.ticket_cache.store(&call.kind.service, batch);
     }
 
     /// Fetches tickets with fresh keys; one is returned, the rest are kept.
@@ -271,7 +276,7 @@
         let answer = self.client.send(request, bound).await.ok()?;
         let mut batch: TicketBatch = answer.json().ok()?;
         let ticket = batch.tickets.pop()?;
-        self.stash.keep(service, batch);
+        self.ticket_cache.store(service, batch);
         Some(ticket)
     }
 
@@ -336,7 +341,7 @@
 
 fn backoff(faults: u32) -> Duration {
     let doublings = faults.saturating_sub(1).min(MAX_BACKOFF_DOUBLINGS);
-    FIRST_BACKOFF * 2_u32.pow(doublings)
+    INITIAL_BACKOFF * 2_u32.pow(doublings)
 }
 
 /// The body of a call, which no other call has.
@@ -354,7 +359,7 @@
 /// Whether an answer is whole and the one that this request must bring.
 ///
 /// Only successes of the target echo; its failures have no derived body.
-fn is_right(call: &Call<'_>, body: &[u8], answer: &WholeAnswer) -> bool {
+fn is_expected_answer(call: &Call<'_>, body: &[u8], answer: &WholeAnswer) -> bool {
     if !answer.status.is_success() {
         return true;
     }
--- a/crates/standins/src/load/pace.rs
+++ b/crates/standins/src/load/pace.rs
@@ -13,7 +13,7 @@
 
 /// One call that is due.
 #[derive(Clone, Debug)]
-pub(super) struct Due {
+pub(super) struct DueCall {
     pub(super) number: u64,
     pub(super) kind: usize,
     pub(super) tenant: Option<String>,
@@ -26,7 +26,7 @@
 ///
 /// The runtime's timers have a grain of a millisecond, which would show in
 /// every latency; a thread's sleep is finer by an order of magnitude.
-pub(super) fn start(plan: &LoadPlan) -> Result<mpsc::UnboundedReceiver<Due>> {
+pub(super) fn start(plan: &LoadPlan) -> Result<mpsc::UnboundedReceiver<DueCall>> {
     let (sender, receiver) = mpsc::unbounded_channel();
     let mut pacer = Pacer::new(plan);
     thread::Builder::new()
@@ -59,11 +59,11 @@
         }
     }
 
-    fn run(&mut self, sender: &mpsc::UnboundedSender<Due>) {
+    fn run(&mut self, sender: &mpsc::UnboundedSender<DueCall>) {
         let origin = Instant::now();
         let mut at_s = 0.0;
         for number in 0..self.calls {
-            at_s += self.gap_s();
+            at_s += self.interval_s();
             if at_s >= self.seconds {
                 return;
             }
@@ -76,7 +76,7 @@
         }
     }
 
-    fn gap_s(&mut self) -> f64 {
+    fn interval_s(&mut self) -> f64 {
         let mean_s = 1.0 / self.rate_per_s;
         match self.pacing {
             Pacing::Even => mean_s,
@@ -87,7 +87,7 @@
         }
     }
 
-    fn draw(&mut self, number: u64, intended_at: Instant) -> Due {
+    fn draw(&mut self, number: u64, intended_at: Instant) -> DueCall {
         let kind = self.draw_kind();
         let tenants = self.kinds[kind].tenants.len();
         let tenant = match tenants {
@@ -97,7 +97,7 @@
                 Some(self.kinds[kind].tenants[index].clone())
             }
         };
-        Due {
+        DueCall {
             number,
             kind,
             tenant,
--- a/crates/standins/src/load/progress.rs
+++ b/crates/standins/src/load/progress.rs
@@ -17,9 +17,9 @@
     /// Counts tickets; for idempotent calls, sends.
     pub(super) try_number: u64,
     /// No send of this try can have run.
-    pub(super) clean: bool,
+    pub(super) certainly_not_run: bool,
     /// An earlier send of an idempotent call may have run.
-    may_have_run: bool,
+    earlier_try_may_have_run: bool,
     pub(super) entry: usize,
     pub(super) faults: u32,
     pub(super) unknowns: u32,
@@ -34,8 +34,8 @@
             body,
             ticket_path: None,
             try_number: 0,
-            clean: true,
-            may_have_run: false,
+            certainly_not_run: true,
+            earlier_try_may_have_run: false,
             entry,
             faults: 0,
             unknowns: 0,
@@ -81,30 +81,30 @@
     /// Each send of an idempotent call is a try of its own, because "not run"
     /// speaks of that send only.
     pub(super) fn next_idempotent_try(&mut self) {
-        self.may_have_run |= !self.clean;
-        self.clean = true;
+        self.earlier_try_may_have_run |= !self.certainly_not_run;
+        self.certainly_not_run = true;
         self.try_number += 1;
     }
 
     pub(super) fn conclude_not_run(&mut self) {
-        self.clean = true;
+        self.certainly_not_run = true;
         if self.record.not_run_tries.last() != Some(&self.try_number) {
             self.record.not_run_tries.push(self.try_number);
         }
     }
 
-    pub(super) fn certain_not_run(&self) -> Verdict {
-        match self.may_have_run {
+    pub(super) fn not_run_verdict(&self) -> Verdict {
+        match self.earlier_try_may_have_run {
             true => Verdict::Unknown,
             false => Verdict::NotRun,
         }
     }
 
     pub(super) fn give_up(&mut self) -> Verdict {
-        if !self.clean {
+        if !self.certainly_not_run {
             return Verdict::Unknown;
         }
         self.conclude_not_run();
-        self.certain_not_run()
+        self.not_run_verdict()
     }
 }
--- a/crates/standins/src/load/reconcile.rs
+++ b/crates/standins/src/load/reconcile.rs
@@ -73,62 +73,62 @@
     runs: &[RunRecord],
 ) -> Reconciliation {
     let mut by_nonce: HashMap<&str, Vec<&RunRecord>> = HashMap::new();
-    let mut sum = Reconciliation::default();
+    let mut totals = Reconciliation::default();
     for run in runs {
         match &run.marks.nonce {
             Some(nonce) => by_nonce.entry(nonce).or_default().push(run),
-            None => sum.unaccounted_runs += 1,
+            None => totals.unaccounted_runs += 1,
         }
     }
     for record in records {
         let runs = by_nonce.get(record.nonce.as_str());
         let runs = runs.map_or(&[][..], Vec::as_slice);
-        compare(plan, record, runs, &mut sum);
+        compare(plan, record, runs, &mut totals);
     }
-    sum
+    totals
 }
 
-fn compare(plan: &LoadPlan, record: &CallRecord, runs: &[&RunRecord], sum: &mut Reconciliation) {
-    let finished = runs.iter().any(|run| has_answered(run));
+fn compare(plan: &LoadPlan, record: &CallRecord, runs: &[&RunRecord], totals: &mut Reconciliation) {
+    let finished = runs.iter().any(|run| could_have_answered(run));
     if record.verdict == Verdict::Answered && !finished {
-        sum.lost += 1;
-        sum.example(sum.lost, "lost", record, runs);
+        totals.lost += 1;
+        totals.example(totals.lost, "lost", record, runs);
     }
     if runs.len() > 1 {
         if plan.kinds[record.kind].idempotent {
-            sum.idempotent_repeats += 1;
+            totals.idempotent_repeats += 1;
         } else {
-            sum.run_twice += 1;
-            sum.example(sum.run_twice, "run twice", record, runs);
+            totals.run_twice += 1;
+            totals.example(totals.run_twice, "run twice", record, runs);
         }
     }
-    if ran_although_told_not(record, runs) {
-        sum.not_run_but_ran += 1;
-        sum.example(sum.not_run_but_ran, "not run but ran", record, runs);
+    if ran_despite_not_run(record, runs) {
+        totals.not_run_but_ran += 1;
+        totals.example(totals.not_run_but_ran, "not run but ran", record, runs);
     }
     if record.wrong_answer {
-        sum.wrong_answers += 1;
-        sum.example(sum.wrong_answers, "wrong answer", record, runs);
+        totals.wrong_answers += 1;
+        totals.example(totals.wrong_answers, "wrong answer", record, runs);
     }
     if record.verdict == Verdict::Unknown {
-        sum.unknown += 1;
+        totals.unknown += 1;
         if runs.is_empty() {
-            sum.unknown_not_ran += 1;
+            totals.unknown_not_ran += 1;
         } else {
-            sum.unknown_ran += 1;
+            totals.unknown_ran += 1;
         }
     }
 }
 
 /// Whether a run is one that a target can have answered.
-fn has_answered(run: &RunRecord) -> bool {
+fn could_have_answered(run: &RunRecord) -> bool {
     matches!(
         run.end,
         RunEnd::Finished | RunEnd::FailedFast | RunEnd::DeadlinePassed
     )
 }
 
-fn ran_although_told_not(record: &CallRecord, runs: &[&RunRecord]) -> bool {
+fn ran_despite_not_run(record: &CallRecord, runs: &[&RunRecord]) -> bool {
     if record.verdict == Verdict::NotRun && !runs.is_empty() {
         return true;
     }
--- a/crates/standins/src/load/report.rs
+++ b/crates/standins/src/load/report.rs
@@ -12,7 +12,7 @@
 
 const SIGNIFICANT_DIGITS: u8 = 3;
 /// Longer latencies are recorded as this.
-const LONGEST_US: u64 = 3_600_000_000;
+const MAX_LATENCY_US: u64 = 3_600_000_000;
 
 const ANSWERED: &str = "answered";
 
@@ -107,41 +107,41 @@
 }
 
 pub(super) fn report(outcome: &LoadOutcome, reconciliation: Option<Reconciliation>) -> Report {
-    let mut sum = Sum::default();
+    let mut totals = Totals::default();
     for record in &outcome.records {
-        sum.add(outcome, record);
+        totals.add(outcome, record);
     }
     let elapsed_s = outcome.elapsed.as_secs_f64();
     let calls = u64::try_from(outcome.records.len()).unwrap_or(u64::MAX);
     let mut latency = BTreeMap::new();
-    for (group, histogram) in &sum.groups {
+    for (group, histogram) in &totals.groups {
         latency.insert(group.clone(), summary(histogram));
     }
     let redirect = code_name(Some(ResultCode::TicketNeeded.number()));
-    let redirects = sum.all_codes.get(&redirect).copied();
+    let redirects = totals.all_codes.get(&redirect).copied();
     Report {
         planned_rate_per_s: outcome.plan.rate_per_s,
         measured_rate_per_s: calls as f64 / elapsed_s.max(f64::MIN_POSITIVE),
         elapsed_s,
         calls,
-        resends: sum.sends.saturating_sub(calls + redirects.unwrap_or(0)),
-        verdicts: sum.verdicts,
-        final_codes: sum.final_codes,
-        final_statuses: sum.final_statuses,
-        all_codes: sum.all_codes,
-        sends: sum.sends,
-        tickets: sum.tickets,
-        broken_sends: sum.broken_sends,
+        resends: totals.sends.saturating_sub(calls + redirects.unwrap_or(0)),
+        verdicts: totals.verdicts,
+        final_codes: totals.final_codes,
+        final_statuses: totals.final_statuses,
+        all_codes: totals.all_codes,
+        sends: totals.sends,
+        tickets: totals.tickets,
+        broken_sends: totals.broken_sends,
         latency,
-        never_sent: sum.never_sent,
-        start_lag: summary(&sum.start_lag),
-        latency_from_send: summary(&sum.from_send),
-        latency_unanswered: summary(&sum.unanswered),
+        never_sent: totals.never_sent,
+        start_lag: summary(&totals.start_lag),
+        latency_from_send: summary(&totals.from_send),
+        latency_unanswered: summary(&totals.unanswered),
         reconciliation,
     }
 }
 
-struct Sum {
+struct Totals {
     verdicts: Tally,
     final_codes: Tally,
     final_statuses: Tally,
@@ -156,7 +156,7 @@
     unanswered: Histogram<u64>,
 }
 
-impl Default for Sum {
+impl Default for Totals {
     fn default() -> Self {
         Self {
             verdicts: Tally::new(),
@@ -175,7 +175,7 @@
     }
 }
 
-impl Sum {
+impl Totals {
     fn add(&mut self, outcome: &LoadOutcome, record: &CallRecord) {
         let verdict = match record.verdict {
             Verdict::Answered => ANSWERED,
@@ -236,7 +236,7 @@
 
 fn histogram() -> Histogram<u64> {
     // A histogram without bounds keeps only what fits its first few buckets.
-    let histogram = Histogram::new_with_bounds(1, LONGEST_US, SIGNIFICANT_DIGITS);
+    let histogram = Histogram::new_with_bounds(1, MAX_LATENCY_US, SIGNIFICANT_DIGITS);
     histogram.expect("one microsecond to an hour at three digits is allowed")
 }
 
--- a/crates/standins/src/load/table.rs
+++ b/crates/standins/src/load/table.rs
@@ -26,7 +26,7 @@
     tally(&mut text, "all answers by code", &report.all_codes);
     latencies(&mut text, report);
     match &report.reconciliation {
-        Some(sum) => reconciliation(&mut text, sum),
+        Some(totals) => reconciliation(&mut text, totals),
         None => text.push_str("\nno reconciliation: the targets' journals were not read\n"),
     }
     text
@@ -69,23 +69,23 @@
     );
 }
 
-fn reconciliation(text: &mut String, sum: &Reconciliation) {
+fn reconciliation(text: &mut String, totals: &Reconciliation) {
     let rows = [
-        ("lost", sum.lost),
-        ("run twice", sum.run_twice),
-        ("told not run, but ran", sum.not_run_but_ran),
-        ("wrong answers", sum.wrong_answers),
-        ("runs not accounted for", sum.unaccounted_runs),
-        ("unknown", sum.unknown),
-        ("  of which ran", sum.unknown_ran),
-        ("  of which did not run", sum.unknown_not_ran),
-        ("idempotent, run again", sum.idempotent_repeats),
+        ("lost", totals.lost),
+        ("run twice", totals.run_twice),
+        ("told not run, but ran", totals.not_run_but_ran),
+        ("wrong answers", totals.wrong_answers),
+        ("runs not accounted for", totals.unaccounted_runs),
+        ("unknown", totals.unknown),
+        ("  of which ran", totals.unknown_ran),
+        ("  of which did not run", totals.unknown_not_ran),
+        ("idempotent, run again", totals.idempotent_repeats),
     ];
     let _ = writeln!(text, "\nreconciliation with the targets' journals");
     for (name, count) in rows {
         let _ = writeln!(text, "  {name:<28} {count:>10}");
     }
-    for example in &sum.examples {
+    for example in &totals.examples {
         let _ = writeln!(text, "  {example}");
     }
 }
--- a/crates/standins/src/load/tickets.rs
+++ b/crates/standins/src/load/tickets.rs
@@ -6,7 +6,7 @@
 use crate::prelude::*;
 
 /// Tickets that are kept for one service.
-const MAX_KEPT: usize = 256;
+const MAX_CACHED: usize = 256;
 
 /// Body of an answer to `POST /.hitch/tickets/<service>`.
 #[derive(Clone, Debug, Deserialize)]
@@ -15,36 +15,36 @@
     pub(super) valid_ms: u64,
 }
 
-struct Kept {
+struct CachedTicket {
     ticket: String,
     use_before: Instant,
 }
 
 /// Tickets by service.
 #[derive(Default)]
-pub(super) struct TicketStash {
-    by_service: Mutex<HashMap<String, VecDeque<Kept>>>,
+pub(super) struct TicketCache {
+    by_service: Mutex<HashMap<String, VecDeque<CachedTicket>>>,
 }
 
-impl TicketStash {
+impl TicketCache {
     /// Keeps tickets; a half of their validity is left for the call itself.
-    pub(super) fn keep(&self, service: &str, batch: TicketBatch) {
+    pub(super) fn store(&self, service: &str, batch: TicketBatch) {
         let use_before = Instant::now() + Duration::from_millis(batch.valid_ms / 2);
         let mut by_service = self.by_service.lock();
-        let kept = by_service.entry(service.to_owned()).or_default();
+        let cached = by_service.entry(service.to_owned()).or_default();
         for ticket in batch.tickets {
-            if kept.len() >= MAX_KEPT {
+            if cached.len() >= MAX_CACHED {
                 return;
             }
-            kept.push_back(Kept { ticket, use_before });
+            cached.push_back(CachedTicket { ticket, use_before });
         }
     }
 
     /// Takes a ticket that is still good.
     pub(super) fn take(&self, service: &str) -> Option<String> {
         let mut by_service = self.by_service.lock();
-        let kept = by_service.get_mut(service)?;
-        while let Some(first) = kept.pop_front() {
+        let cached = by_service.get_mut(service)?;
+        while let Some(first) = cached.pop_front() {
             if first.use_before <= Instant::now() {
                 continue;
             }
--- a/crates/standins/src/overhead.rs
+++ b/crates/standins/src/overhead.rs
@@ -21,7 +21,7 @@
 mod table;
 
 pub use bench::Bench;
-pub use open_loop::{Offer, OpenLoop};
+pub use open_loop::{OfferedLoad, OpenLoop};
 pub use quantiles::Quantiles;
 pub use report::Report;
 pub use series::{CallType, Route, Series};
@@ -30,7 +30,7 @@
 use report::{IdleNode, SeriesReport};
 
 /// Load comes back to rest in this time after all nodes are ready.
-const SETTLING: Duration = Duration::from_secs(2);
+const SETTLE_TIME: Duration = Duration::from_secs(2);
 const IDLE_SPAN: Duration = Duration::from_secs(5);
 
 /// What one run measures.
@@ -119,18 +119,18 @@
 }
 
 async fn measure(plan: &Plan, bench: &mut Bench) -> Result<Report> {
-    tokio::time::sleep(SETTLING).await;
+    tokio::time::sleep(SETTLE_TIME).await;
     let idle = measure_idle(bench).await?;
     let load_average_before = process_time::load_average();
     let mut series = warm_up(plan, bench).await?;
     for round in 0..plan.rounds {
         for one in &mut series {
-            let offer = Offer {
+            let offered = OfferedLoad {
                 rate_per_s: plan.rate_per_s,
                 span: plan.slice(),
                 seed: plan.seed + u64::from(round),
             };
-            measure_slice(bench, one, &offer).await?;
+            measure_slice(bench, one, &offered).await?;
         }
     }
     let mut doublings = Vec::new();
@@ -140,7 +140,7 @@
             doublings.push(found);
         }
     }
-    let peak_nodes = bench.resident_bytes()?;
+    let resident_bytes_after = bench.resident_bytes()?;
     Ok(Report {
         plan: plan.clone(),
         load_average_before,
@@ -148,7 +148,7 @@
         idle,
         series,
         doublings,
-        resident_bytes_after: peak_nodes,
+        resident_bytes_after,
     })
 }
 
@@ -172,20 +172,24 @@
 async fn warm_up(plan: &Plan, bench: &mut Bench) -> Result<Vec<SeriesReport>> {
     let mut all = Vec::new();
     for series in Series::all() {
-        let offer = Offer {
+        let offered = OfferedLoad {
             rate_per_s: plan.rate_per_s,
             span: Duration::from_secs_f64(plan.warm_up_s),
             seed: plan.seed,
         };
-        bench.offer(series, &offer).await?;
+        bench.run_load(series, &offered).await?;
         all.push(SeriesReport::new(series));
     }
     Ok(all)
 }
 
-async fn measure_slice(bench: &mut Bench, report: &mut SeriesReport, offer: &Offer) -> Result<()> {
+async fn measure_slice(
+    bench: &mut Bench,
+    report: &mut SeriesReport,
+    offered: &OfferedLoad,
+) -> Result<()> {
     let before = bench.processor_times()?;
-    let outcome = bench.offer(report.series, offer).await?;
+    let outcome = bench.run_load(report.series, offered).await?;
     let after = bench.processor_times()?;
     for (vm, after) in &after {
         let spent = after.since(&before[vm]);
--- a/crates/standins/src/overhead/bench.rs
+++ b/crates/standins/src/overhead/bench.rs
@@ -3,12 +3,12 @@
 use std::collections::{BTreeMap, VecDeque};
 
 use crate::demo::deployment::ServiceSpec;
-use crate::demo::{Deployment, NodeKind, Programs, Stage};
+use crate::demo::{Deployment, NodeKind, Programs, RunningDeployment};
 use crate::http_client::{HttpClient, HttpVersion};
 use crate::prelude::*;
 use crate::target::ServiceTime;
 
-use super::open_loop::{CallTemplate, Offer, OpenLoop, Outcome};
+use super::open_loop::{CallTemplate, OfferedLoad, OpenLoop, Outcome};
 use super::process_time::{ProcessTime, resident_bytes};
 use super::series::{CallType, Route, Series};
 
@@ -67,7 +67,7 @@
 /// The running processes, and callers on each route.
 pub struct Bench {
     kind: NodeKind,
-    stage: Stage,
+    deployment: RunningDeployment,
     callers: BTreeMap<Route, OpenLoop>,
     addrs: BTreeMap<Route, SocketAddr>,
     client: HttpClient,
@@ -84,10 +84,10 @@
             NodeKind::Ticketed => TEXT,
             NodeKind::Routed => ROUTED_TEXT,
         };
-        let mut stage = Stage::start(programs, &deployment(), text).await?;
-        let target = stage.target_addrs()[0];
-        let own_entry = stage.fleet().addresses(MEASURED_VM)?.callers;
-        let other_entry = stage.fleet().addresses(OTHER_VM)?.callers;
+        let mut deployment = RunningDeployment::start(programs, &deployment(), text).await?;
+        let target = deployment.target_addrs()[0];
+        let own_entry = deployment.fleet().addresses(MEASURED_VM)?.callers;
+        let other_entry = deployment.fleet().addresses(OTHER_VM)?.callers;
         let addrs = BTreeMap::from([
             (Route::Direct, target),
             (Route::OneVm, own_entry),
@@ -99,7 +99,7 @@
         }
         Ok(Self {
             kind: programs.kind,
-            stage,
+            deployment,
             callers,
             addrs,
             client: HttpClient::new(HttpVersion::Http1),
@@ -111,15 +111,15 @@
     /// # Errors
     ///
     /// Fails when tickets or connections cannot be had.
-    pub async fn offer(&mut self, series: Series, offer: &Offer) -> Result<Outcome> {
-        let template = self.template(series, offer).await?;
+    pub async fn run_load(&mut self, series: Series, offered: &OfferedLoad) -> Result<Outcome> {
+        let template = self.template(series, offered).await?;
         let callers = self.callers.get_mut(&series.route);
         let callers = callers.ok_or_else(|| eyre!("no callers for {series}"))?;
         // Blocks this thread; it is the only task of the program by now.
-        tokio::task::block_in_place(|| callers.run(offer, &template))
+        tokio::task::block_in_place(|| callers.run(offered, &template))
     }
 
-    async fn template(&self, series: Series, offer: &Offer) -> Result<CallTemplate> {
+    async fn template(&self, series: Series, offered: &OfferedLoad) -> Result<CallTemplate> {
         let path = match (series.call, self.kind) {
             (CallType::Lookup, _) => LOOKUP_PATH,
             (CallType::Payment, NodeKind::Ticketed) => PAYMENT_PATH,
@@ -133,7 +133,7 @@
         let mut template = CallTemplate {
             method: Method::GET,
             host: (self.kind == NodeKind::Routed).then_some(ROUTED_HOST),
-            own_paths: Mutex::default(),
+            single_use_paths: Mutex::default(),
             path,
             body: Bytes::new(),
         };
@@ -142,8 +142,8 @@
             template.body = Bytes::from(vec![b'x'; PAYMENT_BYTES]);
         }
         if series.is_ticketed() && self.kind == NodeKind::Ticketed {
-            let paths = self.ticketed_paths(series.route, offer.max_calls(), &template.path);
-            template.own_paths = Mutex::new(paths.await?);
+            let paths = self.ticketed_paths(series.route, offered.max_calls(), &template.path);
+            template.single_use_paths = Mutex::new(paths.await?);
         }
         Ok(template)
     }
@@ -174,7 +174,7 @@
     pub fn processor_times(&mut self) -> Result<BTreeMap<String, ProcessTime>> {
         let mut times = BTreeMap::new();
         for vm in [MEASURED_VM, OTHER_VM] {
-            let id = self.stage.fleet().process_id(vm)?;
+            let id = self.deployment.fleet().process_id(vm)?;
             times.insert(vm.to_owned(), ProcessTime::read(id)?);
         }
         Ok(times)
@@ -188,7 +188,7 @@
     pub fn resident_bytes(&mut self) -> Result<BTreeMap<String, u64>> {
         let mut bytes = BTreeMap::new();
         for vm in [MEASURED_VM, OTHER_VM] {
-            let id = self.stage.fleet().process_id(vm)?;
+            let id = self.deployment.fleet().process_id(vm)?;
             bytes.insert(vm.to_owned(), resident_bytes(id)?);
         }
         Ok(bytes)
@@ -203,7 +203,7 @@
         // Kept connections would be waited for.
         let callers = std::mem::take(&mut self.callers);
         tokio::task::block_in_place(|| drop(callers));
-        self.stage.stop().await
+        self.deployment.stop().await
     }
 }
 
--- a/crates/standins/src/overhead/bounds.rs
+++ b/crates/standins/src/overhead/bounds.rs
@@ -13,18 +13,18 @@
 
 /// Names every bound that a run breaks.
 #[must_use]
-pub fn broken(report: &Report) -> Vec<String> {
-    let mut broken = Vec::new();
+pub fn violations(report: &Report) -> Vec<String> {
+    let mut violations = Vec::new();
     for one in &report.series {
         for (reason, count) in &one.failures {
-            broken.push(format!("{}: {count} calls failed: {reason}", one.series));
+            violations.push(format!("{}: {count} calls failed: {reason}", one.series));
         }
-        broken.extend(broken_ratio(report, one.series));
+        violations.extend(ratio_violation(report, one.series));
     }
-    broken
+    violations
 }
 
-fn broken_ratio(report: &Report, series: Series) -> Option<String> {
+fn ratio_violation(report: &Report, series: Series) -> Option<String> {
     let max_ratio = match series.route {
         Route::Direct => return None,
         Route::OneVm => MAX_P50_RATIO_ONE_VM,
--- a/crates/standins/src/overhead/doubling.rs
+++ b/crates/standins/src/overhead/doubling.rs
@@ -4,7 +4,7 @@
 
 use super::Plan;
 use super::bench::Bench;
-use super::open_loop::Offer;
+use super::open_loop::OfferedLoad;
 use super::quantiles::Quantiles;
 use super::report::SeriesReport;
 use super::series::Series;
@@ -69,10 +69,10 @@
             found.probe(plan, bench, rate_per_s).await?;
         }
         for _ in 0..REFINEMENTS {
-            let Some(too_much) = found.doubles_at_per_s else {
+            let Some(doubling_rate) = found.doubles_at_per_s else {
                 break;
             };
-            let rate_per_s = f64::midpoint(found.holds_at_per_s, too_much);
+            let rate_per_s = f64::midpoint(found.holds_at_per_s, doubling_rate);
             found.probe(plan, bench, rate_per_s).await?;
         }
         Ok(found)
@@ -83,12 +83,12 @@
         let mut lags = Vec::new();
         let mut failures = 0;
         for slice in 0..SLICES {
-            let offer = Offer {
+            let offered = OfferedLoad {
                 rate_per_s,
                 span: SLICE,
                 seed: plan.seed + slice,
             };
-            let outcome = bench.offer(self.series, &offer).await?;
+            let outcome = bench.run_load(self.series, &offered).await?;
             latencies.push(Quantiles::of(&outcome.latency));
             lags.push(Quantiles::of(&outcome.lag));
             failures += outcome.failures.values().sum::<u64>();
--- a/crates/standins/src/overhead/open_loop.rs
+++ b/crates/standins/src/overhead/open_loop.rs
@@ -25,13 +25,13 @@
 
 /// No call takes longer; one that does has failed.
 const CALL_TIMEOUT: Duration = Duration::from_secs(5);
-const NOTICE: Duration = Duration::from_millis(1);
+const CLOSE_DETECTION_DELAY: Duration = Duration::from_millis(1);
 /// Time for all threads to come up before the first call is due.
-const LEAD: Duration = Duration::from_millis(20);
+const START_DELAY: Duration = Duration::from_millis(20);
 
 /// Calls to be made over some time.
 #[derive(Clone, Copy, Debug)]
-pub struct Offer {
+pub struct OfferedLoad {
     /// Calls a second.
     pub rate_per_s: f64,
     /// Time over which they start.
@@ -40,7 +40,7 @@
     pub seed: u64,
 }
 
-impl Offer {
+impl OfferedLoad {
     /// Calls that this offer makes at most, for those who provide for each.
     #[must_use]
     pub fn max_calls(&self) -> usize {
@@ -74,14 +74,14 @@
     /// Path where it is the same for all.
     pub path: String,
     /// Paths for one call each, used up first.
-    pub own_paths: Mutex<VecDeque<String>>,
+    pub single_use_paths: Mutex<VecDeque<String>>,
     /// Body.
     pub body: Bytes,
 }
 
 impl CallTemplate {
     fn request(&self, host: SocketAddr) -> Result<Request<Full<Bytes>>> {
-        let own = self.own_paths.lock().pop_front();
+        let own = self.single_use_paths.lock().pop_front();
         let path = own.as_ref().unwrap_or(&self.path);
         let mut request = Request::builder().method(&self.method).uri(path.as_str());
         request = match self.host {
@@ -122,12 +122,12 @@
     /// # Errors
     ///
     /// Fails when a connection cannot be had.
-    pub fn run(&mut self, offer: &Offer, template: &CallTemplate) -> Result<Outcome> {
+    pub fn run(&mut self, offered: &OfferedLoad, template: &CallTemplate) -> Result<Outcome> {
         for caller in &mut self.callers {
             caller.connect()?;
         }
-        let origin = Instant::now() + LEAD;
-        let schedule = Schedule::draw(offer.rate_per_s, offer.span, offer.seed, origin);
+        let origin = Instant::now() + START_DELAY;
+        let schedule = Schedule::draw(offered.rate_per_s, offered.span, offered.seed, origin);
         let mut outcome = Outcome {
             calls: schedule.len() as u64,
             failures: Tally::new(),
@@ -150,7 +150,7 @@
 }
 
 impl Outcome {
-    fn add(&mut self, part: &Part) -> Result<()> {
+    fn add(&mut self, part: &CallerOutcome) -> Result<()> {
         for (reason, count) in &part.failures {
             *self.failures.entry(reason.clone()).or_default() += count;
         }
@@ -161,7 +161,7 @@
 }
 
 /// What one caller has seen.
-struct Part {
+struct CallerOutcome {
     failures: Tally,
     latency: Durations,
     lag: Durations,
@@ -187,7 +187,7 @@
         if self.sender.is_some() {
             // The connection's own task runs only in here: without a moment of
             // its own it would not see that the other side has closed.
-            self.runtime.block_on(sleep(NOTICE));
+            self.runtime.block_on(sleep(CLOSE_DETECTION_DELAY));
         }
         let is_open = self.sender.as_ref().is_some_and(|kept| !kept.is_closed());
         if is_open {
@@ -206,8 +206,8 @@
         Ok(())
     }
 
-    fn work(&mut self, schedule: &Schedule, template: &CallTemplate) -> Part {
-        let mut part = Part {
+    fn work(&mut self, schedule: &Schedule, template: &CallTemplate) -> CallerOutcome {
+        let mut part = CallerOutcome {
             failures: Tally::new(),
             latency: durations(),
             lag: durations(),
--- a/crates/standins/src/overhead/quantiles.rs
+++ b/crates/standins/src/overhead/quantiles.rs
@@ -5,7 +5,7 @@
 use crate::prelude::*;
 
 const SIGNIFICANT_DIGITS: u8 = 3;
-const LONGEST_NS: u64 = 60_000_000_000;
+const MAX_DURATION_NS: u64 = 60_000_000_000;
 const NS_PER_US: f64 = 1_000.0;
 
 /// Durations in nanoseconds.
@@ -13,7 +13,7 @@
 
 /// An empty histogram.
 pub(super) fn durations() -> Durations {
-    Histogram::new_with_bounds(1, LONGEST_NS, SIGNIFICANT_DIGITS)
+    Histogram::new_with_bounds(1, MAX_DURATION_NS, SIGNIFICANT_DIGITS)
         .expect("the bounds and digits are constants that the library takes")
 }
 
@@ -64,7 +64,7 @@
 
     /// The least of each quantile over several rounds.
     #[must_use]
-    pub fn least(rounds: &[Self]) -> Self {
+    pub fn minimum(rounds: &[Self]) -> Self {
         Self::by_rank(rounds, 0)
     }
 
--- a/crates/standins/src/overhead/report.rs
+++ b/crates/standins/src/overhead/report.rs
@@ -158,7 +158,7 @@
             differences.push(round.minus(base));
         }
         Some(Added {
-            best: Quantiles::least(&one.rounds).minus(&Quantiles::least(&direct.rounds)),
+            best: Quantiles::minimum(&one.rounds).minus(&Quantiles::minimum(&direct.rounds)),
             median: Quantiles::median(&differences),
         })
     }
--- a/crates/standins/src/overhead/schedule.rs
+++ b/crates/standins/src/overhead/schedule.rs
@@ -10,7 +10,7 @@
 use crate::prelude::*;
 
 /// A thread's sleep ends late by about this much; the rest is spun away.
-const SPIN: Duration = Duration::from_micros(60);
+const SPIN_TIME: Duration = Duration::from_micros(60);
 
 /// Independent arrivals, drawn ahead; each is handed out once.
 pub(super) struct Schedule {
@@ -56,8 +56,8 @@
 /// Waits for a point in time, to within microseconds on an idle core.
 pub(super) fn wait_until(due: Instant) {
     let left = due.saturating_duration_since(Instant::now());
-    if left > SPIN {
-        thread::sleep(left - SPIN);
+    if left > SPIN_TIME {
+        thread::sleep(left - SPIN_TIME);
     }
     while Instant::now() < due {
         std::hint::spin_loop();
--- a/crates/standins/src/platform.rs
+++ b/crates/standins/src/platform.rs
@@ -3,19 +3,19 @@
 //! Everything under `/v1/` is what the real platform offers and counts as a
 //! read. Everything under `/admin/` steers the stand-in and is not counted.
 
-use crate::http_server::{HttpServer, ServerControl, control};
+use crate::http_server::{HttpServer, ServerControl, control_channel};
 use crate::prelude::*;
 
 pub mod admin;
+pub mod behaviour;
 pub mod counts;
-pub mod mood;
 pub mod vms;
 
 mod reads;
 mod store;
 
+pub use behaviour::{Behaviour, OldValues, Reachability, View};
 pub use counts::{Counts, Endpoint};
-pub use mood::{Mood, OldValues, Reach, View};
 pub use vms::{VmEntry, VmList, VmState};
 
 use counts::Counter;
@@ -46,7 +46,7 @@
     ///
     /// Fails when the address cannot be bound.
     pub async fn start(addr: SocketAddr) -> Result<Self> {
-        let (control, end) = control();
+        let (control, end) = control_channel();
         let shared = Arc::new(Shared {
             store: Store::new(ProcessClock::start()),
             counter: Counter::new(ProcessClock::start()),
@@ -120,64 +120,64 @@
     ///
     /// With [`Reach::Refused`] the port is closed: only this handle, or the
     /// end of a time set over HTTP, opens it again.
-    pub async fn set_mood(&self, mood: Mood) {
-        self.shared.set_mood(mood).await;
+    pub async fn set_behaviour(&self, behaviour: Behaviour) {
+        self.shared.set_behaviour(behaviour).await;
     }
 
     /// Serves as it should.
     pub async fn up(&self) {
-        self.set_mood(Mood::default()).await;
+        self.set_behaviour(Behaviour::default()).await;
     }
 
     /// Closes the port and resets all connections.
     pub async fn down(&self) {
-        let mood = Mood {
-            reach: Reach::Refused,
-            ..self.mood()
+        let behaviour = Behaviour {
+            reach: Reachability::Refused,
+            ..self.behaviour()
         };
-        self.set_mood(mood).await;
+        self.set_behaviour(behaviour).await;
     }
 
     /// Serves what is published now for good; watches hang.
     pub async fn stale(&self) {
-        let mood = Mood {
+        let behaviour = Behaviour {
             view: View::Frozen,
-            ..self.mood()
+            ..self.behaviour()
         };
-        self.set_mood(mood).await;
+        self.set_behaviour(behaviour).await;
     }
 
     /// Delays every answer.
     pub async fn slow(&self, delay_ms: u64) {
-        let mood = Mood {
+        let behaviour = Behaviour {
             delay_ms,
-            ..self.mood()
+            ..self.behaviour()
         };
-        self.set_mood(mood).await;
+        self.set_behaviour(behaviour).await;
     }
 
     /// Serves older values, to new readers and to watches alike.
     pub async fn serve_older(&self, old: OldValues) {
-        let mood = Mood {
+        let behaviour = Behaviour {
             view: View::Older(old),
-            ..self.mood()
+            ..self.behaviour()
         };
-        self.set_mood(mood).await;
+        self.set_behaviour(behaviour).await;
     }
 
     /// Shows each VM list only `lag_ms` after it was set.
     pub async fn lag_vm_list(&self, lag_ms: u64) {
-        let mood = Mood {
+        let behaviour = Behaviour {
             vm_list_lag_ms: lag_ms,
-            ..self.mood()
+            ..self.behaviour()
         };
-        self.set_mood(mood).await;
+        self.set_behaviour(behaviour).await;
     }
 
     /// The present mood.
     #[must_use]
-    pub fn mood(&self) -> Mood {
-        self.shared.store.mood()
+    pub fn behaviour(&self) -> Behaviour {
+        self.shared.store.behaviour()
     }
 
     /// Reads so far.
@@ -198,9 +198,9 @@
 }
 
 impl Shared {
-    async fn set_mood(&self, mood: Mood) {
-        let refused = mood.reach == Reach::Refused;
-        self.store.set_mood(mood);
+    async fn set_behaviour(&self, behaviour: Behaviour) {
+        let refused = behaviour.reach == Reachability::Refused;
+        self.store.set_behaviour(behaviour);
         if refused {
             self.control.close().await;
         } else {
--- a/crates/standins/src/platform/admin.rs
+++ b/crates/standins/src/platform/admin.rs
@@ -6,7 +6,7 @@
 use crate::prelude::*;
 
 use super::Shared;
-use super::mood::{Mood, Reach};
+use super::behaviour::{Behaviour, Reachability};
 use super::vms::{VmEntry, VmState};
 
 const CLOSE_AFTER: Duration = Duration::from_millis(20);
@@ -14,9 +14,10 @@
 /// Body of `POST /admin/mood`.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default)]
-pub struct MoodOrder {
+pub struct SetBehaviourRequest {
     /// The mood to take.
-    pub mood: Mood,
+    #[serde(rename = "mood")]
+    pub behaviour: Behaviour,
     /// Returns to the default mood after this time; needed to close the port,
     /// because then nothing can be ordered over HTTP any more.
     pub for_ms: Option<u64>,
@@ -24,7 +25,7 @@
 
 /// Body of `POST /admin/vm-state`.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct VmStateOrder {
+pub struct SetVmStateRequest {
     /// The VM.
     pub vm: String,
     /// Its new state; `None` removes it.
@@ -39,13 +40,13 @@
 }
 
 pub(super) async fn answer(shared: &Arc<Shared>, request: Request<Incoming>) -> Answer {
-    match obey(shared, request).await {
+    match execute(shared, request).await {
         Ok(answer) => answer,
         Err(error) => text_answer(StatusCode::BAD_REQUEST, format!("{error:#}")),
     }
 }
 
-async fn obey(shared: &Arc<Shared>, request: Request<Incoming>) -> Result<Answer> {
+async fn execute(shared: &Arc<Shared>, request: Request<Incoming>) -> Result<Answer> {
     let (head, body) = request.into_parts();
     match (head.method.as_str(), head.uri.path()) {
         ("POST", "/admin/text") => {
@@ -60,17 +61,17 @@
             published(shared.store.set_vms(vms)?)
         }
         ("POST", "/admin/vm-state") => {
-            let order: VmStateOrder = read_json(body).await?;
-            published(match order.state {
-                Some(state) => shared.store.set_vm_state(&order.vm, state)?,
-                None => shared.store.remove_vm(&order.vm)?,
+            let command: SetVmStateRequest = read_json(body).await?;
+            published(match command.state {
+                Some(state) => shared.store.set_vm_state(&command.vm, state)?,
+                None => shared.store.remove_vm(&command.vm)?,
             })
         }
         ("POST", "/admin/mood") => {
-            let order: MoodOrder = read_json(body).await?;
-            order_mood(shared, order).await
+            let command: SetBehaviourRequest = read_json(body).await?;
+            apply_behaviour(shared, command).await
         }
-        ("GET", "/admin/mood") => Ok(json_answer(StatusCode::OK, &shared.store.mood())),
+        ("GET", "/admin/mood") => Ok(json_answer(StatusCode::OK, &shared.store.behaviour())),
         ("GET", "/admin/counts") => Ok(json_answer(StatusCode::OK, &shared.counter.counts())),
         ("POST", "/admin/reset-counts") => {
             shared.counter.reset();
@@ -84,10 +85,10 @@
     Ok(json_answer(StatusCode::OK, &Published { version }))
 }
 
-async fn order_mood(shared: &Arc<Shared>, order: MoodOrder) -> Result<Answer> {
-    let closes = order.mood.reach == Reach::Refused;
+async fn apply_behaviour(shared: &Arc<Shared>, command: SetBehaviourRequest) -> Result<Answer> {
+    let closes = command.behaviour.reach == Reachability::Refused;
     ensure!(
-        order.for_ms.is_some() || !closes,
+        command.for_ms.is_some() || !closes,
         "a closed port needs for_ms, or it could never be opened again"
     );
     if closes {
@@ -95,16 +96,16 @@
         tokio::spawn(async move {
             // The answer to the order goes out before the port is closed.
             sleep(CLOSE_AFTER).await;
-            owner.set_mood(order.mood).await;
+            owner.set_behaviour(command.behaviour).await;
         });
     } else {
-        shared.set_mood(order.mood).await;
+        shared.set_behaviour(command.behaviour).await;
     }
-    if let Some(for_ms) = order.for_ms {
+    if let Some(for_ms) = command.for_ms {
         let owner = Arc::clone(shared);
         tokio::spawn(async move {
             sleep(CLOSE_AFTER + Duration::from_millis(for_ms)).await;
-            owner.set_mood(Mood::default()).await;
+            owner.set_behaviour(Behaviour::default()).await;
         });
     }
     Ok(text_answer(StatusCode::OK, ""))
--- a/crates/standins/src/platform/mood.rs
+++ b/crates/standins/src/platform/behaviour.rs
@@ -7,9 +7,9 @@
 /// Parts of a misbehaviour, which can come together.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
-pub struct Mood {
+pub struct Behaviour {
     /// Whether readers get an answer at all.
-    pub reach: Reach,
+    pub reach: Reachability,
     /// Which values readers are shown.
     pub view: View,
     /// Time before each answer, in milliseconds.
@@ -21,7 +21,7 @@
 /// Whether readers get an answer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Reach {
+pub enum Reachability {
     /// Every reader is answered.
     #[default]
     Up,
--- a/crates/standins/src/platform/counts.rs
+++ b/crates/standins/src/platform/counts.rs
@@ -159,7 +159,7 @@
 
 impl Window {
     fn add(&mut self, now: Millis) {
-        self.forget_old(now);
+        self.remove_old(now);
         self.total += 1;
         if self.times.len() < MAX_WINDOW_ENTRIES {
             self.times.push_back(now);
@@ -168,11 +168,11 @@
     }
 
     fn within(&mut self, now: Millis) -> usize {
-        self.forget_old(now);
+        self.remove_old(now);
         self.times.len()
     }
 
-    fn forget_old(&mut self, now: Millis) {
+    fn remove_old(&mut self, now: Millis) {
         while let Some(oldest) = self.times.front() {
             if now.since(*oldest) < WINDOW {
                 return;
--- a/crates/standins/src/platform/reads.rs
+++ b/crates/standins/src/platform/reads.rs
@@ -8,8 +8,8 @@
 };
 use crate::prelude::*;
 
+use super::behaviour::Reachability;
 use super::counts::Endpoint;
-use super::mood::Reach;
 use super::{Shared, admin};
 
 /// Header that carries the text's version.
@@ -17,7 +17,7 @@
 
 const MAX_WAIT_MS: u64 = 120_000;
 const DEFAULT_WAIT_MS: u64 = 30_000;
-const SILENCE: Duration = Duration::from_secs(600);
+const SILENT_HOLD: Duration = Duration::from_secs(600);
 
 pub(super) struct PlatformHandler {
     pub(super) shared: Arc<Shared>,
@@ -54,32 +54,32 @@
     if !shared.counter.admit(endpoint, connection.peer) {
         return Ok(text_answer(StatusCode::TOO_MANY_REQUESTS, "too many reads"));
     }
-    let mood = shared.store.mood();
-    match mood.reach {
-        Reach::Up => {}
-        Reach::Refused | Reach::Reset => {
+    let behaviour = shared.store.behaviour();
+    match behaviour.reach {
+        Reachability::Up => {}
+        Reachability::Refused | Reachability::Reset => {
             connection.reset_when_dropped();
             return Err(DropConnection);
         }
-        Reach::Unavailable => {
+        Reachability::Unavailable => {
             return Ok(text_answer(StatusCode::SERVICE_UNAVAILABLE, "unavailable"));
         }
-        Reach::Silent => {
-            sleep(SILENCE).await;
+        Reachability::Silent => {
+            sleep(SILENT_HOLD).await;
             return Err(DropConnection);
         }
     }
-    if mood.delay_ms > 0 {
-        sleep(Duration::from_millis(mood.delay_ms)).await;
+    if behaviour.delay_ms > 0 {
+        sleep(Duration::from_millis(behaviour.delay_ms)).await;
     }
     if request.method() != Method::GET {
         return Ok(text_answer(StatusCode::METHOD_NOT_ALLOWED, "only read"));
     }
     Ok(match endpoint {
-        Endpoint::Text => present_text(shared),
-        Endpoint::TextWatch => watched_text(shared, &query).await,
-        Endpoint::Vms => present_vms(shared, &query),
-        Endpoint::VmsWatch => watched_vms(shared, &query).await,
+        Endpoint::Text => current_text(shared),
+        Endpoint::TextWatch => watch_text(shared, &query).await,
+        Endpoint::Vms => current_vms(shared, &query),
+        Endpoint::VmsWatch => watch_vms(shared, &query).await,
         Endpoint::Other => text_answer(StatusCode::NOT_FOUND, "no such value"),
     })
 }
@@ -105,7 +105,7 @@
     }
 }
 
-fn present_text(shared: &Shared) -> Answer {
+fn current_text(shared: &Shared) -> Answer {
     let Some(text) = shared.store.visible_text() else {
         return text_answer(StatusCode::NOT_FOUND, "no text yet");
     };
@@ -116,15 +116,15 @@
     answer
 }
 
-async fn watched_text(shared: &Shared, query: &ReadQuery) -> Answer {
+async fn watch_text(shared: &Shared, query: &ReadQuery) -> Answer {
     let version = || shared.store.visible_text().map_or(0, |text| text.version);
-    if wait_above(shared, query, version).await {
-        return present_text(shared);
+    if wait_for_newer_version(shared, query, version).await {
+        return current_text(shared);
     }
     text_answer(StatusCode::NOT_MODIFIED, "")
 }
 
-fn present_vms(shared: &Shared, query: &ReadQuery) -> Answer {
+fn current_vms(shared: &Shared, query: &ReadQuery) -> Answer {
     let list = shared.store.visible_vms();
     match &query.service {
         Some(service) => json_answer(StatusCode::OK, &list.of_service(service)),
@@ -132,17 +132,21 @@
     }
 }
 
-async fn watched_vms(shared: &Shared, query: &ReadQuery) -> Answer {
+async fn watch_vms(shared: &Shared, query: &ReadQuery) -> Answer {
     let version = || shared.store.visible_vms().version;
-    if wait_above(shared, query, version).await {
-        return present_vms(shared, query);
+    if wait_for_newer_version(shared, query, version).await {
+        return current_vms(shared, query);
     }
     text_answer(StatusCode::NOT_MODIFIED, "")
 }
 
 /// Waits until the visible version is above the reader's; false at the end of
 /// the wait.
-async fn wait_above(shared: &Shared, query: &ReadQuery, version: impl Fn() -> u64) -> bool {
+async fn wait_for_newer_version(
+    shared: &Shared,
+    query: &ReadQuery,
+    version: impl Fn() -> u64,
+) -> bool {
     let after = query.after.unwrap_or(0);
     let end = Instant::now() + query.wait;
     let _waiting = shared.counter.begin_wait();
--- a/crates/standins/src/platform/store.rs
+++ b/crates/standins/src/platform/store.rs
@@ -7,7 +7,7 @@
 use crate::prelude::*;
 
 use super::MAX_VALUE_BYTES;
-use super::mood::{Mood, View};
+use super::behaviour::{Behaviour, View};
 use super::vms::{VmEntry, VmList, VmState};
 
 const MAX_OLD_LISTS: usize = 256;
@@ -30,7 +30,7 @@
     text: Option<Text>,
     /// Lists from old to new; the last is the present one.
     lists: VecDeque<DatedList>,
-    mood: Mood,
+    behaviour: Behaviour,
     frozen: Option<Frozen>,
 }
 
@@ -53,7 +53,7 @@
         let state = State {
             text: None,
             lists: VecDeque::from([first]),
-            mood: Mood::default(),
+            behaviour: Behaviour::default(),
             frozen: None,
         };
         Self {
@@ -79,11 +79,11 @@
             text.len()
         );
         let mut state = self.state.lock();
-        let present = state.text.as_ref().map_or(0, |text| text.version);
-        let version = version.unwrap_or(present + 1);
+        let current = state.text.as_ref().map_or(0, |text| text.version);
+        let version = version.unwrap_or(current + 1);
         ensure!(
-            version > present,
-            "version {version} is not above the present {present}"
+            version > current,
+            "version {version} is not above the present {current}"
         );
         state.text = Some(Text {
             version,
@@ -137,15 +137,15 @@
         VmList::clone(state.latest_list())
     }
 
-    pub(super) fn mood(&self) -> Mood {
-        self.state.lock().mood.clone()
+    pub(super) fn behaviour(&self) -> Behaviour {
+        self.state.lock().behaviour.clone()
     }
 
-    pub(super) fn set_mood(&self, mood: Mood) {
+    pub(super) fn set_behaviour(&self, behaviour: Behaviour) {
         let now = self.clock.now();
         let mut state = self.state.lock();
-        let was_frozen = state.mood.view == View::Frozen;
-        if mood.view != View::Frozen {
+        let was_frozen = state.behaviour.view == View::Frozen;
+        if behaviour.view != View::Frozen {
             state.frozen = None;
         } else if !was_frozen {
             state.frozen = Some(Frozen {
@@ -153,7 +153,7 @@
                 vms: state.visible_vms(now),
             });
         }
-        state.mood = mood;
+        state.behaviour = behaviour;
         drop(state);
         self.signal();
     }
@@ -172,7 +172,7 @@
     pub(super) fn next_list_in(&self) -> Option<Millis> {
         let now = self.clock.now();
         let state = self.state.lock();
-        let lag = Millis(state.mood.vm_list_lag_ms);
+        let lag = Millis(state.behaviour.vm_list_lag_ms);
         for dated in &state.lists {
             let due = dated.set_at + lag;
             if due > now {
@@ -190,7 +190,7 @@
     }
 
     fn visible_text(&self) -> Option<Text> {
-        match (&self.mood.view, &self.frozen) {
+        match (&self.behaviour.view, &self.frozen) {
             (View::Frozen, Some(frozen)) => frozen.text.clone(),
             (View::Older(old), _) => match &old.text {
                 Some(old) => Some(Text {
@@ -204,7 +204,7 @@
     }
 
     fn visible_vms(&self, now: Millis) -> Arc<VmList> {
-        match (&self.mood.view, &self.frozen) {
+        match (&self.behaviour.view, &self.frozen) {
             (View::Frozen, Some(frozen)) => Arc::clone(&frozen.vms),
             (View::Older(old), _) => match &old.vms {
                 Some(old) => Arc::new(VmList {
@@ -218,7 +218,7 @@
     }
 
     fn lagging_vms(&self, now: Millis) -> Arc<VmList> {
-        let lag = Millis(self.mood.vm_list_lag_ms);
+        let lag = Millis(self.behaviour.vm_list_lag_ms);
         for dated in self.lists.iter().rev() {
             if dated.set_at + lag > now {
                 continue;
--- a/crates/standins/src/program.rs
+++ b/crates/standins/src/program.rs
@@ -9,7 +9,7 @@
 const LISTENING: &str = "listening on ";
 
 /// Logs the address in the form that [`listening_addr`] finds.
-pub fn announce(addr: SocketAddr) {
+pub fn log_listening_addr(addr: SocketAddr) {
     log::info!("{LISTENING}{addr}");
 }
 
@@ -33,7 +33,7 @@
 /// # Errors
 ///
 /// Fails when signals cannot be received.
-pub async fn wait_for_end() -> Result<()> {
+pub async fn wait_for_shutdown_signal() -> Result<()> {
     let mut terminate = signal(SignalKind::terminate())?;
     let mut interrupt = signal(SignalKind::interrupt())?;
     tokio::select! {
@@ -56,7 +56,7 @@
 ) -> Result<T> {
     tokio::select! {
         done = tokio::time::timeout(bound, work) => done.wrap_err(too_long)?,
-        end = wait_for_end() => {
+        end = wait_for_shutdown_signal() => {
             end?;
             bail!("ended by a signal");
         }
--- a/crates/standins/src/target.rs
+++ b/crates/standins/src/target.rs
@@ -7,17 +7,17 @@
 use tokio::time::{Instant, sleep};
 
 use crate::http_client::{HttpClient, HttpVersion};
-use crate::http_server::{HttpServer, ServerControl, control};
+use crate::http_server::{HttpServer, ServerControl, control_channel};
 use crate::prelude::*;
 
 pub mod admin;
+pub mod behaviour;
 pub mod config;
 pub mod cut;
 pub mod echo;
 pub mod headers;
 pub mod hints;
 pub mod journal;
-pub mod mood;
 pub mod service_time;
 pub mod slots;
 
@@ -25,11 +25,11 @@
 mod downstream;
 mod stall;
 
+pub use behaviour::{Behaviour, HealthReport, RandomStalls};
 pub use config::TargetConfig;
 pub use cut::Cut;
 pub use hints::Load;
 pub use journal::{RequestMarks, RunEnd, RunRecord};
-pub use mood::{HealthSays, Mood, RandomStalls};
 pub use service_time::ServiceTime;
 pub use slots::Overflow;
 
@@ -77,16 +77,16 @@
     cut: AtomicU64,
 }
 
-struct CutOrder {
+struct PendingCuts {
     cut: Cut,
     left: u32,
 }
 
 pub(crate) struct Shared {
     config: TargetConfig,
-    mood: Mutex<Mood>,
+    behaviour: Mutex<Behaviour>,
     node: Mutex<Option<SocketAddr>>,
-    next_cuts: Mutex<Option<CutOrder>>,
+    pending_cuts: Mutex<Option<PendingCuts>>,
     started_at: Mutex<Instant>,
     slots: Slots,
     stalls: Stalls,
@@ -103,7 +103,7 @@
 pub struct TargetStandin {
     server: HttpServer,
     shared: Arc<Shared>,
-    staller: AbortHandle,
+    stall_task: AbortHandle,
 }
 
 impl TargetStandin {
@@ -113,18 +113,18 @@
     ///
     /// Fails when the address cannot be bound or the journal's file not made.
     pub async fn start(config: TargetConfig) -> Result<Self> {
-        let (control, end) = control();
+        let (control, end) = control_channel();
         let addr = config.addr;
         let shared = Arc::new(Shared::new(config, control)?);
         let handler = Arc::new(calls::TargetHandler {
             shared: Arc::clone(&shared),
         });
         let server = HttpServer::start(addr, handler, end).await?;
-        let staller = tokio::spawn(stall_at_random(Arc::clone(&shared)));
+        let stall_task = tokio::spawn(stall_at_random(Arc::clone(&shared)));
         Ok(Self {
             server,
             shared,
-            staller: staller.abort_handle(),
+            stall_task: stall_task.abort_handle(),
         })
     }
 
@@ -142,20 +142,20 @@
 
     /// The present mood.
     #[must_use]
-    pub fn mood(&self) -> Mood {
-        self.shared.mood()
+    pub fn behaviour(&self) -> Behaviour {
+        self.shared.behaviour()
     }
 
     /// Takes another mood, in place of the present one.
-    pub fn set_mood(&self, mood: Mood) {
-        self.shared.set_mood(mood);
+    pub fn set_behaviour(&self, behaviour: Behaviour) {
+        self.shared.set_behaviour(behaviour);
     }
 
     /// Changes parts of the mood.
-    pub fn change_mood(&self, change: impl FnOnce(&mut Mood)) {
-        let mut mood = self.shared.mood();
-        change(&mut mood);
-        self.shared.set_mood(mood);
+    pub fn change_behaviour(&self, change: impl FnOnce(&mut Behaviour)) {
+        let mut behaviour = self.shared.behaviour();
+        change(&mut behaviour);
+        self.shared.set_behaviour(behaviour);
     }
 
     /// Names the node through which it calls other services.
@@ -195,7 +195,7 @@
     /// Runs of one `hitch-key`, idempotency key or nonce.
     #[must_use]
     pub fn runs(&self, key: &str) -> Vec<RunRecord> {
-        self.shared.journal.of_key(key)
+        self.shared.journal.runs_of_key(key)
     }
 
     /// All runs since the start, crashes included.
@@ -224,7 +224,7 @@
 
 impl Drop for TargetStandin {
     fn drop(&mut self) {
-        self.staller.abort();
+        self.stall_task.abort();
     }
 }
 
@@ -235,9 +235,9 @@
             ..Load::default()
         };
         Ok(Self {
-            mood: Mutex::new(config.mood.clone()),
+            behaviour: Mutex::new(config.behaviour.clone()),
             node: Mutex::new(config.node),
-            next_cuts: Mutex::new(None),
+            pending_cuts: Mutex::new(None),
             started_at: Mutex::new(Instant::now()),
             slots: Slots::new(config.slots, config.overflow),
             stalls: Stalls::new(),
@@ -252,18 +252,18 @@
         })
     }
 
-    fn mood(&self) -> Mood {
-        self.mood.lock().clone()
+    fn behaviour(&self) -> Behaviour {
+        self.behaviour.lock().clone()
     }
 
-    fn set_mood(&self, mood: Mood) {
-        *self.mood.lock() = mood;
+    fn set_behaviour(&self, behaviour: Behaviour) {
+        *self.behaviour.lock() = behaviour;
         self.note_load();
     }
 
     fn note_load(&self) {
         let load = self.load();
-        self.hints.note(load, &self.mood.lock());
+        self.hints.note(load, &self.behaviour.lock());
     }
 
     fn load(&self) -> Load {
@@ -275,7 +275,7 @@
         }
     }
 
-    fn learn_service_time(&self, took: Duration) {
+    fn record_service_time(&self, took: Duration) {
         let took_us = u32::try_from(took.as_micros()).unwrap_or(u32::MAX);
         let before = self.smoothed_us.load(Ordering::Relaxed);
         let after = before - before / SMOOTHING + took_us / SMOOTHING;
@@ -283,17 +283,17 @@
     }
 
     fn cut_next(&self, cut: Cut, count: u32) {
-        *self.next_cuts.lock() = Some(CutOrder { cut, left: count });
+        *self.pending_cuts.lock() = Some(PendingCuts { cut, left: count });
     }
 
-    fn take_cut_order(&self) -> Option<Cut> {
-        let mut orders = self.next_cuts.lock();
-        let order = orders.as_mut()?;
-        if order.left == 0 {
+    fn take_pending_cut(&self) -> Option<Cut> {
+        let mut pending = self.pending_cuts.lock();
+        let cuts = pending.as_mut()?;
+        if cuts.left == 0 {
             return None;
         }
-        order.left -= 1;
-        Some(order.cut)
+        cuts.left -= 1;
+        Some(cuts.cut)
     }
 
     async fn crash(&self) {
@@ -306,7 +306,7 @@
     }
 
     /// How many times slower a cold target is now.
-    fn coldness(&self) -> f64 {
+    fn cold_start_factor(&self) -> f64 {
         let cold = Duration::from_millis(self.config.cold_start_ms);
         let age = self.started_at.lock().elapsed();
         if age >= cold {
@@ -334,12 +334,12 @@
 }
 
 /// How often the wish for random stalls is looked up while there is none.
-const STALLER_POLL: Duration = Duration::from_millis(20);
+const RANDOM_STALLS_POLL: Duration = Duration::from_millis(20);
 
 async fn stall_at_random(shared: Arc<Shared>) {
     loop {
-        let Some(stalls) = shared.mood().random_stalls else {
-            sleep(STALLER_POLL).await;
+        let Some(stalls) = shared.behaviour().random_stalls else {
+            sleep(RANDOM_STALLS_POLL).await;
             continue;
         };
         let pause_ms = shared.sampler.between(1, stalls.every_ms.max(1));
--- a/crates/standins/src/target/admin.rs
+++ b/crates/standins/src/target/admin.rs
@@ -4,18 +4,18 @@
 use crate::prelude::*;
 
 use super::cut::Cut;
-use super::{Mood, Shared};
+use super::{Behaviour, Shared};
 
 /// Body of `POST /admin/stall`.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
-pub struct StallOrder {
+pub struct StallRequest {
     /// Length of the stall.
     pub span_ms: u64,
 }
 
 /// Body of `POST /admin/cut`.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
-pub struct CutNextOrder {
+pub struct CutNextRequest {
     /// How to cut.
     pub cut: Cut,
     /// How many of the next answers.
@@ -24,46 +24,46 @@
 
 /// Body of `POST /admin/node`.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
-pub struct NodeOrder {
+pub struct SetNodeRequest {
     /// The node through which the target calls other services.
     pub node: SocketAddr,
 }
 
 pub(super) async fn answer(shared: &Arc<Shared>, request: Request<Incoming>) -> Answer {
-    match obey(shared, request).await {
+    match execute(shared, request).await {
         Ok(answer) => answer,
         Err(error) => text_answer(StatusCode::BAD_REQUEST, format!("{error:#}")),
     }
 }
 
-async fn obey(shared: &Arc<Shared>, request: Request<Incoming>) -> Result<Answer> {
+async fn execute(shared: &Arc<Shared>, request: Request<Incoming>) -> Result<Answer> {
     let (head, body) = request.into_parts();
     match (head.method.as_str(), head.uri.path()) {
         ("GET", "/admin/runs") => {
             let runs = match query_value(head.uri.query(), "key") {
-                Some(key) => shared.journal.of_key(key),
+                Some(key) => shared.journal.runs_of_key(key),
                 None => shared.journal.all(),
             };
             return Ok(json_answer(StatusCode::OK, &runs));
         }
         ("GET", "/admin/counts") => return Ok(json_answer(StatusCode::OK, &shared.counts())),
         ("GET", "/admin/load") => return Ok(json_answer(StatusCode::OK, &shared.load())),
-        ("GET", "/admin/mood") => return Ok(json_answer(StatusCode::OK, &shared.mood())),
+        ("GET", "/admin/mood") => return Ok(json_answer(StatusCode::OK, &shared.behaviour())),
         ("POST", "/admin/mood") => {
-            let mood: Mood = read_json(body).await?;
-            shared.set_mood(mood);
+            let behaviour: Behaviour = read_json(body).await?;
+            shared.set_behaviour(behaviour);
         }
         ("POST", "/admin/stall") => {
-            let order: StallOrder = read_json(body).await?;
-            shared.stalls.freeze(Duration::from_millis(order.span_ms));
+            let command: StallRequest = read_json(body).await?;
+            shared.stalls.freeze(Duration::from_millis(command.span_ms));
         }
         ("POST", "/admin/cut") => {
-            let order: CutNextOrder = read_json(body).await?;
-            shared.cut_next(order.cut, order.count);
+            let command: CutNextRequest = read_json(body).await?;
+            shared.cut_next(command.cut, command.count);
         }
         ("POST", "/admin/node") => {
-            let order: NodeOrder = read_json(body).await?;
-            *shared.node.lock() = Some(order.node);
+            let command: SetNodeRequest = read_json(body).await?;
+            *shared.node.lock() = Some(command.node);
         }
         ("POST", "/admin/crash") => {
             let owner = Arc::clone(shared);
--- a/crates/standins/src/target/mood.rs
+++ b/crates/standins/src/target/behaviour.rs
@@ -8,7 +8,7 @@
 /// Parts of a misbehaviour, which can come together.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
-pub struct Mood {
+pub struct Behaviour {
     /// Says on every answer and at `/.health` that it wants no new work.
     pub draining: bool,
     /// Sheds every request with 503 and `hitch-not-run`.
@@ -22,7 +22,7 @@
     /// Freezes all work now and then.
     pub random_stalls: Option<RandomStalls>,
     /// What `/.health` says.
-    pub health: HealthSays,
+    pub health: HealthReport,
     /// What `/.load` says in place of the truth.
     pub load: Option<Load>,
     /// Age of what `/.health` and `/.load` say.
@@ -31,7 +31,7 @@
     pub cut: Option<Cut>,
 }
 
-impl Default for Mood {
+impl Default for Behaviour {
     fn default() -> Self {
         Self {
             draining: false,
@@ -40,7 +40,7 @@
             slow_factor: 1.0,
             delay_ms: 0,
             random_stalls: None,
-            health: HealthSays::Truth,
+            health: HealthReport::Truth,
             load: None,
             hint_lag_ms: 0,
             cut: None,
@@ -62,7 +62,7 @@
 /// What `/.health` says.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum HealthSays {
+pub enum HealthReport {
     /// 200, or 503 while draining or failing fast.
     #[default]
     Truth,
--- a/crates/standins/src/target/calls.rs
+++ b/crates/standins/src/target/calls.rs
@@ -14,10 +14,10 @@
 };
 use crate::prelude::*;
 
+use super::behaviour::Behaviour;
 use super::cut::Cut;
 use super::echo::{EchoRequest, digest, echo_body};
 use super::journal::{RequestMarks, Run, RunEnd};
-use super::mood::Mood;
 use super::{Shared, admin, downstream, headers};
 
 pub(super) struct TargetHandler {
@@ -51,18 +51,18 @@
     connection: &Connection,
 ) -> Result<Answer, DropConnection> {
     shared.stalls.wait().await;
-    let mood = shared.mood();
+    let behaviour = shared.behaviour();
     match request.uri().path() {
         "/.health" => {
             shared
                 .counters
                 .health_probes
                 .fetch_add(1, Ordering::Relaxed);
-            return Ok(shared.hints.health(&mood));
+            return Ok(shared.hints.health(&behaviour));
         }
         "/.load" => {
             shared.counters.load_probes.fetch_add(1, Ordering::Relaxed);
-            return Ok(shared.hints.load(&mood));
+            return Ok(shared.hints.load(&behaviour));
         }
         _ => {}
     }
@@ -78,8 +78,8 @@
         body,
         deadline: deadline_ms.map(|ms| received_at + Duration::from_millis(ms)),
     };
-    let mut answer = answer_call(shared, &call, &mood, connection).await?;
-    if shared.mood().draining {
+    let mut answer = answer_call(shared, &call, &behaviour, connection).await?;
+    if shared.behaviour().draining {
         let draining = HeaderValue::from_static(header::STATE_DRAINING);
         answer.headers_mut().insert(header::STATE, draining);
     }
@@ -97,13 +97,13 @@
 async fn answer_call(
     shared: &Arc<Shared>,
     call: &Call,
-    mood: &Mood,
+    behaviour: &Behaviour,
     connection: &Connection,
 ) -> Result<Answer, DropConnection> {
-    if mood.shed {
+    if behaviour.shed {
         return Ok(not_run(shared, "the target sheds"));
     }
-    if mood.fail_fast {
+    if behaviour.fail_fast {
         let mut run = shared.journal.start(call.marks());
         run.end(RunEnd::FailedFast, Some(StatusCode::INTERNAL_SERVER_ERROR));
         return Ok(text_answer(
@@ -116,11 +116,11 @@
     };
     shared.note_load();
     let mut run = shared.journal.start(call.marks());
-    if call.is_marked(&shared.config.crash_mark) {
+    if call.has_crash_mark(&shared.config.crash_mark) {
         return Err(crash(shared, run).await);
     }
-    let result = run_call(shared, call, mood, &mut run).await;
-    let delay_ms = call.number(headers::DELAY_MS).unwrap_or(mood.delay_ms);
+    let result = run_call(shared, call, behaviour, &mut run).await;
+    let delay_ms = call.number(headers::DELAY_MS).unwrap_or(behaviour.delay_ms);
     if delay_ms > 0 {
         sleep(Duration::from_millis(delay_ms)).await;
     }
@@ -129,7 +129,7 @@
     let Ok(answer) = result else {
         return Ok(text_answer(StatusCode::GATEWAY_TIMEOUT, "deadline passed"));
     };
-    send(shared, call, mood, answer, connection)
+    send(shared, call, behaviour, answer, connection)
 }
 
 /// Takes the whole target down, this run's connection included.
@@ -151,11 +151,11 @@
 async fn run_call(
     shared: &Arc<Shared>,
     call: &Call,
-    mood: &Mood,
+    behaviour: &Behaviour,
     run: &mut Run,
 ) -> Result<WholeAnswer, DeadlinePassed> {
     let started_at = Instant::now();
-    let work = do_work(shared, call, mood);
+    let work = do_work(shared, call, behaviour);
     let called = match call.deadline {
         Some(deadline) => timeout_at(deadline, work).await,
         None => Ok(work.await),
@@ -164,22 +164,22 @@
         run.end(RunEnd::DeadlinePassed, Some(StatusCode::GATEWAY_TIMEOUT));
         return Err(DeadlinePassed);
     };
-    shared.learn_service_time(started_at.elapsed());
+    shared.record_service_time(started_at.elapsed());
     let status = call.answer_status(called);
     run.end(RunEnd::Finished, Some(status));
     Ok(compose(shared, call, run, status, called))
 }
 
 /// The work itself, and the call that it makes on its part.
-async fn do_work(shared: &Arc<Shared>, call: &Call, mood: &Mood) -> Option<StatusCode> {
+async fn do_work(shared: &Arc<Shared>, call: &Call, behaviour: &Behaviour) -> Option<StatusCode> {
     let service_us = match call.number(headers::SERVICE_US) {
         Some(us) => us as f64,
         None => shared.sampler.draw_us(&shared.config.service_time),
     };
-    let factor = mood.slow_factor.max(0.0) * shared.coldness();
+    let factor = behaviour.slow_factor.max(0.0) * shared.cold_start_factor();
     let span = Duration::from_secs_f64(service_us * factor / 1_000_000.0);
     shared.stalls.work(span).await;
-    downstream::call_on(shared, call).await
+    downstream::call_downstream(shared, call).await
 }
 
 fn compose(
@@ -227,11 +227,14 @@
 fn send(
     shared: &Shared,
     call: &Call,
-    mood: &Mood,
+    behaviour: &Behaviour,
     whole: WholeAnswer,
     connection: &Connection,
 ) -> Result<Answer, DropConnection> {
-    let cut = call.cut().or(mood.cut).or_else(|| shared.take_cut_order());
+    let cut = call
+        .cut()
+        .or(behaviour.cut)
+        .or_else(|| shared.take_pending_cut());
     let Some(cut) = cut else {
         return Ok(whole.answer);
     };
@@ -268,7 +271,7 @@
         }
     }
 
-    fn is_marked(&self, mark: &str) -> bool {
+    fn has_crash_mark(&self, mark: &str) -> bool {
         if self.text(headers::CRASH).is_some() {
             return true;
         }
--- a/crates/standins/src/target/config.rs
+++ b/crates/standins/src/target/config.rs
@@ -5,7 +5,7 @@
 
 use crate::prelude::*;
 
-use super::mood::Mood;
+use super::behaviour::Behaviour;
 use super::service_time::ServiceTime;
 use super::slots::Overflow;
 
@@ -43,7 +43,8 @@
     /// File for the journal as JSON lines.
     pub journal: Option<PathBuf>,
     /// The mood to begin with.
-    pub mood: Mood,
+    #[serde(rename = "mood")]
+    pub behaviour: Behaviour,
 }
 
 impl Default for TargetConfig {
@@ -62,7 +63,7 @@
             restart_ms: 200,
             node: None,
             journal: None,
-            mood: Mood::default(),
+            behaviour: Behaviour::default(),
         }
     }
 }
--- a/crates/standins/src/target/cut.rs
+++ b/crates/standins/src/target/cut.rs
@@ -11,9 +11,9 @@
 use crate::prelude::*;
 
 const EXCESS_BYTES: usize = 16;
-const HANG: Duration = Duration::from_secs(600);
+const HANG_TIME: Duration = Duration::from_secs(600);
 /// Time for the first half to leave before the connection ends.
-const FLUSH: Duration = Duration::from_millis(5);
+const FLUSH_DELAY: Duration = Duration::from_millis(5);
 
 /// Ways to cut an answer, by their name in `standin-cut`.
 #[derive(
@@ -68,7 +68,12 @@
     fn cut_body(self, sent: Bytes, connection: Connection) -> UnsyncBoxBody<Bytes, BodyCut> {
         let first = stream::iter([Ok(Frame::data(sent))]);
         let end = stream::once(async move {
-            sleep(if self == Self::Hang { HANG } else { FLUSH }).await;
+            sleep(if self == Self::Hang {
+                HANG_TIME
+            } else {
+                FLUSH_DELAY
+            })
+            .await;
             if self == Self::HalfReset {
                 connection.reset_when_dropped();
             }
--- a/crates/standins/src/target/downstream.rs
+++ b/crates/standins/src/target/downstream.rs
@@ -10,7 +10,7 @@
 use super::calls::Call;
 use super::{Shared, headers};
 
-const DEFAULT_BOUND: Duration = Duration::from_secs(30);
+const DEFAULT_TIMEOUT: Duration = Duration::from_secs(30);
 /// Sends of one call, each after an answer that tells to come again.
 const MAX_SENDS: u32 = 5;
 const DEFAULT_WAIT_MS: u64 = 20;
@@ -19,7 +19,7 @@
 ///
 /// Returns the status, 502 when no whole answer came, or nothing when the
 /// request asks for no call.
-pub(super) async fn call_on(shared: &Shared, call: &Call) -> Option<StatusCode> {
+pub(super) async fn call_downstream(shared: &Shared, call: &Call) -> Option<StatusCode> {
     let chain = call.text(headers::CALL)?;
     let (first, rest) = match chain.split_once(',') {
         Some((first, rest)) => (first.trim(), Some(rest.trim())),
@@ -29,7 +29,7 @@
         log::warn!("{} has no node to call {first}", shared.config.name);
         return Some(StatusCode::BAD_GATEWAY);
     };
-    let deadline = call.deadline.unwrap_or(Instant::now() + DEFAULT_BOUND);
+    let deadline = call.deadline.unwrap_or(Instant::now() + DEFAULT_TIMEOUT);
     let mut status = StatusCode::BAD_GATEWAY;
     for _ in 0..MAX_SENDS {
         let left = deadline.saturating_duration_since(Instant::now());
@@ -40,7 +40,7 @@
             return Some(StatusCode::BAD_GATEWAY);
         };
         status = answer.status;
-        let Some(wait) = told_to_come_again(&answer) else {
+        let Some(wait) = retry_delay(&answer) else {
             return Some(status);
         };
         if Instant::now() + wait >= deadline {
@@ -53,7 +53,7 @@
 
 /// As any documented caller, a target comes again when its call has certainly
 /// not run. It does not when the connection breaks: that is a call cut off.
-fn told_to_come_again(answer: &WholeAnswer) -> Option<Duration> {
+fn retry_delay(answer: &WholeAnswer) -> Option<Duration> {
     let number = header_number(&answer.headers, header::CODE)?;
     let code = ResultCode::from_number(u16::try_from(number).ok()?)?;
     if code.certainty() != Certainty::NotRun {
--- a/crates/standins/src/target/hints.rs
+++ b/crates/standins/src/target/hints.rs
@@ -5,7 +5,7 @@
 use crate::http_server::{Answer, json_answer, text_answer};
 use crate::prelude::*;
 
-use super::mood::{HealthSays, Mood};
+use super::behaviour::{Behaviour, HealthReport};
 
 const MAX_AGE: Millis = Millis::from_secs(60);
 const MAX_ENTRIES: usize = 100_000;
@@ -25,86 +25,86 @@
 
 /// The state at one time.
 #[derive(Clone, Copy, Debug)]
-struct Moment {
+struct Snapshot {
     at: Millis,
     load: Load,
-    well: bool,
+    is_healthy: bool,
     draining: bool,
 }
 
 /// Remembers states, so that old ones can be told.
 pub(super) struct Hints {
     clock: ProcessClock,
-    moments: Mutex<VecDeque<Moment>>,
+    snapshots: Mutex<VecDeque<Snapshot>>,
 }
 
 impl Hints {
     pub(super) fn new(load: Load) -> Self {
-        let first = Moment {
+        let first = Snapshot {
             at: Millis::ZERO,
             load,
-            well: true,
+            is_healthy: true,
             draining: false,
         };
         Self {
             clock: ProcessClock::start(),
-            moments: Mutex::new(VecDeque::from([first])),
+            snapshots: Mutex::new(VecDeque::from([first])),
         }
     }
 
     /// Remembers the present state.
-    pub(super) fn note(&self, load: Load, mood: &Mood) {
+    pub(super) fn note(&self, load: Load, behaviour: &Behaviour) {
         let now = self.clock.now();
-        let mut moments = self.moments.lock();
-        moments.push_back(Moment {
+        let mut snapshots = self.snapshots.lock();
+        snapshots.push_back(Snapshot {
             at: now,
             load,
-            well: !mood.draining && !mood.fail_fast,
-            draining: mood.draining,
+            is_healthy: !behaviour.draining && !behaviour.fail_fast,
+            draining: behaviour.draining,
         });
-        while moments.len() > 1 {
-            let too_old = now.since(moments[1].at) > MAX_AGE;
-            if !too_old && moments.len() <= MAX_ENTRIES {
+        while snapshots.len() > 1 {
+            let too_old = now.since(snapshots[1].at) > MAX_AGE;
+            if !too_old && snapshots.len() <= MAX_ENTRIES {
                 return;
             }
-            moments.pop_front();
+            snapshots.pop_front();
         }
     }
 
-    fn as_of(&self, lag: Millis) -> Moment {
+    fn as_of(&self, lag: Millis) -> Snapshot {
         let now = self.clock.now();
-        let moments = self.moments.lock();
-        for moment in moments.iter().rev() {
-            if now.since(moment.at) < lag {
+        let snapshots = self.snapshots.lock();
+        for snapshot in snapshots.iter().rev() {
+            if now.since(snapshot.at) < lag {
                 continue;
             }
-            return *moment;
+            return *snapshot;
         }
-        moments[0]
+        snapshots[0]
     }
 
-    pub(super) fn health(&self, mood: &Mood) -> Answer {
-        let moment = self.as_of(Millis(mood.hint_lag_ms));
-        let well = match mood.health {
-            HealthSays::Truth => moment.well,
-            HealthSays::AlwaysWell => true,
-            HealthSays::AlwaysIll => false,
+    pub(super) fn health(&self, behaviour: &Behaviour) -> Answer {
+        let snapshot = self.as_of(Millis(behaviour.hint_lag_ms));
+        let is_healthy = match behaviour.health {
+            HealthReport::Truth => snapshot.is_healthy,
+            HealthReport::AlwaysWell => true,
+            HealthReport::AlwaysIll => false,
         };
-        if well {
+        if is_healthy {
             return text_answer(StatusCode::OK, "well");
         }
         let mut answer = text_answer(StatusCode::SERVICE_UNAVAILABLE, "ill");
-        if moment.draining {
+        if snapshot.draining {
             let draining = http::HeaderValue::from_static(header::STATE_DRAINING);
             answer.headers_mut().insert(header::STATE, draining);
         }
         answer
     }
 
-    pub(super) fn load(&self, mood: &Mood) -> Answer {
-        let load = match mood.load {
-            Some(lie) => lie,
-            None => self.as_of(Millis(mood.hint_lag_ms)).load,
+    pub(super) fn load(&self, behaviour: &Behaviour) -> Answer {
+        let load = match behaviour.load {
+            Some(forced) => forced,
+            None => self.as_of(Millis(behaviour.hint_lag_ms)).load,
         };
         json_answer(StatusCode::OK, &load)
     }
--- a/crates/standins/src/target/journal.rs
+++ b/crates/standins/src/target/journal.rs
@@ -151,7 +151,7 @@
     }
 
     /// Runs of one key: `hitch-key`, idempotency key or nonce.
-    pub(super) fn of_key(&self, key: &str) -> Vec<RunRecord> {
+    pub(super) fn runs_of_key(&self, key: &str) -> Vec<RunRecord> {
         let mut found = Vec::new();
         for record in &self.state.lock().records {
             let marks = &record.marks;
--- a/crates/standins/src/target/slots.rs
+++ b/crates/standins/src/target/slots.rs
@@ -80,7 +80,7 @@
 
     pub(super) async fn take(&self, deadline: Option<Instant>) -> Result<Slot, NoSlot> {
         if let Ok(permit) = Arc::clone(&self.semaphore).try_acquire_owned() {
-            return Ok(self.occupied(permit));
+            return Ok(self.occupy(permit));
         }
         let Overflow::Queue { limit } = self.overflow else {
             return Err(NoSlot::Full);
@@ -89,7 +89,7 @@
             self.queued.fetch_sub(1, Ordering::Relaxed);
             return Err(NoSlot::Full);
         }
-        let mut place = QueuePlace {
+        let mut position = QueuePosition {
             slots: self,
             served: false,
         };
@@ -98,18 +98,18 @@
             Some(deadline) => match timeout_at(deadline, acquired).await {
                 Ok(permit) => permit,
                 Err(_) => {
-                    place.served = true;
+                    position.served = true;
                     return Err(NoSlot::DeadlinePassed);
                 }
             },
             None => acquired.await,
         };
-        place.served = true;
+        position.served = true;
         let permit = permit.expect("the semaphore is never closed");
-        Ok(self.occupied(permit))
+        Ok(self.occupy(permit))
     }
 
-    fn occupied(&self, permit: OwnedSemaphorePermit) -> Slot {
+    fn occupy(&self, permit: OwnedSemaphorePermit) -> Slot {
         let now = self.in_flight.fetch_add(1, Ordering::Relaxed) + 1;
         self.max_in_flight.fetch_max(now, Ordering::Relaxed);
         Slot {
@@ -120,12 +120,12 @@
 }
 
 /// A place in the queue; dropped unserved when the caller goes away.
-struct QueuePlace<'a> {
+struct QueuePosition<'a> {
     slots: &'a Slots,
     served: bool,
 }
 
-impl Drop for QueuePlace<'_> {
+impl Drop for QueuePosition<'_> {
     fn drop(&mut self) {
         self.slots.queued.fetch_sub(1, Ordering::Relaxed);
         if !self.served {
--- a/crates/standins/tests/fleet.rs
+++ b/crates/standins/tests/fleet.rs
@@ -28,7 +28,7 @@
 fn config(binary: &Path) -> FleetConfig {
     let platform = SocketAddr::from(([127, 0, 0, 1], 9));
     FleetConfig {
-        ready_within: Duration::from_millis(100),
+        ready_timeout: Duration::from_millis(100),
         ..FleetConfig::new(binary, platform)
     }
 }
--- a/crates/standins/tests/load.rs
+++ b/crates/standins/tests/load.rs
@@ -7,7 +7,8 @@
 
 use futures_util::future::BoxFuture;
 use hornbeamhitch_standins::http_server::{
-    Answer, Connection, DropConnection, Handler, HttpServer, control, read_body, text_answer,
+    Answer, Connection, DropConnection, Handler, HttpServer, control_channel, read_body,
+    text_answer,
 };
 use hornbeamhitch_standins::load::{
     self, CallKind, CallRecord, CallerLimits, Destination, LoadOutcome, LoadPlan, Pacing, Verdict,
@@ -23,7 +24,7 @@
 
 /// What a scripted node does with the next request.
 #[derive(Clone, Copy)]
-enum Line {
+enum ScriptStep {
     Answer,
     Redirect,
     Code(u16),
@@ -35,7 +36,7 @@
 
 /// Entries that follow one script and remember what they were sent.
 struct Script {
-    lines: Mutex<VecDeque<Line>>,
+    steps: Mutex<VecDeque<ScriptStep>>,
     seen: Mutex<Vec<Seen>>,
 }
 
@@ -70,29 +71,29 @@
                 path: head.uri.path().to_owned(),
                 try_number: header(headers::TRY),
             });
-            let line = self.script.lines.lock().pop_front();
-            let line = line.expect("the script is as long as the call");
+            let step = self.script.steps.lock().pop_front();
+            let step = step.expect("the script is as long as the call");
             let mut answer = text_answer(StatusCode::OK, "");
-            match line {
-                Line::Drop => {
+            match step {
+                ScriptStep::Drop => {
                     connection.reset_when_dropped();
                     return Err(DropConnection);
                 }
-                Line::Redirect => {
+                ScriptStep::Redirect => {
                     *answer.status_mut() = StatusCode::TEMPORARY_REDIRECT;
                     set(&mut answer, "hitch-code", "1100");
                     set(&mut answer, "location", "/.hitch/t/first/cashier/charge");
                 }
-                Line::Code(code) => set(&mut answer, "hitch-code", &code.to_string()),
-                Line::CodeAndTicket(code) => {
+                ScriptStep::Code(code) => set(&mut answer, "hitch-code", &code.to_string()),
+                ScriptStep::CodeAndTicket(code) => {
                     set(&mut answer, "hitch-code", &code.to_string());
                     set(&mut answer, "hitch-next-ticket", "next");
                 }
-                Line::Tickets => {
+                ScriptStep::Tickets => {
                     let json = r#"{"tickets": ["fetched"], "valid_ms": 120000}"#;
                     return Ok(text_answer(StatusCode::OK, json));
                 }
-                Line::Answer => {
+                ScriptStep::Answer => {
                     let echo = echo_body(&EchoRequest {
                         nonce: &header(headers::NONCE),
                         method: head.method.as_str(),
@@ -128,9 +129,9 @@
 }
 
 /// Sends one charge through two entries that follow a script.
-async fn charge_by(lines: &[Line], limits: CallerLimits) -> (CallRecord, Vec<Seen>) {
+async fn charge_by(steps: &[ScriptStep], limits: CallerLimits) -> (CallRecord, Vec<Seen>) {
     let script = Arc::new(Script {
-        lines: Mutex::new(lines.iter().copied().collect()),
+        steps: Mutex::new(steps.iter().copied().collect()),
         seen: Mutex::default(),
     });
     let mut servers = Vec::new();
@@ -141,7 +142,7 @@
             script: Arc::clone(&script),
             addr: Arc::clone(&addr),
         });
-        let (_control, end) = control();
+        let (_control, end) = control_channel();
         let any_port = SocketAddr::from(([127, 0, 0, 1], 0));
         let server = HttpServer::start(any_port, node, end).await.unwrap();
         *addr.lock() = Some(server.addr());
@@ -159,7 +160,7 @@
     .await
     .unwrap();
     assert!(
-        script.lines.lock().is_empty(),
+        script.steps.lock().is_empty(),
         "the script was not played out"
     );
     let seen = script.seen.lock().clone();
@@ -179,8 +180,8 @@
 /// a new ticket could charge twice.
 #[tokio::test]
 async fn a_broken_charge_keeps_its_ticket() {
-    let lines = [Line::Redirect, Line::Drop, Line::Answer];
-    let (record, seen) = charge_by(&lines, CallerLimits::default()).await;
+    let steps = [ScriptStep::Redirect, ScriptStep::Drop, ScriptStep::Answer];
+    let (record, seen) = charge_by(&steps, CallerLimits::default()).await;
     assert_eq!(record.verdict, Verdict::Answered);
     assert!(!record.wrong_answer);
     assert_eq!(paths(&seen), [PLAIN, FIRST, FIRST]);
@@ -194,20 +195,24 @@
 
 #[tokio::test]
 async fn not_run_takes_the_next_ticket_or_fetches_one() {
-    let lines = [Line::Redirect, Line::CodeAndTicket(1101), Line::Answer];
-    let (record, seen) = charge_by(&lines, CallerLimits::default()).await;
+    let steps = [
+        ScriptStep::Redirect,
+        ScriptStep::CodeAndTicket(1101),
+        ScriptStep::Answer,
+    ];
+    let (record, seen) = charge_by(&steps, CallerLimits::default()).await;
     assert_eq!(record.verdict, Verdict::Answered);
     assert_eq!(paths(&seen), [PLAIN, FIRST, NEXT]);
     assert_eq!(record.not_run_tries, [0]);
     assert_eq!(seen[2].try_number, "1");
 
-    let lines = [
-        Line::Redirect,
-        Line::Code(1103),
-        Line::Tickets,
-        Line::Answer,
+    let steps = [
+        ScriptStep::Redirect,
+        ScriptStep::Code(1103),
+        ScriptStep::Tickets,
+        ScriptStep::Answer,
     ];
-    let (record, seen) = charge_by(&lines, CallerLimits::default()).await;
+    let (record, seen) = charge_by(&steps, CallerLimits::default()).await;
     assert_eq!(record.verdict, Verdict::Answered);
     assert_eq!(seen[2].path, "/.hitch/tickets/cashier");
     assert_eq!(seen[3].path, "/.hitch/t/fetched/cashier/charge");
@@ -215,13 +220,13 @@
 
 #[tokio::test]
 async fn not_yet_and_pending_keep_the_ticket() {
-    let lines = [
-        Line::Redirect,
-        Line::Code(1201),
-        Line::Code(1401),
-        Line::Answer,
+    let steps = [
+        ScriptStep::Redirect,
+        ScriptStep::Code(1201),
+        ScriptStep::Code(1401),
+        ScriptStep::Answer,
     ];
-    let (record, seen) = charge_by(&lines, CallerLimits::default()).await;
+    let (record, seen) = charge_by(&steps, CallerLimits::default()).await;
     assert_eq!(record.verdict, Verdict::Answered);
     assert_eq!(paths(&seen), [PLAIN, FIRST, FIRST, FIRST]);
     assert!(record.not_run_tries.is_empty());
@@ -231,33 +236,41 @@
 /// is safe; after a broken one it is not, and the caller must stop.
 #[tokio::test]
 async fn a_dead_ticket_is_replaced_only_when_it_cannot_have_run() {
-    let lines = [
-        Line::Redirect,
-        Line::Code(1202),
-        Line::CodeAndTicket(1301),
-        Line::Answer,
+    let steps = [
+        ScriptStep::Redirect,
+        ScriptStep::Code(1202),
+        ScriptStep::CodeAndTicket(1301),
+        ScriptStep::Answer,
     ];
-    let (record, seen) = charge_by(&lines, CallerLimits::default()).await;
+    let (record, seen) = charge_by(&steps, CallerLimits::default()).await;
     assert_eq!(record.verdict, Verdict::Answered);
     assert_eq!(paths(&seen), [PLAIN, FIRST, FIRST, NEXT]);
 
-    let lines = [Line::Redirect, Line::Drop, Line::CodeAndTicket(1301)];
-    let (record, _) = charge_by(&lines, CallerLimits::default()).await;
+    let steps = [
+        ScriptStep::Redirect,
+        ScriptStep::Drop,
+        ScriptStep::CodeAndTicket(1301),
+    ];
+    let (record, _) = charge_by(&steps, CallerLimits::default()).await;
     assert_eq!(record.verdict, Verdict::Unknown);
 }
 
 #[tokio::test]
-async fn unknown_stops_or_chases_the_same_ticket() {
-    let lines = [Line::Redirect, Line::Code(2101)];
-    let (record, _) = charge_by(&lines, CallerLimits::default()).await;
+async fn unknown_stops_or_resends_the_same_ticket() {
+    let steps = [ScriptStep::Redirect, ScriptStep::Code(2101)];
+    let (record, _) = charge_by(&steps, CallerLimits::default()).await;
     assert_eq!(record.verdict, Verdict::Unknown);
 
     let limits = CallerLimits {
         unknown_resends: 1,
         ..CallerLimits::default()
     };
-    let lines = [Line::Redirect, Line::Code(2101), Line::Answer];
-    let (record, seen) = charge_by(&lines, limits).await;
+    let steps = [
+        ScriptStep::Redirect,
+        ScriptStep::Code(2101),
+        ScriptStep::Answer,
+    ];
+    let (record, seen) = charge_by(&steps, limits).await;
     assert_eq!(record.verdict, Verdict::Answered);
     assert_eq!(paths(&seen), [PLAIN, FIRST, FIRST]);
 }
@@ -268,8 +281,12 @@
         max_tickets: 2,
         ..CallerLimits::default()
     };
-    let lines = [Line::Redirect, Line::CodeAndTicket(1101), Line::Code(1101)];
-    let (record, _) = charge_by(&lines, limits).await;
+    let steps = [
+        ScriptStep::Redirect,
+        ScriptStep::CodeAndTicket(1101),
+        ScriptStep::Code(1101),
+    ];
+    let (record, _) = charge_by(&steps, limits).await;
     assert_eq!(record.verdict, Verdict::NotRun);
     assert_eq!(record.not_run_tries, [0, 1]);
 
@@ -277,24 +294,28 @@
         max_sends: 3,
         ..CallerLimits::default()
     };
-    let lines = [Line::Redirect, Line::Drop, Line::Code(1202)];
-    let (record, _) = charge_by(&lines, limits).await;
+    let steps = [
+        ScriptStep::Redirect,
+        ScriptStep::Drop,
+        ScriptStep::Code(1202),
+    ];
+    let (record, _) = charge_by(&steps, limits).await;
     assert_eq!(record.verdict, Verdict::Unknown);
 }
 
 #[tokio::test]
-async fn tickets_ahead_spare_the_redirect() {
+async fn prefetched_tickets_avoid_the_redirect() {
     let limits = CallerLimits {
         tickets_ahead: 1,
         ..CallerLimits::default()
     };
-    let (record, seen) = charge_by(&[Line::Tickets, Line::Answer], limits).await;
+    let (record, seen) = charge_by(&[ScriptStep::Tickets, ScriptStep::Answer], limits).await;
     assert_eq!(record.verdict, Verdict::Answered);
     assert_eq!(seen[1].path, "/.hitch/t/fetched/cashier/charge");
 }
 
 #[tokio::test]
-async fn the_baseline_goes_straight_to_targets() {
+async fn direct_calls_go_straight_to_targets() {
     let target = TargetStandin::start(TargetConfig {
         service_time: ServiceTime::Exponential { mean_us: 1_000 },
         ..TargetConfig::default()
@@ -351,7 +372,7 @@
     }
 }
 
-fn told(nonce: &str, verdict: Verdict, not_run_tries: &[u64]) -> CallRecord {
+fn record(nonce: &str, verdict: Verdict, not_run_tries: &[u64]) -> CallRecord {
     CallRecord {
         nonce: nonce.to_owned(),
         kind: 0,
@@ -372,16 +393,16 @@
 
 /// The books must show each kind of fault, or a clean report proves nothing.
 #[test]
-fn the_books_show_each_fault() {
+fn reconciliation_reports_each_fault() {
     let records = vec![
-        told("fine", Verdict::Answered, &[0]),
-        told("lost", Verdict::Answered, &[]),
-        told("cancelled", Verdict::Answered, &[]),
-        told("twice", Verdict::Answered, &[]),
-        told("lied", Verdict::Answered, &[0]),
-        told("refused", Verdict::NotRun, &[0]),
-        told("unknown-ran", Verdict::Unknown, &[]),
-        told("unknown-not", Verdict::Unknown, &[]),
+        record("fine", Verdict::Answered, &[0]),
+        record("lost", Verdict::Answered, &[]),
+        record("cancelled", Verdict::Answered, &[]),
+        record("twice", Verdict::Answered, &[]),
+        record("lied", Verdict::Answered, &[0]),
+        record("refused", Verdict::NotRun, &[0]),
+        record("unknown-ran", Verdict::Unknown, &[]),
+        record("unknown-not", Verdict::Unknown, &[]),
     ];
     let runs = [
         run("fine", 1, RunEnd::Finished),
--- a/crates/standins/tests/overhead.rs
+++ b/crates/standins/tests/overhead.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use hornbeamhitch_standins::overhead::report::{Report, SeriesReport};
-use hornbeamhitch_standins::overhead::{Offer, Plan, Quantiles, Series, bounds};
+use hornbeamhitch_standins::overhead::{OfferedLoad, Plan, Quantiles, Series, bounds};
 
 fn quantiles(p50_us: f64) -> Quantiles {
     Quantiles {
@@ -52,7 +52,7 @@
         assert!((added.median.p50_us - expected_us).abs() < 1e-9, "{series}");
         assert!((added.best.p50_us - expected_us).abs() < 1e-9, "{series}");
     }
-    assert!(bounds::broken(&report).is_empty());
+    assert!(bounds::violations(&report).is_empty());
 }
 
 #[test]
@@ -64,9 +64,9 @@
     report.series[0]
         .failures
         .insert("503, code 1101".to_owned(), 3);
-    let broken = bounds::broken(&report);
-    assert_eq!(broken.len(), 5, "{broken:?}");
-    assert!(broken[0].contains("3 calls failed"), "{broken:?}");
+    let violations = bounds::violations(&report);
+    assert_eq!(violations.len(), 5, "{violations:?}");
+    assert!(violations[0].contains("3 calls failed"), "{violations:?}");
 }
 
 #[test]
@@ -96,11 +96,11 @@
 }
 
 #[test]
-fn an_offer_provides_for_more_calls_than_its_mean() {
-    let offer = Offer {
+fn max_calls_of_an_offered_load_exceed_its_mean() {
+    let offered = OfferedLoad {
         rate_per_s: 1_000.0,
         span: Duration::from_secs(2),
         seed: 1,
     };
-    assert!((2_200..2_400).contains(&offer.max_calls()));
+    assert!((2_200..2_400).contains(&offered.max_calls()));
 }
--- a/crates/standins/tests/platform.rs
+++ b/crates/standins/tests/platform.rs
@@ -4,10 +4,10 @@
 use std::time::{Duration, Instant};
 
 use hornbeamhitch_standins::http_client::{HttpClient, HttpVersion};
-use hornbeamhitch_standins::platform::admin::{MoodOrder, Published};
-use hornbeamhitch_standins::platform::mood::OldText;
+use hornbeamhitch_standins::platform::admin::{Published, SetBehaviourRequest};
+use hornbeamhitch_standins::platform::behaviour::OldText;
 use hornbeamhitch_standins::platform::{
-    Counts, Endpoint, Mood, OldValues, PlatformStandin, Reach, VmEntry, VmList, VmState,
+    Behaviour, Counts, Endpoint, OldValues, PlatformStandin, Reachability, VmEntry, VmList, VmState,
 };
 
 fn any_port() -> SocketAddr {
@@ -96,7 +96,7 @@
 /// A node that asks again must be shown what the mood says, and a watch that
 /// waits must wake when a lagging list becomes due, not only when it is set.
 #[tokio::test]
-async fn moods_show_old_values() {
+async fn readers_are_shown_old_values_as_configured() {
     let platform = PlatformStandin::start(any_port()).await.unwrap();
     let addr = platform.addr();
     let client = client();
@@ -150,17 +150,17 @@
     while client.get(addr, "/v1/text").await.is_err() {
         tokio::task::yield_now().await;
     }
-    let unavailable = Mood {
-        reach: Reach::Unavailable,
-        ..Mood::default()
+    let unavailable = Behaviour {
+        reach: Reachability::Unavailable,
+        ..Behaviour::default()
     };
-    platform.set_mood(unavailable).await;
+    platform.set_behaviour(unavailable).await;
     assert_eq!(client.get(addr, "/v1/text").await.unwrap().status, 503);
-    let reset = Mood {
-        reach: Reach::Reset,
-        ..Mood::default()
+    let reset = Behaviour {
+        reach: Reachability::Reset,
+        ..Behaviour::default()
     };
-    platform.set_mood(reset).await;
+    platform.set_behaviour(reset).await;
     assert!(client.get(addr, "/v1/text").await.is_err());
 
     platform.stop().await;
@@ -190,7 +190,7 @@
 }
 
 #[tokio::test]
-async fn the_process_form_is_steered_over_http() {
+async fn the_stand_in_is_controlled_over_http() {
     let platform = PlatformStandin::start(any_port()).await.unwrap();
     let addr = platform.addr();
     let client = client();
@@ -201,10 +201,10 @@
     assert_eq!(answer.json::<Published>().unwrap().version, 4);
     let vms = vec![vm("c-1", "cashier")];
     client.post_json(addr, "/admin/vms", &vms).await.unwrap();
-    let closed = MoodOrder {
-        mood: Mood {
-            reach: Reach::Refused,
-            ..Mood::default()
+    let closed = SetBehaviourRequest {
+        behaviour: Behaviour {
+            reach: Reachability::Refused,
+            ..Behaviour::default()
         },
         for_ms: None,
     };
@@ -214,10 +214,10 @@
             .await
             .is_err()
     );
-    let silent = MoodOrder {
-        mood: Mood {
+    let silent = SetBehaviourRequest {
+        behaviour: Behaviour {
             delay_ms: 1,
-            ..Mood::default()
+            ..Behaviour::default()
         },
         for_ms: None,
     };
--- a/crates/standins/tests/ports.rs
+++ b/crates/standins/tests/ports.rs
@@ -15,7 +15,7 @@
 /// sockets. The node listens at its port all the same, is killed, and a second life
 /// of it listens there again: no copy of the socket that keeps the port is in its way.
 #[test]
-fn a_program_listens_at_its_reserved_port_in_each_of_its_lives() {
+fn a_program_listens_on_its_reserved_port_after_each_restart() {
     let reserved = ReservedPort::take(any()).expect("a port");
     for _ in 0..2 {
         // The standard library sets the same option as the nodes do.
@@ -29,7 +29,7 @@
 /// While a node is not yet started, the kernel looks for a port for somebody else.
 /// It does not offer the reserved one, and a connection to that is refused.
 #[test]
-fn nobody_else_is_given_a_reserved_port() {
+fn the_kernel_assigns_a_reserved_port_to_nobody_else() {
     let reserved = ReservedPort::take(any()).expect("a port");
     let mut others = Vec::new();
     for _ in 0..500 {
--- a/crates/standins/tests/programs.rs
+++ b/crates/standins/tests/programs.rs
@@ -11,7 +11,7 @@
 use hornbeamhitch_standins::http_client::{HttpClient, HttpVersion};
 use hornbeamhitch_standins::load::{CallKind, Destination, LoadPlan, Report};
 use hornbeamhitch_standins::program::listening_addr;
-use hornbeamhitch_standins::target::{Mood, TargetConfig};
+use hornbeamhitch_standins::target::{Behaviour, TargetConfig};
 
 const BOUND: Duration = Duration::from_secs(20);
 
@@ -80,9 +80,9 @@
     assert_eq!((report.calls, report.answered()), (50, 50));
     assert!(report.is_clean());
 
-    let failing = Mood {
+    let failing = Behaviour {
         fail_fast: true,
-        ..Mood::default()
+        ..Behaviour::default()
     };
     let client = HttpClient::new(HttpVersion::Http1);
     client
--- a/crates/standins/tests/target.rs
+++ b/crates/standins/tests/target.rs
@@ -214,22 +214,22 @@
 }
 
 #[tokio::test]
-async fn moods_change_answers_and_hints_lag() {
+async fn behaviour_changes_answers_and_hints_lag() {
     let target = start(TargetConfig::default()).await;
     let client = client();
     let addr = target.addr();
-    target.change_mood(|mood| mood.draining = true);
+    target.change_behaviour(|behaviour| behaviour.draining = true);
     let answer = post(&client, &target, "/a", &[], "").await.unwrap();
     assert_eq!(answer.headers["hitch-state"], "draining");
     let health = client.get(addr, "/.health").await.unwrap();
     assert_eq!(health.status, 503);
     assert_eq!(health.headers["hitch-state"], "draining");
-    target.change_mood(|mood| mood.hint_lag_ms = 60_000);
+    target.change_behaviour(|behaviour| behaviour.hint_lag_ms = 60_000);
     assert_eq!(client.get(addr, "/.health").await.unwrap().status, 200);
 
-    target.change_mood(|mood| {
-        mood.fail_fast = true;
-        mood.load = Some(Load::default());
+    target.change_behaviour(|behaviour| {
+        behaviour.fail_fast = true;
+        behaviour.load = Some(Load::default());
     });
     let sent = [(headers::NONCE, "failed")];
     assert_eq!(
@@ -243,7 +243,7 @@
     let load = client.get(addr, "/.load").await.unwrap();
     assert_eq!(load.json::<Load>().unwrap(), Load::default());
 
-    target.change_mood(|mood| mood.shed = true);
+    target.change_behaviour(|behaviour| behaviour.shed = true);
     let shed = post(&client, &target, "/a", &[], "").await.unwrap();
     assert_eq!(shed.headers["hitch-not-run"], "1");
     let counts = client.get(addr, "/admin/counts").await.unwrap();
@@ -254,7 +254,7 @@
 
 /// A chain of calls grows one deeper at each target and keeps its deadline.
 #[tokio::test]
-async fn calls_go_on_through_the_node() {
+async fn downstream_calls_go_through_the_node() {
     let last = start(TargetConfig::default()).await;
     let first = start(TargetConfig {
         node: Some(last.addr()),
--- a/tests/all/configuration.rs
+++ b/tests/all/configuration.rs
@@ -13,7 +13,7 @@
 use hornbeamhitch_standins::demo::bangkok;
 use hornbeamhitch_standins::fleet::NodeSpec;
 use hornbeamhitch_standins::platform::OldValues;
-use hornbeamhitch_standins::platform::mood::OldText;
+use hornbeamhitch_standins::platform::behaviour::OldText;
 use hornbeamhitch_standins::target::{TargetConfig, TargetStandin};
 use hornbeamhitch_types::prelude::*;
 
--- a/tests/all/crash_request.rs
+++ b/tests/all/crash_request.rs
@@ -132,7 +132,7 @@
     const CALLS: usize = 300;
     let deployment = Deployment::start(CASHIER_TEXT, members()).await?;
     let failing = deployment.target("cashier-2");
-    failing.change_mood(|mood| mood.fail_fast = true);
+    failing.change_behaviour(|behaviour| behaviour.fail_fast = true);
     let caller = Caller::new();
     let entry = deployment.entry("cashier-1");
     let mut errors = 0;
@@ -150,7 +150,7 @@
     );
     assert_eq!(errors, 0, "each failure is retried within the budget");
 
-    failing.change_mood(|mood| mood.fail_fast = false);
+    failing.change_behaviour(|behaviour| behaviour.fail_fast = false);
     let before = failing.all_runs().len();
     let mut sent = 0;
     let back = async {
--- a/tests/all/leaving.rs
+++ b/tests/all/leaving.rs
@@ -163,12 +163,12 @@
     let event_at = wall_clock();
     deployment
         .target(LEAVER)
-        .change_mood(|mood| mood.draining = true);
+        .change_behaviour(|behaviour| behaviour.draining = true);
     time_to_last_start(&deployment, traffic, event_at, "the target's drain").await?;
 
     deployment
         .target(LEAVER)
-        .change_mood(|mood| mood.draining = false);
+        .change_behaviour(|behaviour| behaviour.draining = false);
     let ended_at = wall_clock();
     wait_leaving(&deployment, false).await?;
     println!(
@@ -194,7 +194,7 @@
     let deployment = start().await?;
     deployment
         .target(LEAVER)
-        .change_mood(|mood| mood.draining = true);
+        .change_behaviour(|behaviour| behaviour.draining = true);
     let event_at = wall_clock();
     wait_leaving(&deployment, true).await?;
     println!(
@@ -209,7 +209,7 @@
 
     deployment
         .target(LEAVER)
-        .change_mood(|mood| mood.draining = false);
+        .change_behaviour(|behaviour| behaviour.draining = false);
     wait_leaving(&deployment, false).await
 }
 
@@ -253,11 +253,11 @@
     let event_at = wall_clock();
     deployment
         .target(LEAVER)
-        .change_mood(|mood| mood.draining = true);
+        .change_behaviour(|behaviour| behaviour.draining = true);
     time_to_last_start(&deployment, traffic, event_at, "drain, platform stale").await?;
     deployment
         .target(LEAVER)
-        .change_mood(|mood| mood.draining = false);
+        .change_behaviour(|behaviour| behaviour.draining = false);
     wait_leaving(&deployment, false).await?;
 
     deployment.platform.down().await;
@@ -326,7 +326,7 @@
         match self {
             Self::Drain => deployment
                 .target(vm)
-                .change_mood(|mood| mood.draining = true),
+                .change_behaviour(|behaviour| behaviour.draining = true),
             Self::List => drop(deployment.platform.set_vm_state(vm, VmState::Leaving)?),
             Self::Terminate => deployment.fleet.terminate(vm)?,
         }
--- a/tests/all/measuring.rs
+++ b/tests/all/measuring.rs
@@ -12,7 +12,7 @@
 use hornbeamhitch_node::control_loop::FleetTag;
 use hornbeamhitch_standins::fleet::{Fleet, FleetConfig, NodeSpec};
 use hornbeamhitch_standins::platform::{PlatformStandin, VmEntry, VmState};
-use hornbeamhitch_standins::target::{HealthSays, Mood, TargetConfig, TargetStandin};
+use hornbeamhitch_standins::target::{Behaviour, HealthReport, TargetConfig, TargetStandin};
 use hornbeamhitch_wire::control::{Datagram, DatagramBody};
 
 use crate::support::caller::{Call, Caller};
@@ -104,9 +104,9 @@
 }
 
 /// A stand-in in one mood, without calls.
-async fn probes_in_mood(what: &str, mood: Mood) -> Result<()> {
+async fn probes_with_behaviour(what: &str, behaviour: Behaviour) -> Result<()> {
     let target = TargetStandin::start(TargetConfig {
-        mood,
+        behaviour,
         ..TargetConfig::default()
     })
     .await?;
@@ -122,26 +122,26 @@
     // No calls come, so that only probes can tell how the target is. It is
     // well, drains, says that it is ill, or fails each request; the node would
     // like to look four times a second and may look once in four.
-    let idle = probes_in_mood("idle", Mood::default());
-    let draining = probes_in_mood(
+    let idle = probes_with_behaviour("idle", Behaviour::default());
+    let draining = probes_with_behaviour(
         "draining",
-        Mood {
+        Behaviour {
             draining: true,
-            ..Mood::default()
+            ..Behaviour::default()
         },
     );
-    let ill = probes_in_mood(
+    let ill = probes_with_behaviour(
         "ill",
-        Mood {
-            health: HealthSays::AlwaysIll,
-            ..Mood::default()
+        Behaviour {
+            health: HealthReport::AlwaysIll,
+            ..Behaviour::default()
         },
     );
-    let failing = probes_in_mood(
+    let failing = probes_with_behaviour(
         "failing fast",
-        Mood {
+        Behaviour {
             fail_fast: true,
-            ..Mood::default()
+            ..Behaviour::default()
         },
     );
     tokio::try_join!(idle, draining, ill, failing).map(drop)
--- a/tests/all/not_run.rs
+++ b/tests/all/not_run.rs
@@ -175,11 +175,11 @@
     book.wait_answers(ANSWERS_BETWEEN).await?;
     deployment
         .target("cashier-1")
-        .change_mood(|mood| mood.shed = true);
+        .change_behaviour(|behaviour| behaviour.shed = true);
     book.wait_answers(ANSWERS_BETWEEN).await?;
     deployment
         .target("cashier-1")
-        .change_mood(|mood| mood.shed = false);
+        .change_behaviour(|behaviour| behaviour.shed = false);
 
     pause(deployment, "cashier-2").await?;
     book.wait_answers(ANSWERS_BETWEEN).await?;
--- a/tests/all/routed.rs
+++ b/tests/all/routed.rs
@@ -45,7 +45,7 @@
         }
         let mut deployment = Deployment::prepare_with(members, |config| {
             config.node_binary = PathBuf::from(ROUTED);
-            config.addressing = Addressing::address_each();
+            config.addressing = Addressing::address_per_node();
             config.drain_timeout_ms = DRAIN_TIMEOUT_MS;
         })
         .await?;
--- a/tests/all/shutdown.rs
+++ b/tests/all/shutdown.rs
@@ -213,7 +213,7 @@
     deployment.wait_until("it runs calls", has_run).await?;
     deployment
         .target(GATE)
-        .change_mood(|mood| mood.draining = true);
+        .change_behaviour(|behaviour| behaviour.draining = true);
     wait_leaving(&deployment, GATE).await?;
     let is_idle = |deployment: &Deployment| {
         let runs = deployment.target(GATE).all_runs();
@@ -229,7 +229,7 @@
     let before = deployment.target(GATE).all_runs().len();
     deployment
         .target(GATE)
-        .change_mood(|mood| mood.draining = false);
+        .change_behaviour(|behaviour| behaviour.draining = false);
     deployment.target(GATE).reopen().await;
     let is_back = |deployment: &Deployment| deployment.target(GATE).all_runs().len() >= before + 10;
     deployment
--- a/tests/all/uploads.rs
+++ b/tests/all/uploads.rs
@@ -25,7 +25,7 @@
     });
     let limits = json!({ "body_timeout_ms": SILENCE_MS, "buffered_bodies_bytes": BUFFERED_BYTES });
     let mut deployment = Deployment::prepare_with(vec![member], |config| {
-        config.more_settings.insert("limits".to_owned(), limits);
+        config.extra_settings.insert("limits".to_owned(), limits);
     })
     .await?;
     deployment.platform.set_text(CASHIER_TEXT)?;
