--- a/crates/standins/src/bin/hornbeamhitch-demo.rs
+++ b/crates/standins/src/bin/hornbeamhitch-demo.rs
@@ -1,4 +1,4 @@
-//! The demonstration: a whole deployment on one machine.
+//! The demonstration: runs a whole deployment on one machine.
 
 use std::process::ExitCode;
 
--- a/crates/standins/src/bin/hornbeamhitch-load.rs
+++ b/crates/standins/src/bin/hornbeamhitch-load.rs
@@ -1,4 +1,4 @@
-//! The load tool as a process: sends a plan, prints a report.
+//! The load tool as a program: sends the calls of a plan and prints a report.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -16,7 +16,7 @@
     #[options(help = "JSON file with the plan", meta = "FILE")]
     plan: Option<PathBuf>,
     #[options(
-        help = "target whose journal is read at the end; may be repeated",
+        help = "address of a target whose journal is read at the end; may be repeated",
         meta = "ADDR"
     )]
     journal: Vec<String>,
@@ -28,7 +28,7 @@
 async fn main() -> Result<ExitCode> {
     let options = LoadOptions::parse_args_default_or_exit();
     logging::start(LevelFilter::Info)?;
-    let path = options.plan.ok_or_else(|| eyre!("--plan is needed"))?;
+    let path = options.plan.ok_or_else(|| eyre!("--plan is required"))?;
     let plan: LoadPlan = program::read_json_file(&path)?;
     let outcome = load::run(plan).await?;
     let mut targets = Vec::new();
--- a/crates/standins/src/bin/hornbeamhitch-overhead.rs
+++ b/crates/standins/src/bin/hornbeamhitch-overhead.rs
@@ -1,4 +1,5 @@
-//! What nodes add to a call, against a direct call to the same target.
+//! Measures the latency that nodes add to a call, compared with a direct call to
+//! the same target.
 
 use std::process::ExitCode;
 
--- a/crates/standins/src/bin/hornbeamhitch-platform-standin.rs
+++ b/crates/standins/src/bin/hornbeamhitch-platform-standin.rs
@@ -1,4 +1,4 @@
-//! The platform's stand-in as a process, steered over `/admin/`.
+//! The stand-in for the platform as a program, controlled over `/admin/`.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -15,9 +15,9 @@
     help: bool,
     #[options(help = "address to listen on", default = "127.0.0.1:0", meta = "ADDR")]
     addr: String,
-    #[options(help = "file with the first text", meta = "FILE")]
+    #[options(help = "file with the initial configuration text", meta = "FILE")]
     text: Option<PathBuf>,
-    #[options(help = "file with the first VM list, a JSON array", meta = "FILE")]
+    #[options(help = "file with the initial VM list, a JSON array", meta = "FILE")]
     vms: Option<PathBuf>,
 }
 
--- a/crates/standins/src/bin/hornbeamhitch-target-standin.rs
+++ b/crates/standins/src/bin/hornbeamhitch-target-standin.rs
@@ -1,4 +1,4 @@
-//! The target's stand-in as a process, steered over `/admin/`.
+//! The stand-in for a target as a program, controlled over `/admin/`.
 
 use std::path::PathBuf;
 
@@ -12,11 +12,11 @@
 struct TargetOptions {
     #[options(help = "print this help")]
     help: bool,
-    #[options(help = "JSON file with the whole configuration", meta = "FILE")]
+    #[options(help = "JSON file with the configuration", meta = "FILE")]
     config: Option<PathBuf>,
-    #[options(help = "address to listen on, in place of the file's", meta = "ADDR")]
+    #[options(help = "address to listen on, overrides the file", meta = "ADDR")]
     addr: Option<String>,
-    #[options(help = "name, in place of the file's", meta = "NAME")]
+    #[options(help = "name, overrides the file", meta = "NAME")]
     name: Option<String>,
 }
 
--- a/crates/standins/src/clock.rs
+++ b/crates/standins/src/clock.rs
@@ -4,7 +4,7 @@
 
 use hornbeamhitch_types::prelude::*;
 
-/// The wall clock, for logs that several processes write.
+/// Reads the wall clock, whose times can be compared between processes.
 #[must_use]
 pub fn wall_clock() -> Millis {
     let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH);
--- a/crates/standins/src/commands.rs
+++ b/crates/standins/src/commands.rs
@@ -1,4 +1,4 @@
-//! The demonstration's command line; one file for each subcommand.
+//! The command line of the demonstration, with one module per subcommand.
 
 use std::process::ExitCode;
 
@@ -30,7 +30,8 @@
 ///
 /// # Errors
 ///
-/// Fails when something cannot be started, does not come up or does not end.
+/// Fails when a process cannot be started, does not become ready or does not
+/// exit in time.
 pub async fn run() -> Result<ExitCode> {
     let options = DemoOptions::parse_args_default_or_exit();
     logging::start(LevelFilter::Warn)?;
--- a/crates/standins/src/commands/bangkok.rs
+++ b/crates/standins/src/commands/bangkok.rs
@@ -1,4 +1,5 @@
-//! `bangkok`: mixed traffic through the print office's deployment.
+//! The subcommand `bangkok`: sends mixed traffic through the print office's
+//! deployment.
 
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -12,7 +13,8 @@
 use crate::program;
 
 const DEFAULT_TEXT: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/../../examples/bangkok.jsonc");
-/// Bound on the whole demonstration beside the time of its traffic.
+/// Time limit of the whole demonstration, in addition to the duration of its
+/// traffic.
 const EXTRA_TIME: Duration = Duration::from_secs(120);
 
 /// Options of `bangkok`.
@@ -20,22 +22,23 @@
 pub(super) struct BangkokOptions {
     #[options(help = "print this help")]
     help: bool,
-    #[options(help = "time over which calls start", default = "10", meta = "N")]
+    #[options(help = "seconds over which calls start", default = "10", meta = "N")]
     seconds: f64,
-    #[options(help = "calls a second", default = "200", meta = "N")]
+    #[options(help = "calls per second", default = "200", meta = "N")]
     rate: f64,
     #[options(help = "seed of the traffic", default = "1", meta = "N")]
     seed: u64,
     #[options(help = "file for the report as JSON", meta = "FILE")]
     json: Option<PathBuf>,
     #[options(
-        help = "the configuration text, in place of the example",
+        help = "configuration text to use instead of the example",
         meta = "FILE"
     )]
     text: Option<PathBuf>,
 }
 
-/// Runs the demonstration; fails when anything was lost or run twice.
+/// Runs the demonstration and returns a failure status if a call was lost, run
+/// twice or answered wrongly.
 pub(super) async fn run(options: &BangkokOptions) -> Result<ExitCode> {
     let bound = EXTRA_TIME + Duration::from_secs_f64(options.seconds.max(0.0));
     let running = run_traffic(options);
@@ -49,7 +52,7 @@
         println!("nothing lost, nothing run twice, no wrong answer");
         return Ok(ExitCode::SUCCESS);
     }
-    println!("FAILED: the books do not agree");
+    println!("FAILED: the callers' records and the targets' journals disagree");
     Ok(ExitCode::FAILURE)
 }
 
@@ -60,7 +63,7 @@
         .wrap_err_with(|| format!("cannot read the text {}", path.display()))?;
     let deployment = deployment();
     println!(
-        "starting the platform, {} targets and as many nodes",
+        "starting the platform, {} targets and one node for each",
         deployment.targets().len()
     );
     let programs = Programs::beside_current_exe(NodeKind::Ticketed)?;
@@ -73,6 +76,6 @@
     let outcome = load::run(plan).await?;
     let runs = load::fetch_runs(&running.target_addrs()).await?;
     running.stop().await?;
-    println!("all processes have ended with status 0\n");
+    println!("all processes have exited with status 0\n");
     Ok(outcome.report(Some(&runs)))
 }
--- a/crates/standins/src/commands/overhead.rs
+++ b/crates/standins/src/commands/overhead.rs
@@ -12,21 +12,25 @@
 use crate::prelude::*;
 use crate::program;
 
-/// Bound on the whole run.
+/// Time limit of the whole run.
 const MAX_TIME: Duration = Duration::from_secs(900);
 
 #[derive(Debug, Options)]
 struct OverheadOptions {
     #[options(help = "print this help")]
     help: bool,
-    #[options(help = "calls a second of each series", default = "1000", meta = "N")]
+    #[options(help = "calls per second of each series", default = "1000", meta = "N")]
     rate: f64,
-    #[options(help = "time measured for each series", default = "10", meta = "N")]
+    #[options(help = "seconds measured for each series", default = "10", meta = "N")]
     seconds: f64,
-    #[options(help = "slices of that time", default = "5", meta = "N")]
+    #[options(
+        help = "rounds over which that time is spread",
+        default = "5",
+        meta = "N"
+    )]
     rounds: u32,
     #[options(
-        help = "end of the search for the rate at which p99 doubles; 0 leaves it out",
+        help = "highest rate in the search for the rate at which p99 doubles; 0 skips the search",
         default = "20000",
         meta = "N"
     )]
@@ -40,15 +44,16 @@
     programs: Option<PathBuf>,
     #[options(help = "file for the report as JSON", meta = "FILE")]
     json: Option<PathBuf>,
-    #[options(help = "end with status 1 when a bound on a ratio is broken")]
+    #[options(help = "exit with status 1 when a call failed or a ratio exceeds its limit")]
     check: bool,
 }
 
-/// Reads the command line and measures.
+/// Reads the command line and runs the measurement.
 ///
 /// # Errors
 ///
-/// Fails when something cannot be started, does not come up or does not end.
+/// Fails when a process cannot be started, does not become ready or does not
+/// exit in time.
 pub async fn run() -> Result<ExitCode> {
     let options = OverheadOptions::parse_args_default_or_exit();
     logging::start(LevelFilter::Warn)?;
--- a/crates/standins/src/lib.rs
+++ b/crates/standins/src/lib.rs
@@ -1,10 +1,10 @@
-//! Test support: stand-ins of the platform and of targets, a load tool, a
-//! fleet of node processes, and the demonstration. Never linked into the
-//! daemon.
+//! Test support: stand-ins for the platform and for targets, a load tool, a
+//! fleet of node processes, and the demonstration. None of it is linked into
+//! the daemon.
 //!
-//! Tests run the stand-ins inside their own process and the nodes as
-//! processes; the demonstration runs everything as processes. How to use them
-//! stands in `docs/contributing/test-support.md`.
+//! Tests run the stand-ins inside their own process and the nodes as separate
+//! processes. The demonstration runs everything as separate processes.
+//! `docs/contributing/test-support.md` describes how to use them.
 
 pub mod clock;
 pub mod commands;
--- a/crates/standins/src/logging.rs
+++ b/crates/standins/src/logging.rs
@@ -1,4 +1,4 @@
-//! JSON lines on standard error, for the programs of this crate.
+//! Logging of this crate's programs, as JSON lines on standard error.
 
 use std::io;
 
@@ -14,18 +14,18 @@
     message: String,
 }
 
-/// Logs everything from a level on.
+/// Starts logging records of this level and above.
 ///
 /// # Errors
 ///
-/// Fails when something else logs already.
+/// Fails when a logger is already installed.
 pub fn start(level: LevelFilter) -> Result<()> {
     fern::Dispatch::new()
         .level(level)
         .format(|out, message, record| out.finish(format_args!("{}", line(message, record))))
         .chain(io::stderr())
         .apply()
-        .wrap_err("a logger is set already")?;
+        .wrap_err("a logger is already installed")?;
     Ok(())
 }
 
--- a/crates/standins/src/prelude.rs
+++ b/crates/standins/src/prelude.rs
@@ -1,4 +1,4 @@
-//! What almost every module of this crate needs.
+//! Common imports of the modules of this crate.
 
 pub use std::net::SocketAddr;
 pub use std::sync::Arc;
--- a/crates/standins/src/program.rs
+++ b/crates/standins/src/program.rs
@@ -1,4 +1,5 @@
-//! What the programs of the stand-ins share: their address and their end.
+//! Helpers that the programs of this crate share: announcing the listening
+//! address, shutdown signals, time limits and JSON files.
 
 use std::path::Path;
 
@@ -8,12 +9,12 @@
 
 const LISTENING: &str = "listening on ";
 
-/// Logs the address in the form that [`listening_addr`] finds.
+/// Logs the listening address in the form that [`listening_addr`] parses.
 pub fn log_listening_addr(addr: SocketAddr) {
     log::info!("{LISTENING}{addr}");
 }
 
-/// Finds the address that a stand-in has logged.
+/// Finds the listening address in the log lines of a stand-in.
 #[must_use]
 pub fn listening_addr(lines: &[String]) -> Option<SocketAddr> {
     for line in lines {
@@ -32,7 +33,7 @@
 ///
 /// # Errors
 ///
-/// Fails when signals cannot be received.
+/// Fails when the signal handlers cannot be installed.
 pub async fn wait_for_shutdown_signal() -> Result<()> {
     let mut terminate = signal(SignalKind::terminate())?;
     let mut interrupt = signal(SignalKind::interrupt())?;
@@ -43,12 +44,13 @@
     Ok(())
 }
 
-/// Does `work` until it is done, unless it takes longer than `bound` or the
-/// program is told to end.
+/// Runs `work` to completion, unless it takes longer than `bound` or the
+/// program receives SIGTERM or SIGINT.
 ///
 /// # Errors
 ///
-/// Those of the work; `too_long` says that it took too long.
+/// Returns the errors of `work`, an error with the message `too_long` after
+/// `bound`, and an error after a signal.
 pub async fn run_bounded<T>(
     work: impl Future<Output = Result<T>>,
     bound: Duration,
@@ -63,11 +65,12 @@
     }
 }
 
-/// Reads a file of JSON.
+/// Reads a JSON file.
 ///
 /// # Errors
 ///
-/// Names the file that cannot be read or is not of the wanted form.
+/// Names the file if it cannot be read or does not have the expected
+/// structure.
 pub fn read_json_file<T: for<'a> Deserialize<'a>>(path: &Path) -> Result<T> {
     let text = std::fs::read_to_string(path)
         .wrap_err_with(|| format!("cannot read {}", path.display()))?;
--- a/crates/standins/src/raw_caller.rs
+++ b/crates/standins/src/raw_caller.rs
@@ -1,7 +1,7 @@
-//! A caller with one connection, which sends bytes as they are given.
+//! A caller with one connection that sends bytes unchanged.
 //!
-//! Tests of framing, pipelining and cut connections need more say than an HTTP
-//! client gives.
+//! Tests of framing, pipelining and cut connections need more control than an
+//! HTTP client gives.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -11,35 +11,35 @@
 use tokio::net::TcpStream;
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
 
-/// Nodes are on this machine, so a connection takes this long only where nobody
-/// accepts.
+/// Nodes run on the same machine, so a connection takes this long only if
+/// nobody accepts it.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 const MAX_HEAD_BYTES: usize = 64 * 1024;
 
-/// An answer as a caller has it.
+/// An answer as a caller receives it.
 #[derive(Clone, Debug)]
 pub struct RawAnswer {
-    /// Its head as it came.
+    /// The head as received.
     pub head: ResponseHead,
-    /// Its body as text.
+    /// The body as text; invalid UTF-8 is replaced.
     pub body: String,
 }
 
 impl RawAnswer {
-    /// Status.
+    /// Returns the HTTP status.
     #[must_use]
     pub const fn status(&self) -> u16 {
         self.head.status
     }
 
-    /// A header field.
+    /// Returns the value of a header field.
     #[must_use]
     pub fn field(&self, name: &str) -> Option<&str> {
         http1::field(&self.head.fields, name)
     }
 }
 
-/// A caller with one kept connection.
+/// A caller with one persistent connection.
 #[derive(Debug)]
 pub struct RawCaller {
     reader: HttpReader<OwnedReadHalf>,
@@ -51,7 +51,7 @@
     ///
     /// # Errors
     ///
-    /// No connection within a second.
+    /// Fails when no connection is established within a second.
     pub async fn connect(address: SocketAddr) -> std::io::Result<Self> {
         let connecting = TcpStream::connect(address);
         let stream = tokio::time::timeout(CONNECT_TIMEOUT, connecting).await??;
@@ -62,20 +62,21 @@
         })
     }
 
-    /// Sends text as it is.
+    /// Sends the text unchanged.
     ///
     /// # Errors
     ///
-    /// The node has closed the connection.
+    /// Fails when the node has closed the connection.
     pub async fn send(&mut self, text: &str) -> std::io::Result<()> {
         self.writer.write_all(text.as_bytes()).await
     }
 
-    /// Waits for the next answer, whole.
+    /// Waits for the next complete answer to a request with this method.
     ///
     /// # Errors
     ///
-    /// The connection ended before, or what came is no answer.
+    /// Fails when the connection ends first or the bytes received are not a valid
+    /// answer.
     pub async fn answer(&mut self, method: &str) -> Result<RawAnswer, ReadFault> {
         let head = self.reader.response_head(MAX_HEAD_BYTES).await?;
         let framing = head.framing(method)?;
--- a/crates/standins/src/target.rs
+++ b/crates/standins/src/target.rs
@@ -1,5 +1,5 @@
-//! The target's stand-in: an HTTP/1.1 server with slots, moods and a journal
-//! of what ran.
+//! The stand-in for a target: an HTTP/1.1 server with a limited number of slots,
+//! a configurable behaviour and a journal of its runs.
 
 use std::sync::atomic::{AtomicU32, AtomicU64, Ordering};
 
@@ -39,31 +39,31 @@
 use slots::Slots;
 use stall::Stalls;
 
-/// Share of the newest run in the smoothed service time, as a divisor.
+/// The newest run contributes one part in this many to the smoothed service time.
 const SMOOTHING: u32 = 8;
 
-/// What a target has counted.
+/// Counters of a target since its start.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TargetCounts {
     /// Requests to `/.health`.
     pub health_probes: u64,
     /// Requests to `/.load`.
     pub load_probes: u64,
-    /// Requests that were calls.
+    /// Calls, that is, all other requests outside `/admin/`.
     pub calls: u64,
-    /// Calls shed with `hitch-not-run`.
+    /// Calls rejected with `hitch-not-run`.
     pub shed: u64,
-    /// Calls whose client went away before a slot was free.
+    /// Calls whose client disconnected before a slot was free.
     pub cancelled_in_queue: u64,
     /// Crashes.
     pub crashes: u64,
     /// Stalls.
     pub stalls: u64,
-    /// Answers cut on command.
+    /// Answers cut on request.
     pub cut: u64,
-    /// The most runs that were in progress at once.
+    /// Highest number of concurrent runs.
     pub max_in_flight: u32,
-    /// Runs that the journal had no room for.
+    /// Runs that were not recorded because the journal was full.
     pub runs_forgotten: u64,
 }
 
@@ -99,7 +99,7 @@
     control: ServerControl,
 }
 
-/// A running stand-in of a target; it ends when this value is dropped.
+/// A running stand-in for a target, which stops when this value is dropped.
 pub struct TargetStandin {
     server: HttpServer,
     shared: Arc<Shared>,
@@ -107,11 +107,11 @@
 }
 
 impl TargetStandin {
-    /// Binds and serves.
+    /// Binds the configured address and starts to serve.
     ///
     /// # Errors
     ///
-    /// Fails when the address cannot be bound or the journal's file not made.
+    /// Fails when the address cannot be bound or the journal file cannot be created.
     pub async fn start(config: TargetConfig) -> Result<Self> {
         let (control, end) = control_channel();
         let addr = config.addr;
@@ -128,89 +128,89 @@
         })
     }
 
-    /// The address that was bound.
+    /// Returns the bound address.
     #[must_use]
     pub fn addr(&self) -> SocketAddr {
         self.server.addr()
     }
 
-    /// Its name.
+    /// Returns the name of the target.
     #[must_use]
     pub fn name(&self) -> &str {
         &self.shared.config.name
     }
 
-    /// The present mood.
+    /// Returns the current behaviour.
     #[must_use]
     pub fn behaviour(&self) -> Behaviour {
         self.shared.behaviour()
     }
 
-    /// Takes another mood, in place of the present one.
+    /// Replaces the current behaviour.
     pub fn set_behaviour(&self, behaviour: Behaviour) {
         self.shared.set_behaviour(behaviour);
     }
 
-    /// Changes parts of the mood.
+    /// Changes parts of the current behaviour.
     pub fn change_behaviour(&self, change: impl FnOnce(&mut Behaviour)) {
         let mut behaviour = self.shared.behaviour();
         change(&mut behaviour);
         self.shared.set_behaviour(behaviour);
     }
 
-    /// Names the node through which it calls other services.
+    /// Sets the node through which the target calls other services.
     pub fn set_node(&self, node: SocketAddr) {
         *self.shared.node.lock() = Some(node);
     }
 
-    /// Freezes all work for a while, from now.
+    /// Freezes all work for `span_ms` milliseconds from now.
     pub fn stall(&self, span_ms: u64) {
         self.shared.stalls.freeze(Duration::from_millis(span_ms));
     }
 
-    /// Cuts the next answers to calls.
+    /// Cuts the next `count` answers to calls.
     pub fn cut_next(&self, cut: Cut, count: u32) {
         self.shared.cut_next(cut, count);
     }
 
-    /// Crashes now: resets all connections, comes back cold after its
-    /// `restart_ms`.
+    /// Simulates a crash: resets all connections and starts again, cold, after
+    /// the configured `restart_ms`.
     pub async fn crash(&self) {
         self.shared.crash().await;
     }
 
-    /// Closes the port for good, or until [`Self::reopen`].
+    /// Closes the port and resets all connections, until [`Self::reopen`].
     pub async fn close(&self) {
         self.shared.journal.set_crashing(true);
         self.shared.control.close().await;
         self.shared.journal.set_crashing(false);
     }
 
-    /// Listens again after [`Self::close`], cold.
+    /// Listens again after [`Self::close`], with a cold start.
     pub async fn reopen(&self) {
         *self.shared.started_at.lock() = Instant::now();
         self.shared.control.open().await;
     }
 
-    /// Runs of one `hitch-key`, idempotency key or nonce.
+    /// Returns the runs with this `hitch-key`, idempotency key or nonce.
     #[must_use]
     pub fn runs(&self, key: &str) -> Vec<RunRecord> {
         self.shared.journal.runs_of_key(key)
     }
 
-    /// All runs since the start, crashes included.
+    /// Returns all runs since the stand-in was started; crashes do not clear them.
     #[must_use]
     pub fn all_runs(&self) -> Vec<RunRecord> {
         self.shared.journal.all()
     }
 
-    /// Its load as it truly is now.
+    /// Returns the actual load, regardless of the configured behaviour.
     #[must_use]
     pub fn load(&self) -> Load {
         self.shared.load()
     }
 
-    /// Counts since the start.
+    /// Returns the counters since the start.
     #[must_use]
     pub fn counts(&self) -> TargetCounts {
         self.shared.counts()
@@ -305,7 +305,7 @@
         self.journal.set_crashing(false);
     }
 
-    /// How many times slower a cold target is now.
+    /// Factor by which service times are longer now because of the cold start.
     fn cold_start_factor(&self) -> f64 {
         let cold = Duration::from_millis(self.config.cold_start_ms);
         let age = self.started_at.lock().elapsed();
@@ -333,7 +333,8 @@
     }
 }
 
-/// How often the wish for random stalls is looked up while there is none.
+/// Interval at which the behaviour is checked for random stalls while they are
+/// off.
 const RANDOM_STALLS_POLL: Duration = Duration::from_millis(20);
 
 async fn stall_at_random(shared: Arc<Shared>) {
--- a/crates/standins/src/target/admin.rs
+++ b/crates/standins/src/target/admin.rs
@@ -1,4 +1,4 @@
-//! Steering over HTTP, for the stand-in as a process.
+//! Control over HTTP, for a stand-in that runs as a separate process.
 
 use crate::http_server::{Answer, json_answer, query_value, read_json, text_answer};
 use crate::prelude::*;
@@ -9,7 +9,7 @@
 /// Body of `POST /admin/stall`.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub struct StallRequest {
-    /// Length of the stall.
+    /// Duration of the stall, in milliseconds.
     pub span_ms: u64,
 }
 
@@ -18,7 +18,7 @@
 pub struct CutNextRequest {
     /// How to cut.
     pub cut: Cut,
-    /// How many of the next answers.
+    /// Number of answers to cut.
     pub count: u32,
 }
 
--- a/crates/standins/src/target/behaviour.rs
+++ b/crates/standins/src/target/behaviour.rs
@@ -1,31 +1,31 @@
-//! How a target's stand-in misbehaves.
+//! Configurable faults of a stand-in for a target.
 
 use crate::prelude::*;
 
 use super::cut::Cut;
 use super::hints::Load;
 
-/// Parts of a misbehaviour, which can come together.
+/// Faults of a target; any of them can be combined. The default has none.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Behaviour {
-    /// Says on every answer and at `/.health` that it wants no new work.
+    /// Reports `draining` on every answer and at `/.health`.
     pub draining: bool,
-    /// Sheds every request with 503 and `hitch-not-run`.
+    /// Rejects every call with 503 and `hitch-not-run`.
     pub shed: bool,
-    /// Answers every request with 500 at once.
+    /// Answers every call with 500 immediately.
     pub fail_fast: bool,
-    /// Multiplies service times.
+    /// Factor on service times.
     pub slow_factor: f64,
-    /// Holds each answer back after its run.
+    /// Delay of each answer after its run, in milliseconds.
     pub delay_ms: u64,
-    /// Freezes all work now and then.
+    /// Freezes all work at random times.
     pub random_stalls: Option<RandomStalls>,
-    /// What `/.health` says.
+    /// What `/.health` reports.
     pub health: HealthReport,
-    /// What `/.load` says in place of the truth.
+    /// Load that `/.load` reports instead of the actual load.
     pub load: Option<Load>,
-    /// Age of what `/.health` and `/.load` say.
+    /// Age of the state that `/.health` and `/.load` report, in milliseconds.
     pub hint_lag_ms: u64,
     /// Cuts every answer.
     pub cut: Option<Cut>,
@@ -48,26 +48,26 @@
     }
 }
 
-/// Stalls as a noisy neighbour causes them.
+/// Random stalls, such as a noisy neighbour causes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RandomStalls {
-    /// Longest time from one stall to the next; drawn evenly from 1.
+    /// Maximum time between stalls, in milliseconds; drawn uniformly from 1 to this.
     pub every_ms: u64,
-    /// Shortest stall.
+    /// Minimum duration of a stall, in milliseconds.
     pub min_ms: u64,
-    /// Longest stall.
+    /// Maximum duration of a stall, in milliseconds.
     pub max_ms: u64,
 }
 
-/// What `/.health` says.
+/// What `/.health` reports.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum HealthReport {
     /// 200, or 503 while draining or failing fast.
     #[default]
     Truth,
-    /// 200, whatever is wrong.
+    /// 200, regardless of the actual state.
     AlwaysWell,
-    /// 503, although nothing is wrong.
+    /// 503, regardless of the actual state.
     AlwaysIll,
 }
--- a/crates/standins/src/target/calls.rs
+++ b/crates/standins/src/target/calls.rs
@@ -1,4 +1,4 @@
-//! What a target does with one request.
+//! Handling of requests to a target.
 
 use std::str::FromStr;
 use std::sync::atomic::Ordering;
@@ -24,7 +24,7 @@
     pub(super) shared: Arc<Shared>,
 }
 
-/// A call with its whole body.
+/// A call with its complete body.
 pub(super) struct Call {
     pub(super) head: Parts,
     pub(super) body: Bytes,
@@ -132,7 +132,7 @@
     send(shared, call, behaviour, answer, connection)
 }
 
-/// Takes the whole target down, this run's connection included.
+/// Crashes the whole target, including this run's connection.
 async fn crash(shared: &Arc<Shared>, _run: Run) -> DropConnection {
     sleep(Duration::from_millis(shared.config.crash_after_ms)).await;
     let owner = Arc::clone(shared);
@@ -140,7 +140,7 @@
     std::future::pending().await
 }
 
-/// The deadline of a run passed in its middle.
+/// The deadline passed during the run.
 struct DeadlinePassed;
 
 struct WholeAnswer {
@@ -170,7 +170,9 @@
     Ok(compose(shared, call, run, status, called))
 }
 
-/// The work itself, and the call that it makes on its part.
+/// Does the work of a run, then makes the downstream call if one is requested.
+///
+/// Returns the status of the downstream call.
 async fn do_work(shared: &Arc<Shared>, call: &Call, behaviour: &Behaviour) -> Option<StatusCode> {
     let service_us = match call.number(headers::SERVICE_US) {
         Some(us) => us as f64,
--- a/crates/standins/src/target/config.rs
+++ b/crates/standins/src/target/config.rs
@@ -1,4 +1,4 @@
-//! What a target's stand-in is made from.
+//! Configuration of a stand-in for a target.
 
 use std::net::Ipv4Addr;
 use std::path::PathBuf;
@@ -9,40 +9,42 @@
 use super::service_time::ServiceTime;
 use super::slots::Overflow;
 
-/// Text that crashes a target when it stands in a path or body.
+/// Default text that crashes a target when it occurs in a path or body.
 pub const DEFAULT_CRASH_MARK: &str = "standin-crash-mark";
 
-/// Everything that is fixed for the life of a stand-in.
+/// Settings that stay fixed while a stand-in runs, and its initial behaviour.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct TargetConfig {
-    /// Address to bind; port 0 takes a free one.
+    /// Address to bind; port 0 selects a free port.
     pub addr: SocketAddr,
     /// Name in answers and in the journal.
     pub name: String,
-    /// Runs that it can have in progress.
+    /// Maximum number of concurrent runs.
     pub slots: u32,
-    /// What becomes of requests above the slots.
+    /// Handling of requests that find no free slot.
     pub overflow: Overflow,
-    /// Service times.
+    /// Distribution of service times.
     pub service_time: ServiceTime,
-    /// Seed of all that is drawn.
+    /// Seed of all random numbers.
     pub seed: u64,
-    /// Time after a start over which it is slower.
+    /// Duration of the cold start, over which the target is slower.
     pub cold_start_ms: u64,
-    /// How many times slower it is right after a start.
+    /// Factor on service times right after a start; it falls linearly to 1 over
+    /// the cold start.
     pub cold_factor: f64,
-    /// Text that crashes it when it stands in a path or body.
+    /// Text that crashes the target when it occurs in a path or body; an empty
+    /// text matches nothing.
     pub crash_mark: String,
-    /// Time from the start of a marked run to the crash.
+    /// Time from the start of a run with the crash mark to the crash.
     pub crash_after_ms: u64,
     /// Time from a crash to the next start.
     pub restart_ms: u64,
-    /// The node through which it calls other services.
+    /// The node through which the target calls other services.
     pub node: Option<SocketAddr>,
-    /// File for the journal as JSON lines.
+    /// File to which the journal is written as JSON lines.
     pub journal: Option<PathBuf>,
-    /// The mood to begin with.
+    /// The initial behaviour.
     #[serde(rename = "mood")]
     pub behaviour: Behaviour,
 }
--- a/crates/standins/src/target/cut.rs
+++ b/crates/standins/src/target/cut.rs
@@ -1,4 +1,4 @@
-//! Answers that end before their end.
+//! Answers that are cut before they are complete.
 
 use futures_util::{StreamExt, stream};
 use http_body_util::StreamBody;
@@ -12,32 +12,32 @@
 
 const EXCESS_BYTES: usize = 16;
 const HANG_TIME: Duration = Duration::from_secs(600);
-/// Time for the first half to leave before the connection ends.
+/// Delay before the connection ends, so that the first half is sent.
 const FLUSH_DELAY: Duration = Duration::from_millis(5);
 
-/// Ways to cut an answer, by their name in `standin-cut`.
+/// Ways to cut an answer, named as in the header `standin-cut`.
 #[derive(
     Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, Display, EnumString, IntoStaticStr,
 )]
 #[serde(rename_all = "kebab-case")]
 #[strum(serialize_all = "kebab-case")]
 pub enum Cut {
-    /// The true length is announced, half is sent, the connection is closed.
+    /// Announces the true length, sends half and closes the connection.
     Half,
-    /// As `half`, but the connection is reset.
+    /// Like `half`, but resets the connection.
     HalfReset,
-    /// Half is sent in chunks and the last chunk never comes.
+    /// Sends half in chunked encoding without the last chunk.
     Chunked,
-    /// A longer length is announced than is sent.
+    /// Announces a longer body than is sent.
     WrongLength,
-    /// The connection is reset before the head.
+    /// Resets the connection before the head.
     Reset,
-    /// Half is sent, then nothing more, on an open connection.
+    /// Sends half and keeps the connection open without sending the rest.
     Hang,
 }
 
 impl Cut {
-    /// Spoils an answer with this body.
+    /// Cuts an answer that has this body.
     pub(super) fn apply(
         self,
         mut answer: Answer,
--- a/crates/standins/src/target/downstream.rs
+++ b/crates/standins/src/target/downstream.rs
@@ -1,4 +1,4 @@
-//! Calls that a target makes on its part, through its own node.
+//! Calls that a target makes to other services through its own node.
 
 use http_body_util::Full;
 use tokio::time::{Instant, sleep};
@@ -11,14 +11,15 @@
 use super::{Shared, headers};
 
 const DEFAULT_TIMEOUT: Duration = Duration::from_secs(30);
-/// Sends of one call, each after an answer that tells to come again.
+/// Maximum sends of one call; each resend follows an answer that permits it.
 const MAX_SENDS: u32 = 5;
 const DEFAULT_WAIT_MS: u64 = 20;
 
-/// Makes the first call of the request's chain, which carries the rest on.
+/// Makes the first call of the request's chain and passes on the rest of the
+/// chain in it.
 ///
-/// Returns the status, 502 when no whole answer came, or nothing when the
-/// request asks for no call.
+/// Returns the status of the answer, 502 if no complete answer arrived, or
+/// `None` if the request has no chain.
 pub(super) async fn call_downstream(shared: &Shared, call: &Call) -> Option<StatusCode> {
     let chain = call.text(headers::CALL)?;
     let (first, rest) = match chain.split_once(',') {
@@ -26,7 +27,10 @@
         None => (chain.trim(), None),
     };
     let Some(node) = *shared.node.lock() else {
-        log::warn!("{} has no node to call {first}", shared.config.name);
+        log::warn!(
+            "{}: cannot call {first}, no node is set",
+            shared.config.name
+        );
         return Some(StatusCode::BAD_GATEWAY);
     };
     let deadline = call.deadline.unwrap_or(Instant::now() + DEFAULT_TIMEOUT);
@@ -51,8 +55,11 @@
     Some(status)
 }
 
-/// As any documented caller, a target comes again when its call has certainly
-/// not run. It does not when the connection breaks: that is a call cut off.
+/// Returns the delay before a resend if the answer says that the call certainly
+/// did not run, as `docs/callers/result-codes.md` tells callers to do.
+///
+/// A target does not resend when the connection breaks, because the call may
+/// have run.
 fn retry_delay(answer: &WholeAnswer) -> Option<Duration> {
     let number = header_number(&answer.headers, header::CODE)?;
     let code = ResultCode::from_number(u16::try_from(number).ok()?)?;
@@ -75,7 +82,7 @@
         .header(header::DEPTH, depth)
         .header(header::DEADLINE_MS, Millis::from_duration(left).0);
     if let Some(nonce) = call.text(headers::NONCE) {
-        // A name of its own: the same one would look like a second run.
+        // With the same nonce this call would look like a second run.
         request = request.header(headers::NONCE, format!("{nonce}+"));
     }
     if let Some(tenant) = call.text(header::TENANT) {
--- a/crates/standins/src/target/echo.rs
+++ b/crates/standins/src/target/echo.rs
@@ -1,4 +1,4 @@
-//! Answers that can be recomputed from their requests.
+//! Answer bodies that callers can recompute from their requests.
 
 use std::fmt::Write;
 
@@ -6,23 +6,23 @@
 
 use crate::prelude::*;
 
-/// Largest body that a request can ask for, in bytes.
+/// Largest answer body that a request can ask for, in bytes.
 pub const MAX_ANSWER_BYTES: usize = 64 * 1024 * 1024;
 
 const FILLER_CHARS: usize = 16;
 
-/// What an answer is derived from.
+/// The parts of a request from which the answer body is derived.
 #[derive(Clone, Copy, Debug)]
 pub struct EchoRequest<'a> {
-    /// The caller's name of the call.
+    /// The caller's identifier of the call.
     pub nonce: &'a str,
     /// HTTP method.
     pub method: &'a str,
-    /// Path and query as the target sees them.
+    /// Path and query as the target receives them.
     pub path: &'a str,
-    /// Body of the request.
+    /// Request body.
     pub body: &'a [u8],
-    /// Least size of the answer's body.
+    /// Minimum size of the answer body, in bytes.
     pub answer_bytes: usize,
 }
 
@@ -35,12 +35,12 @@
     request_digest: String,
 }
 
-/// The one right body of an answer: a line of JSON about the request, then
-/// filler that no other nonce shares.
+/// Returns the only correct body of an answer: a line of JSON that describes the
+/// request, followed by filler that depends on the nonce.
 ///
 /// # Panics
 ///
-/// Never: the head is plain data.
+/// Never, because the JSON line is plain data.
 #[must_use]
 pub fn echo_body(request: &EchoRequest<'_>) -> Bytes {
     let head = EchoHead {
@@ -59,11 +59,10 @@
     Bytes::from(text)
 }
 
-/// Lengthens a text to at least so many bytes, with filler that follows from
-/// the nonce.
+/// Extends a text to at least `wanted_bytes` with filler derived from the nonce.
 ///
-/// Each step hashes only the last one: hashing the whole text again would take
-/// seconds for an upload.
+/// Each step hashes only the previous hash. Hashing the whole text in each step
+/// would take seconds for an upload.
 pub fn push_filler(text: &mut String, nonce: &str, wanted_bytes: usize) {
     let mut filler = xxh3_64(nonce.as_bytes());
     text.reserve(wanted_bytes.saturating_sub(text.len()) + FILLER_CHARS);
@@ -73,7 +72,7 @@
     }
 }
 
-/// Hash of a body as headers carry it.
+/// Returns the hash of a body in the form used in headers.
 #[must_use]
 pub fn digest(body: &[u8]) -> String {
     format!("{:032x}", xxh3_128(body))
--- a/crates/standins/src/target/hints.rs
+++ b/crates/standins/src/target/hints.rs
@@ -1,4 +1,4 @@
-//! `/.health` and `/.load`: hints that lag and mislead.
+//! Answers to `/.health` and `/.load`, which can be outdated or wrong on request.
 
 use std::collections::VecDeque;
 
@@ -10,20 +10,20 @@
 const MAX_AGE: Millis = Millis::from_secs(60);
 const MAX_ENTRIES: usize = 100_000;
 
-/// What a target says about its load.
+/// Load report of a target.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Load {
     /// Runs in progress.
     pub in_flight: u32,
-    /// Requests that wait for a slot.
+    /// Requests waiting for a slot.
     pub queued: u32,
-    /// Runs that the target can have in progress.
+    /// Maximum number of concurrent runs.
     pub slots: u32,
     /// Smoothed service time in microseconds.
     pub service_time_us: u32,
 }
 
-/// The state at one time.
+/// State of the target at one time.
 #[derive(Clone, Copy, Debug)]
 struct Snapshot {
     at: Millis,
@@ -32,7 +32,7 @@
     draining: bool,
 }
 
-/// Remembers states, so that old ones can be told.
+/// Keeps a history of states, so that outdated ones can be reported.
 pub(super) struct Hints {
     clock: ProcessClock,
     snapshots: Mutex<VecDeque<Snapshot>>,
@@ -52,7 +52,7 @@
         }
     }
 
-    /// Remembers the present state.
+    /// Adds the current state to the history.
     pub(super) fn note(&self, load: Load, behaviour: &Behaviour) {
         let now = self.clock.now();
         let mut snapshots = self.snapshots.lock();
--- a/crates/standins/src/target/journal.rs
+++ b/crates/standins/src/target/journal.rs
@@ -1,4 +1,5 @@
-//! The target's own truth about what ran.
+//! The target's own record of its runs, which tests compare with what callers
+//! were told.
 
 use std::fs::File;
 use std::io::Write;
@@ -6,10 +7,10 @@
 
 use crate::prelude::*;
 
-/// The most runs that a journal remembers.
+/// Maximum number of runs that a journal records.
 pub const MAX_RECORDS: usize = 1_000_000;
 
-/// What a request says about itself.
+/// Identifying headers, method and path of a request.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RequestMarks {
     /// `hitch-key`, set by the gate of a ticketed call.
@@ -28,27 +29,27 @@
     pub depth: Option<u64>,
     /// HTTP method.
     pub method: String,
-    /// Path and query as the target sees them.
+    /// Path and query as the target receives them.
     pub path: String,
 }
 
-/// One start of a run.
+/// Record of one run.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RunRecord {
-    /// Number in the journal.
+    /// Number of the run in the journal.
     pub run: u64,
     /// Name of the target.
     pub target: String,
-    /// What the request says about itself.
+    /// Identifying headers, method and path of the request.
     #[serde(flatten)]
     pub marks: RequestMarks,
     /// Wall clock at the start.
     pub started_at_ms: Millis,
     /// Wall clock at the end.
     pub ended_at_ms: Option<Millis>,
-    /// How it ended.
+    /// How the run ended.
     pub end: RunEnd,
-    /// Status that the target meant to answer.
+    /// Status that the target chose for the answer, even if the answer was cut.
     pub status: Option<u16>,
 }
 
@@ -56,21 +57,21 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum RunEnd {
-    /// It has not.
+    /// It is still in progress.
     Running,
-    /// Its work was done, whatever became of the answer.
+    /// The work was done; the answer may still have been lost.
     Finished,
-    /// Answered 500 at once by a target that fails fast.
+    /// The target failed fast and answered 500 immediately.
     FailedFast,
-    /// The connection was closed in the middle of it.
+    /// The connection was closed during the run.
     Cancelled,
-    /// The target crashed in the middle of it.
+    /// The target crashed during the run.
     Crashed,
-    /// Its deadline passed in the middle of it.
+    /// The deadline passed during the run.
     DeadlinePassed,
 }
 
-/// Runs in memory and, if wanted, as JSON lines in a file.
+/// Records runs in memory and, if a file is configured, as JSON lines there.
 pub(super) struct Journal {
     target: String,
     state: Mutex<State>,
@@ -87,7 +88,7 @@
     pub(super) fn new(target: &str, file: Option<&Path>) -> Result<Self> {
         let file = match file {
             Some(path) => Some(
-                File::create(path).wrap_err_with(|| format!("cannot make {}", path.display()))?,
+                File::create(path).wrap_err_with(|| format!("cannot create {}", path.display()))?,
             ),
             None => None,
         };
@@ -141,7 +142,7 @@
         state.log(&record);
     }
 
-    /// From now on (or no longer) runs that are dropped count as crashed.
+    /// While set, runs that are dropped count as crashed instead of cancelled.
     pub(super) fn set_crashing(&self, crashing: bool) {
         self.state.lock().crashing = crashing;
     }
@@ -150,7 +151,7 @@
         self.state.lock().records.clone()
     }
 
-    /// Runs of one key: `hitch-key`, idempotency key or nonce.
+    /// Returns the runs with this `hitch-key`, idempotency key or nonce.
     pub(super) fn runs_of_key(&self, key: &str) -> Vec<RunRecord> {
         let mut found = Vec::new();
         for record in &self.state.lock().records {
@@ -183,7 +184,8 @@
     }
 }
 
-/// A run in progress; it counts as cancelled when it is dropped unended.
+/// A run in progress. Dropping it before [`Self::end`] records it as cancelled,
+/// or as crashed during a crash.
 pub(super) struct Run {
     journal: Arc<Journal>,
     index: usize,
--- a/crates/standins/src/target/service_time.rs
+++ b/crates/standins/src/target/service_time.rs
@@ -1,4 +1,4 @@
-//! How long a run takes.
+//! Distributions of the duration of runs.
 
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
@@ -7,33 +7,34 @@
 
 const MAX_SERVICE_US: f64 = 60_000_000.0;
 
-/// Distribution of service times, all in microseconds.
+/// Distribution of service times, in microseconds.
 ///
-/// The timer that ends a run has a grain of a millisecond: a run takes up to a
-/// millisecond longer than drawn. Zero costs no timer at all.
+/// The timer that ends a run has a resolution of a millisecond, so a run takes
+/// up to a millisecond longer than drawn. A service time of zero uses no timer.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum ServiceTime {
-    /// Always the same.
+    /// Constant.
     Fixed {
-        /// The time.
+        /// The service time.
         us: u64,
     },
-    /// Without memory.
+    /// Exponential distribution.
     Exponential {
-        /// Its mean.
+        /// Mean.
         mean_us: u64,
     },
-    /// With a long tail.
+    /// Log-normal distribution, which has a long tail.
     LogNormal {
-        /// Half of all runs take less.
+        /// Median.
         median_us: u64,
-        /// Deviation of the logarithm; 0.5 is moderate, 1.5 heavy.
+        /// Standard deviation of the logarithm; 0.5 gives a moderate tail, 1.5 a
+        /// heavy one.
         sigma: f64,
     },
 }
 
-/// Draws service times from a seed.
+/// Seeded source of random service times.
 pub(super) struct Sampler {
     rng: Mutex<StdRng>,
 }
@@ -45,7 +46,7 @@
         }
     }
 
-    /// Draws one service time in microseconds.
+    /// Draws a service time, in microseconds.
     pub(super) fn draw_us(&self, distribution: &ServiceTime) -> f64 {
         let drawn = match *distribution {
             ServiceTime::Fixed { us } => us as f64,
@@ -57,12 +58,12 @@
         drawn.clamp(0.0, MAX_SERVICE_US)
     }
 
-    /// Draws a whole number in a range.
+    /// Draws an integer from `low` to `high`, both included.
     pub(super) fn between(&self, low: u64, high: u64) -> u64 {
         self.rng.lock().random_range(low..=high.max(low))
     }
 
-    /// A number in (0, 1], so that its logarithm is finite.
+    /// Draws a number in (0, 1], so that its logarithm is finite.
     fn open_unit(&self) -> f64 {
         1.0 - self.rng.lock().random::<f64>()
     }
--- a/crates/standins/src/target/slots.rs
+++ b/crates/standins/src/target/slots.rs
@@ -1,4 +1,4 @@
-//! Slots of a target and the queue before them.
+//! The slots of a target and the queue of requests that wait for them.
 
 use std::sync::atomic::{AtomicU32, AtomicU64, Ordering};
 
@@ -7,25 +7,25 @@
 
 use crate::prelude::*;
 
-/// What a target does with requests above its slots.
+/// Handling of requests while all slots are in use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Overflow {
-    /// They wait inside; above the limit they are shed.
+    /// They are queued up to a limit; above it they are rejected.
     Queue {
-        /// Requests that may wait.
+        /// Maximum number of queued requests.
         limit: u32,
     },
-    /// They are shed.
+    /// They are rejected.
     Shed,
 }
 
 /// Why a request got no slot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum NoSlot {
-    /// Too many run or wait.
+    /// All slots are in use and the queue is full.
     Full,
-    /// Its deadline passed while it waited.
+    /// The deadline passed in the queue.
     DeadlinePassed,
 }
 
@@ -38,7 +38,7 @@
     cancelled_in_queue: AtomicU64,
 }
 
-/// A slot in use; it is free again when this value is dropped.
+/// A slot in use, released when this value is dropped.
 pub(super) struct Slot {
     _permit: OwnedSemaphorePermit,
     in_flight: Arc<AtomicU32>,
@@ -119,7 +119,8 @@
     }
 }
 
-/// A place in the queue; dropped unserved when the caller goes away.
+/// A position in the queue. Dropping it before it is served counts the request
+/// as cancelled by its caller.
 struct QueuePosition<'a> {
     slots: &'a Slots,
     served: bool,
--- a/crates/standins/src/target/stall.rs
+++ b/crates/standins/src/target/stall.rs
@@ -1,17 +1,17 @@
-//! Stalls: all work of a target freezes for a while.
+//! Stalls, during which all work of a target is frozen.
 
 use tokio::time::{Instant, sleep, sleep_until};
 
 use crate::prelude::*;
 
-/// Time lost to stalls, which runs add to their service time.
+/// Tracks stalls. Runs are extended by the time they lose to them.
 pub(super) struct Stalls {
     state: Mutex<State>,
 }
 
 struct State {
     frozen_until: Instant,
-    /// Sum of all stalls so far, their coming parts included.
+    /// Total duration of all stalls, including the remainder of the current one.
     total: Duration,
     count: u64,
 }
@@ -28,7 +28,8 @@
         }
     }
 
-    /// Freezes all work from now, or for longer than it is frozen already.
+    /// Freezes all work for `span` from now. A shorter span than the rest of the
+    /// current stall changes nothing.
     pub(super) fn freeze(&self, span: Duration) {
         let now = Instant::now();
         let mut state = self.state.lock();
@@ -43,7 +44,7 @@
         self.state.lock().count
     }
 
-    /// Waits for the end of a stall, if there is one.
+    /// Waits until no stall is in progress.
     pub(super) async fn wait(&self) {
         loop {
             let until = self.state.lock().frozen_until;
@@ -54,7 +55,7 @@
         }
     }
 
-    /// Works for a span of unfrozen time.
+    /// Waits for `span`, not counting the time of stalls.
     pub(super) async fn work(&self, span: Duration) {
         self.wait().await;
         let lost_before = self.state.lock().total;
