--- a/crates/standins/src/demo.rs
+++ b/crates/standins/src/demo.rs
@@ -1,4 +1,4 @@
-//! A whole deployment as processes on one machine.
+//! A complete deployment, run as processes on one machine.
 
 use std::path::{Path, PathBuf};
 use std::process::Command;
@@ -23,14 +23,14 @@
 const STOP_TIMEOUT: Duration = Duration::from_secs(40);
 const POLL: Duration = Duration::from_millis(5);
 
-/// Which program the nodes run.
+/// The program that nodes run.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum NodeKind {
     /// `hornbeamhitch-node`: callers name services and fetch tickets.
     #[default]
     Ticketed,
-    /// `hornbeamhitch-routed`: callers know hosts and paths.
+    /// `hornbeamhitch-routed`: callers use hosts and paths.
     Routed,
 }
 
@@ -50,12 +50,12 @@
     }
 }
 
-/// The programs of a deployment.
+/// Paths of the programs of a deployment.
 #[derive(Clone, Debug)]
 pub struct Programs {
-    /// Which program `node` is.
+    /// The kind of program at `node`.
     pub kind: NodeKind,
-    /// The nodes' program.
+    /// The program that nodes run.
     pub node: PathBuf,
     /// `hornbeamhitch-platform-standin`.
     pub platform: PathBuf,
@@ -64,22 +64,24 @@
 }
 
 impl Programs {
-    /// The programs in the directory of this one.
+    /// Finds the programs in the directory of the current executable.
     ///
     /// # Errors
     ///
-    /// Names the first one that is missing.
+    /// Names the first program that is missing.
     pub fn beside_current_exe(kind: NodeKind) -> Result<Self> {
         let this = std::env::current_exe()?;
-        let dir = this.parent().ok_or_else(|| eyre!("no directory"))?;
+        let dir = this
+            .parent()
+            .ok_or_else(|| eyre!("the current executable has no parent directory"))?;
         Self::in_dir(dir, kind)
     }
 
-    /// The programs in a directory.
+    /// Finds the programs in a directory.
     ///
     /// # Errors
     ///
-    /// Names the first one that is missing.
+    /// Names the first program that is missing.
     pub fn in_dir(dir: &Path, kind: NodeKind) -> Result<Self> {
         let find = |name: &str| {
             let path = dir.join(name);
@@ -101,7 +103,7 @@
     process: ChildProcess,
 }
 
-/// All processes of a deployment; they end with this value.
+/// All processes of a deployment, which are killed when this value is dropped.
 pub struct RunningDeployment {
     fleet: Fleet,
     targets: Vec<TargetProcess>,
@@ -113,11 +115,12 @@
 }
 
 impl RunningDeployment {
-    /// Starts everything and waits until every node has the text in force.
+    /// Starts all processes and waits until the configuration text is in force on
+    /// every node.
     ///
     /// # Errors
     ///
-    /// Fails when a process cannot be started or does not come up in time.
+    /// Fails when a process cannot be started or does not become ready in time.
     pub async fn start(programs: &Programs, deployment: &Deployment, text: &str) -> Result<Self> {
         let dir = TempDir::create("hornbeamhitch-demo")?;
         let client = HttpClient::new(HttpVersion::Http1);
@@ -182,19 +185,19 @@
         Ok(())
     }
 
-    /// Time from the start of the first node until all were ready.
+    /// Returns the time from the start of the first node until all nodes were ready.
     #[must_use]
     pub fn ready_in(&self) -> Millis {
         self.ready_in
     }
 
-    /// Where callers reach the nodes.
+    /// Returns the callers' address of each node.
     #[must_use]
     pub fn entries(&self) -> Vec<SocketAddr> {
         self.fleet.entries()
     }
 
-    /// Where the targets are.
+    /// Returns the addresses of the targets.
     #[must_use]
     pub fn target_addrs(&self) -> Vec<SocketAddr> {
         let mut addrs = Vec::new();
@@ -204,22 +207,22 @@
         addrs
     }
 
-    /// Where the platform is.
+    /// Returns the address of the platform.
     #[must_use]
     pub fn platform_addr(&self) -> SocketAddr {
         self.platform_addr
     }
 
-    /// The nodes, to kill and pause them.
+    /// Returns the fleet, for example to kill or pause nodes.
     pub fn fleet(&mut self) -> &mut Fleet {
         &mut self.fleet
     }
 
-    /// Asks all processes to end, nodes first.
+    /// Requests the graceful shutdown of all processes, nodes first.
     ///
     /// # Errors
     ///
-    /// Fails when one does not end in time or not with status 0.
+    /// Fails when a process does not exit in time or not with status 0.
     pub async fn stop(&mut self) -> Result<()> {
         for (vm, end) in self.fleet.stop_all(STOP_TIMEOUT).await? {
             if end == Some(0) {
@@ -227,7 +230,7 @@
             }
             let logs = self.fleet.logs(&vm)?;
             let tail = logs[logs.len().saturating_sub(20)..].join("\n");
-            bail!("node {vm} ended with {end:?}:\n{tail}");
+            bail!("node {vm} exited with {end:?}:\n{tail}");
         }
         for target in &mut self.targets {
             end_process(&mut target.process).await?;
@@ -261,7 +264,7 @@
         }
         let ended = process.has_exited()?.is_some();
         if ended || Instant::now() >= deadline {
-            bail!("a stand-in does not listen: {}", process.log_tail());
+            bail!("a stand-in is not listening: {}", process.log_tail());
         }
         sleep(POLL).await;
     }
@@ -272,7 +275,7 @@
     let status = process.wait_exit(STOP_TIMEOUT).await?;
     ensure!(
         status.success(),
-        "ended with {status}: {}",
+        "exited with {status}: {}",
         process.log_tail()
     );
     Ok(())
--- a/crates/standins/src/demo/bangkok.rs
+++ b/crates/standins/src/demo/bangkok.rs
@@ -1,4 +1,5 @@
-//! The Thai Civic Photo Print Office: kiosks in district halls.
+//! The deployment of the Thai Civic Photo Print Office, with kiosks in district
+//! halls.
 
 use std::collections::BTreeMap;
 
@@ -14,7 +15,8 @@
 const TEMPLATE_BYTES: usize = 20_000;
 const PORTRAIT_BYTES: usize = 200_000;
 
-/// 14 targets: layouts 5, cashier, darkroom and ledger 3 each.
+/// Returns the deployment with 14 targets: 5 of layouts and 3 each of cashier,
+/// darkroom and ledger.
 #[must_use]
 pub fn deployment() -> Deployment {
     Deployment {
@@ -41,7 +43,8 @@
     }
 }
 
-/// Names, classes and idempotence are those of `examples/bangkok.jsonc`.
+/// Returns the kinds of calls. Names, classes and idempotence match
+/// `examples/bangkok.jsonc`.
 fn kinds() -> Vec<CallKind> {
     let template = CallKind {
         answer_bytes: TEMPLATE_BYTES,
--- a/crates/standins/src/demo/deployment.rs
+++ b/crates/standins/src/demo/deployment.rs
@@ -1,48 +1,48 @@
-//! What a deployment consists of, and what its callers send.
+//! Description of a deployment and of the traffic of its callers.
 
 use crate::load::{CallKind, Destination, LoadPlan};
 use crate::prelude::*;
 use crate::target::{ServiceTime, TargetConfig};
 
-/// One service of a deployment.
+/// Description of a service.
 #[derive(Clone, Debug)]
 pub struct ServiceSpec {
-    /// Its name.
+    /// Name of the service.
     pub name: String,
-    /// How many targets it has.
+    /// Number of targets.
     pub targets: usize,
-    /// Slots of each.
+    /// Slots of each target.
     pub slots: u32,
-    /// Service times of each.
+    /// Service times of each target.
     pub service_time: ServiceTime,
 }
 
-/// One target.
+/// Description of a target.
 #[derive(Clone, Debug)]
 pub struct TargetSpec {
-    /// Name of its VM.
+    /// Name of the VM.
     pub vm: String,
-    /// Its service.
+    /// Service of the target.
     pub service: String,
-    /// Where its VM stands.
+    /// Data centre of the VM.
     pub data_centre: String,
-    /// How it behaves.
+    /// Configuration of the stand-in.
     pub config: TargetConfig,
 }
 
 /// A deployment and its traffic.
 #[derive(Clone, Debug)]
 pub struct Deployment {
-    /// Data centres; the targets of each service are spread over them.
+    /// Data centres, over which the targets of each service are spread.
     pub data_centres: Vec<String>,
     /// Services.
     pub services: Vec<ServiceSpec>,
-    /// What callers send.
+    /// Kinds of calls that callers send.
     pub kinds: Vec<CallKind>,
 }
 
 impl Deployment {
-    /// All targets, named `<service>-<number>` from 1.
+    /// Returns all targets; their VMs are named `<service>-<number>`, from 1.
     #[must_use]
     pub fn targets(&self) -> Vec<TargetSpec> {
         let mut targets = Vec::new();
@@ -65,7 +65,7 @@
         targets
     }
 
-    /// The traffic, through these entries.
+    /// Returns a load plan that sends the traffic through these entries.
     #[must_use]
     pub fn plan(&self, entries: Vec<SocketAddr>) -> LoadPlan {
         LoadPlan {
--- a/crates/standins/src/fleet.rs
+++ b/crates/standins/src/fleet.rs
@@ -1,6 +1,7 @@
-//! A fleet of node processes: started, paused, killed and restarted by id.
+//! A fleet of node processes that can be started, paused, killed and restarted by
+//! VM name.
 //!
-//! Every child ends with the fleet, also when a test panics.
+//! Dropping the fleet kills all its processes, also when a test panics.
 
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
@@ -28,50 +29,51 @@
 use settings::LogSettings;
 use temp_dir::TempDir;
 
-/// The most processes that one fleet starts.
+/// Maximum number of node processes of a fleet.
 pub const MAX_PROCESSES: usize = 60;
 
 const READY_POLL: Duration = Duration::from_millis(10);
 const COLLISION_RETRIES: u32 = 3;
 
-/// Fleets that this process has made.
+/// Number of fleets that this process has created.
 static FLEETS: AtomicU64 = AtomicU64::new(0);
 
-/// A deployment's name that no other fleet on this machine has.
+/// Returns a deployment name that no other fleet on this machine has.
 ///
-/// A port that one fleet has given back can be another's a moment later, also in
-/// another process. Under a common name the nodes of the one would greet those of
-/// the other, whose VMs have the same names: a node hears of a later life of its
-/// own VM and takes no more work, or follows readers that are not its own.
+/// A port that one fleet has released can be assigned to another fleet right
+/// afterwards, also in another process. If both had the same deployment name, and
+/// VMs with the same names, their nodes would accept each other's messages: a node
+/// would learn of a later incarnation of its own VM and accept no more work, or
+/// subscribe to readers of the other fleet.
 fn unique_deployment() -> String {
     let number = FLEETS.fetch_add(1, Ordering::Relaxed);
     format!("fleet-{}-{number}", std::process::id())
 }
 
-/// What all nodes of a fleet have in common.
+/// Configuration that all nodes of a fleet share.
 #[derive(Clone, Debug)]
 pub struct FleetConfig {
-    /// Name of the deployment, by which nodes know each other's messages.
+    /// Name of the deployment; nodes ignore messages of other deployments.
     pub deployment: String,
-    /// The program `hornbeamhitch-node`.
+    /// Path of the program that the nodes run, such as `hornbeamhitch-node`.
     pub node_binary: PathBuf,
-    /// Where nodes listen.
+    /// How listening addresses are assigned to nodes.
     pub addressing: Addressing,
     /// Address of the platform.
     pub platform: SocketAddr,
-    /// Bound on the time from start to ready.
+    /// Maximum time from the start of a node until it is ready.
     pub ready_timeout: Duration,
-    /// Bound of a node on its own graceful shutdown.
+    /// Time limit that a node sets for its own graceful shutdown, in milliseconds.
     pub drain_timeout_ms: u64,
-    /// Level of the nodes' logs.
+    /// Log level of the nodes.
     pub log_level: String,
-    /// Settings added to, or put in place of, the fleet's own, by key.
+    /// Settings by key that are added to those of the fleet, or override them.
     pub extra_settings: serde_json::Map<String, serde_json::Value>,
 }
 
 impl FleetConfig {
-    /// The usual bounds, ready within thirty seconds and drained within thirty,
-    /// and a deployment of its own.
+    /// Creates a configuration with a unique deployment name and the default time
+    /// limits: thirty seconds to become ready and thirty seconds to drain.
     #[must_use]
     pub fn new(node_binary: &Path, platform: SocketAddr) -> Self {
         Self {
@@ -90,29 +92,29 @@
 struct Node {
     spec: NodeSpec,
     addresses: NodeAddresses,
-    /// Its ports, through all its lives.
+    /// The ports of the node, reserved across restarts.
     reserved_ports: Vec<ReservedPortPair>,
     settings_file: PathBuf,
     process: Option<ChildProcess>,
-    /// Log lines of earlier lives on the same addresses.
+    /// Log lines of earlier processes of this node.
     earlier_logs: Vec<String>,
 }
 
-/// Node processes and the files that they were started with.
+/// Node processes and their settings files.
 pub struct Fleet {
     config: FleetConfig,
     nodes: BTreeMap<String, Node>,
-    /// After the nodes, so that they end before their files go.
+    /// Declared after the nodes, so that they end before their files are removed.
     dir: TempDir,
     client: HttpClient,
 }
 
 impl Fleet {
-    /// A fleet without nodes.
+    /// Creates a fleet without nodes.
     ///
     /// # Errors
     ///
-    /// Fails when the directory for the settings files cannot be made.
+    /// Fails when the directory for the settings files cannot be created.
     pub fn new(config: FleetConfig) -> Result<Self> {
         Ok(Self {
             config,
@@ -122,12 +124,13 @@
         })
     }
 
-    /// Reserves addresses for a node and writes its settings; starts nothing.
+    /// Reserves addresses for a node and writes its settings, but does not start it.
     ///
     /// # Errors
     ///
-    /// Fails on a second node of the same name, on the 61st node, and when no
-    /// ports or files can be had.
+    /// Fails when the fleet already has a node of this name or
+    /// [`MAX_PROCESSES`] nodes, when no ports are free, and when the settings
+    /// cannot be written.
     pub fn add(&mut self, spec: NodeSpec) -> Result<NodeAddresses> {
         ensure!(!self.nodes.contains_key(&spec.vm), "{} exists", spec.vm);
         ensure!(
@@ -178,7 +181,7 @@
             .wrap_err_with(|| format!("cannot write {}", node.settings_file.display()))
     }
 
-    /// What the platform must publish for the nodes added so far, all live.
+    /// Returns the VM list for the nodes added so far, with all VMs live.
     #[must_use]
     pub fn vm_entries(&self) -> Vec<VmEntry> {
         let mut entries = Vec::new();
@@ -195,19 +198,19 @@
         entries
     }
 
-    /// The deployment that the nodes belong to.
+    /// Returns the name of the deployment.
     #[must_use]
     pub fn deployment(&self) -> &str {
         &self.config.deployment
     }
 
-    /// Names of all nodes, in order.
+    /// Returns the VM names of all nodes, in order.
     #[must_use]
     pub fn names(&self) -> Vec<String> {
         self.nodes.keys().cloned().collect()
     }
 
-    /// Where callers reach each node, by order of the nodes' names.
+    /// Returns the callers' address of each node, in the order of the VM names.
     #[must_use]
     pub fn entries(&self) -> Vec<SocketAddr> {
         let mut entries = Vec::new();
@@ -217,25 +220,25 @@
         entries
     }
 
-    /// Where a node listens.
+    /// Returns the listening addresses of a node.
     ///
     /// # Errors
     ///
-    /// Fails when there is no such node.
+    /// Fails when the fleet has no such node.
     pub fn addresses(&self, vm: &str) -> Result<NodeAddresses> {
         Ok(self.node(vm)?.addresses)
     }
 
-    /// Starts one node, or starts it again on the same addresses.
+    /// Starts a node, or starts it again on the same addresses.
     ///
     /// # Errors
     ///
-    /// Fails when it still runs or its program cannot be started.
+    /// Fails when the node is still running or its program cannot be started.
     pub fn start(&mut self, vm: &str) -> Result<()> {
         let binary = self.config.node_binary.clone();
         let node = self.node_mut(vm)?;
         if let Some(process) = &mut node.process {
-            ensure!(process.has_exited()?.is_some(), "{vm} still runs");
+            ensure!(process.has_exited()?.is_some(), "{vm} is still running");
             node.earlier_logs.append(&mut process.logs());
         }
         let mut command = Command::new(&binary);
@@ -251,8 +254,8 @@
     ///
     /// # Errors
     ///
-    /// Fails when the node exits first or the bound passes; the message has
-    /// the end of its log.
+    /// Fails when the node exits first or is not ready within `ready_timeout`; the
+    /// message contains the end of its log.
     pub async fn wait_ready(&mut self, vm: &str) -> Result<()> {
         let deadline = Instant::now() + self.config.ready_timeout;
         loop {
@@ -264,7 +267,7 @@
                 bail!("{vm} was never started");
             };
             if let Some(status) = process.has_exited()? {
-                bail!("{vm} ended with {status}: {}", process.log_tail());
+                bail!("{vm} exited with {status}: {}", process.log_tail());
             }
             if Instant::now() >= deadline {
                 bail!("{vm} is not ready in time: {}", process.log_tail());
@@ -273,14 +276,15 @@
         }
     }
 
-    /// Whether a node says that a configuration is in force.
+    /// Returns whether a node reports that a configuration is in force.
     ///
-    /// The answer must be the node's own: a stand-in that took its port would
-    /// say yes to everything, and the node's end would go unseen.
+    /// With shared addresses this also checks that the node itself answers. A
+    /// stand-in that took its port would answer every request with success, and the
+    /// exit of the node would go unnoticed.
     ///
     /// # Errors
     ///
-    /// Fails when there is no such node.
+    /// Fails when the fleet has no such node.
     pub async fn is_ready(&self, vm: &str) -> Result<bool> {
         let operators = self.node(vm)?.addresses.operators;
         let ready = self.client.get(operators, "/v1/ready").await;
@@ -288,7 +292,7 @@
             return Ok(false);
         }
         if matches!(self.config.addressing, Addressing::AddressPerNode(_)) {
-            // Nobody else listens at the node's own address.
+            // Nobody else listens on the node's own address.
             return Ok(true);
         }
         let status = self.client.get(operators, STATUS_PATH).await;
@@ -298,12 +302,12 @@
 
     /// Starts all nodes added so far and waits until all are ready.
     ///
-    /// `publish` is called with the VM list before the start, and again when a
-    /// node lost its port to another process and was given new addresses.
+    /// Calls `publish` with the VM list before the start, and again each time a node
+    /// lost its port to another process and was assigned new addresses.
     ///
     /// # Errors
     ///
-    /// Fails when `publish` does or a node does not come up.
+    /// Fails when `publish` fails or a node does not become ready.
     pub async fn start_all<P>(&mut self, publish: P) -> Result<()>
     where
         P: AsyncFn(Vec<VmEntry>) -> Result<()>,
@@ -346,65 +350,65 @@
         self.write_settings(self.node(vm)?)
     }
 
-    /// Sends a signal to one node.
+    /// Sends a signal to a node.
     ///
     /// # Errors
     ///
-    /// Fails when it does not run.
+    /// Fails when the node is not running.
     pub fn signal(&mut self, vm: &str, signal: Signal) -> Result<()> {
         self.process_mut(vm)?.signal(signal)
     }
 
-    /// Ends one node without notice (SIGKILL) and waits for its end.
+    /// Kills a node (SIGKILL) and waits for its exit.
     ///
     /// # Errors
     ///
-    /// Fails when it does not run.
+    /// Fails when the node is not running.
     pub fn kill(&mut self, vm: &str) -> Result<()> {
         self.process_mut(vm)?.kill()
     }
 
-    /// Pauses one node (SIGSTOP).
+    /// Pauses a node (SIGSTOP).
     ///
     /// # Errors
     ///
-    /// Fails when it does not run.
+    /// Fails when the node is not running.
     pub fn pause(&mut self, vm: &str) -> Result<()> {
         self.signal(vm, Signal::STOP)
     }
 
-    /// Wakes one node (SIGCONT).
+    /// Resumes a node (SIGCONT).
     ///
     /// # Errors
     ///
-    /// Fails when it does not run.
+    /// Fails when the node is not running.
     pub fn resume(&mut self, vm: &str) -> Result<()> {
         self.signal(vm, Signal::CONT)
     }
 
-    /// Asks one node to shut down gracefully (SIGTERM).
+    /// Requests the graceful shutdown of a node (SIGTERM).
     ///
     /// # Errors
     ///
-    /// Fails when it does not run.
+    /// Fails when the node is not running.
     pub fn terminate(&mut self, vm: &str) -> Result<()> {
         self.signal(vm, Signal::TERM)
     }
 
-    /// Waits for the end of one node.
+    /// Waits for the exit of a node.
     ///
     /// # Errors
     ///
-    /// Fails when the bound passes first.
+    /// Fails when the node was never started or does not exit within `bound`.
     pub async fn wait_exit(&mut self, vm: &str, bound: Duration) -> Result<ExitStatus> {
         self.process_mut(vm)?.wait_exit(bound).await
     }
 
-    /// Kills one node and starts it again on the same addresses.
+    /// Kills a node if it is running, and starts it again on the same addresses.
     ///
     /// # Errors
     ///
-    /// Fails when its program cannot be started.
+    /// Fails when the node was never started or its program cannot be started.
     pub fn restart(&mut self, vm: &str) -> Result<()> {
         if self.process_mut(vm)?.has_exited()?.is_none() {
             self.kill(vm)?;
@@ -412,12 +416,12 @@
         self.start(vm)
     }
 
-    /// Lines that one node has logged in all its lives, the newest 20,000 of
-    /// each.
+    /// Returns the lines that a node has logged, across restarts; for each process
+    /// at most its newest 20,000 lines.
     ///
     /// # Errors
     ///
-    /// Fails when there is no such node.
+    /// Fails when the fleet has no such node.
     pub fn logs(&self, vm: &str) -> Result<Vec<String>> {
         let node = self.node(vm)?;
         let mut lines = node.earlier_logs.clone();
@@ -427,19 +431,20 @@
         Ok(lines)
     }
 
-    /// The process id of a node that runs or has run.
+    /// Returns the id of the current or last process of a node.
     ///
     /// # Errors
     ///
-    /// Fails when it was never started.
+    /// Fails when the node was never started.
     pub fn process_id(&mut self, vm: &str) -> Result<u32> {
         Ok(self.process_mut(vm)?.id())
     }
 
-    /// Asks all running nodes to shut down at once and waits for each.
+    /// Requests the graceful shutdown of all running nodes at the same time and waits
+    /// for all of them.
     ///
-    /// Returns how each ended, by name; `None` stands for a node that had to
-    /// be killed because the bound passed.
+    /// Returns the exit status by VM name. It is `None` for a node that was killed
+    /// because it did not exit within `bound`, or that a signal had ended before.
     ///
     /// # Errors
     ///
--- a/crates/standins/src/fleet/node.rs
+++ b/crates/standins/src/fleet/node.rs
@@ -1,4 +1,4 @@
-//! What a node is, and where it listens.
+//! Specification and listening addresses of a node.
 
 use std::net::Ipv4Addr;
 
@@ -8,7 +8,7 @@
 
 const PORTS_PER_NODE: usize = 4;
 
-/// One node to be.
+/// Specification of a node.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct NodeSpec {
     /// Name of its VM.
@@ -21,45 +21,47 @@
     pub target: SocketAddr,
 }
 
-/// Where a node listens.
+/// Listening addresses of a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct NodeAddresses {
-    /// HTTP for callers.
+    /// Address of HTTP for callers.
     pub callers: SocketAddr,
-    /// HTTP/2 between nodes.
+    /// Address of HTTP/2 between nodes.
     pub peer: SocketAddr,
-    /// Control messages, UDP and TCP.
+    /// Address of control messages, over UDP and TCP.
     pub control: SocketAddr,
-    /// HTTP for operators.
+    /// Address of HTTP for operators.
     pub operators: SocketAddr,
 }
 
-/// Addresses that nobody else gets until their ports are let go.
+/// Addresses of a node with the reservations of their ports.
 #[derive(Debug)]
 pub struct ReservedAddresses {
     /// The addresses.
     pub addresses: NodeAddresses,
-    /// Their ports, to be dropped when the node is started.
+    /// Reservations of their ports, in the same order. Their UDP ports are released
+    /// when the node is started.
     pub ports: Vec<ReservedPortPair>,
 }
 
-/// Where the nodes of a fleet listen.
+/// How listening addresses are assigned to the nodes of a fleet.
 #[derive(Clone, Debug, Default)]
 pub enum Addressing {
-    /// All at 127.0.0.1, each with ports of its own.
+    /// All nodes listen on 127.0.0.1, each with its own ports.
     #[default]
     OneAddress,
-    /// Each at a loopback address of its own and all with the same ports, as
-    /// programs need it that know the ports of the others by their own.
+    /// Each node listens on its own loopback address, and all on the same ports, for
+    /// programs that derive the ports of other nodes from their own.
     AddressPerNode(LoopbackNet),
 }
 
 impl Addressing {
-    /// An address each, out of a net that no other fleet is likely to use.
+    /// Assigns an address per node from a random net, which no other fleet is likely
+    /// to use.
     #[must_use]
     pub fn address_per_node() -> Self {
         Self::AddressPerNode(LoopbackNet {
-            // Above the nets that tests name by hand, and below the broadcast.
+            // Above the nets that tests use explicitly, and below the broadcast address.
             second_octet: rand::random_range(128..255),
             third_octet: rand::random(),
             ports: Vec::new(),
@@ -67,11 +69,11 @@
         })
     }
 
-    /// Takes free ports for the next node.
+    /// Reserves the ports of the next node.
     ///
     /// # Errors
     ///
-    /// Fails when the kernel has no more ports, or they are taken.
+    /// Fails when not enough ports are free.
     pub fn take(&mut self) -> Result<ReservedAddresses> {
         match self {
             Self::OneAddress => ReservedAddresses::of(ports::reserve(PORTS_PER_NODE)?),
@@ -80,12 +82,12 @@
     }
 }
 
-/// A net 127.a.b.0, of which each node gets an address.
+/// A net 127.a.b.0/24, from which each node gets an address.
 #[derive(Clone, Debug)]
 pub struct LoopbackNet {
     second_octet: u8,
     third_octet: u8,
-    /// The first node's, which all others take as well.
+    /// Ports of the first node, which all other nodes use too.
     ports: Vec<u16>,
     nodes: u8,
 }
@@ -106,7 +108,7 @@
 impl ReservedAddresses {
     fn of(ports: Vec<ReservedPortPair>) -> Result<Self> {
         let [callers, peer, control, operators] = &ports[..] else {
-            bail!("asked for {PORTS_PER_NODE} ports and got {}", ports.len());
+            bail!("expected {PORTS_PER_NODE} ports, got {}", ports.len());
         };
         let addresses = NodeAddresses {
             callers: callers.addr(),
--- a/crates/standins/src/fleet/ports.rs
+++ b/crates/standins/src/fleet/ports.rs
@@ -1,4 +1,4 @@
-//! Free ports from the kernel.
+//! Reservation of free ports.
 
 use std::collections::BTreeSet;
 use std::net::{Ipv4Addr, UdpSocket};
@@ -8,22 +8,24 @@
 use crate::prelude::*;
 
 const MAX_REJECTED: usize = 200;
-/// Beyond this many, ports of fleets that have long ended are handed out again.
+/// Beyond this many issued addresses, the record is cleared; the oldest ones belong
+/// to fleets that ended long ago.
 const MAX_ISSUED: usize = 12_000;
 
-/// Addresses that this process has handed out.
+/// Addresses that this process has issued.
 static ISSUED: Mutex<BTreeSet<SocketAddr>> = Mutex::new(BTreeSet::new());
 
-/// A TCP port that is kept for a program until this value is dropped, also while the
-/// program listens there, and between two of its lives.
+/// A TCP port that is reserved for a program until this value is dropped, also while
+/// the program listens on it and across restarts of the program.
 ///
-/// Failure answered: a port is found free, let go, and named in a node's settings.
-/// Before the node binds it, a connection of another test is given it, or a process
-/// that is just being started holds a copy of the listener until it has replaced
-/// itself. The node ends with "address in use", and its test waits in vain. This
-/// socket is bound with `SO_REUSEADDR` and never listens: so a listener that sets the
-/// option too, as every node does, may bind beside it and its copies, and the kernel
-/// offers the port to nobody.
+/// Without the reservation, a port that was found free and written to a node's
+/// settings can be taken before the node binds it: the kernel assigns it to a
+/// connection of another test, or a process that is just being started holds a copy
+/// of the listener until its `exec`. The node then exits with "address in use".
+///
+/// The socket of the reservation is bound with `SO_REUSEADDR` and never listens. A
+/// listener that sets the same option, as every node does, can bind the port beside
+/// this socket and its copies, and the kernel assigns the port to nobody else.
 #[derive(Debug)]
 pub struct ReservedPort {
     addr: SocketAddr,
@@ -31,11 +33,11 @@
 }
 
 impl ReservedPort {
-    /// Reserves an address, with any port where that is 0.
+    /// Reserves an address; port 0 selects a free port.
     ///
     /// # Errors
     ///
-    /// Fails when it is taken, or not this VM's.
+    /// Fails when the address is in use or is not an address of this machine.
     pub fn take(wanted: SocketAddr) -> std::io::Result<Self> {
         let socket = TcpSocket::new_v4()?;
         socket.set_reuseaddr(true)?;
@@ -47,17 +49,17 @@
         })
     }
 
-    /// The address.
+    /// Returns the reserved address.
     #[must_use]
     pub fn addr(&self) -> SocketAddr {
         self.addr
     }
 }
 
-/// A port that is kept from everybody else, for TCP until this value is dropped and
-/// for UDP until its program starts.
+/// A port that is reserved for TCP until this value is dropped, and for UDP until
+/// [`Self::release_udp`].
 ///
-/// Nothing listens on it meanwhile: connections to it are refused.
+/// Until the program listens on it, connections to the port are refused.
 #[derive(Debug)]
 pub struct ReservedPortPair {
     tcp: ReservedPort,
@@ -65,11 +67,11 @@
 }
 
 impl ReservedPortPair {
-    /// Holds an address, with any port where that is 0; `None` when the port that
-    /// was found is taken for UDP.
+    /// Reserves an address; port 0 selects a free port. Returns `None` if the port is
+    /// in use for UDP.
     fn take(wanted: SocketAddr) -> Result<Option<Self>> {
-        let tcp =
-            ReservedPort::take(wanted).wrap_err_with(|| format!("no TCP port at {wanted}"))?;
+        let tcp = ReservedPort::take(wanted)
+            .wrap_err_with(|| format!("cannot reserve the TCP address {wanted}"))?;
         let Ok(udp) = UdpSocket::bind(tcp.addr()) else {
             return Ok(None);
         };
@@ -77,32 +79,32 @@
         Ok(Some(Self { tcp, udp }))
     }
 
-    /// The address.
+    /// Returns the reserved address.
     #[must_use]
     pub fn addr(&self) -> SocketAddr {
         self.tcp.addr()
     }
 
-    /// Lets its program bind the port. A UDP socket stands beside no other, so from
-    /// now on another process can take that.
+    /// Releases the UDP port, so that the program can bind it. Two UDP sockets cannot
+    /// share the port, so from now on another process can take it.
     pub fn release_udp(&mut self) {
         self.udp = None;
     }
 }
 
-/// Finds loopback addresses that are free for both TCP and UDP, and holds them.
+/// Reserves loopback addresses that are free for both TCP and UDP.
 ///
-/// Between the end of the hold for UDP and the node's own binding another process can
-/// take one: whoever binds it must be ready for that.
+/// Between the release of a UDP port and its binding by the node, another process can
+/// take it; callers must handle that.
 ///
-/// No address is handed out twice. Otherwise two fleets that start at the same
-/// time could get the same one: nodes of the one, told of it by their VM list,
-/// would send their heartbeats to a node of the other, which would take the
-/// strangers, whose VMs have the same names, for its own peers.
+/// No address is issued twice. Otherwise two fleets that start at the same time
+/// could get the same address: nodes of one fleet would send their heartbeats to a
+/// node of the other, which would accept them as its peers because their VMs have
+/// the same names.
 ///
 /// # Errors
 ///
-/// Fails when the kernel has no more ports.
+/// Fails when not enough ports are free.
 pub fn reserve(count: usize) -> Result<Vec<ReservedPortPair>> {
     let mut already_issued = Vec::new();
     let mut reserved = Vec::new();
@@ -116,24 +118,24 @@
         if is_new(port.addr()) {
             reserved.push(port);
         } else {
-            // Held as well, or the kernel would offer it again.
+            // Stays reserved until the end, or the kernel would assign it again.
             already_issued.push(port);
         }
     }
-    bail!("no {count} ports that are free for TCP and UDP");
+    bail!("cannot find {count} ports that are free for TCP and UDP");
 }
 
-/// Holds the given ports of a loopback address.
+/// Reserves the given ports on a loopback address.
 ///
 /// # Errors
 ///
-/// Fails when one of them is taken.
+/// Fails when one of them is in use.
 pub fn reserve_at(ip: Ipv4Addr, ports: &[u16]) -> Result<Vec<ReservedPortPair>> {
     let mut reserved = Vec::new();
     for port in ports {
         let wanted = SocketAddr::from((ip, *port));
         let port = ReservedPortPair::take(wanted)?;
-        reserved.push(port.ok_or_else(|| eyre!("{wanted} is taken for UDP"))?);
+        reserved.push(port.ok_or_else(|| eyre!("{wanted} is already bound for UDP"))?);
     }
     Ok(reserved)
 }
--- a/crates/standins/src/fleet/process.rs
+++ b/crates/standins/src/fleet/process.rs
@@ -1,4 +1,4 @@
-//! One child process: signals by its id, its log, its end.
+//! A child process, with its signals, log and exit status.
 
 use std::collections::VecDeque;
 use std::io::{BufRead, BufReader};
@@ -18,7 +18,7 @@
 
 type LogLines = Arc<Mutex<VecDeque<String>>>;
 
-/// A child that is killed when this value is dropped.
+/// A child process that is killed when this value is dropped.
 pub struct ChildProcess {
     name: String,
     child: Child,
@@ -28,7 +28,7 @@
 }
 
 impl ChildProcess {
-    /// Starts a program and collects its standard error.
+    /// Starts a program and collects the lines of its standard error.
     ///
     /// # Errors
     ///
@@ -55,17 +55,17 @@
         })
     }
 
-    /// The process id.
+    /// Returns the process id.
     #[must_use]
     pub fn id(&self) -> u32 {
         self.child.id()
     }
 
-    /// How it ended, if it has.
+    /// Returns the exit status, if the process has exited.
     ///
     /// # Errors
     ///
-    /// Fails when the process cannot be waited for.
+    /// Fails when the status of the process cannot be queried.
     pub fn has_exited(&mut self) -> Result<Option<ExitStatus>> {
         if self.status.is_none() {
             self.status = self.child.try_wait()?;
@@ -80,20 +80,21 @@
     ///
     /// # Errors
     ///
-    /// Fails when it has ended: its id may by now belong to another process.
+    /// Fails when the process has exited, because its id may belong to another
+    /// process by now.
     pub fn signal(&mut self, signal: Signal) -> Result<()> {
         if let Some(status) = self.has_exited()? {
-            bail!("{} has ended with {status}", self.name);
+            bail!("{} has exited with {status}", self.name);
         }
         let pid = Pid::from_child(&self.child);
         kill_process(pid, signal).wrap_err_with(|| format!("cannot signal {}", self.name))
     }
 
-    /// Ends it without notice and waits for its end.
+    /// Kills the process (SIGKILL) and waits for its exit.
     ///
     /// # Errors
     ///
-    /// Fails when it cannot be waited for.
+    /// Fails when the process cannot be killed or waited for.
     pub fn kill(&mut self) -> Result<()> {
         if self.has_exited()?.is_some() {
             return Ok(());
@@ -104,11 +105,11 @@
         Ok(())
     }
 
-    /// Waits for its end.
+    /// Waits for the process to exit.
     ///
     /// # Errors
     ///
-    /// Fails when the bound passes first.
+    /// Fails when the process does not exit within `bound`.
     pub async fn wait_exit(&mut self, bound: Duration) -> Result<ExitStatus> {
         let deadline = Instant::now() + bound;
         loop {
@@ -116,19 +117,19 @@
                 return Ok(status);
             }
             if Instant::now() >= deadline {
-                bail!("{} has not ended in time: {}", self.name, self.log_tail());
+                bail!("{} has not exited in time: {}", self.name, self.log_tail());
             }
             sleep(EXIT_POLL).await;
         }
     }
 
-    /// The newest lines of its standard error.
+    /// Returns the newest 20,000 lines of standard error.
     #[must_use]
     pub fn logs(&self) -> Vec<String> {
         self.lines.lock().iter().cloned().collect()
     }
 
-    /// The last few lines, for messages.
+    /// Returns the last 20 lines of standard error, for error messages.
     #[must_use]
     pub fn log_tail(&self) -> String {
         let lines = self.logs();
@@ -146,7 +147,7 @@
 impl Drop for ChildProcess {
     fn drop(&mut self) {
         if let Err(error) = self.kill() {
-            log::warn!("cannot end {}: {error:#}", self.name);
+            log::warn!("cannot kill the process {}: {error:#}", self.name);
         }
     }
 }
--- a/crates/standins/src/fleet/settings.rs
+++ b/crates/standins/src/fleet/settings.rs
@@ -5,7 +5,7 @@
 /// Settings of `hornbeamhitch-node`.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct NodeSettings {
-    /// Name of the deployment; nodes ignore those of others.
+    /// Name of the deployment; nodes ignore messages of other deployments.
     pub deployment: String,
     /// Name of the VM.
     pub vm: String,
@@ -13,27 +13,27 @@
     pub service: String,
     /// Data centre of the VM.
     pub data_centre: String,
-    /// HTTP for callers.
+    /// Address of HTTP for callers.
     pub callers_address: SocketAddr,
-    /// HTTP/2 between nodes.
+    /// Address of HTTP/2 between nodes.
     pub peer_address: SocketAddr,
-    /// Control messages, UDP and TCP.
+    /// Address of control messages, over UDP and TCP.
     pub control_address: SocketAddr,
-    /// HTTP for operators.
+    /// Address of HTTP for operators.
     pub operators_address: SocketAddr,
-    /// The target.
+    /// Address of the target.
     pub target_address: SocketAddr,
-    /// The platform.
+    /// Address of the platform.
     pub platform_address: SocketAddr,
-    /// Bound on a graceful shutdown, in milliseconds.
+    /// Time limit of a graceful shutdown, in milliseconds.
     pub drain_timeout_ms: u64,
-    /// Logs.
+    /// Log settings.
     pub log: LogSettings,
 }
 
-/// What a node logs.
+/// Log settings of a node.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct LogSettings {
-    /// `error`, `warn`, `info`, `debug` or `trace`.
+    /// Log level: `error`, `warn`, `info`, `debug` or `trace`.
     pub level: String,
 }
--- a/crates/standins/src/fleet/temp_dir.rs
+++ b/crates/standins/src/fleet/temp_dir.rs
@@ -1,4 +1,4 @@
-//! A directory that is removed with its owner.
+//! A temporary directory that is removed when its owner is dropped.
 
 use std::path::{Path, PathBuf};
 use std::sync::atomic::{AtomicU32, Ordering};
@@ -7,18 +7,18 @@
 
 static NEXT: AtomicU32 = AtomicU32::new(0);
 
-/// A directory below the system's one for temporary files.
+/// A directory below the system's directory for temporary files, removed on drop.
 #[derive(Debug)]
 pub struct TempDir {
     path: PathBuf,
 }
 
 impl TempDir {
-    /// Makes a directory that nobody else has.
+    /// Creates a directory with a unique name.
     ///
     /// # Errors
     ///
-    /// Fails when the directory cannot be made.
+    /// Fails when the directory cannot be created.
     pub fn create(prefix: &str) -> Result<Self> {
         let number = NEXT.fetch_add(1, Ordering::Relaxed);
         let name = format!(
@@ -27,11 +27,11 @@
             wall_clock().0
         );
         let path = std::env::temp_dir().join(name);
-        std::fs::create_dir(&path).wrap_err_with(|| format!("cannot make {}", path.display()))?;
+        std::fs::create_dir(&path).wrap_err_with(|| format!("cannot create {}", path.display()))?;
         Ok(Self { path })
     }
 
-    /// Where it is.
+    /// Returns the path of the directory.
     #[must_use]
     pub fn path(&self) -> &Path {
         &self.path
--- a/crates/standins/src/http_client.rs
+++ b/crates/standins/src/http_client.rs
@@ -1,4 +1,4 @@
-//! A small HTTP client that reads whole answers and tells faults apart.
+//! A small HTTP client that reads complete answers and classifies failures.
 
 use std::fmt;
 
@@ -14,14 +14,14 @@
 const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 const ADMIN_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// An answer with its whole body.
+/// An answer with its complete body.
 #[derive(Clone, Debug)]
 pub struct WholeAnswer {
     /// HTTP status.
     pub status: StatusCode,
     /// All headers.
     pub headers: HeaderMap,
-    /// The body up to its announced end.
+    /// The complete body.
     pub body: Bytes,
 }
 
@@ -30,7 +30,8 @@
     ///
     /// # Errors
     ///
-    /// Fails on a status that is no success, and on another form.
+    /// Fails when the status is not a success or the body does not have the
+    /// expected structure.
     pub fn json<T: for<'a> Deserialize<'a>>(&self) -> Result<T> {
         ensure!(
             self.status.is_success(),
@@ -38,18 +39,19 @@
             self.status,
             String::from_utf8_lossy(&self.body)
         );
-        serde_json::from_slice(&self.body).wrap_err("answer is not of the wanted form")
+        serde_json::from_slice(&self.body)
+            .wrap_err("the answer does not have the expected JSON structure")
     }
 }
 
-/// Why no whole answer came.
+/// Why no complete answer was received.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SendFault {
-    /// No connection could be had: nothing was sent.
+    /// No connection was established, so nothing was sent.
     NotConnected,
-    /// The connection broke after it was made; the request may have arrived.
+    /// The connection broke after it was established; the request may have arrived.
     Broken,
-    /// No whole answer within the time allowed.
+    /// No complete answer arrived in time.
     TimedOut,
 }
 
@@ -65,14 +67,14 @@
 
 impl std::error::Error for SendFault {}
 
-/// How a client speaks.
+/// HTTP version that a client uses.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum HttpVersion {
-    /// HTTP/1.1, one request a connection at a time.
+    /// HTTP/1.1, with one request at a time on each connection.
     #[default]
     Http1,
-    /// HTTP/2 without negotiation.
+    /// HTTP/2 with prior knowledge.
     Http2,
 }
 
@@ -83,7 +85,7 @@
 }
 
 impl HttpClient {
-    /// A client without connections yet.
+    /// Creates a client; it connects on demand.
     #[must_use]
     pub fn new(version: HttpVersion) -> Self {
         let mut connector = HttpConnector::new();
@@ -96,11 +98,12 @@
         Self { client }
     }
 
-    /// Sends and reads the whole answer.
+    /// Sends a request and reads the complete answer, within `bound`.
     ///
     /// # Errors
     ///
-    /// Tells a connection that was never made from one that broke.
+    /// Distinguishes a connection that was never established, one that broke, and
+    /// a timeout.
     pub async fn send(
         &self,
         request: Request<Full<Bytes>>,
@@ -132,22 +135,23 @@
         })
     }
 
-    /// Fetches from a stand-in or a node, within ten seconds.
+    /// Sends a `GET` request to a stand-in or a node, with a timeout of ten seconds.
     ///
     /// # Errors
     ///
-    /// Fails when no whole answer comes; any status is an answer.
+    /// Fails when no complete answer arrives. An answer with any status is a
+    /// success.
     pub async fn get(&self, addr: SocketAddr, path: &str) -> Result<WholeAnswer> {
         let request = Request::get(format!("http://{addr}{path}")).body(Full::default())?;
         let answer = self.send(request, ADMIN_TIMEOUT).await;
         answer.wrap_err_with(|| format!("GET http://{addr}{path}"))
     }
 
-    /// Posts JSON to a stand-in, within ten seconds.
+    /// Sends JSON to a stand-in in a `POST` request, with a timeout of ten seconds.
     ///
     /// # Errors
     ///
-    /// Fails when no whole answer comes or its status is no success.
+    /// Fails when no complete answer arrives or its status is not a success.
     pub async fn post_json<T: Serialize>(
         &self,
         addr: SocketAddr,
@@ -158,11 +162,11 @@
         self.post(addr, path, body).await
     }
 
-    /// Posts bytes to a stand-in, within ten seconds.
+    /// Sends bytes to a stand-in in a `POST` request, with a timeout of ten seconds.
     ///
     /// # Errors
     ///
-    /// Fails when no whole answer comes or its status is no success.
+    /// Fails when no complete answer arrives or its status is not a success.
     pub async fn post(&self, addr: SocketAddr, path: &str, body: Bytes) -> Result<WholeAnswer> {
         let request = Request::post(format!("http://{addr}{path}")).body(Full::new(body))?;
         let answer = self.send(request, ADMIN_TIMEOUT).await;
--- a/crates/standins/src/http_server.rs
+++ b/crates/standins/src/http_server.rs
@@ -1,5 +1,5 @@
 //! An HTTP/1.1 server whose connections can be reset and whose port can be
-//! closed and reopened at any moment, as a crashing process does.
+//! closed and reopened at any time, to simulate a crashing process.
 
 use std::collections::HashMap;
 use std::fmt;
@@ -33,19 +33,19 @@
 const BIND_ATTEMPTS: u32 = 200;
 const BIND_RETRY_DELAY: Duration = Duration::from_millis(10);
 
-/// A handler's wish to end the connection without an answer.
+/// Returned by a handler to end the connection without an answer.
 #[derive(Clone, Copy, Debug)]
 pub struct DropConnection;
 
 impl fmt::Display for DropConnection {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str("the connection was dropped on command")
+        f.write_str("the connection was dropped on request")
     }
 }
 
 impl std::error::Error for DropConnection {}
 
-/// The connection on which a request came.
+/// The connection on which a request was received.
 #[derive(Clone, Debug)]
 pub struct Connection {
     /// Address of the client.
@@ -54,15 +54,15 @@
 }
 
 impl Connection {
-    /// Makes the connection end with a TCP reset instead of an orderly close.
+    /// Makes the connection end with a TCP reset instead of a graceful close.
     pub fn reset_when_dropped(&self) {
         self.reset_on_drop.store(true, Ordering::Relaxed);
     }
 }
 
-/// What a server does with its requests.
+/// Handles the requests of a server.
 pub trait Handler: Send + Sync + 'static {
-    /// Answers one request, or drops its connection.
+    /// Answers a request, or drops its connection.
     ///
     /// The future is dropped when the client closes the connection.
     fn handle(
@@ -72,14 +72,14 @@
     ) -> BoxFuture<'static, Result<Answer, DropConnection>>;
 }
 
-/// A running server; it ends when this value is dropped.
+/// A running server, which stops when this value is dropped.
 pub struct HttpServer {
     addr: SocketAddr,
     supervisor: AbortHandle,
 }
 
 impl HttpServer {
-    /// Binds and serves.
+    /// Binds the address and starts to serve.
     ///
     /// # Errors
     ///
@@ -105,7 +105,7 @@
         })
     }
 
-    /// The address that was bound.
+    /// Returns the bound address.
     #[must_use]
     pub fn addr(&self) -> SocketAddr {
         self.addr
@@ -118,7 +118,8 @@
     }
 }
 
-/// Binds, waiting for a port that its last owner has not quite freed.
+/// Binds an address; retries for two seconds, because the previous owner of the
+/// port may not have released it yet.
 async fn bind_with_retries(addr: SocketAddr) -> Result<TcpListener> {
     let mut attempt = 0;
     loop {
@@ -201,7 +202,7 @@
         match bind_with_retries(self.addr).await {
             Ok(listener) => Some(listener),
             Err(error) => {
-                log::error!("stand-in cannot listen again: {error:#}");
+                log::error!("the stand-in cannot listen again: {error:#}");
                 None
             }
         }
@@ -252,6 +253,6 @@
         .serve_connection(TokioIo::new(stream), service)
         .await;
     if let Err(error) = served {
-        log::debug!("connection ended: {error}");
+        log::debug!("a connection failed: {error}");
     }
 }
--- a/crates/standins/src/http_server/answers.rs
+++ b/crates/standins/src/http_server/answers.rs
@@ -1,4 +1,4 @@
-//! Answers that stand-ins give.
+//! Construction of answers.
 
 use std::convert::Infallible;
 use std::fmt;
@@ -8,25 +8,25 @@
 
 use crate::prelude::*;
 
-/// A body in the making can fail, which cuts the answer.
+/// Body of an answer. An error of the body cuts the answer.
 pub type AnswerBody = UnsyncBoxBody<Bytes, BodyCut>;
 
-/// A whole answer.
+/// An HTTP answer of a stand-in.
 pub type Answer = Response<AnswerBody>;
 
-/// The reason for which an answer ends before its end.
+/// The error with which a body cuts its answer.
 #[derive(Clone, Copy, Debug)]
 pub struct BodyCut;
 
 impl fmt::Display for BodyCut {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str("the answer was cut on command")
+        f.write_str("the answer was cut on request")
     }
 }
 
 impl std::error::Error for BodyCut {}
 
-/// An answer with a text body.
+/// Creates an answer with a text body.
 #[must_use]
 pub fn text_answer(status: StatusCode, text: impl Into<Bytes>) -> Answer {
     let mut answer = Response::new(whole_body(text.into()));
@@ -34,7 +34,7 @@
     answer
 }
 
-/// An answer with a JSON body.
+/// Creates an answer with a JSON body.
 #[must_use]
 pub fn json_answer<T: Serialize>(status: StatusCode, value: &T) -> Answer {
     let text = serde_json::to_vec(value).expect("stand-ins answer with plain data");
@@ -46,7 +46,7 @@
     answer
 }
 
-/// A body that is sent whole.
+/// Creates a body that is sent completely.
 #[must_use]
 pub fn whole_body(bytes: Bytes) -> AnswerBody {
     let never = |error: Infallible| match error {};
--- a/crates/standins/src/http_server/control.rs
+++ b/crates/standins/src/http_server/control.rs
@@ -8,7 +8,7 @@
 const COMMAND_TIMEOUT: Duration = Duration::from_secs(5);
 const COMMAND_CAPACITY: usize = 16;
 
-/// What a server is told.
+/// A command to a running server.
 pub(super) enum Command {
     Reset {
         down: Duration,
@@ -23,17 +23,17 @@
     },
 }
 
-/// Lets handlers and owners crash, close and stop the server.
+/// Handle with which handlers and owners crash, close and stop the server.
 #[derive(Clone)]
 pub struct ServerControl {
     commands: mpsc::Sender<Command>,
 }
 
 impl ServerControl {
-    /// Resets all connections at once and listens again after `down`.
+    /// Resets all connections immediately and listens again after `down`.
     ///
-    /// Returns when the connections are gone. A handler must not wait for it,
-    /// because its own future ends with its connection.
+    /// Returns once the connections are closed. A handler must not await this,
+    /// because its own future is dropped with its connection.
     pub async fn crash(&self, down: Duration) {
         self.command(|done| Command::Reset { down, done }).await;
     }
@@ -62,12 +62,13 @@
     }
 }
 
-/// A control and the end to hand to [`super::HttpServer::start`].
+/// Creates a control handle and the receiver to pass to
+/// [`super::HttpServer::start`].
 #[must_use]
 pub fn control_channel() -> (ServerControl, CommandReceiver) {
     let (commands, receiver) = mpsc::channel(COMMAND_CAPACITY);
     (ServerControl { commands }, CommandReceiver(receiver))
 }
 
-/// Receives what a [`ServerControl`] commands.
+/// Receives the commands of a [`ServerControl`].
 pub struct CommandReceiver(pub(super) mpsc::Receiver<Command>);
--- a/crates/standins/src/http_server/stream.rs
+++ b/crates/standins/src/http_server/stream.rs
@@ -9,10 +9,10 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::TcpStream;
 
-/// Closes with a reset when its flag is set at the time of the drop.
+/// A TCP stream that is closed with a reset if its flag is set when it is dropped.
 ///
-/// A process that dies with unread input resets its connections; an orderly
-/// close would let the peer take a half-sent answer for an ended one.
+/// A process that dies with unread input resets its connections. After a graceful
+/// close the peer could take a partly sent answer for a complete one.
 pub(super) struct ResettableStream {
     inner: TcpStream,
     reset_on_drop: Arc<AtomicBool>,
@@ -60,7 +60,7 @@
 
     fn poll_shutdown(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
         if self.reset_on_drop.load(Ordering::Relaxed) {
-            // An orderly end would go out before the reset.
+            // A graceful shutdown would be sent before the reset.
             return Poll::Ready(Ok(()));
         }
         Pin::new(&mut self.inner).poll_shutdown(cx)
--- a/crates/standins/src/platform.rs
+++ b/crates/standins/src/platform.rs
@@ -1,7 +1,8 @@
-//! The platform's stand-in: the text and the VM list, to be read and watched.
+//! The stand-in for the platform: serves the configuration text and the VM list,
+//! which clients can read and watch.
 //!
-//! Everything under `/v1/` is what the real platform offers and counts as a
-//! read. Everything under `/admin/` steers the stand-in and is not counted.
+//! Requests under `/v1/` follow the interface of the real platform and count as
+//! reads. Requests under `/admin/` control the stand-in and are not counted.
 
 use crate::http_server::{HttpServer, ServerControl, control_channel};
 use crate::prelude::*;
@@ -21,13 +22,14 @@
 use counts::Counter;
 use store::Store;
 
-/// Largest value that the platform holds, in bytes.
+/// Largest value that the platform stores, in bytes.
 pub const MAX_VALUE_BYTES: usize = 1_000_000;
 
-/// Reads a second, over all readers, above which the platform answers 429.
+/// Maximum reads per second over all readers; the platform answers further reads
+/// with 429.
 pub const MAX_READS_PER_S: usize = 2_000;
 
-/// A running stand-in of the platform; it ends when this value is dropped.
+/// A running stand-in for the platform, which stops when this value is dropped.
 pub struct PlatformStandin {
     server: HttpServer,
     shared: Arc<Shared>,
@@ -40,7 +42,7 @@
 }
 
 impl PlatformStandin {
-    /// Binds (port 0 takes a free one) and serves.
+    /// Binds the address (port 0 selects a free port) and starts to serve.
     ///
     /// # Errors
     ///
@@ -59,13 +61,13 @@
         Ok(Self { server, shared })
     }
 
-    /// The address that was bound.
+    /// Returns the bound address.
     #[must_use]
     pub fn addr(&self) -> SocketAddr {
         self.server.addr()
     }
 
-    /// Publishes a text under the next version.
+    /// Publishes a configuration text under the next version and returns the version.
     ///
     /// # Errors
     ///
@@ -74,16 +76,17 @@
         self.shared.store.set_text(text, None)
     }
 
-    /// Publishes a text under a version of choice.
+    /// Publishes a configuration text under the given version.
     ///
     /// # Errors
     ///
-    /// Fails when the version does not go up or the text is too large.
+    /// Fails when the version is not above the current one or the text is larger
+    /// than [`MAX_VALUE_BYTES`].
     pub fn set_text_version(&self, text: &str, version: u64) -> Result<u64> {
         self.shared.store.set_text(text, Some(version))
     }
 
-    /// Publishes a VM list under the next version.
+    /// Publishes a VM list under the next version and returns the version.
     ///
     /// # Errors
     ///
@@ -92,39 +95,39 @@
         self.shared.store.set_vms(vms)
     }
 
-    /// Publishes the list with one VM in another state.
+    /// Publishes the VM list with a new state for one VM.
     ///
     /// # Errors
     ///
-    /// Fails when no such VM is listed.
+    /// Fails when the VM is not listed.
     pub fn set_vm_state(&self, vm: &str, state: VmState) -> Result<u64> {
         self.shared.store.set_vm_state(vm, state)
     }
 
-    /// Publishes the list without one VM.
+    /// Publishes the VM list without one VM.
     ///
     /// # Errors
     ///
-    /// Fails when no such VM is listed.
+    /// Fails when the VM is not listed.
     pub fn remove_vm(&self, vm: &str) -> Result<u64> {
         self.shared.store.remove_vm(vm)
     }
 
-    /// The list as last set, whatever the mood shows to readers.
+    /// Returns the latest VM list, regardless of what readers are shown.
     #[must_use]
     pub fn vms(&self) -> VmList {
         self.shared.store.latest_vms()
     }
 
-    /// Takes another mood, in place of the present one.
+    /// Replaces the current behaviour.
     ///
-    /// With [`Reach::Refused`] the port is closed: only this handle, or the
-    /// end of a time set over HTTP, opens it again.
+    /// With [`Reachability::Refused`] the port is closed. Then only this handle can
+    /// open it again, or the end of a time limit that was set over HTTP.
     pub async fn set_behaviour(&self, behaviour: Behaviour) {
         self.shared.set_behaviour(behaviour).await;
     }
 
-    /// Serves as it should.
+    /// Restores the default behaviour.
     pub async fn up(&self) {
         self.set_behaviour(Behaviour::default()).await;
     }
@@ -138,7 +141,8 @@
         self.set_behaviour(behaviour).await;
     }
 
-    /// Serves what is published now for good; watches hang.
+    /// Keeps showing readers the values that are visible now; watches report no
+    /// change.
     pub async fn stale(&self) {
         let behaviour = Behaviour {
             view: View::Frozen,
@@ -147,7 +151,7 @@
         self.set_behaviour(behaviour).await;
     }
 
-    /// Delays every answer.
+    /// Delays every answer by `delay_ms` milliseconds.
     pub async fn slow(&self, delay_ms: u64) {
         let behaviour = Behaviour {
             delay_ms,
@@ -156,7 +160,7 @@
         self.set_behaviour(behaviour).await;
     }
 
-    /// Serves older values, to new readers and to watches alike.
+    /// Shows older values in reads and watches.
     pub async fn serve_older(&self, old: OldValues) {
         let behaviour = Behaviour {
             view: View::Older(old),
@@ -165,7 +169,7 @@
         self.set_behaviour(behaviour).await;
     }
 
-    /// Shows each VM list only `lag_ms` after it was set.
+    /// Shows each VM list only `lag_ms` milliseconds after it was published.
     pub async fn lag_vm_list(&self, lag_ms: u64) {
         let behaviour = Behaviour {
             vm_list_lag_ms: lag_ms,
@@ -174,19 +178,19 @@
         self.set_behaviour(behaviour).await;
     }
 
-    /// The present mood.
+    /// Returns the current behaviour.
     #[must_use]
     pub fn behaviour(&self) -> Behaviour {
         self.shared.store.behaviour()
     }
 
-    /// Reads so far.
+    /// Returns the read counters.
     #[must_use]
     pub fn counts(&self) -> Counts {
         self.shared.counter.counts()
     }
 
-    /// Begins to count anew.
+    /// Resets the read counters; watches in progress stay counted as waiting.
     pub fn reset_counts(&self) {
         self.shared.counter.reset();
     }
--- a/crates/standins/src/platform/admin.rs
+++ b/crates/standins/src/platform/admin.rs
@@ -1,4 +1,4 @@
-//! Steering over HTTP, for the stand-in as a process.
+//! Control over HTTP, for a stand-in that runs as a separate process.
 
 use tokio::time::sleep;
 
@@ -15,24 +15,25 @@
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct SetBehaviourRequest {
-    /// The mood to take.
+    /// The new behaviour.
     #[serde(rename = "mood")]
     pub behaviour: Behaviour,
-    /// Returns to the default mood after this time; needed to close the port,
-    /// because then nothing can be ordered over HTTP any more.
+    /// Time after which the default behaviour is restored, in milliseconds.
+    /// Required to close the port, because a closed port accepts no further
+    /// commands.
     pub for_ms: Option<u64>,
 }
 
 /// Body of `POST /admin/vm-state`.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct SetVmStateRequest {
-    /// The VM.
+    /// Name of the VM.
     pub vm: String,
-    /// Its new state; `None` removes it.
+    /// The new state; `None` removes the VM from the list.
     pub state: Option<VmState>,
 }
 
-/// Answer to an order that published a value.
+/// Answer to a command that published a value.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub struct Published {
     /// The new version.
@@ -94,7 +95,7 @@
     if closes {
         let owner = Arc::clone(shared);
         tokio::spawn(async move {
-            // The answer to the order goes out before the port is closed.
+            // Lets the answer to this command be sent before the port is closed.
             sleep(CLOSE_AFTER).await;
             owner.set_behaviour(command.behaviour).await;
         });
--- a/crates/standins/src/platform/behaviour.rs
+++ b/crates/standins/src/platform/behaviour.rs
@@ -1,67 +1,69 @@
-//! How the platform's stand-in misbehaves.
+//! Configurable faults of the stand-in for the platform.
 
 use crate::prelude::*;
 
 use super::vms::VmEntry;
 
-/// Parts of a misbehaviour, which can come together.
+/// Faults of the platform; any of them can be combined. The default has none.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Behaviour {
-    /// Whether readers get an answer at all.
+    /// Whether and how reads are answered.
     pub reach: Reachability,
-    /// Which values readers are shown.
+    /// The values that readers are shown.
     pub view: View,
-    /// Time before each answer, in milliseconds.
+    /// Delay of each answer, in milliseconds.
     pub delay_ms: u64,
-    /// Age that a VM list must have before it is shown, in milliseconds.
+    /// Time from the publication of a VM list until readers see it, in
+    /// milliseconds.
     pub vm_list_lag_ms: u64,
 }
 
-/// Whether readers get an answer.
+/// Whether and how reads are answered.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Reachability {
-    /// Every reader is answered.
+    /// Reads are answered normally.
     #[default]
     Up,
     /// The port is closed.
     Refused,
-    /// Connections are accepted and reset at the first request.
+    /// Connections are accepted, and reset at the first read.
     Reset,
-    /// Every read is answered 503.
+    /// Every read is answered with 503.
     Unavailable,
     /// Reads are accepted and never answered.
     Silent,
 }
 
-/// Which values readers are shown.
+/// The values that readers are shown.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum View {
-    /// What was set last.
+    /// The latest values.
     #[default]
     Current,
-    /// What was visible when the mood was set; watches hang.
+    /// The values that were visible when this view was set; watches report no
+    /// change.
     Frozen,
-    /// Older values of choice.
+    /// The given older values.
     Older(OldValues),
 }
 
-/// Values that the platform shows in place of the present ones.
+/// Values that the platform shows instead of the current ones.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct OldValues {
-    /// Text and its version; `None` leaves the present one.
+    /// Configuration text and its version; `None` shows the current one.
     pub text: Option<OldText>,
-    /// VM list and its version; `None` leaves the present one.
+    /// VM list and its version; `None` shows the current one.
     pub vms: Option<OldVms>,
 }
 
-/// An older text.
+/// An older configuration text.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct OldText {
-    /// Its version.
+    /// Version of the value.
     pub version: u64,
     /// The text.
     pub text: String,
@@ -70,7 +72,7 @@
 /// An older VM list.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct OldVms {
-    /// Its version.
+    /// Version of the value.
     pub version: u64,
     /// The VMs.
     pub vms: Vec<VmEntry>,
--- a/crates/standins/src/platform/counts.rs
+++ b/crates/standins/src/platform/counts.rs
@@ -1,4 +1,4 @@
-//! Counts of reads: in total and a second, by endpoint and by client.
+//! Read counters, in total and per second, by endpoint and by client.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -12,7 +12,7 @@
 const MAX_WINDOW_ENTRIES: usize = 100_000;
 const MAX_CLIENTS: usize = 20_000;
 
-/// Kinds of reads.
+/// Kind of read.
 #[derive(
     Clone,
     Copy,
@@ -29,43 +29,43 @@
 #[serde(rename_all = "kebab-case")]
 #[strum(serialize_all = "kebab-case")]
 pub enum Endpoint {
-    /// The text, at once.
+    /// Read of the configuration text.
     Text,
-    /// The text, once it changes.
+    /// Watch for a change of the configuration text.
     TextWatch,
-    /// The VM list, at once.
+    /// Read of the VM list.
     Vms,
-    /// The VM list, once it changes.
+    /// Watch for a change of the VM list.
     VmsWatch,
-    /// Anything else below `/v1/`.
+    /// Any other path outside `/admin/`.
     Other,
 }
 
-/// Reads of one kind or of one client.
+/// Number of reads of one kind or of one client.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReadCount {
-    /// Since the counts were reset.
+    /// Reads since the last reset.
     pub total: u64,
-    /// The most within any one second.
+    /// Highest number of reads within one second.
     pub max_per_s: u64,
 }
 
-/// All counts. A waiting watch is one read.
+/// All read counters. A watch counts as one read, however long it waits.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Counts {
-    /// Over all readers and kinds, refused ones included.
+    /// Reads of all clients and kinds, including refused ones.
     pub all: ReadCount,
-    /// Reads answered 429.
+    /// Reads answered with 429.
     pub refused: u64,
-    /// Watches that wait now.
+    /// Watches that are waiting now.
     pub waiting: u64,
-    /// By kind.
+    /// Reads by kind.
     pub by_endpoint: BTreeMap<Endpoint, ReadCount>,
-    /// By client connection (address and port), at most 20,000 of them.
+    /// Reads by client connection (address and port), for at most 20,000 clients.
     pub by_client: BTreeMap<SocketAddr, ReadCount>,
 }
 
-/// Counts reads and says which are over the limit.
+/// Counts reads and rejects those over the limit.
 pub(crate) struct Counter {
     clock: ProcessClock,
     state: Mutex<State>,
@@ -89,7 +89,7 @@
         }
     }
 
-    /// Counts a read; false when it is over the limit.
+    /// Counts a read and returns whether it is within the limit.
     pub(crate) fn admit(&self, endpoint: Endpoint, client: SocketAddr) -> bool {
         let now = self.clock.now();
         let mut state = self.state.lock();
@@ -106,7 +106,7 @@
         true
     }
 
-    /// Counts a watch as waiting until the guard is dropped.
+    /// Counts a watch as waiting until the returned guard is dropped.
     pub(crate) fn begin_wait(&self) -> WaitGuard<'_> {
         self.state.lock().waiting += 1;
         WaitGuard { counter: self }
@@ -138,7 +138,7 @@
     }
 }
 
-/// Ends a wait also when the watching client goes away.
+/// Guard of a waiting watch. It also ends the wait when the client disconnects.
 pub(crate) struct WaitGuard<'a> {
     counter: &'a Counter,
 }
@@ -149,7 +149,7 @@
     }
 }
 
-/// Reads of the last second, and the most there ever were.
+/// Times of the reads in the last second, and the highest number of them.
 #[derive(Default)]
 struct Window {
     total: u64,
--- a/crates/standins/src/platform/reads.rs
+++ b/crates/standins/src/platform/reads.rs
@@ -1,4 +1,4 @@
-//! What the real platform offers: reads and watches.
+//! Reads and watches, as the real platform offers them.
 
 use futures_util::future::BoxFuture;
 use tokio::time::{Instant, sleep, timeout_at};
@@ -12,7 +12,7 @@
 use super::counts::Endpoint;
 use super::{Shared, admin};
 
-/// Header that carries the text's version.
+/// Header that carries the version of the configuration text.
 const VERSION_HEADER: &str = "platform-version";
 
 const MAX_WAIT_MS: u64 = 120_000;
@@ -23,7 +23,7 @@
     pub(super) shared: Arc<Shared>,
 }
 
-/// What a reader asks for beyond the bare value.
+/// Query parameters of a read.
 struct ReadQuery {
     after: Option<u64>,
     wait: Duration,
@@ -140,8 +140,8 @@
     text_answer(StatusCode::NOT_MODIFIED, "")
 }
 
-/// Waits until the visible version is above the reader's; false at the end of
-/// the wait.
+/// Waits until the visible version is above the reader's and returns true, or
+/// false after the requested wait.
 async fn wait_for_newer_version(
     shared: &Shared,
     query: &ReadQuery,
--- a/crates/standins/src/platform/store.rs
+++ b/crates/standins/src/platform/store.rs
@@ -1,4 +1,5 @@
-//! The values, their versions, and what of them readers may see.
+//! The published values with their versions, and the selection of those that
+//! readers are shown.
 
 use std::collections::VecDeque;
 
@@ -12,14 +13,14 @@
 
 const MAX_OLD_LISTS: usize = 256;
 
-/// A text and its version.
+/// A configuration text and its version.
 #[derive(Clone, Debug)]
 pub(super) struct Text {
     pub(super) version: u64,
     pub(super) text: Bytes,
 }
 
-/// Values and mood under one lock, with a signal for watches.
+/// Published values and behaviour under one lock, with a signal for watches.
 pub(super) struct Store {
     clock: ProcessClock,
     state: Mutex<State>,
@@ -28,7 +29,7 @@
 
 struct State {
     text: Option<Text>,
-    /// Lists from old to new; the last is the present one.
+    /// VM lists from oldest to newest; the last is the current one.
     lists: VecDeque<DatedList>,
     behaviour: Behaviour,
     frozen: Option<Frozen>,
@@ -63,7 +64,7 @@
         }
     }
 
-    /// Signals each change of values or mood.
+    /// Returns a receiver that is notified of each change of values or behaviour.
     pub(super) fn changes(&self) -> watch::Receiver<u64> {
         self.changed.subscribe()
     }
@@ -158,17 +159,17 @@
         self.signal();
     }
 
-    /// The text that readers are shown.
+    /// Returns the configuration text that readers are shown.
     pub(super) fn visible_text(&self) -> Option<Text> {
         self.state.lock().visible_text()
     }
 
-    /// The list that readers are shown.
+    /// Returns the VM list that readers are shown.
     pub(super) fn visible_vms(&self) -> Arc<VmList> {
         self.state.lock().visible_vms(self.clock.now())
     }
 
-    /// Time until a lagging list becomes visible.
+    /// Returns the time until the next delayed VM list becomes visible.
     pub(super) fn next_list_in(&self) -> Option<Millis> {
         let now = self.clock.now();
         let state = self.state.lock();
--- a/crates/standins/src/platform/vms.rs
+++ b/crates/standins/src/platform/vms.rs
@@ -4,27 +4,27 @@
 
 use crate::prelude::*;
 
-/// What the platform says about a VM.
+/// State of a VM, as the platform reports it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, Display, EnumString)]
 #[serde(rename_all = "kebab-case")]
 #[strum(serialize_all = "kebab-case")]
 pub enum VmState {
-    /// It serves, as far as the platform knows.
+    /// The VM is in service, as far as the platform knows.
     Live,
-    /// It is about to be replaced.
+    /// The VM is about to be replaced.
     Leaving,
 }
 
-/// One VM.
+/// Entry of one VM in the list.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VmEntry {
     /// Name of the VM.
     pub vm: String,
-    /// Data centre in which it stands.
+    /// Data centre of the VM.
     pub data_centre: String,
     /// Service of its target.
     pub service: String,
-    /// Live or leaving.
+    /// State of the VM.
     pub state: VmState,
     /// TCP address of its node for HTTP/2 between nodes.
     pub peer: SocketAddr,
@@ -32,17 +32,17 @@
     pub control: SocketAddr,
 }
 
-/// The list and its version.
+/// The VM list and its version.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VmList {
-    /// Goes up with each change; 0 before the first.
+    /// Version of the list, which increases with each change; 0 before the first.
     pub version: u64,
     /// All VMs, or those of one service.
     pub vms: Vec<VmEntry>,
 }
 
 impl VmList {
-    /// The list with the VMs of one service only.
+    /// Returns the list restricted to the VMs of one service.
     #[must_use]
     pub fn of_service(&self, service: &str) -> Self {
         let mut vms = Vec::new();
