--- a/crates/standins/src/load.rs
+++ b/crates/standins/src/load.rs
@@ -1,5 +1,5 @@
-//! The load tool: open loop, documented callers, and a reconciliation of what
-//! callers were told with what targets ran.
+//! The load tool: sends calls in an open loop as the documented protocol requires
+//! of callers, and reconciles what callers were told with what targets ran.
 
 use std::collections::BTreeMap;
 use std::time::Instant;
@@ -29,14 +29,14 @@
 pub use record::{CallRecord, Verdict};
 pub use report::{LatencySummary, Report};
 
-/// All calls of one run.
+/// Outcome of one run of the load tool.
 #[derive(Debug)]
 pub struct LoadOutcome {
-    /// The plan.
+    /// The plan of the run.
     pub plan: LoadPlan,
-    /// One record a call, by the order in which they ended.
+    /// One record per call, in the order in which the calls ended.
     pub records: Vec<CallRecord>,
-    /// From the first call to the end of the last.
+    /// Time from the start of the run to the end of the last call.
     pub elapsed: Duration,
 }
 
@@ -47,18 +47,18 @@
         reconcile::reconcile(&self.plan, &self.records, runs)
     }
 
-    /// Sums up; `runs` are those of all targets, if they are known.
+    /// Summarises the run. `runs` are the runs of all targets, if they are known.
     #[must_use]
     pub fn report(&self, runs: Option<&[RunRecord]>) -> Report {
         report::report(self, runs.map(|runs| self.reconcile(runs)))
     }
 }
 
-/// Sends all calls of a plan and waits for the last to end.
+/// Sends all calls of a plan and waits until all have ended.
 ///
 /// # Errors
 ///
-/// Fails when the plan breaks a bound.
+/// Fails when the plan exceeds a limit.
 pub async fn run(plan: LoadPlan) -> Result<LoadOutcome> {
     plan.check()?;
     let plan = Arc::new(plan);
@@ -116,11 +116,11 @@
     caller.call(&call).await
 }
 
-/// Reads the journals of targets that run as processes.
+/// Fetches the journals of targets over HTTP.
 ///
 /// # Errors
 ///
-/// Fails when one of them cannot be reached.
+/// Fails when a journal cannot be read.
 pub async fn fetch_runs(targets: &[SocketAddr]) -> Result<Vec<RunRecord>> {
     let client = HttpClient::new(HttpVersion::Http1);
     let mut runs = Vec::new();
--- a/crates/standins/src/load/answer.rs
+++ b/crates/standins/src/load/answer.rs
@@ -1,4 +1,5 @@
-//! Reads a node's or a target's answer as a documented caller does.
+//! Interprets answers of nodes and targets as the documented protocol requires of
+//! callers.
 
 use crate::http_client::WholeAnswer;
 use crate::http_server::{header_number, header_text};
@@ -9,19 +10,19 @@
 pub(super) struct Meaning {
     pub(super) code: Option<u16>,
     pub(super) kind: AnswerKind,
-    /// When to come back, as far as the answer says.
+    /// Delay before the next send, if the answer specifies one.
     pub(super) wait: Option<Duration>,
-    /// A ticket to go on with.
+    /// A ticket for the next try.
     pub(super) next_ticket: Option<String>,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) enum AnswerKind {
     Answered,
-    /// Nothing has run; the request belongs to this path.
+    /// Nothing has run; the request must be sent to this path.
     Redirect(String),
     NotRun,
-    /// Not run, and trying again would not help.
+    /// Not run, and a retry would not help.
     Refused,
     NotYet,
     TicketDead,
@@ -29,7 +30,7 @@
     Unknown,
 }
 
-/// Reads an answer of a node.
+/// Interprets an answer of a node.
 pub(super) fn from_node(answer: &WholeAnswer) -> Meaning {
     let headers = &answer.headers;
     let number = header_number(headers, header::CODE);
@@ -42,7 +43,7 @@
     }
 }
 
-/// Reads an answer of a target that was called without nodes.
+/// Interprets an answer of a target that was called directly.
 pub(super) fn from_target(answer: &WholeAnswer) -> Meaning {
     let kind = match answer.headers.contains_key(header::NOT_RUN) {
         true => AnswerKind::NotRun,
@@ -58,7 +59,7 @@
 
 fn kind_of(code: Option<ResultCode>, headers: &HeaderMap) -> AnswerKind {
     let Some(code) = code else {
-        // Not from a node that keeps to the protocol, so nothing is certain.
+        // The answer does not follow the protocol of nodes, so nothing is certain.
         return AnswerKind::Unknown;
     };
     match code {
@@ -84,7 +85,7 @@
     }
 }
 
-/// The path of a URL, which any entry serves.
+/// Returns the path and query of a URL; they are valid at any entry.
 fn path_of(url: &str) -> String {
     let Ok(uri) = url.parse::<http::Uri>() else {
         return url.to_owned();
--- a/crates/standins/src/load/caller.rs
+++ b/crates/standins/src/load/caller.rs
@@ -1,8 +1,8 @@
-//! A caller that keeps to the documented protocol.
+//! A caller that follows the documented protocol.
 //!
-//! The rules are those of `docs/callers/result-codes.md`: a new ticket only
-//! after a certain "not run", the same ticket through another entry after a
-//! broken connection, and a stop at "unknown".
+//! The rules are those of `docs/callers/result-codes.md`: a caller uses a new ticket
+//! only after a certain "not run", sends the same ticket through another entry after
+//! a broken connection, and stops at "unknown".
 
 use std::time::Instant;
 
@@ -21,30 +21,32 @@
 use super::record::{CallRecord, Verdict};
 use super::tickets::{TicketBatch, TicketCache};
 
-/// Wait after a fault for which nobody named a time; it doubles each time.
+/// Delay after the first failure without a specified delay; it doubles with each
+/// further failure.
 const INITIAL_BACKOFF: Duration = Duration::from_millis(20);
 const MAX_BACKOFF_DOUBLINGS: u32 = 6;
-/// Validity of a `hitch-next-ticket`, whose header names none.
+/// Assumed validity of a ticket from `hitch-next-ticket`, because the header states
+/// none.
 const NEXT_TICKET_VALID_MS: u64 = 60_000;
 
-/// One call to be made.
+/// A call to be made.
 #[derive(Clone, Debug)]
 pub struct Call<'a> {
-    /// Its kind.
+    /// Kind of the call.
     pub kind: &'a CallKind,
     /// Index of the kind, for the record.
     pub kind_index: usize,
-    /// The caller's name of the call; also its idempotency key.
+    /// The caller's identifier of the call, also used as its idempotency key.
     pub nonce: String,
-    /// Its tenant.
+    /// Tenant of the call.
     pub tenant: Option<String>,
-    /// Decides about the first entry.
+    /// Random number that selects the first entry.
     pub entry_draw: u64,
-    /// When the call was meant to start.
+    /// Intended start of the call.
     pub intended_at: Instant,
 }
 
-/// Makes calls; shared by all calls of one run.
+/// Makes calls. It is shared by all calls of a run.
 pub struct Caller {
     client: HttpClient,
     destination: Destination,
@@ -52,7 +54,7 @@
     ticket_cache: TicketCache,
 }
 
-/// What to do next.
+/// What the caller does next.
 enum Step {
     Done(Verdict),
     Retry,
@@ -60,7 +62,7 @@
 }
 
 impl Caller {
-    /// A caller for one plan.
+    /// Creates a caller for a plan.
     #[must_use]
     pub fn new(plan: &LoadPlan) -> Self {
         Self {
@@ -71,7 +73,7 @@
         }
     }
 
-    /// Makes one call, bounded in requests and time.
+    /// Makes one call, within the limits on requests and time.
     pub async fn call(&self, call: &Call<'_>) -> CallRecord {
         let mut progress = self.begin(call).await;
         let verdict = self.run_to_verdict(call, &mut progress).await;
@@ -132,7 +134,7 @@
         progress.entry += 1;
         progress.faults += 1;
         let nothing_was_sent = fault == SendFault::NotConnected;
-        // Without a ticket an entry runs nothing that is not idempotent.
+        // An entry runs no non-idempotent call without a ticket.
         let runs_nothing = self.is_ticketed(call) && progress.ticket_path.is_none();
         if !nothing_was_sent && !runs_nothing {
             progress.certainly_not_run = false;
@@ -215,8 +217,8 @@
         Step::RetryAfter(wait)
     }
 
-    /// Goes on after a certain "not run": with a new ticket, whose key is new
-    /// as well, because the old key is fenced at its gate.
+    /// Retries after a certain "not run". A ticketed call needs a new ticket, which
+    /// has a new key, because the old key is fenced at its gate.
     async fn retry_with_new_ticket(
         &self,
         call: &Call<'_>,
@@ -260,7 +262,7 @@
         self.ticket_cache.store(&call.kind.service, batch);
     }
 
-    /// Fetches tickets with fresh keys; one is returned, the rest are kept.
+    /// Fetches tickets with new keys; returns one and caches the rest.
     async fn fetch_tickets(&self, call: &Call<'_>, progress: &mut Progress) -> Option<String> {
         let count = self.limits.tickets_ahead.max(1);
         let entry = self.entry(call, progress)?;
@@ -335,7 +337,7 @@
             request = request.header(name, value);
         }
         let request = request.body(Full::new(progress.body.clone()));
-        request.expect("method, path and headers of a checked plan are valid")
+        request.expect("the method, path and headers of a checked plan are valid")
     }
 }
 
@@ -344,7 +346,7 @@
     INITIAL_BACKOFF * 2_u32.pow(doublings)
 }
 
-/// The body of a call, which no other call has.
+/// Returns the body of a call, which differs from that of every other call.
 fn body_of(call: &Call<'_>) -> Bytes {
     let kind = call.kind;
     if kind.body_bytes == 0 && kind.body_prefix.is_empty() {
@@ -356,9 +358,10 @@
     Bytes::from(body)
 }
 
-/// Whether an answer is whole and the one that this request must bring.
+/// Returns whether an answer is complete and the expected one for this request.
 ///
-/// Only successes of the target echo; its failures have no derived body.
+/// Only successful answers have a body derived from the request, so all others
+/// count as expected.
 fn is_expected_answer(call: &Call<'_>, body: &[u8], answer: &WholeAnswer) -> bool {
     if !answer.status.is_success() {
         return true;
--- a/crates/standins/src/load/pace.rs
+++ b/crates/standins/src/load/pace.rs
@@ -1,4 +1,4 @@
-//! Starts of calls, at times that do not depend on answers.
+//! Start times of calls, which do not depend on answers.
 
 use std::thread;
 use std::time::Instant;
@@ -11,21 +11,21 @@
 
 use super::plan::{CallKind, LoadPlan, Pacing};
 
-/// One call that is due.
+/// A call that is due.
 #[derive(Clone, Debug)]
 pub(super) struct DueCall {
     pub(super) number: u64,
     pub(super) kind: usize,
     pub(super) tenant: Option<String>,
-    /// Draw that decides about the entry.
+    /// Random number that selects the first entry.
     pub(super) entry_draw: u64,
     pub(super) intended_at: Instant,
 }
 
-/// Starts a thread that hands out calls when they are due.
+/// Starts a thread that sends each call to the returned receiver when it is due.
 ///
-/// The runtime's timers have a grain of a millisecond, which would show in
-/// every latency; a thread's sleep is finer by an order of magnitude.
+/// The timers of the runtime have a resolution of a millisecond, which would show
+/// in every latency. The sleep of a thread is finer by an order of magnitude.
 pub(super) fn start(plan: &LoadPlan) -> Result<mpsc::UnboundedReceiver<DueCall>> {
     let (sender, receiver) = mpsc::unbounded_channel();
     let mut pacer = Pacer::new(plan);
--- a/crates/standins/src/load/plan.rs
+++ b/crates/standins/src/load/plan.rs
@@ -1,39 +1,39 @@
-//! What the load tool is to send.
+//! Plan of a run of the load tool.
 
 use std::collections::BTreeMap;
 
 use crate::http_client::HttpVersion;
 use crate::prelude::*;
 
-/// The most calls that one run sends.
+/// Maximum number of calls of a run.
 pub const MAX_CALLS: u64 = 2_000_000;
-/// The longest time over which one run sends.
+/// Maximum duration over which a run starts calls, in seconds.
 pub const MAX_SECONDS: f64 = 3_600.0;
 
-/// One run of the load tool.
+/// Plan of a run of the load tool.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct LoadPlan {
-    /// Where calls go.
+    /// Destination of the calls.
     pub destination: Destination,
-    /// What calls there are.
+    /// Kinds of calls.
     pub kinds: Vec<CallKind>,
-    /// Calls a second that are meant to start.
+    /// Rate of call starts per second.
     pub rate_per_s: f64,
-    /// How starts are spread.
+    /// Distribution of the start times.
     pub pacing: Pacing,
-    /// Ends the run after this many calls.
+    /// Number of calls after which the run ends.
     pub calls: u64,
-    /// Ends the run after this time.
+    /// Time after which no more calls start, in seconds.
     pub seconds: f64,
-    /// Seed of all that is drawn.
+    /// Seed of all random numbers.
     pub seed: u64,
-    /// How callers behave.
+    /// Limits on what a caller does for one call.
     pub caller: CallerLimits,
-    /// What callers speak.
+    /// HTTP version of the callers.
     pub http: HttpVersion,
-    /// Calls in progress above which further ones wait; they count from when
-    /// they were meant to start all the same.
+    /// Maximum number of calls in progress. Further calls wait, and their latency
+    /// still counts from their intended start.
     pub max_in_flight: usize,
 }
 
@@ -55,53 +55,59 @@
 }
 
 impl LoadPlan {
-    /// Checks the bounds.
+    /// Checks the limits of the plan.
     ///
     /// # Errors
     ///
-    /// Names the first bound that does not hold.
+    /// Describes the first violation.
     pub fn check(&self) -> Result<()> {
-        ensure!(!self.kinds.is_empty(), "the plan has no kind of call");
-        ensure!(self.calls <= MAX_CALLS, "at most {MAX_CALLS} calls");
+        ensure!(
+            !self.kinds.is_empty(),
+            "the plan needs at least one kind of call"
+        );
+        ensure!(self.calls <= MAX_CALLS, "calls must be at most {MAX_CALLS}");
         ensure!(
             self.seconds > 0.0 && self.seconds <= MAX_SECONDS,
-            "seconds above 0 and up to {MAX_SECONDS}"
+            "seconds must be above 0 and at most {MAX_SECONDS}"
         );
         ensure!(
             self.rate_per_s > 0.0 && self.rate_per_s.is_finite(),
-            "a rate above 0"
+            "rate_per_s must be above 0 and finite"
         );
-        ensure!(self.max_in_flight > 0, "max_in_flight above 0");
+        ensure!(self.max_in_flight > 0, "max_in_flight must be above 0");
         for kind in &self.kinds {
             ensure!(
                 kind.path.starts_with('/'),
-                "the path of {} begins with /",
+                "the path of {} must begin with /",
                 kind.name
             );
             ensure!(
                 !self.destination.addrs(&kind.service).is_empty(),
-                "no address for {}",
+                "no address for the service {}",
                 kind.service
             );
         }
         let weights: u64 = self.kinds.iter().map(|kind| u64::from(kind.weight)).sum();
-        ensure!(weights > 0, "some kind has a weight above 0");
+        ensure!(
+            weights > 0,
+            "at least one kind of call needs a weight above 0"
+        );
         Ok(())
     }
 }
 
-/// Where calls go.
+/// Destination of the calls.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Destination {
-    /// Entries, any of which takes any call.
+    /// Entries, each of which accepts any call.
     Nodes(Vec<SocketAddr>),
-    /// Targets by service, called without nodes: the baseline of latency.
+    /// Targets by service, called directly as a baseline for latency.
     Targets(BTreeMap<String, Vec<SocketAddr>>),
 }
 
 impl Destination {
-    /// Addresses that take calls of a service.
+    /// Returns the addresses that accept calls of a service.
     #[must_use]
     pub fn addrs(&self, service: &str) -> &[SocketAddr] {
         match self {
@@ -110,51 +116,52 @@
         }
     }
 
-    /// Whether calls go to targets without nodes.
+    /// Returns whether calls go directly to targets.
     #[must_use]
     pub fn is_direct(&self) -> bool {
         matches!(self, Self::Targets(_))
     }
 }
 
-/// How starts are spread over time.
+/// Distribution of start times.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Pacing {
-    /// Independent callers.
+    /// Poisson arrivals, as from independent callers.
     #[default]
     Poisson,
-    /// The same time from start to start.
+    /// Constant intervals.
     Even,
 }
 
-/// One kind of call in the mix.
+/// Kind of call.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct CallKind {
-    /// Name in reports.
+    /// Name of the kind in reports.
     pub name: String,
-    /// Service.
+    /// Service that is called.
     pub service: String,
     /// HTTP method.
     pub method: String,
     /// Path below the service, beginning with `/`.
     pub path: String,
-    /// Whether running it twice is harmless, as the text has it.
+    /// Whether running the call twice is harmless; must match the configuration text.
     pub idempotent: bool,
-    /// Class in reports, as the text has it.
+    /// Class in reports; must match the configuration text.
     pub class: String,
-    /// Tenants, drawn evenly; none sends no tenant.
+    /// Tenants, drawn uniformly. If empty, calls name no tenant.
     pub tenants: Vec<String>,
-    /// Size of the request's body.
+    /// Minimum size of the request body, in bytes; 0 sends no filler.
     pub body_bytes: usize,
-    /// Least size of the answer's body.
+    /// Minimum size of the answer body, in bytes.
     pub answer_bytes: usize,
-    /// Deadline that the caller sets; none leaves it to the text.
+    /// Deadline that the caller sets, in milliseconds. Without one the configuration
+    /// text determines it.
     pub deadline_ms: Option<u64>,
-    /// Share of the mix.
+    /// Relative frequency among the kinds.
     pub weight: u32,
-    /// Further headers, such as commands to targets.
+    /// Additional headers, such as those that control the target stand-in.
     pub headers: BTreeMap<String, String>,
     /// Text at the beginning of the body, such as a crash mark.
     pub body_prefix: String,
@@ -180,21 +187,23 @@
     }
 }
 
-/// Bounds on what a caller does for one call.
+/// Limits on what a caller does for one call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct CallerLimits {
-    /// Requests for one call, redirects included.
+    /// Maximum requests for one call, including redirects.
     pub max_sends: u32,
-    /// Tickets for one call, each after a certain "not run".
+    /// Maximum tickets for one call; each further one follows a certain "not run".
     pub max_tickets: u32,
-    /// Time from the intended start after which nothing more is sent.
+    /// Time from the intended start after which nothing more is sent, in
+    /// milliseconds.
     pub give_up_after_ms: u64,
-    /// Longest wait for one answer.
+    /// Timeout of one request, in milliseconds.
     pub send_timeout_ms: u64,
-    /// Resends of the same ticket after "unknown".
+    /// Maximum resends after "unknown"; ticketed calls are resent with the same
+    /// ticket.
     pub unknown_resends: u32,
-    /// Tickets that are fetched ahead at a time; 0 begins without a ticket.
+    /// Number of tickets to prefetch at a time. With 0, calls begin without a ticket.
     pub tickets_ahead: u32,
 }
 
--- a/crates/standins/src/load/progress.rs
+++ b/crates/standins/src/load/progress.rs
@@ -1,4 +1,4 @@
-//! Where one call stands, and what its caller may conclude.
+//! Progress of one call, and what its caller can conclude from it.
 
 use std::time::Instant;
 
@@ -9,16 +9,17 @@
 use super::caller::Call;
 use super::record::{CallRecord, Verdict};
 
-/// Where a call stands.
+/// Progress of a call.
 pub(super) struct Progress {
     pub(super) started_at: Instant,
     pub(super) body: Bytes,
     pub(super) ticket_path: Option<String>,
-    /// Counts tickets; for idempotent calls, sends.
+    /// Number of the current try, from 0. A ticketed call counts tickets, an
+    /// idempotent call counts sends.
     pub(super) try_number: u64,
-    /// No send of this try can have run.
+    /// No send of the current try can have run.
     pub(super) certainly_not_run: bool,
-    /// An earlier send of an idempotent call may have run.
+    /// An earlier try of an idempotent call may have run.
     earlier_try_may_have_run: bool,
     pub(super) entry: usize,
     pub(super) faults: u32,
@@ -27,7 +28,7 @@
 }
 
 impl Progress {
-    /// A call of which nothing was sent yet.
+    /// Creates the progress of a call before its first send.
     pub(super) fn begin(call: &Call<'_>, body: Bytes, entry: usize) -> Self {
         Self {
             started_at: Instant::now(),
@@ -78,8 +79,8 @@
         self.redirect(&format!("{prefix}{ticket}/{service}{path}"));
     }
 
-    /// Each send of an idempotent call is a try of its own, because "not run"
-    /// speaks of that send only.
+    /// Starts the next try of an idempotent call. Each send is a try of its own,
+    /// because "not run" refers to that send only.
     pub(super) fn next_idempotent_try(&mut self) {
         self.earlier_try_may_have_run |= !self.certainly_not_run;
         self.certainly_not_run = true;
--- a/crates/standins/src/load/reconcile.rs
+++ b/crates/standins/src/load/reconcile.rs
@@ -1,4 +1,4 @@
-//! What callers were told against what targets ran.
+//! Compares what callers were told with what targets ran.
 
 use std::collections::HashMap;
 
@@ -8,36 +8,37 @@
 use super::plan::LoadPlan;
 use super::record::{CallRecord, Verdict};
 
-/// Calls that are named in a report for each kind of fault.
+/// Maximum number of example calls in a report for each kind of fault.
 const MAX_EXAMPLES: usize = 10;
 
-/// The outcome of the comparison; the first five must be zero.
+/// Result of the comparison. The first five counters must be zero.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Reconciliation {
-    /// Told "answered", but no target finished such a run.
+    /// Calls whose caller got an answer, but that no target finished.
     pub lost: u64,
-    /// Not idempotent, and started more than once.
+    /// Non-idempotent calls that ran more than once.
     pub run_twice: u64,
-    /// Told "not run", but it ran.
+    /// Calls that ran although their caller was told that they did not.
     pub not_run_but_ran: u64,
-    /// Answered with anything but the whole answer to its own request.
+    /// Calls that got anything but the complete answer to their own request.
     pub wrong_answers: u64,
-    /// Runs without a nonce, which could be second runs of anything.
+    /// Runs without a nonce, which cannot be assigned to a call and could be second
+    /// runs.
     pub unaccounted_runs: u64,
     /// Calls whose callers cannot tell whether they ran.
     pub unknown: u64,
-    /// Of these, calls that ran.
+    /// Calls of these that ran.
     pub unknown_ran: u64,
-    /// Of these, calls that did not run.
+    /// Calls of these that did not run.
     pub unknown_not_ran: u64,
-    /// Idempotent calls that ran more than once: retries and hedges.
+    /// Idempotent calls that ran more than once, through retries and hedged requests.
     pub idempotent_repeats: u64,
-    /// Calls behind the first four, a few of each.
+    /// Up to ten example calls for each of the first four counters.
     pub examples: Vec<String>,
 }
 
 impl Reconciliation {
-    /// Whether nothing was lost, run twice, wrongly refused or mixed up.
+    /// Returns whether the first five counters are zero.
     #[must_use]
     pub fn is_clean(&self) -> bool {
         let faults = self.lost + self.run_twice + self.not_run_but_ran + self.wrong_answers;
@@ -120,7 +121,7 @@
     }
 }
 
-/// Whether a run is one that a target can have answered.
+/// Returns whether the target can have answered this run.
 fn could_have_answered(run: &RunRecord) -> bool {
     matches!(
         run.end,
--- a/crates/standins/src/load/record.rs
+++ b/crates/standins/src/load/record.rs
@@ -1,49 +1,49 @@
-//! What became of one call, as its caller was told.
+//! Outcome of one call, as its caller sees it.
 
 use crate::prelude::*;
 
-/// What a caller ends up knowing.
+/// What a caller knows about its call in the end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Verdict {
-    /// It ran, and this caller has its whole answer.
+    /// The call ran, and the caller has the complete answer.
     Answered,
-    /// It certainly did not run.
+    /// The call certainly did not run.
     NotRun,
-    /// Nobody can tell whether it ran.
+    /// The caller cannot tell whether the call ran.
     Unknown,
 }
 
-/// One call.
+/// Record of one call.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct CallRecord {
-    /// The caller's name of the call.
+    /// The caller's identifier of the call.
     pub nonce: String,
-    /// Index of its kind in the plan.
+    /// Index of the kind of call in the plan.
     pub kind: usize,
-    /// Its tenant, if it has one.
+    /// Tenant of the call, if it has one.
     pub tenant: Option<String>,
-    /// What the caller ends up knowing.
+    /// What the caller knows in the end.
     pub verdict: Verdict,
-    /// Status of the last answer.
+    /// HTTP status of the last answer.
     pub status: Option<u16>,
     /// `hitch-code` of the last answer.
     pub code: Option<u16>,
-    /// The answer was not the one right answer to this request.
+    /// Whether the answer differs from the only correct answer to this request.
     pub wrong_answer: bool,
-    /// Tries (see `standin-try`) of which the caller was told, or may conclude,
-    /// that they did not run.
+    /// Tries (see `standin-try`) that did not run, as the caller was told or can
+    /// conclude.
     pub not_run_tries: Vec<u64>,
-    /// Codes of all answers in order; 0 stands for an answer without a code.
+    /// Result codes of all answers in order; 0 stands for an answer without a code.
     pub codes: Vec<u16>,
-    /// Requests sent.
+    /// Number of requests sent.
     pub sends: u32,
-    /// Tickets used.
+    /// Number of tickets used.
     pub tickets: u32,
-    /// Requests that ended without a whole answer.
+    /// Number of requests that ended without a complete answer.
     pub broken_sends: u32,
-    /// From the intended start to the end.
+    /// Time from the intended start to the end, in microseconds.
     pub latency_us: u64,
-    /// From the first send to the end.
+    /// Time from the first send to the end, in microseconds.
     pub from_send_us: u64,
 }
--- a/crates/standins/src/load/report.rs
+++ b/crates/standins/src/load/report.rs
@@ -1,4 +1,4 @@
-//! Sums up one run of the load tool.
+//! Report on one run of the load tool.
 
 use std::collections::BTreeMap;
 
@@ -11,96 +11,98 @@
 use super::{LoadOutcome, Tally, table};
 
 const SIGNIFICANT_DIGITS: u8 = 3;
-/// Longer latencies are recorded as this.
+/// Largest latency that is recorded, an hour; longer ones are recorded as this.
 const MAX_LATENCY_US: u64 = 3_600_000_000;
 
 const ANSWERED: &str = "answered";
 
-/// Quantiles of one group of calls, in microseconds.
+/// Latency of a group of calls, in microseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct LatencySummary {
-    /// Calls in the group.
+    /// Number of calls in the group.
     pub count: u64,
     /// Mean.
     pub mean_us: f64,
-    /// Half of all calls take less.
+    /// Median.
     pub p50_us: u64,
-    /// 99 of 100 calls take less.
+    /// 99th percentile.
     pub p99_us: u64,
-    /// 999 of 1,000 calls take less.
+    /// 99.9th percentile.
     pub p999_us: u64,
-    /// The slowest call.
+    /// Maximum.
     pub max_us: u64,
 }
 
-/// The report of one run.
+/// Report on one run.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Report {
-    /// Calls a second that were meant to start.
+    /// Planned rate of call starts per second.
     pub planned_rate_per_s: f64,
-    /// Calls a second from the first start to the last end.
+    /// Calls per second from the first start to the last end.
     pub measured_rate_per_s: f64,
-    /// From the first start to the last end.
+    /// Time from the first start to the last end, in seconds.
     pub elapsed_s: f64,
-    /// Calls.
+    /// Number of calls.
     pub calls: u64,
-    /// Calls that were given up before anything was sent: the tool itself was
-    /// late, or no entry was left.
+    /// Calls that were abandoned before anything was sent, because the tool itself
+    /// was late or no entry was available.
     pub never_sent: u64,
-    /// Calls by what their callers ended up knowing.
+    /// Calls by what their callers know in the end.
     pub verdicts: Tally,
-    /// Last answers by result code.
+    /// Calls by the result code of their last answer.
     pub final_codes: Tally,
-    /// Last answers by HTTP status.
+    /// Calls by the HTTP status of their last answer.
     pub final_statuses: Tally,
-    /// All answers by result code, redirects and refused tries included.
+    /// All answers by result code, including redirects and refused tries.
     pub all_codes: Tally,
-    /// Requests sent.
+    /// Number of requests sent.
     pub sends: u64,
-    /// Requests above one a call, redirects not counted.
+    /// Requests beyond the first of each call, without redirects.
     pub resends: u64,
-    /// Tickets used.
+    /// Number of tickets used.
     pub tickets: u64,
-    /// Requests without a whole answer.
+    /// Requests that ended without a complete answer.
     pub broken_sends: u64,
-    /// Answered calls, from their intended start, by group: `all`,
+    /// Latency of answered calls from their intended start, by group: `all`,
     /// `class <name>`, `tenant <name>`, `kind <name>`.
     pub latency: BTreeMap<String, LatencySummary>,
-    /// From the intended start to the first send: how late the tool itself was.
+    /// Time from the intended start to the first send, which is the delay of the
+    /// tool itself.
     pub start_lag: LatencySummary,
-    /// Answered calls, from their first send.
+    /// Latency of answered calls from their first send.
     pub latency_from_send: LatencySummary,
-    /// Calls that were not answered, from their intended start.
+    /// Time from the intended start to the end of calls that were not answered.
     pub latency_unanswered: LatencySummary,
     /// Comparison with the targets' journals, if they are known.
     pub reconciliation: Option<Reconciliation>,
 }
 
 impl Report {
-    /// Whether the targets' journals are known and agree.
+    /// Returns whether the targets' journals are known and agree with the callers'
+    /// records.
     #[must_use]
     pub fn is_clean(&self) -> bool {
         let known = self.reconciliation.as_ref();
         known.is_some_and(Reconciliation::is_clean)
     }
 
-    /// Calls that were answered.
+    /// Returns the number of answered calls.
     #[must_use]
     pub fn answered(&self) -> u64 {
         self.verdicts.get(ANSWERED).copied().unwrap_or(0)
     }
 
-    /// A table for people.
+    /// Formats the report as a table for people.
     #[must_use]
     pub fn table(&self) -> String {
         table::render(self)
     }
 
-    /// JSON for programs.
+    /// Formats the report as JSON for programs.
     ///
     /// # Errors
     ///
-    /// Never for a report as this crate makes it.
+    /// Never fails for a report that this crate created.
     pub fn json(&self) -> Result<String> {
         Ok(serde_json::to_string_pretty(self)?)
     }
@@ -235,9 +237,10 @@
 }
 
 fn histogram() -> Histogram<u64> {
-    // A histogram without bounds keeps only what fits its first few buckets.
+    // Without bounds, the histogram would record only values that fit into its first
+    // few buckets.
     let histogram = Histogram::new_with_bounds(1, MAX_LATENCY_US, SIGNIFICANT_DIGITS);
-    histogram.expect("one microsecond to an hour at three digits is allowed")
+    histogram.expect("a range of one microsecond to an hour with three digits is valid")
 }
 
 fn summary(histogram: &Histogram<u64>) -> LatencySummary {
--- a/crates/standins/src/load/table.rs
+++ b/crates/standins/src/load/table.rs
@@ -1,4 +1,4 @@
-//! The report as a table for people.
+//! Formats the report as a table for people.
 
 use std::fmt::Write;
 
@@ -20,14 +20,18 @@
         "{} requests, {} resends, {} broken, {} tickets, {} calls never sent",
         report.sends, report.resends, report.broken_sends, report.tickets, report.never_sent
     );
-    tally(&mut text, "what callers know", &report.verdicts);
-    tally(&mut text, "last answers by code", &report.final_codes);
-    tally(&mut text, "last answers by status", &report.final_statuses);
-    tally(&mut text, "all answers by code", &report.all_codes);
+    tally(&mut text, "calls by what callers know", &report.verdicts);
+    tally(&mut text, "calls by last result code", &report.final_codes);
+    tally(
+        &mut text,
+        "calls by last HTTP status",
+        &report.final_statuses,
+    );
+    tally(&mut text, "all answers by result code", &report.all_codes);
     latencies(&mut text, report);
     match &report.reconciliation {
         Some(totals) => reconciliation(&mut text, totals),
-        None => text.push_str("\nno reconciliation: the targets' journals were not read\n"),
+        None => text.push_str("\nno reconciliation, because the targets' journals were not read\n"),
     }
     text
 }
@@ -49,7 +53,7 @@
         latency(text, group, summary);
     }
     latency(text, "from the first send", &report.latency_from_send);
-    latency(text, "lag of the tool itself", &report.start_lag);
+    latency(text, "start lag of the load tool", &report.start_lag);
     latency(text, "not answered", &report.latency_unanswered);
 }
 
@@ -73,13 +77,13 @@
     let rows = [
         ("lost", totals.lost),
         ("run twice", totals.run_twice),
-        ("told not run, but ran", totals.not_run_but_ran),
+        ("reported not run, but ran", totals.not_run_but_ran),
         ("wrong answers", totals.wrong_answers),
         ("runs not accounted for", totals.unaccounted_runs),
         ("unknown", totals.unknown),
         ("  of which ran", totals.unknown_ran),
         ("  of which did not run", totals.unknown_not_ran),
-        ("idempotent, run again", totals.idempotent_repeats),
+        ("idempotent, run repeatedly", totals.idempotent_repeats),
     ];
     let _ = writeln!(text, "\nreconciliation with the targets' journals");
     for (name, count) in rows {
--- a/crates/standins/src/load/tickets.rs
+++ b/crates/standins/src/load/tickets.rs
@@ -1,11 +1,11 @@
-//! Tickets that callers hold ahead of their calls.
+//! Cache of tickets that callers fetched before their calls.
 
 use std::collections::{HashMap, VecDeque};
 use std::time::Instant;
 
 use crate::prelude::*;
 
-/// Tickets that are kept for one service.
+/// Maximum number of cached tickets per service.
 const MAX_CACHED: usize = 256;
 
 /// Body of an answer to `POST /.hitch/tickets/<service>`.
@@ -20,14 +20,15 @@
     use_before: Instant,
 }
 
-/// Tickets by service.
+/// Cache of unused tickets by service.
 #[derive(Default)]
 pub(super) struct TicketCache {
     by_service: Mutex<HashMap<String, VecDeque<CachedTicket>>>,
 }
 
 impl TicketCache {
-    /// Keeps tickets; a half of their validity is left for the call itself.
+    /// Adds tickets. They may be taken during the first half of their validity; the
+    /// second half is left for the call itself.
     pub(super) fn store(&self, service: &str, batch: TicketBatch) {
         let use_before = Instant::now() + Duration::from_millis(batch.valid_ms / 2);
         let mut by_service = self.by_service.lock();
@@ -40,7 +41,7 @@
         }
     }
 
-    /// Takes a ticket that is still good.
+    /// Takes a ticket that may still be used.
     pub(super) fn take(&self, service: &str) -> Option<String> {
         let mut by_service = self.by_service.lock();
         let cached = by_service.get_mut(service)?;
