--- a/crates/standins/src/overhead.rs
+++ b/crates/standins/src/overhead.rs
@@ -1,9 +1,9 @@
-//! What nodes add to a call, against a direct call to the same target, in one
-//! run.
+//! Measures the latency that nodes add to a call, compared with a direct call to the
+//! same target in the same run.
 //!
-//! The series are measured in turn, slice by slice and round by round, so that
-//! a slow moment of a shared machine meets all of them. Differences are taken
-//! within a round; a report has the best and the median of all rounds.
+//! The series are measured in turn in each round, so that a slow phase of a shared
+//! machine affects all of them. Differences are computed within a round. A report
+//! contains the best and the median over all rounds.
 
 use crate::demo::{NodeKind, Programs};
 use crate::prelude::*;
@@ -29,28 +29,29 @@
 use doubling::Doubling;
 use report::{IdleNode, SeriesReport};
 
-/// Load comes back to rest in this time after all nodes are ready.
+/// Time after which the start-up load has subsided once all nodes are ready.
 const SETTLE_TIME: Duration = Duration::from_secs(2);
 const IDLE_SPAN: Duration = Duration::from_secs(5);
 
-/// What one run measures.
+/// Plan of one run.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Plan {
-    /// Which nodes are measured.
+    /// Kind of the measured nodes.
     pub nodes: NodeKind,
-    /// Calls a second of each series.
+    /// Calls per second of each series.
     pub rate_per_s: f64,
-    /// Time measured for each series, in seconds.
+    /// Measured time of each series, in seconds.
     pub seconds: f64,
-    /// Slices over which that time is spread.
+    /// Number of rounds over which that time is spread.
     pub rounds: u32,
-    /// Time before the first round, for each series, in seconds.
+    /// Warm-up time of each series before the first round, in seconds.
     pub warm_up_s: f64,
-    /// Kept connections of each route, each with a thread of its own.
+    /// Persistent connections of each route, each with its own thread.
     pub connections: usize,
-    /// The search for the rate at which p99 doubles ends here; 0 leaves it out.
+    /// Highest rate in the search for the rate at which p99 doubles; 0 skips the
+    /// search.
     pub max_rate_per_s: f64,
-    /// Seed of all arrivals.
+    /// Seed of all arrival times.
     pub seed: u64,
 }
 
@@ -70,32 +71,35 @@
 }
 
 impl Plan {
-    /// Checks the bounds.
+    /// Checks the limits of the plan.
     ///
     /// # Errors
     ///
-    /// Names the first bound that does not hold.
+    /// Describes the first violation.
     pub fn check(&self) -> Result<()> {
         ensure!(
             self.rate_per_s >= 1.0 && self.rate_per_s <= 20_000.0,
-            "a rate from 1 to 20,000 calls a second"
+            "the rate must be from 1 to 20,000 calls per second"
         );
         ensure!(
             self.seconds >= 1.0 && self.seconds <= 60.0,
-            "1 to 60 seconds"
+            "the measured time must be from 1 to 60 seconds"
+        );
+        ensure!(
+            (1..=20).contains(&self.rounds),
+            "the number of rounds must be from 1 to 20"
         );
-        ensure!((1..=20).contains(&self.rounds), "1 to 20 rounds");
         ensure!(
             (0.0..=10.0).contains(&self.warm_up_s),
-            "0 to 10 seconds of warm-up"
+            "the warm-up must be from 0 to 10 seconds"
         );
         ensure!(
             (1..=128).contains(&self.connections),
-            "1 to 128 connections"
+            "the number of connections must be from 1 to 128"
         );
         ensure!(
             (0.0..=20_000.0).contains(&self.max_rate_per_s),
-            "a search up to at most 20,000 calls a second"
+            "the search must end at 20,000 calls per second at most"
         );
         Ok(())
     }
@@ -105,11 +109,11 @@
     }
 }
 
-/// Starts two targets with their nodes, measures, and ends all.
+/// Starts two targets with their nodes, runs the measurement and stops all processes.
 ///
 /// # Errors
 ///
-/// Fails when the plan breaks a bound or a process does not come up or end.
+/// Fails when the plan exceeds a limit or a process does not become ready or exit.
 pub async fn run(plan: Plan, programs: &Programs) -> Result<Report> {
     plan.check()?;
     let mut bench = Bench::start(programs, plan.connections).await?;
--- a/crates/standins/src/overhead/bench.rs
+++ b/crates/standins/src/overhead/bench.rs
@@ -1,4 +1,4 @@
-//! The processes that are measured: two targets, each with its node.
+//! The measured processes: the platform and two targets, each with its node.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -12,7 +12,7 @@
 use super::process_time::{ProcessTime, resident_bytes};
 use super::series::{CallType, Route, Series};
 
-/// The service whose target is called.
+/// Service whose target is called.
 const SERVICE: &str = "cashier";
 /// Another service, whose node is the entry on the second VM.
 const OTHER_SERVICE: &str = "ledger";
@@ -20,16 +20,19 @@
 const OTHER_VM: &str = "ledger-1";
 const LOOKUP_PATH: &str = "/prices/passport";
 const PAYMENT_PATH: &str = "/charge";
-/// Where routed nodes find the service; paths begin with a route's prefix there.
+/// Host by which routed nodes find the service. Their paths begin with the prefix of
+/// a route.
 const ROUTED_HOST: &str = "cashier.example";
 const ROUTED_PAYMENT_PATH: &str = "/charges/one";
 const PAYMENT_BYTES: usize = 200;
 const SLOTS: u32 = 12;
-/// Most tickets that one request fetches.
+/// Maximum number of tickets that one request fetches.
 const TICKET_BATCH: usize = 32;
 
-/// Records outlive their calls, and a run makes more calls than a gate keeps
-/// records by default.
+/// Configuration text for ticketed nodes.
+///
+/// `max_records` is raised because records outlive their calls, and a run makes more
+/// calls than a gate keeps records by default.
 const TEXT: &str = r#"{
   "deployment": "overhead",
   "data_centres": ["dc-1"],
@@ -44,7 +47,7 @@
   },
 }"#;
 
-/// The same service for nodes that route by host and path.
+/// Configuration text for nodes that route by host and path, with the same services.
 const ROUTED_TEXT: &str = r#"{
   "deployment": "overhead",
   "data_centres": ["dc-1"],
@@ -58,13 +61,13 @@
   ],
 }"#;
 
-/// Tickets as a node hands them out.
+/// Answer of a node to a request for tickets.
 #[derive(Deserialize)]
 struct Tickets {
     tickets: Vec<String>,
 }
 
-/// The running processes, and callers on each route.
+/// The running processes and the callers of each route.
 pub struct Bench {
     kind: NodeKind,
     deployment: RunningDeployment,
@@ -78,7 +81,7 @@
     ///
     /// # Errors
     ///
-    /// Fails when a process does not come up.
+    /// Fails when a process does not become ready.
     pub async fn start(programs: &Programs, connections: usize) -> Result<Self> {
         let text = match programs.kind {
             NodeKind::Ticketed => TEXT,
@@ -106,16 +109,16 @@
         })
     }
 
-    /// Makes the calls of an offer.
+    /// Makes the calls of an offered load.
     ///
     /// # Errors
     ///
-    /// Fails when tickets or connections cannot be had.
+    /// Fails when tickets cannot be fetched or connections cannot be established.
     pub async fn run_load(&mut self, series: Series, offered: &OfferedLoad) -> Result<Outcome> {
         let template = self.template(series, offered).await?;
         let callers = self.callers.get_mut(&series.route);
         let callers = callers.ok_or_else(|| eyre!("no callers for {series}"))?;
-        // Blocks this thread; it is the only task of the program by now.
+        // Blocks this thread. No other task of the program needs it now.
         tokio::task::block_in_place(|| callers.run(offered, &template))
     }
 
@@ -166,11 +169,11 @@
         Ok(paths)
     }
 
-    /// Processor time of each node since its start, by VM.
+    /// Returns the processor time of each node since its start, by VM.
     ///
     /// # Errors
     ///
-    /// Fails when a node has ended.
+    /// Fails when a node has exited.
     pub fn processor_times(&mut self) -> Result<BTreeMap<String, ProcessTime>> {
         let mut times = BTreeMap::new();
         for vm in [MEASURED_VM, OTHER_VM] {
@@ -180,11 +183,11 @@
         Ok(times)
     }
 
-    /// Memory of each node, by VM, in bytes.
+    /// Returns the resident memory of each node by VM, in bytes.
     ///
     /// # Errors
     ///
-    /// Fails when a node has ended.
+    /// Fails when a node has exited.
     pub fn resident_bytes(&mut self) -> Result<BTreeMap<String, u64>> {
         let mut bytes = BTreeMap::new();
         for vm in [MEASURED_VM, OTHER_VM] {
@@ -194,13 +197,13 @@
         Ok(bytes)
     }
 
-    /// Ends all processes.
+    /// Stops all processes.
     ///
     /// # Errors
     ///
-    /// Fails when one does not end in time or not with status 0.
+    /// Fails when a process does not exit in time or not with status 0.
     pub async fn stop(mut self) -> Result<()> {
-        // Kept connections would be waited for.
+        // The nodes would wait for open connections while they drain.
         let callers = std::mem::take(&mut self.callers);
         tokio::task::block_in_place(|| drop(callers));
         self.deployment.stop().await
--- a/crates/standins/src/overhead/bounds.rs
+++ b/crates/standins/src/overhead/bounds.rs
@@ -1,17 +1,17 @@
-//! Bounds on ratios within one run.
+//! Limits on ratios within one run.
 //!
-//! They are wide, because a machine under other work stretches the longer
-//! routes more than the direct call; what breaks them is a fault in the path,
-//! such as a lock held over I/O or a timer per call.
+//! The limits are wide, because other load on the machine slows the longer routes more
+//! than the direct call. They are exceeded by faults in the call path, such as a lock
+//! held during I/O or a timer per call.
 
 use super::report::Report;
 use super::series::{Route, Series};
 
-/// Two nodes are crossed by four more connections than a direct call.
+/// A call through two nodes uses four more connections than a direct call.
 const MAX_P50_RATIO_TWO_VMS: f64 = 20.0;
 const MAX_P50_RATIO_ONE_VM: f64 = 20.0;
 
-/// Names every bound that a run breaks.
+/// Describes every failure and every exceeded limit of a run.
 #[must_use]
 pub fn violations(report: &Report) -> Vec<String> {
     let mut violations = Vec::new();
@@ -41,6 +41,6 @@
         return None;
     }
     Some(format!(
-        "{series}: adds {ratio:.1} times the direct p50, allowed {max_ratio}"
+        "{series}: adds {ratio:.1} times the direct p50, the limit is {max_ratio}"
     ))
 }
--- a/crates/standins/src/overhead/doubling.rs
+++ b/crates/standins/src/overhead/doubling.rs
@@ -1,4 +1,4 @@
-//! The rate at which the p99 of a series doubles.
+//! Search for the rate at which the p99 of a series doubles.
 
 use crate::prelude::*;
 
@@ -12,46 +12,48 @@
 const SLICE: Duration = Duration::from_secs(1);
 const SLICES: u64 = 3;
 const FACTOR: f64 = 2.0;
-/// Halvings of the interval between the last rate that holds and the first
-/// that does not.
+/// Number of times that the interval between the highest rate without doubling and
+/// the lowest rate with doubling is halved.
 const REFINEMENTS: u32 = 2;
-/// A generator whose own lag is above this share of the p99 measures itself.
+/// If the p99 of the generator's own lag exceeds this share of the p99 latency, the
+/// generator limits the result.
 const MAX_LAG_SHARE: f64 = 0.5;
 
-/// One rate that was tried.
+/// Measurement at one rate.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub struct Step {
-    /// Calls a second.
+    /// Calls per second.
     pub rate_per_s: f64,
     /// Median p99 of the slices, in microseconds.
     pub p99_us: f64,
     /// Median p99 of the generator's own lag, in microseconds.
     pub lag_p99_us: f64,
-    /// Calls that failed.
+    /// Number of failed calls.
     pub failures: u64,
 }
 
-/// What the search has found for one series.
+/// Result of the search for one series.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Doubling {
     /// The series.
     pub series: Series,
     /// Median p99 at the plan's rate, in microseconds.
     pub base_p99_us: f64,
-    /// Highest rate that was tried without doubling it.
+    /// Highest measured rate at which the p99 did not double.
     pub holds_at_per_s: f64,
-    /// Lowest rate that doubled it; none up to the search's end.
+    /// Lowest measured rate at which the p99 doubled; `None` if no rate up to the end of
+    /// the search did.
     pub doubles_at_per_s: Option<f64>,
-    /// All steps in their order.
+    /// All measurements, in order.
     pub steps: Vec<Step>,
 }
 
 impl Doubling {
-    /// Doubles the rate until the p99 has doubled, then halves the interval.
+    /// Doubles the rate until the p99 has doubled, then bisects the last interval.
     ///
     /// # Errors
     ///
-    /// Fails when calls cannot be made at all.
+    /// Fails when tickets cannot be fetched or connections cannot be established.
     pub(super) async fn search(
         plan: &Plan,
         bench: &mut Bench,
@@ -108,7 +110,7 @@
         Ok(())
     }
 
-    /// Whether the generator itself was late in the step that doubled.
+    /// Returns whether the generator itself was late at the rate that doubled the p99.
     #[must_use]
     pub fn is_limited_by_generator(&self) -> bool {
         let Some(rate_per_s) = self.doubles_at_per_s else {
--- a/crates/standins/src/overhead/open_loop.rs
+++ b/crates/standins/src/overhead/open_loop.rs
@@ -1,8 +1,9 @@
-//! Callers with kept connections that start calls when they are due.
+//! An open loop of callers with persistent connections, which start calls when they
+//! are due.
 //!
-//! Each connection has a thread and a runtime of its own, so that a call costs
-//! its caller no hop between threads. A due call goes to whichever caller is
-//! free; while none is, its time runs on.
+//! Each connection has its own thread and runtime, so that a call does not switch
+//! between threads. A due call is made by any free caller. While none is free, its
+//! latency already counts.
 
 use std::collections::VecDeque;
 use std::net::TcpStream as StdStream;
@@ -23,59 +24,63 @@
 use super::quantiles::{Durations, durations, record};
 use super::schedule::{Schedule, wait_until};
 
-/// No call takes longer; one that does has failed.
+/// Timeout of a call. A call that takes longer counts as failed.
 const CALL_TIMEOUT: Duration = Duration::from_secs(5);
+/// Time for the runtime to notice that the peer has closed a connection.
 const CLOSE_DETECTION_DELAY: Duration = Duration::from_millis(1);
-/// Time for all threads to come up before the first call is due.
+/// Time for all threads to start before the first call is due.
 const START_DELAY: Duration = Duration::from_millis(20);
 
-/// Calls to be made over some time.
+/// Calls to be made over a time span.
 #[derive(Clone, Copy, Debug)]
 pub struct OfferedLoad {
-    /// Calls a second.
+    /// Calls per second.
     pub rate_per_s: f64,
-    /// Time over which they start.
+    /// Time over which the calls start.
     pub span: Duration,
-    /// Seed of their times.
+    /// Seed of the start times.
     pub seed: u64,
 }
 
 impl OfferedLoad {
-    /// Calls that this offer makes at most, for those who provide for each.
+    /// Returns an upper limit on the number of calls, for example to prefetch a
+    /// ticket for each.
     #[must_use]
     pub fn max_calls(&self) -> usize {
         let mean = self.rate_per_s * self.span.as_secs_f64();
-        // Arrivals vary by the root of their number; six times that is enough.
+        // The standard deviation of the number of arrivals is the square root of its
+        // mean; six times that is enough.
         (mean + 6.0 * mean.sqrt()).ceil() as usize + 1
     }
 }
 
-/// What became of an offer.
+/// Outcome of an offered load.
 #[derive(Debug)]
 pub struct Outcome {
-    /// Calls that were due.
+    /// Number of calls that were due.
     pub calls: u64,
-    /// Calls without the answer 200, by their answers.
+    /// Number of calls that were not answered with 200, by answer or error.
     pub failures: Tally,
-    /// From when a call was due to its whole answer, without the lag.
+    /// Time from when a call was due to its complete answer, without the lag.
     pub latency: Durations,
-    /// Time by which callers that were free were late, in starting a call.
+    /// Delay with which free callers started a call.
     pub lag: Durations,
 }
 
-/// The request of a series: its path is either fixed or one of its own a call.
+/// Request template of a series. The path is either the same for all calls or used
+/// for a single call.
 #[derive(Debug)]
 pub struct CallTemplate {
-    /// Method.
+    /// HTTP method.
     pub method: Method,
-    /// The host that is asked for, where callers are known by request ids; else
-    /// it is the address.
+    /// Value of the `Host` header for routed nodes, whose callers also send a request
+    /// id and a deadline. Otherwise `Host` is the address.
     pub host: Option<&'static str>,
-    /// Path where it is the same for all.
+    /// Path of calls for which no single-use path is left.
     pub path: String,
-    /// Paths for one call each, used up first.
+    /// Paths that are used for one call each, before `path`.
     pub single_use_paths: Mutex<VecDeque<String>>,
-    /// Body.
+    /// Request body.
     pub body: Bytes,
 }
 
@@ -98,17 +103,17 @@
     }
 }
 
-/// Callers of one address.
+/// Callers of one address, each with its own connection.
 pub struct OpenLoop {
     callers: Vec<Caller>,
 }
 
 impl OpenLoop {
-    /// Callers without connections yet.
+    /// Creates callers, which are not yet connected.
     ///
     /// # Errors
     ///
-    /// Fails when a runtime cannot be had.
+    /// Fails when a runtime cannot be created.
     pub fn new(addr: SocketAddr, connections: usize) -> Result<Self> {
         let mut callers = Vec::new();
         for _ in 0..connections {
@@ -117,11 +122,11 @@
         Ok(Self { callers })
     }
 
-    /// Makes all calls of an offer; blocks the thread until the last answer.
+    /// Makes all calls of an offered load. Blocks the thread until all have ended.
     ///
     /// # Errors
     ///
-    /// Fails when a connection cannot be had.
+    /// Fails when a connection cannot be established.
     pub fn run(&mut self, offered: &OfferedLoad, template: &CallTemplate) -> Result<Outcome> {
         for caller in &mut self.callers {
             caller.connect()?;
@@ -141,7 +146,9 @@
                 running.push(scope.spawn(move || caller.work(schedule, template)));
             }
             for thread in running {
-                let part = thread.join().map_err(|_| eyre!("a caller panicked"))?;
+                let part = thread
+                    .join()
+                    .map_err(|_| eyre!("the thread of a caller panicked"))?;
                 outcome.add(&part)?;
             }
             Ok(outcome)
@@ -160,7 +167,7 @@
     }
 }
 
-/// What one caller has seen.
+/// Outcome of the calls of one caller.
 struct CallerOutcome {
     failures: Tally,
     latency: Durations,
@@ -185,8 +192,8 @@
 
     fn connect(&mut self) -> Result<()> {
         if self.sender.is_some() {
-            // The connection's own task runs only in here: without a moment of
-            // its own it would not see that the other side has closed.
+            // The connection's task only runs inside `block_on`. Without this delay
+            // it would not notice that the peer has closed the connection.
             self.runtime.block_on(sleep(CLOSE_DETECTION_DELAY));
         }
         let is_open = self.sender.as_ref().is_some_and(|kept| !kept.is_closed());
--- a/crates/standins/src/overhead/process_time.rs
+++ b/crates/standins/src/overhead/process_time.rs
@@ -1,31 +1,31 @@
-//! Processor time and memory of a process, as the kernel counts them.
+//! Processor time and memory of a process, as the kernel reports them.
 
 use std::collections::BTreeMap;
 use std::fs;
 
 use crate::prelude::*;
 
-/// Fields of `/proc/<pid>/stat` behind the name, counted from the state.
+/// Indices into the fields of `/proc/<pid>/stat` after the name, where the state is 0.
 const USER_TICKS_FIELD: usize = 11;
 const SYSTEM_TICKS_FIELD: usize = 12;
-/// Second field of `/proc/<pid>/statm`.
+/// Index of the resident pages in `/proc/<pid>/statm`.
 const RESIDENT_PAGES_FIELD: usize = 1;
 
 /// Processor time of a process since its start.
 #[derive(Clone, Debug, Default)]
 pub struct ProcessTime {
-    /// User and system time of all threads, ended ones included.
+    /// User and system time of all threads, including those that have ended.
     total: Duration,
-    /// The same of the threads that live, by their names.
+    /// User and system time of the running threads, by thread name.
     by_thread: BTreeMap<String, Duration>,
 }
 
 impl ProcessTime {
-    /// Reads the kernel's count.
+    /// Reads the processor time of a process.
     ///
     /// # Errors
     ///
-    /// Fails when there is no such process.
+    /// Fails when the process does not exist.
     pub fn read(process_id: u32) -> Result<Self> {
         let own = format!("/proc/{process_id}");
         let mut time = Self {
@@ -34,7 +34,7 @@
         };
         for thread in fs::read_dir(format!("{own}/task"))? {
             let path = thread?.path().join("stat");
-            // A thread may end between the listing and the reading.
+            // A thread may end after it was listed and before it is read.
             let Ok(stat) = read_stat(&path.to_string_lossy()) else {
                 continue;
             };
@@ -43,7 +43,7 @@
         Ok(time)
     }
 
-    /// What was spent since an earlier reading.
+    /// Returns the processor time spent since an earlier reading.
     #[must_use]
     pub fn since(&self, before: &Self) -> Self {
         let mut by_thread = BTreeMap::new();
@@ -57,13 +57,13 @@
         }
     }
 
-    /// All threads together.
+    /// Returns the processor time of all threads together.
     #[must_use]
     pub fn total(&self) -> Duration {
         self.total
     }
 
-    /// Shares of one core over a span, by thread name and in `total`.
+    /// Returns the shares of one core over a time span, by thread name and as `total`.
     #[must_use]
     pub fn core_shares(&self, span: Duration) -> BTreeMap<String, f64> {
         let mut shares = BTreeMap::new();
@@ -85,14 +85,16 @@
 
 fn read_stat(path: &str) -> Result<Stat> {
     let text = fs::read_to_string(path).wrap_err_with(|| format!("cannot read {path}"))?;
-    // The name stands in brackets and may itself contain some.
+    // The name is in parentheses and may itself contain parentheses.
     let Some((head, fields)) = text.rsplit_once(')') else {
-        bail!("{path} has no name in brackets");
+        bail!("{path} has no name in parentheses");
     };
     let name = head.split_once('(').map_or("", |(_, name)| name);
     let fields: Vec<&str> = fields.split_whitespace().collect();
     let ticks = |index: usize| -> Result<u64> {
-        let field = fields.get(index).ok_or_else(|| eyre!("{path} is short"))?;
+        let field = fields
+            .get(index)
+            .ok_or_else(|| eyre!("{path} has too few fields"))?;
         Ok(field.parse()?)
     };
     let busy_ticks = ticks(USER_TICKS_FIELD)? + ticks(SYSTEM_TICKS_FIELD)?;
@@ -103,20 +105,22 @@
     })
 }
 
-/// Memory of a process that is in use, in bytes.
+/// Returns the resident memory of a process, in bytes.
 ///
 /// # Errors
 ///
-/// Fails when there is no such process.
+/// Fails when the process does not exist.
 pub fn resident_bytes(process_id: u32) -> Result<u64> {
     let text = fs::read_to_string(format!("/proc/{process_id}/statm"))?;
     let pages = text.split_whitespace().nth(RESIDENT_PAGES_FIELD);
-    let pages: u64 = pages.ok_or_else(|| eyre!("statm is short"))?.parse()?;
+    let pages: u64 = pages
+        .ok_or_else(|| eyre!("statm has too few fields"))?
+        .parse()?;
     Ok(pages * rustix::param::page_size() as u64)
 }
 
-/// The machine's load average over the last minute; figures taken under other
-/// work say more about that work.
+/// Returns the machine's load average over the last minute, or NaN if it cannot be
+/// read. Reports include it because other load on the machine distorts the results.
 #[must_use]
 pub fn load_average() -> f64 {
     let text = fs::read_to_string("/proc/loadavg").unwrap_or_default();
--- a/crates/standins/src/overhead/quantiles.rs
+++ b/crates/standins/src/overhead/quantiles.rs
@@ -1,4 +1,4 @@
-//! Quantiles of one histogram.
+//! Quantiles of a histogram of durations.
 
 use hdrhistogram::Histogram;
 
@@ -8,16 +8,16 @@
 const MAX_DURATION_NS: u64 = 60_000_000_000;
 const NS_PER_US: f64 = 1_000.0;
 
-/// Durations in nanoseconds.
+/// Histogram of durations in nanoseconds.
 pub type Durations = Histogram<u64>;
 
-/// An empty histogram.
+/// Creates an empty histogram.
 pub(super) fn durations() -> Durations {
     Histogram::new_with_bounds(1, MAX_DURATION_NS, SIGNIFICANT_DIGITS)
-        .expect("the bounds and digits are constants that the library takes")
+        .expect("the constant bounds and digits are valid")
 }
 
-/// Records a duration; longer ones than a minute count as a minute.
+/// Records a duration. Durations above a minute are recorded as a minute.
 pub(super) fn record(durations: &mut Durations, duration: Duration) {
     let ns = u64::try_from(duration.as_nanos()).unwrap_or(u64::MAX);
     durations.saturating_record(ns);
@@ -26,16 +26,16 @@
 /// Quantiles in microseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Quantiles {
-    /// Half of all take less.
+    /// Median.
     pub p50_us: f64,
-    /// 99 of 100 take less.
+    /// 99th percentile.
     pub p99_us: f64,
-    /// 999 of 1,000 take less.
+    /// 99.9th percentile.
     pub p999_us: f64,
 }
 
 impl Quantiles {
-    /// Reads a histogram.
+    /// Reads the quantiles of a histogram.
     #[must_use]
     pub fn of(durations: &Histogram<u64>) -> Self {
         let us = |quantile| durations.value_at_quantile(quantile) as f64 / NS_PER_US;
@@ -46,7 +46,7 @@
         }
     }
 
-    /// The difference of each quantile.
+    /// Subtracts each quantile of `other`.
     #[must_use]
     pub fn minus(&self, other: &Self) -> Self {
         Self {
@@ -56,13 +56,13 @@
         }
     }
 
-    /// The median of each quantile over several rounds.
+    /// Returns the median of each quantile over all rounds.
     #[must_use]
     pub fn median(rounds: &[Self]) -> Self {
         Self::by_rank(rounds, rounds.len() / 2)
     }
 
-    /// The least of each quantile over several rounds.
+    /// Returns the minimum of each quantile over all rounds.
     #[must_use]
     pub fn minimum(rounds: &[Self]) -> Self {
         Self::by_rank(rounds, 0)
--- a/crates/standins/src/overhead/report.rs
+++ b/crates/standins/src/overhead/report.rs
@@ -1,4 +1,4 @@
-//! What one run has measured.
+//! Report on one run.
 
 use std::collections::BTreeMap;
 
@@ -13,14 +13,14 @@
 use super::series::{Route, Series};
 use super::table;
 
-/// A node without traffic.
+/// Measurements of a node without traffic.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct IdleNode {
-    /// Its VM.
+    /// VM of the node.
     pub vm: String,
-    /// Shares of one core, by thread name and in `total`.
+    /// Shares of one core, by thread name and as `total`.
     pub core_share_by_thread: BTreeMap<String, f64>,
-    /// Memory in use.
+    /// Resident memory, in bytes.
     pub resident_bytes: u64,
 }
 
@@ -29,7 +29,7 @@
 pub struct NodeTime {
     /// User and system time, in microseconds.
     pub busy_us: f64,
-    /// Calls in that time.
+    /// Number of calls in that time.
     pub calls: u64,
 }
 
@@ -40,27 +40,28 @@
         self.calls += calls;
     }
 
-    /// Processor time a call, what the node spends without calls included.
+    /// Returns the processor time per call, in microseconds. It includes what the node
+    /// uses without calls.
     #[must_use]
     pub fn us_per_call(&self) -> f64 {
         self.busy_us / self.calls.max(1) as f64
     }
 }
 
-/// One series.
+/// Results of one series.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct SeriesReport {
-    /// Which.
+    /// The series.
     pub series: Series,
-    /// Calls.
+    /// Number of calls.
     pub calls: u64,
-    /// Calls without the answer 200, by their answers.
+    /// Number of calls that were not answered with 200, by answer or error.
     pub failures: Tally,
     /// Latency of each round.
     pub rounds: Vec<Quantiles>,
     /// Latency over all rounds.
     pub overall: Quantiles,
-    /// How late the generator itself was, over all rounds.
+    /// Lag of the generator itself, over all rounds.
     pub generator_lag: Quantiles,
     /// Processor time of each node, by VM.
     pub nodes: BTreeMap<String, NodeTime>,
@@ -73,7 +74,7 @@
 }
 
 impl SeriesReport {
-    /// A series without rounds yet.
+    /// Creates the report of a series without rounds.
     #[must_use]
     pub fn new(series: Series) -> Self {
         Self {
@@ -102,50 +103,50 @@
         Ok(())
     }
 
-    /// Calls without the answer 200.
+    /// Returns the number of calls that were not answered with 200.
     #[must_use]
     pub fn failed(&self) -> u64 {
         self.failures.values().sum()
     }
 
-    /// The median of all rounds.
+    /// Returns the median over all rounds.
     #[must_use]
     pub fn median(&self) -> Quantiles {
         Quantiles::median(&self.rounds)
     }
 }
 
-/// What a route adds to the direct call, from the rounds of one run.
+/// Latency that a route adds to the direct call, from the rounds of one run.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub struct Added {
-    /// Difference of the best rounds: on a shared machine the one that other
-    /// work has met least, of either series.
+    /// Difference between the best rounds of both series. On a shared machine these
+    /// are the rounds least affected by other load.
     pub best: Quantiles,
-    /// Median difference.
+    /// Median of the differences within each round.
     pub median: Quantiles,
 }
 
-/// The report of one run.
+/// Report on one run.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Report {
-    /// What was measured.
+    /// Plan of the run.
     pub plan: Plan,
     /// The machine's load average before the first round.
     pub load_average_before: f64,
-    /// The same after the last measurement.
+    /// The machine's load average after the last measurement.
     pub load_average_after: f64,
-    /// Nodes without traffic.
+    /// Measurements of the nodes without traffic.
     pub idle: Vec<IdleNode>,
-    /// All series.
+    /// Results of all series.
     pub series: Vec<SeriesReport>,
-    /// Rates at which the p99 doubles; empty when they were not searched.
+    /// Rates at which the p99 doubles; empty if the search was skipped.
     pub doublings: Vec<Doubling>,
-    /// Memory of each node after all traffic, by VM.
+    /// Resident memory of each node after all traffic, by VM, in bytes.
     pub resident_bytes_after: BTreeMap<String, u64>,
 }
 
 impl Report {
-    /// What a series adds to the direct one of its call type.
+    /// Returns the latency that a series adds to the direct series of its call type.
     #[must_use]
     pub fn added(&self, series: Series) -> Option<Added> {
         let direct = Series {
@@ -163,23 +164,23 @@
         })
     }
 
-    /// The report of one series.
+    /// Returns the results of one series.
     #[must_use]
     pub fn of(&self, series: Series) -> Option<&SeriesReport> {
         self.series.iter().find(|one| one.series == series)
     }
 
-    /// A table for people.
+    /// Formats the report as a table for people.
     #[must_use]
     pub fn table(&self) -> String {
         table::render(self)
     }
 
-    /// JSON for programs.
+    /// Formats the report as JSON for programs.
     ///
     /// # Errors
     ///
-    /// Never for a report as this crate makes it.
+    /// Never fails for a report that this crate created.
     pub fn json(&self) -> Result<String> {
         Ok(serde_json::to_string_pretty(self)?)
     }
--- a/crates/standins/src/overhead/schedule.rs
+++ b/crates/standins/src/overhead/schedule.rs
@@ -1,4 +1,4 @@
-//! When calls are due, whatever answers do.
+//! Times at which calls are due, which do not depend on answers.
 
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::thread;
@@ -9,10 +9,11 @@
 
 use crate::prelude::*;
 
-/// A thread's sleep ends late by about this much; the rest is spun away.
+/// A thread's sleep ends late by about this much, so the last part of a wait is a
+/// spin loop.
 const SPIN_TIME: Duration = Duration::from_micros(60);
 
-/// Independent arrivals, drawn ahead; each is handed out once.
+/// Poisson arrivals, drawn in advance. Each is taken once.
 pub(super) struct Schedule {
     due: Vec<Duration>,
     next: AtomicUsize,
@@ -20,7 +21,7 @@
 }
 
 impl Schedule {
-    /// Arrivals from `origin` on over a span.
+    /// Draws arrivals over a time span from `origin`.
     pub(super) fn draw(rate_per_s: f64, span: Duration, seed: u64, origin: Instant) -> Self {
         let mut rng = StdRng::seed_from_u64(seed);
         let mut due = Vec::new();
@@ -40,12 +41,12 @@
         }
     }
 
-    /// How many arrivals there are.
+    /// Returns the total number of arrivals.
     pub(super) fn len(&self) -> usize {
         self.due.len()
     }
 
-    /// The next arrival that nobody has taken.
+    /// Takes the next arrival.
     pub(super) fn take(&self) -> Option<Instant> {
         let index = self.next.fetch_add(1, Ordering::Relaxed);
         let offset = self.due.get(index)?;
@@ -53,7 +54,7 @@
     }
 }
 
-/// Waits for a point in time, to within microseconds on an idle core.
+/// Waits until a point in time, precise to microseconds on an idle core.
 pub(super) fn wait_until(due: Instant) {
     let left = due.saturating_duration_since(Instant::now());
     if left > SPIN_TIME {
--- a/crates/standins/src/overhead/series.rs
+++ b/crates/standins/src/overhead/series.rs
@@ -1,4 +1,4 @@
-//! What is compared with what.
+//! The series that are measured and compared.
 
 use std::fmt;
 
@@ -6,7 +6,7 @@
 
 use crate::prelude::*;
 
-/// How a call reaches the target.
+/// Route of a call to the target.
 #[derive(
     Clone,
     Copy,
@@ -23,15 +23,15 @@
 #[serde(rename_all = "kebab-case")]
 #[strum(serialize_all = "kebab-case")]
 pub enum Route {
-    /// From the caller to the target, without a node.
+    /// Directly from the caller to the target, without a node.
     Direct,
-    /// Through the node on the target's own VM, as entry and gate.
+    /// Through the node on the target's VM, which is both entry and gate.
     OneVm,
-    /// Through an entry on the VM of another service.
+    /// Through an entry on the VM of another service and the gate on the target's VM.
     TwoVms,
 }
 
-/// What a call asks for.
+/// Type of a call.
 #[derive(
     Clone,
     Copy,
@@ -50,21 +50,21 @@
 pub enum CallType {
     /// An idempotent `GET`.
     Lookup,
-    /// A non-idempotent `POST` under a ticket that was fetched ahead.
+    /// A non-idempotent `POST`; through ticketed nodes with a prefetched ticket.
     Payment,
 }
 
 /// One call type on one route.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Series {
-    /// What is asked for.
+    /// Type of the calls.
     pub call: CallType,
-    /// By which route.
+    /// Route of the calls.
     pub route: Route,
 }
 
 impl Series {
-    /// All six, each call type's direct series first.
+    /// Returns all six series; the direct series of each call type comes first.
     #[must_use]
     pub fn all() -> Vec<Self> {
         let mut all = Vec::new();
@@ -76,13 +76,14 @@
         all
     }
 
-    /// Whether calls pass nodes.
+    /// Returns whether the calls pass through nodes.
     #[must_use]
     pub fn is_through_nodes(self) -> bool {
         self.route != Route::Direct
     }
 
-    /// Whether calls need tickets.
+    /// Returns whether the calls are payments through nodes, which need tickets unless
+    /// the nodes route by host and path.
     #[must_use]
     pub fn is_ticketed(self) -> bool {
         self.call == CallType::Payment && self.is_through_nodes()
--- a/crates/standins/src/overhead/table.rs
+++ b/crates/standins/src/overhead/table.rs
@@ -1,4 +1,4 @@
-//! The report as a table for people.
+//! Formats the report as a table for people.
 
 use std::fmt::Write;
 
@@ -13,7 +13,7 @@
     let plan = &report.plan;
     let _ = writeln!(
         text,
-        "{}/s open loop, {} s a series in {} rounds, {} connections; load average {:.1} to {:.1}",
+        "{}/s open loop, {} s per series in {} rounds, {} connections; load average {:.1} to {:.1}",
         plan.rate_per_s,
         plan.seconds,
         plan.rounds,
@@ -105,7 +105,7 @@
         return format!("above {holds:.0}/s");
     };
     let limit = if found.is_limited_by_generator() {
-        ", the generator itself is late there"
+        ", where the generator itself is late"
     } else {
         ""
     };
@@ -113,7 +113,7 @@
 }
 
 fn processor_times(text: &mut String, report: &Report) {
-    text.push_str("\nprocessor time of nodes in us a call\n");
+    text.push_str("\nprocessor time of nodes in us per call\n");
     for one in &report.series {
         if !one.series.is_through_nodes() {
             continue;
@@ -133,7 +133,7 @@
             let _ = writeln!(text, "  {name:<30} {:>9.2}", share * 100.0);
         }
     }
-    text.push_str("\nmemory of nodes in MB, without traffic and after all\n");
+    text.push_str("\nmemory of nodes in MB, without traffic and after all measurements\n");
     for node in &report.idle {
         let after = report.resident_bytes_after.get(&node.vm);
         let _ = writeln!(
--- a/crates/standins/tests/fleet.rs
+++ b/crates/standins/tests/fleet.rs
@@ -1,4 +1,4 @@
-//! The fleet, on a program that stands for a node.
+//! Tests of the fleet, with scripts in place of the node program.
 
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -9,8 +9,9 @@
 
 const BOUND: Duration = Duration::from_secs(10);
 
-/// A script beside this file. It is not written by the test: a file that was
-/// just written cannot be run while a process forked meanwhile holds it open.
+/// Returns the path of a script in `tests/fleet`. Tests do not write scripts
+/// themselves: a file that was just written cannot be executed while a process that
+/// was forked meanwhile still holds it open.
 fn program(name: &str) -> PathBuf {
     let dir = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fleet");
     dir.join(name)
@@ -34,7 +35,8 @@
 }
 
 fn is_alive(id: u32) -> bool {
-    // A zombie is no longer alive; its state is the third field.
+    // The state is the field after the name in parentheses; Z marks a zombie, which is
+    // no longer alive.
     let stat = std::fs::read_to_string(format!("/proc/{id}/stat"));
     stat.is_ok_and(|stat| !stat.contains(") Z "))
 }
@@ -81,9 +83,9 @@
     assert!(!Path::new(file).exists());
 }
 
-/// Another process takes a node's port before the node has bound it: the node
-/// ends at once, and the fleet must publish new addresses a few times, not for
-/// ever and not never.
+/// Another process takes a node's port before the node binds it, and the node exits at
+/// once. The fleet must assign and publish new addresses, but only a limited number of
+/// times.
 #[tokio::test]
 async fn a_node_that_lost_its_port_is_given_another() {
     let mut fleet = Fleet::new(config(&program("collides.sh"))).unwrap();
--- a/crates/standins/tests/fleet/collides.sh
+++ b/crates/standins/tests/fleet/collides.sh
@@ -1,4 +1,4 @@
 #!/bin/sh
-# Stands for a node whose port another process has taken.
+# Stands in for a node whose port is in use by another process.
 echo "Address already in use (os error 98)" >&2
 exit 1
--- a/crates/standins/tests/fleet/waits.sh
+++ b/crates/standins/tests/fleet/waits.sh
@@ -1,4 +1,4 @@
 #!/bin/sh
-# Stands for a node that never becomes ready.
+# Stands in for a node that never becomes ready.
 echo "started $1 $2" >&2
 exec sleep 60
--- a/crates/standins/tests/load.rs
+++ b/crates/standins/tests/load.rs
@@ -1,5 +1,5 @@
-//! The load tool: its callers against scripted nodes, its books against
-//! targets.
+//! Tests of the load tool: its callers with scripted nodes, and its reconciliation
+//! with targets.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
@@ -22,7 +22,7 @@
 use hyper::body::Incoming;
 use parking_lot::Mutex;
 
-/// What a scripted node does with the next request.
+/// How a scripted node handles the next request.
 #[derive(Clone, Copy)]
 enum ScriptStep {
     Answer,
@@ -34,7 +34,7 @@
     Tickets,
 }
 
-/// Entries that follow one script and remember what they were sent.
+/// Script that several entries follow together, and the requests that they received.
 struct Script {
     steps: Mutex<VecDeque<ScriptStep>>,
     seen: Mutex<Vec<Seen>>,
@@ -72,7 +72,7 @@
                 try_number: header(headers::TRY),
             });
             let step = self.script.steps.lock().pop_front();
-            let step = step.expect("the script is as long as the call");
+            let step = step.expect("the script has a step for each request");
             let mut answer = text_answer(StatusCode::OK, "");
             match step {
                 ScriptStep::Drop => {
@@ -128,7 +128,7 @@
     }
 }
 
-/// Sends one charge through two entries that follow a script.
+/// Sends one charge through two entries that follow the steps of a script.
 async fn charge_by(steps: &[ScriptStep], limits: CallerLimits) -> (CallRecord, Vec<Seen>) {
     let script = Arc::new(Script {
         steps: Mutex::new(steps.iter().copied().collect()),
@@ -161,7 +161,7 @@
     .unwrap();
     assert!(
         script.steps.lock().is_empty(),
-        "the script was not played out"
+        "the caller did not use all steps of the script"
     );
     let seen = script.seen.lock().clone();
     (outcome.records[0].clone(), seen)
@@ -175,9 +175,9 @@
 const FIRST: &str = "/.hitch/t/first/cashier/charge";
 const NEXT: &str = "/.hitch/t/next/cashier/charge";
 
-/// The connection breaks after the charge was sent under its ticket. The
-/// caller must send the same ticket through the other entry and nothing else:
-/// a new ticket could charge twice.
+/// The connection breaks after the charge was sent with its ticket. The caller must
+/// resend the same ticket through the other entry and nothing else, because a new
+/// ticket could charge twice.
 #[tokio::test]
 async fn a_broken_charge_keeps_its_ticket() {
     let steps = [ScriptStep::Redirect, ScriptStep::Drop, ScriptStep::Answer];
@@ -232,8 +232,9 @@
     assert!(record.not_run_tries.is_empty());
 }
 
-/// The gate is gone. If every earlier send was certainly not run, a new ticket
-/// is safe; after a broken one it is not, and the caller must stop.
+/// The gate of the ticket is gone. A new ticket is safe if every earlier send
+/// certainly did not run. After a broken connection it is not, and the caller must
+/// stop.
 #[tokio::test]
 async fn a_dead_ticket_is_replaced_only_when_it_cannot_have_run() {
     let steps = [
@@ -391,7 +392,8 @@
     }
 }
 
-/// The books must show each kind of fault, or a clean report proves nothing.
+/// The reconciliation must report each kind of fault; otherwise a clean report proves
+/// nothing.
 #[test]
 fn reconciliation_reports_each_fault() {
     let records = vec![
--- a/crates/standins/tests/overhead.rs
+++ b/crates/standins/tests/overhead.rs
@@ -1,4 +1,4 @@
-//! What `hornbeamhitch-overhead` makes of its measurements.
+//! Tests of the evaluation in `hornbeamhitch-overhead`.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -14,7 +14,7 @@
     }
 }
 
-/// A report in which each round of a series has the p50 that `p50_us` gives.
+/// Creates a report in which `p50_us` determines the p50 of each round of a series.
 fn report(p50_us: impl Fn(Series, u32) -> f64) -> Report {
     let plan = Plan::default();
     let mut all = Vec::new();
@@ -38,7 +38,8 @@
 
 #[test]
 fn differences_are_taken_within_a_round() {
-    // The machine grows slower from round to round; what the nodes add stays.
+    // The machine gets slower from round to round; the latency added by nodes stays
+    // the same.
     let report = report(|series, round| {
         let slow_us = 100.0 * f64::from(round + 1);
         match series.is_through_nodes() {
--- a/crates/standins/tests/platform.rs
+++ b/crates/standins/tests/platform.rs
@@ -1,4 +1,4 @@
-//! The platform's stand-in, over HTTP as nodes see it.
+//! Tests of the stand-in for the platform, over HTTP as nodes use it.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -93,8 +93,9 @@
     assert!(platform.remove_vm("c-1").is_err());
 }
 
-/// A node that asks again must be shown what the mood says, and a watch that
-/// waits must wake when a lagging list becomes due, not only when it is set.
+/// A repeated read must show the values of the configured behaviour, and a waiting
+/// watch must return when a delayed VM list becomes visible, not only when it is
+/// published.
 #[tokio::test]
 async fn readers_are_shown_old_values_as_configured() {
     let platform = PlatformStandin::start(any_port()).await.unwrap();
--- a/crates/standins/tests/ports.rs
+++ b/crates/standins/tests/ports.rs
@@ -1,4 +1,4 @@
-//! Ports that are kept for the programs of a test.
+//! Tests of ports that are reserved for the programs of a test.
 
 use std::net::{SocketAddr, TcpListener, TcpStream};
 
@@ -10,15 +10,15 @@
     ANY.parse().expect("an address")
 }
 
-/// A test names a port in a node's settings and starts the node. Another process
-/// that is being started at the same moment still holds copies of this test's
-/// sockets. The node listens at its port all the same, is killed, and a second life
-/// of it listens there again: no copy of the socket that keeps the port is in its way.
+/// A test writes a port to a node's settings and starts the node, while another process
+/// that is just being started holds copies of the test's sockets. The node must still
+/// be able to listen on its port, also after it was killed and restarted: the
+/// reserving socket and its copies must not prevent that.
 #[test]
 fn a_program_listens_on_its_reserved_port_after_each_restart() {
     let reserved = ReservedPort::take(any()).expect("a port");
     for _ in 0..2 {
-        // The standard library sets the same option as the nodes do.
+        // The standard library sets `SO_REUSEADDR`, as the nodes do.
         let listener = TcpListener::bind(reserved.addr()).expect("the reserved port");
         let client = TcpStream::connect(reserved.addr()).expect("a connection");
         let (accepted, _) = listener.accept().expect("the connection");
@@ -26,8 +26,9 @@
     }
 }
 
-/// While a node is not yet started, the kernel looks for a port for somebody else.
-/// It does not offer the reserved one, and a connection to that is refused.
+/// Before a node is started, the kernel selects a free port for another process. It
+/// must not select the reserved port, and connections to the reserved port must be
+/// refused.
 #[test]
 fn the_kernel_assigns_a_reserved_port_to_nobody_else() {
     let reserved = ReservedPort::take(any()).expect("a port");
--- a/crates/standins/tests/programs.rs
+++ b/crates/standins/tests/programs.rs
@@ -1,4 +1,4 @@
-//! The stand-ins and the load tool as programs.
+//! Tests of the stand-ins and the load tool as programs.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
--- a/crates/standins/tests/target.rs
+++ b/crates/standins/tests/target.rs
@@ -1,4 +1,4 @@
-//! The target's stand-in, over HTTP as a gate sees it.
+//! Tests of the stand-in for a target, over HTTP as a gate uses it.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -73,8 +73,8 @@
     assert_eq!(runs, target.runs("n-1"));
 }
 
-/// A cut answer must look broken to a client that reads it whole, in each way
-/// of cutting; otherwise tests of cut answers would prove nothing.
+/// Each way of cutting an answer must appear as a broken connection to a client that
+/// reads complete answers; otherwise tests with cut answers would prove nothing.
 #[tokio::test]
 async fn cut_answers_are_seen_as_broken() {
     let target = start(TargetConfig::default()).await;
@@ -139,8 +139,8 @@
     assert_eq!(queueing.all_runs().len(), 10);
 }
 
-/// The caller closes its connection in the middle of a run: the target must
-/// stop the run and say so, or work for nobody would look like work done.
+/// The caller closes its connection during a run. The target must stop the run and
+/// record it as cancelled; otherwise abandoned work would be counted as finished.
 #[tokio::test]
 async fn closed_connections_and_deadlines_end_runs() {
     let target = start(TargetConfig::default()).await;
@@ -161,7 +161,7 @@
     assert_eq!(target.runs("late")[0].end, RunEnd::DeadlinePassed);
 }
 
-/// One marked request takes the whole target down: an innocent call in flight
+/// One request with the crash mark crashes the whole target: another call in flight
 /// loses its connection too, and the port is closed until the restart.
 #[tokio::test]
 async fn a_marked_request_crashes_the_target() {
@@ -252,7 +252,8 @@
     assert_eq!(counts.shed, 1);
 }
 
-/// A chain of calls grows one deeper at each target and keeps its deadline.
+/// The depth of a chain of calls increases by one at each target. The calls go through
+/// the node that is set for the target.
 #[tokio::test]
 async fn downstream_calls_go_through_the_node() {
     let last = start(TargetConfig::default()).await;
