--- a/crates/standins/src/demo/deployment.rs
+++ b/crates/standins/src/demo/deployment.rs
@@ -35,7 +35,7 @@
 pub struct Deployment {
     /// Data centres, over which the targets of each service are spread.
     pub data_centres: Vec<String>,
-    /// Services.
+    /// Services of the deployment.
     pub services: Vec<ServiceSpec>,
     /// Kinds of calls that callers send.
     pub kinds: Vec<CallKind>,
--- a/crates/standins/src/http_server/stream.rs
+++ b/crates/standins/src/http_server/stream.rs
@@ -1,4 +1,4 @@
-//! A TCP stream that can end with a reset.
+//! A TCP stream that can be closed with a reset.
 
 use std::io;
 use std::pin::Pin;
--- a/crates/standins/src/load.rs
+++ b/crates/standins/src/load.rs
@@ -131,5 +131,5 @@
     Ok(runs)
 }
 
-/// Counts by name, for reports.
+/// Counters by name.
 pub(crate) type Tally = BTreeMap<String, u64>;
--- a/crates/standins/src/load/caller.rs
+++ b/crates/standins/src/load/caller.rs
@@ -34,7 +34,7 @@
 pub struct Call<'a> {
     /// Kind of the call.
     pub kind: &'a CallKind,
-    /// Index of the kind, for the record.
+    /// Index of the kind in the plan.
     pub kind_index: usize,
     /// The caller's identifier of the call, also used as its idempotency key.
     pub nonce: String,
--- a/crates/standins/src/overhead/report.rs
+++ b/crates/standins/src/overhead/report.rs
@@ -57,18 +57,18 @@
     pub calls: u64,
     /// Number of calls that were not answered with 200, by answer or error.
     pub failures: Tally,
-    /// Latency of each round.
+    /// Latency quantiles of each round.
     pub rounds: Vec<Quantiles>,
-    /// Latency over all rounds.
+    /// Latency quantiles over all rounds.
     pub overall: Quantiles,
     /// Lag of the generator itself, over all rounds.
     pub generator_lag: Quantiles,
     /// Processor time of each node, by VM.
     pub nodes: BTreeMap<String, NodeTime>,
-    /// All latencies.
+    /// Histogram of all latencies.
     #[serde(skip, default = "durations")]
     pub latency: Durations,
-    /// All lags of the generator.
+    /// Histogram of all lags of the generator.
     #[serde(skip, default = "durations")]
     pub lag: Durations,
 }
--- a/crates/standins/src/overhead/series.rs
+++ b/crates/standins/src/overhead/series.rs
@@ -54,7 +54,7 @@
     Payment,
 }
 
-/// One call type on one route.
+/// Calls of one type on one route.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Series {
     /// Type of the calls.
--- a/crates/standins/src/platform/behaviour.rs
+++ b/crates/standins/src/platform/behaviour.rs
@@ -26,7 +26,7 @@
     /// Reads are answered normally.
     #[default]
     Up,
-    /// The port is closed.
+    /// The port is closed, so connections are refused.
     Refused,
     /// Connections are accepted, and reset at the first read.
     Reset,
--- a/crates/standins/src/platform/vms.rs
+++ b/crates/standins/src/platform/vms.rs
@@ -37,7 +37,7 @@
 pub struct VmList {
     /// Version of the list, which increases with each change; 0 before the first.
     pub version: u64,
-    /// All VMs, or those of one service.
+    /// All VMs, or the VMs of one service.
     pub vms: Vec<VmEntry>,
 }
 
--- a/crates/standins/src/target.rs
+++ b/crates/standins/src/target.rs
@@ -45,9 +45,9 @@
 /// Counters of a target since its start.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TargetCounts {
-    /// Requests to `/.health`.
+    /// Number of requests to `/.health`.
     pub health_probes: u64,
-    /// Requests to `/.load`.
+    /// Number of requests to `/.load`.
     pub load_probes: u64,
     /// Calls, that is, all other requests outside `/admin/`.
     pub calls: u64,
@@ -55,9 +55,9 @@
     pub shed: u64,
     /// Calls whose client disconnected before a slot was free.
     pub cancelled_in_queue: u64,
-    /// Crashes.
+    /// Number of crashes.
     pub crashes: u64,
-    /// Stalls.
+    /// Number of stalls.
     pub stalls: u64,
     /// Answers cut on request.
     pub cut: u64,
--- a/crates/standins/src/target/admin.rs
+++ b/crates/standins/src/target/admin.rs
@@ -16,7 +16,7 @@
 /// Body of `POST /admin/cut`.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub struct CutNextRequest {
-    /// How to cut.
+    /// Way in which the answers are cut.
     pub cut: Cut,
     /// Number of answers to cut.
     pub count: u32,
--- a/crates/standins/src/target/behaviour.rs
+++ b/crates/standins/src/target/behaviour.rs
@@ -27,7 +27,7 @@
     pub load: Option<Load>,
     /// Age of the state that `/.health` and `/.load` report, in milliseconds.
     pub hint_lag_ms: u64,
-    /// Cuts every answer.
+    /// Way in which every answer is cut, if any.
     pub cut: Option<Cut>,
 }
 
--- a/crates/standins/src/target/hints.rs
+++ b/crates/standins/src/target/hints.rs
@@ -13,9 +13,9 @@
 /// Load report of a target.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Load {
-    /// Runs in progress.
+    /// Number of runs in progress.
     pub in_flight: u32,
-    /// Requests waiting for a slot.
+    /// Number of requests waiting for a slot.
     pub queued: u32,
     /// Maximum number of concurrent runs.
     pub slots: u32,
