--- a/crates/node/src/callers/entries/tests.rs
+++ b/crates/node/src/callers/entries/tests.rs
@@ -1,4 +1,4 @@
-//! What an entry believes of a gate's clock.
+//! Tests of the entry's estimate of a gate's clock.
 
 use hornbeamhitch_core::view::HeardLoad;
 
@@ -8,7 +8,7 @@
   "deployment": "test",
   "services": { "cashier": { "slots": 4 } },
 }"#;
-const LIFE: Incarnation = Incarnation(7);
+const INCARNATION: Incarnation = Incarnation(7);
 
 fn report(gate_clock_ms: u64) -> LoadReport {
     LoadReport {
@@ -17,20 +17,20 @@
         limit: 4,
         service_time_us: 0,
         gate_clock_ms: Millis(gate_clock_ms),
-        incarnation: LIFE,
+        incarnation: INCARNATION,
         leaving: false,
     }
 }
 
-/// A board with one target, of which a heartbeat was heard.
-fn board(heartbeat: LoadReport) -> EntryBoard {
+/// Returns a board with one target, whose only load report came in a heartbeat.
+fn board_with_heartbeat(heartbeat: LoadReport) -> EntryBoard {
     let checked = hornbeamhitch_text::check(TEXT).expect("the text is valid");
     let policy = Arc::new(checked.services[0].clone());
     let target = TargetView {
         vm: VmId::new("cashier-1"),
         data_centre: DataCentre::new("a"),
         peer: std::net::SocketAddr::from(([127, 0, 0, 1], 1)),
-        incarnation: Some(LIFE),
+        incarnation: Some(INCARNATION),
         distance_us: 0,
         leaving: false,
         doubtful: false,
@@ -51,18 +51,19 @@
     EntryBoard::new(routes, ProcessClock::start(), 1)
 }
 
-/// The first payment to a gate of which only heartbeats were heard. Their loads
-/// were read earlier than they were sent, so the clock in them lags: taken for
-/// the gate's, it makes a payment come late that has time enough, and the gate
-/// refuses it. Only an answer's report is as new as the answer.
+/// Guards against refusing the first payment to a gate that has only sent
+/// heartbeats so far. Their load reports are read before they are sent, so the
+/// clock in them lags. If the entry took it for the gate's clock, the payment's
+/// deadline would be too early, and the gate would refuse a payment that has
+/// enough time. Only the report in an answer is as recent as the answer.
 #[test]
 fn a_gates_clock_is_learned_from_its_answers_only() {
-    let board = board(report(1_000));
+    let board = board_with_heartbeat(report(1_000));
     let (entry, _) = board.entry("cashier").expect("the service is known");
     let ticket = Ticket {
         service: ServiceName::new("cashier"),
         gate: VmId::new("cashier-1"),
-        incarnation: LIFE,
+        incarnation: INCARNATION,
         key: CallKey(1),
         expires_at: Millis(100_000),
     };
--- a/crates/node/src/callers/ticketed.rs
+++ b/crates/node/src/callers/ticketed.rs
@@ -1,4 +1,5 @@
-//! Calls under a ticket: sent to the one gate that may run them, never moved.
+//! Serves ticketed calls. A ticketed call is only sent to the gate that its
+//! ticket names and never moves to another one.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,19 +13,19 @@
 use super::CallerServer;
 use super::call::{CallerCall, Outbound};
 use super::entries::{AttemptGuard, Entry};
-use super::relay::{self, Relayed, Taken};
+use super::relay::{self, RelayOutcome, Relayed};
 use crate::answer;
 use crate::body::{self, NodeBody};
 use crate::peers::SendFailure;
 
-/// The gate answers this much before the caller's deadline, so that its
-/// "still running" arrives in time.
+/// How long before the caller's deadline the gate answers, so that its "still
+/// running" arrives in time.
 const ANSWER_MARGIN_MS: Millis = Millis(20);
-/// How long an entry goes on asking a gate whose stream broke.
+/// How long an entry keeps sending fence requests to a gate whose stream broke.
 const FENCE_WINDOW_MS: Millis = Millis(1_500);
-const FENCE_PAUSE: Duration = Duration::from_millis(50);
-/// A partition of moments ends; a caller of a gate that cannot be reached
-/// comes back after this.
+const FENCE_RETRY_DELAY: Duration = Duration::from_millis(50);
+/// Retry delay for callers of an unreachable gate. A short network partition
+/// may have ended by then.
 const UNREACHABLE_RETRY_MS: Millis = Millis(500);
 const GATE_LOST_RETRY_MS: Millis = Millis(2_000);
 
@@ -39,18 +40,19 @@
     let Some(gate) = entry.choose_gate(ticket) else {
         return answer::from_refusal(&Refusal::fixed(ResultCode::GateGone));
     };
-    // A later life was heard on this VM: the one that the ticket names has
-    // ended. An earlier one only means that this node lags behind the ticket.
-    let known_life = gate.incarnation;
-    if known_life.is_some_and(|life| life > ticket.incarnation) {
+    // If a later incarnation is known on this VM, the ticket's incarnation has
+    // ended. An earlier one only means that this node's view is older than the
+    // ticket.
+    let known_incarnation = gate.incarnation;
+    if known_incarnation.is_some_and(|known| known > ticket.incarnation) {
         return answer::from_refusal(&Refusal::fixed(ResultCode::GateGone));
     }
     let (parts, body) = request.into_parts();
     let mut outbound = Outbound::prepare(&parts, &call, &server.entry_header);
     outbound.set_ticket(&ticket.encode());
     if let Some(clock_ms) = gate.clock_ms {
-        let left_ms = call.deadline_at.since(server.clock.now());
-        outbound.set_gate_deadline(clock_ms + left_ms);
+        let remaining_ms = call.deadline_at.since(server.clock.now());
+        outbound.set_gate_deadline(clock_ms + remaining_ms);
     }
     let ticketed = TicketedCall {
         server,
@@ -62,8 +64,8 @@
     {
         Ok(response) => response,
         Err(_) => {
-            // Whether it runs is known to the gate alone, and only the same
-            // ticket can ask it.
+            // Only the gate knows whether the call is running, and it can only
+            // be queried with the same ticket.
             answer::from_refusal(&Refusal::retry_after(
                 ResultCode::GateLost,
                 GATE_LOST_RETRY_MS,
@@ -83,7 +85,7 @@
 impl TicketedCall<'_> {
     async fn run(&self, guard: AttemptGuard, body: NodeBody) -> Response<NodeBody> {
         let peer = guard.target.peer;
-        let request = self.outbound.request(peer, 0, self.left_ms(), body);
+        let request = self.outbound.request(peer, 0, self.remaining_ms(), body);
         let response = match self.server.peers.send(peer, request).await {
             Ok(response) => response,
             Err(SendFailure::NotSent(reason)) => {
@@ -100,27 +102,29 @@
                 return self.settle(peer).await;
             }
         };
-        self.server.note_heard(&guard.target.vm, response.headers());
-        match self.take(response, guard).await {
-            Taken::Answer(relayed) => relayed.response,
-            Taken::Cut => self.settle(peer).await,
+        self.server
+            .report_load(&guard.target.vm, response.headers());
+        match self.receive(response, guard).await {
+            RelayOutcome::Answer(relayed) => relayed.response,
+            RelayOutcome::Truncated => self.settle(peer).await,
         }
     }
 
-    /// The stream to the gate broke, so the request may run, may have run, or
-    /// may still be on its way. Asking the gate fences the key: one that has
-    /// not started can never start, which makes "not run" certain even if a
-    /// late packet arrives. Without the gate's word the outcome is unknown.
+    /// Determines the outcome after the stream to the gate broke: the request
+    /// may be running, may have run, or may still be in transit. Querying the
+    /// gate fences the key. A call that has not started can then never start,
+    /// so "not run" is certain even if a late packet arrives. Without the
+    /// gate's answer the outcome is unknown.
     async fn settle(&self, peer: std::net::SocketAddr) -> Response<NodeBody> {
         let give_up_at = (self.server.clock.now() + FENCE_WINDOW_MS).min(self.call.deadline_at);
         while self.server.clock.now() < give_up_at {
-            let request = self.outbound.fence_request(peer, self.left_ms());
+            let request = self.outbound.fence_request(peer, self.remaining_ms());
             match self.server.peers.send(peer, request).await {
-                Ok(response) => match self.take_settled(response).await {
-                    Some(relayed) => return certain_after_send(relayed),
-                    None => tokio::time::sleep(FENCE_PAUSE).await,
+                Ok(response) => match self.read_settlement(response).await {
+                    Some(relayed) => return final_answer_after_send(relayed),
+                    None => tokio::time::sleep(FENCE_RETRY_DELAY).await,
                 },
-                Err(_) => tokio::time::sleep(FENCE_PAUSE).await,
+                Err(_) => tokio::time::sleep(FENCE_RETRY_DELAY).await,
             }
         }
         answer::from_refusal(&Refusal::retry_after(
@@ -129,15 +133,17 @@
         ))
     }
 
-    async fn take(&self, response: Response<Incoming>, guard: AttemptGuard) -> Taken {
+    async fn receive(&self, response: Response<Incoming>, guard: AttemptGuard) -> RelayOutcome {
         let buffer_bytes = u64::from(self.call.policy.buffer_bytes);
         let deadline = self.server.clock.to_instant(self.call.deadline_at);
-        relay::take(response, guard, buffer_bytes, deadline).await
+        relay::receive(response, guard, buffer_bytes, deadline).await
     }
 
-    /// A settlement is small or streamed from the record; it is taken in whole
-    /// because a cut one can be asked for again.
-    async fn take_settled(&self, response: Response<Incoming>) -> Option<Relayed> {
+    /// Reads a settlement completely into memory, since a truncated one can be
+    /// requested again. A settlement is either small or an answer from the
+    /// record. Returns `None` if it cannot be read completely or has no result
+    /// code.
+    async fn read_settlement(&self, response: Response<Incoming>) -> Option<Relayed> {
         let (mut head, incoming) = response.into_parts();
         let code = answer::code_of(&head.headers)?;
         head.headers.remove(header::LOAD);
@@ -147,19 +153,20 @@
         Some(Relayed {
             response: Response::from_parts(head, body::full(bytes)),
             code,
-            waited_us: 0,
+            time_to_head_us: 0,
         })
     }
 
-    fn left_ms(&self) -> Millis {
-        let left_ms = self.call.deadline_at.since(self.server.clock.now());
-        left_ms.minus(ANSWER_MARGIN_MS)
+    fn remaining_ms(&self) -> Millis {
+        let remaining_ms = self.call.deadline_at.since(self.server.clock.now());
+        remaining_ms.minus(ANSWER_MARGIN_MS)
     }
 }
 
-/// "This attempt did not run" is no longer true once the request was sent to a
-/// process that is gone: the earlier life may have run it.
-fn certain_after_send(relayed: Relayed) -> Response<NodeBody> {
+/// Replaces "this attempt did not run", which does not hold once the request
+/// was sent to a process that has ended: the earlier incarnation may have run
+/// it.
+fn final_answer_after_send(relayed: Relayed) -> Response<NodeBody> {
     match relayed.code.certainty() {
         Certainty::TicketDead | Certainty::NotYet => answer::from_refusal(&Refusal::retry_after(
             ResultCode::GateLost,
@@ -169,7 +176,8 @@
     }
 }
 
-/// Saves the caller a round trip for its next call, or for a fresh try.
+/// Adds a new ticket to the answer, which saves the caller a round trip for its
+/// next call or for another attempt.
 fn add_next_ticket(entry: &Entry, call: &CallerCall, response: &mut Response<NodeBody>) {
     let code = answer::code_of(response.headers());
     let is_useful = code.is_some_and(|code| {
@@ -181,7 +189,7 @@
     if !is_useful {
         return;
     }
-    let Ok(ticket) = super::tickets::write(entry, call, None) else {
+    let Ok(ticket) = super::tickets::issue(entry, call, None) else {
         return;
     };
     let value = HeaderValue::from_str(&ticket.encode()).expect("a ticket is URL-safe text");
--- a/crates/node/src/peers.rs
+++ b/crates/node/src/peers.rs
@@ -1,4 +1,4 @@
-//! Kept HTTP/2 connections to other nodes.
+//! Pool of HTTP/2 connections to other nodes.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -15,10 +15,11 @@
 
 use crate::body::NodeBody;
 
-/// Two connections let two traffic threads drive one peer's streams.
+/// With two connections, two traffic threads can serve the streams of one peer.
 const CONNECTIONS_PER_PEER: usize = 2;
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(750);
-/// A peer behind a partition is noticed after this and the ping's timeout.
+/// A peer behind a network partition is detected after this interval plus the
+/// ping timeout.
 const PING_INTERVAL: Duration = Duration::from_secs(1);
 const PING_TIMEOUT: Duration = Duration::from_secs(2);
 const STREAM_WINDOW_BYTES: u32 = 1 << 20;
@@ -27,7 +28,7 @@
 /// Why a request to a peer got no answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SendFailure {
-    /// Certain: no byte of the request was sent.
+    /// No byte of the request was sent; this is certain.
     NotSent(String),
     /// The request may have reached the peer.
     MaybeSent(String),
@@ -37,14 +38,15 @@
 
 #[derive(Debug, Default)]
 struct Slot {
-    /// The lock is held while connecting, so that a burst opens one connection.
+    /// The lock is held while connecting, so that a burst of requests opens
+    /// only one connection.
     sender: tokio::sync::Mutex<Option<Sender>>,
 }
 
 #[derive(Debug, Default)]
 struct Peer {
     slots: [Slot; CONNECTIONS_PER_PEER],
-    turn: AtomicUsize,
+    next_slot: AtomicUsize,
 }
 
 /// Connections by peer address.
@@ -58,27 +60,27 @@
     ///
     /// # Errors
     ///
-    /// The failure says whether the request can have reached the peer. Only
-    /// what the HTTP library hands back unsent counts as not sent.
+    /// The failure states whether the request may have reached the peer. Only a
+    /// request that the HTTP library returns unsent counts as not sent.
     pub async fn send(
         &self,
         address: SocketAddr,
         request: Request<NodeBody>,
     ) -> Result<Response<Incoming>, SendFailure> {
         let peer = self.peer(address);
-        let turn = peer.turn.fetch_add(1, Ordering::Relaxed) % CONNECTIONS_PER_PEER;
-        let slot = &peer.slots[turn];
+        let next_slot = peer.next_slot.fetch_add(1, Ordering::Relaxed) % CONNECTIONS_PER_PEER;
+        let slot = &peer.slots[next_slot];
         let mut sender = slot.ready(address).await?;
         let mut refused = match sender.try_send_request(request).await {
             Ok(answer) => return Ok(answer),
             Err(error) => error,
         };
-        // The connection ended before the request was written: one more try on
-        // a fresh connection is free of the risk of a second run.
+        // The connection ended before the request was written, so a retry on a
+        // new connection cannot cause a second run.
         let Some(unsent) = refused.take_message() else {
             return Err(SendFailure::MaybeSent(refused.into_error().to_string()));
         };
-        slot.forget().await;
+        slot.clear().await;
         let mut sender = slot.ready(address).await?;
         let mut refused = match sender.try_send_request(unsent).await {
             Ok(answer) => return Ok(answer),
@@ -105,18 +107,18 @@
 
 impl Slot {
     async fn ready(&self, address: SocketAddr) -> Result<Sender, SendFailure> {
-        let mut kept = self.sender.lock().await;
-        if let Some(sender) = kept.as_ref()
+        let mut current = self.sender.lock().await;
+        if let Some(sender) = current.as_ref()
             && !sender.is_closed()
         {
             return Ok(sender.clone());
         }
         let sender = connect(address).await?;
-        *kept = Some(sender.clone());
+        *current = Some(sender.clone());
         Ok(sender)
     }
 
-    async fn forget(&self) {
+    async fn clear(&self) {
         *self.sender.lock().await = None;
     }
 }
--- a/crates/text/src/graph.rs
+++ b/crates/text/src/graph.rs
@@ -3,37 +3,38 @@
 use std::collections::HashMap;
 
 use crate::draft::{Located, TextDraft};
-use crate::fault::{FaultKind, Place};
+use crate::fault::{FaultKind, KeyPath};
 use crate::limits::{MAX_CYCLE_NAMES, MAX_DEPTH};
 use crate::name::shortened;
 use crate::nearest::nearest;
 use crate::report::Report;
 use crate::warning::WarningKind;
 
-/// Reports dependencies that are unknown or circular, and warns of deep ones.
+/// Reports unknown and circular dependencies, and warns about long dependency
+/// chains.
 pub(crate) fn check(draft: &TextDraft<'_>, report: &mut Report<'_, '_>) {
     let graph = Graph::new(draft);
     graph.check_known(report);
     let mut search = Search::new(&graph);
     for service in 0..draft.services.len() {
-        search.from(service, report);
+        search.search_from(service, report);
     }
-    search.warn_of_depth(report);
+    search.warn_about_depth(report);
 }
 
-/// Services as numbers, in the order of the text.
+/// The dependency graph. Services are identified by their index in the text.
 struct Graph<'d, 'v> {
     draft: &'d TextDraft<'v>,
-    numbers: HashMap<&'v str, usize>,
+    indices: HashMap<&'v str, usize>,
 }
 
 impl<'d, 'v> Graph<'d, 'v> {
     fn new(draft: &'d TextDraft<'v>) -> Self {
-        let mut numbers = HashMap::new();
-        for (number, service) in draft.services.iter().enumerate() {
-            numbers.insert(service.name.value, number);
+        let mut indices = HashMap::new();
+        for (index, service) in draft.services.iter().enumerate() {
+            indices.insert(service.name.value, index);
         }
-        Self { draft, numbers }
+        Self { draft, indices }
     }
 
     fn name(&self, service: usize) -> &'v str {
@@ -44,7 +45,8 @@
         self.draft.dependencies(&self.draft.services[service].draft)
     }
 
-    /// Checks each list as written, so that one of `defaults` counts once.
+    /// Checks that all dependencies are listed services. The list of `defaults` is
+    /// checked once, not for each service that inherits it.
     fn check_known(&self, report: &mut Report<'_, '_>) {
         if let Some(list) = &self.draft.defaults.depends_on {
             self.check_list("defaults", "defaults", &list.value, report);
@@ -61,12 +63,12 @@
     fn check_list(
         &self,
         owner: &str,
-        owner_place: &str,
+        owner_path: &str,
         list: &[Located<&str>],
         report: &mut Report<'_, '_>,
     ) {
         for dependency in list {
-            if self.numbers.contains_key(dependency.value) {
+            if self.indices.contains_key(dependency.value) {
                 continue;
             }
             report.fault(dependency.offset, || {
@@ -76,33 +78,34 @@
                     dependency: shortened(dependency.value),
                     nearest: nearest(dependency.value, known).map(str::to_owned),
                 };
-                (Place(format!("{owner_place}.depends_on")), kind)
+                (KeyPath(format!("{owner_path}.depends_on")), kind)
             });
         }
     }
 }
 
-/// How far the search has come with a service.
+/// The state of a service in the depth-first search.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Progress {
     Unseen,
-    /// On the way from the start; the number is its place on that way.
+    /// The service is on the current path, at this index.
     OnPath(usize),
     Done,
 }
 
-/// One service on the way from the start, with its next edge.
+/// A service on the current path and the index of its next edge to follow.
 struct Visit {
     service: usize,
     next_edge: usize,
 }
 
-/// A depth-first search with a path of its own in place of recursion, so that
-/// a long chain of services cannot exhaust the stack.
+/// A depth-first search with an explicit stack instead of recursion, so that a
+/// long chain of services cannot overflow the thread's stack.
 struct Search<'g, 'd, 'v> {
     graph: &'g Graph<'d, 'v>,
     progress: Vec<Progress>,
-    /// Services on the longest way down from each, itself included.
+    /// For each service, the number of services on its longest dependency chain,
+    /// including itself.
     depths: Vec<usize>,
     is_dependency: Vec<bool>,
     path: Vec<Visit>,
@@ -120,7 +123,7 @@
         }
     }
 
-    fn from(&mut self, start: usize, report: &mut Report<'_, '_>) {
+    fn search_from(&mut self, start: usize, report: &mut Report<'_, '_>) {
         if self.progress[start] != Progress::Unseen {
             return;
         }
@@ -137,17 +140,17 @@
     }
 
     fn follow(&mut self, from: usize, edge: Located<&'v str>, report: &mut Report<'_, '_>) {
-        let Some(&to) = self.graph.numbers.get(edge.value) else {
+        let Some(&to) = self.graph.indices.get(edge.value) else {
             return;
         };
         self.is_dependency[to] = true;
         match self.progress[to] {
             Progress::Unseen => self.enter(to),
-            Progress::Done => self.deepen(from, to),
+            Progress::Done => self.update_depth(from, to),
             Progress::OnPath(first) => report.fault(edge.offset, || {
-                let place = Place(format!("services.{}.depends_on", self.graph.name(from)));
+                let path = KeyPath(format!("services.{}.depends_on", self.graph.name(from)));
                 let cycle = self.describe_cycle(first);
-                (place, FaultKind::CircularDependency { cycle })
+                (path, FaultKind::CircularDependency { cycle })
             }),
         }
     }
@@ -163,32 +166,33 @@
     fn leave(&mut self, service: usize) {
         self.progress[service] = Progress::Done;
         self.path.pop();
-        if let Some(above) = self.path.last() {
-            self.deepen(above.service, service);
+        if let Some(caller) = self.path.last() {
+            self.update_depth(caller.service, service);
         }
     }
 
-    fn deepen(&mut self, from: usize, to: usize) {
+    fn update_depth(&mut self, from: usize, to: usize) {
         self.depths[from] = self.depths[from].max(self.depths[to] + 1);
     }
 
     fn describe_cycle(&self, first: usize) -> String {
         let cycle = &self.path[first..];
-        let mut words = String::new();
+        let mut description = String::new();
         for visit in cycle.iter().take(MAX_CYCLE_NAMES) {
-            words.push_str(&shortened(self.graph.name(visit.service)));
-            words.push_str(" -> ");
+            description.push_str(&shortened(self.graph.name(visit.service)));
+            description.push_str(" -> ");
         }
         if cycle.len() > MAX_CYCLE_NAMES {
             let left_out = cycle.len() - MAX_CYCLE_NAMES;
-            words.push_str(&format!("({left_out} more) -> "));
+            description.push_str(&format!("({left_out} more) -> "));
         }
-        words.push_str(&shortened(self.graph.name(cycle[0].service)));
-        words
+        description.push_str(&shortened(self.graph.name(cycle[0].service)));
+        description
     }
 
-    /// Warns at services that nothing depends on, where chains begin.
-    fn warn_of_depth(&self, report: &mut Report<'_, '_>) {
+    /// Warns about long dependency chains, once for each chain's first service,
+    /// on which no other service depends.
+    fn warn_about_depth(&self, report: &mut Report<'_, '_>) {
         for (service, depth) in self.depths.iter().copied().enumerate() {
             if depth <= MAX_DEPTH || self.is_dependency[service] {
                 continue;
@@ -200,7 +204,7 @@
                     depth,
                     limit: MAX_DEPTH,
                 };
-                (Place(format!("services.{}", name.value)), kind)
+                (KeyPath(format!("services.{}", name.value)), kind)
             });
         }
     }
--- a/crates/text/src/lib.rs
+++ b/crates/text/src/lib.rs
@@ -1,12 +1,12 @@
-//! The configuration text: parsing, checks, differences and explanations.
+//! Parses, checks, compares and explains the configuration text.
 //!
 //! Operators write one text in JSON with comments. [`check`] either resolves it
-//! to the policies that the nodes run by, or names every fault with its line,
-//! column, reason and what is allowed instead. [`diff`] says in words what an
+//! to the policies that the nodes apply, or reports every fault with its line,
+//! its column, the reason and the allowed values. [`diff`] describes what an
 //! edit changes, and [`explain`] where each value of a service comes from.
 //!
-//! Nothing here does I/O, and every result depends on the text alone: the
-//! operator's command line and each node come to the same verdict.
+//! This crate does no I/O, and every result depends on the text alone, so that
+//! the operators' command line and each node accept and reject the same texts.
 
 pub mod change;
 pub mod checked;
@@ -46,15 +46,15 @@
 pub use syntax::SYNTAX;
 pub use warning::{Warning, WarningKind};
 
-use fault::Place;
+use fault::KeyPath;
 use position::LineIndex;
 use report::Report;
 
-/// Checks a text as it came from a file or the platform.
+/// Checks the bytes of a text, as read from a file or from the platform.
 ///
 /// # Errors
 ///
-/// As [`check`]; bytes that are not UTF-8 are a fault.
+/// Returns the same faults as [`check`], and a fault if the bytes are not UTF-8.
 pub fn check_bytes(bytes: &[u8]) -> Result<CheckedText, Faults> {
     let error = match std::str::from_utf8(bytes) {
         Ok(text) => return check(text),
@@ -64,16 +64,17 @@
     let valid = std::str::from_utf8(valid).unwrap_or_default();
     let lines = LineIndex::new(valid);
     let mut report = Report::new(&lines);
-    report.fault(valid.len(), || (Place::default(), FaultKind::NotUtf8));
+    report.fault(valid.len(), || (KeyPath::default(), FaultKind::NotUtf8));
     Err(report.into_faults())
 }
 
-/// Checks a whole text and resolves it.
+/// Checks a text and resolves it.
 ///
 /// # Errors
 ///
-/// Every fault found, ordered by position. A text with a syntax error is read
-/// on leniently where that is possible, so that its other faults show too.
+/// Returns every fault found, ordered by position. After a syntax error, the
+/// text is parsed again leniently if possible, so that its other faults are
+/// reported too.
 pub fn check(text: &str) -> Result<CheckedText, Faults> {
     let lines = LineIndex::new(text);
     let mut report = Report::new(&lines);
--- a/crates/text/src/read/route.rs
+++ b/crates/text/src/read/route.rs
@@ -9,7 +9,7 @@
 use super::call::is_path_prefix;
 use super::report_missing;
 use crate::draft::{DestinationDraft, Located, RouteDraft, TextDraft};
-use crate::fault::{FaultKind, Place};
+use crate::fault::{FaultKind, KeyPath};
 use crate::keys::{Key, RouteKey};
 use crate::limits::{MAX_DESTINATIONS, MAX_HOST_CHARS, MAX_ROUTES};
 use crate::name::{NameKind, shortened};
@@ -18,19 +18,20 @@
 use crate::report::Report;
 use crate::setting::{Range, Setting};
 
-/// Share of a part; only its relation to the others counts.
+/// Range of a destination's weight, which is relative to the other weights of
+/// the route.
 const WEIGHT: Range = Range::whole(0, 1_000_000);
-/// Targets to which one request may be sent.
+/// Range of the number of targets to which one request may be sent.
 const ATTEMPTS: Range = Range::whole(1, 16);
-/// Ranks of routes that share a target.
+/// Range of the priorities of routes that share a target.
 const PRIORITY: Range = Range::whole(0, 255);
 
-/// Without it, one more target is tried.
+/// By default, a request is tried at one more target after the first one.
 const DEFAULT_ATTEMPTS: f64 = 2.0;
-/// Without it, a route ranks in the middle of the few that are common.
+/// The default is the middle of the few priorities that are in common use.
 const DEFAULT_PRIORITY: f64 = 1.0;
 
-/// Reads the list of routes; a faulty one is left out.
+/// Reads the list of routes. Faulty routes are reported and left out.
 pub(super) fn read_all<'v>(
     reader: &mut Reader<'_, '_, '_, 'v>,
     value: &'v Value<'v>,
@@ -42,12 +43,12 @@
     let mut seen_names = HashMap::new();
     let mut seen_prefixes = HashMap::new();
     for (index, element) in array.elements.iter().enumerate() {
-        let Some(route) = reader.at(index, |reader| read(reader, index, element)) else {
+        let Some(route) = reader.at_index(index, |reader| read(reader, index, element)) else {
             continue;
         };
-        let under = format!("{}{}", route.host.value, route.prefix.value);
+        let host_and_prefix = format!("{}{}", route.host.value, route.prefix.value);
         let entry = Located {
-            value: under.as_str(),
+            value: host_and_prefix.as_str(),
             offset: route.prefix.offset,
         };
         if reader.is_repeated(&mut seen_names, route.name) {
@@ -73,7 +74,7 @@
     let deadline = Setting::DeadlineMs.range();
     for (key, prop) in reader.entries(object, RouteKey::VARIANTS) {
         let value = &prop.value;
-        reader.under(key.name(), |reader| match key {
+        reader.at_key(key.name(), |reader| match key {
             RouteKey::Name => name = reader.name(value, NameKind::Call),
             RouteKey::Host => host = read_host(reader, value),
             RouteKey::Prefix => prefix = read_prefix(reader, value),
@@ -99,7 +100,8 @@
         host: host?,
         prefix: prefix?,
         to: to?,
-        // The strict reading without a word: what may not be repeated is not.
+        // Routes are not idempotent by default, so that requests are only repeated
+        // where the text allows it.
         idempotent: idempotent.is_some_and(|found| found.value),
         timeout_ms,
         objective_ms: objective_ms.map_or(timeout_ms, |found| found.value),
@@ -127,7 +129,7 @@
             value: prop.name.as_str(),
             offset: prop.start(),
         };
-        let weight = reader.under(service.value, |reader| reader.number(&prop.value, WEIGHT));
+        let weight = reader.at_key(service.value, |reader| reader.number(&prop.value, WEIGHT));
         let Some(weight) = weight.map(|found| found.value) else {
             continue;
         };
@@ -169,30 +171,31 @@
     None
 }
 
-/// Reports routes that lead to no service of the text.
+/// Reports routes to services that the text does not list, and routes whose
+/// weights are all zero.
 pub(super) fn check_destinations(draft: &TextDraft<'_>, report: &mut Report<'_, '_>) {
     let known: Vec<&str> = draft.services.iter().map(|one| one.name.value).collect();
     for route in &draft.routes {
-        let place = Place(format!("routes[{}].to", route.index));
+        let path = KeyPath(format!("routes[{}].to", route.index));
         let name = route.name.value;
-        if route.to.iter().all(|part| part.weight == 0.0) {
+        if route.to.iter().all(|destination| destination.weight == 0.0) {
             report.fault(route.name.offset, || {
                 let route = name.to_owned();
-                (place.clone(), FaultKind::NoDestination { route })
+                (path.clone(), FaultKind::NoDestination { route })
             });
         }
-        for part in &route.to {
-            let service = part.service.value;
+        for destination in &route.to {
+            let service = destination.service.value;
             if known.contains(&service) {
                 continue;
             }
-            report.fault(part.service.offset, || {
+            report.fault(destination.service.offset, || {
                 let kind = FaultKind::UnknownDestination {
                     route: name.to_owned(),
                     service: shortened(service),
                     nearest: nearest(service, known.iter().copied()).map(str::to_owned),
                 };
-                (place.clone(), kind)
+                (path.clone(), kind)
             });
         }
     }
