--- a/crates/standins/src/commands/bangkok.rs
+++ b/crates/standins/src/commands/bangkok.rs
@@ -1,4 +1,5 @@
-//! `bangkok`: mixed traffic through the print office's deployment.
+//! The subcommand `bangkok`: sends mixed traffic through the print office's
+//! deployment.
 
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -6,13 +7,14 @@
 use gumdrop::Options;
 
 use crate::demo::bangkok::deployment;
-use crate::demo::{NodeKind, Programs, Stage};
+use crate::demo::{NodeKind, Programs, RunningDeployment};
 use crate::load::{self, Report};
 use crate::prelude::*;
 use crate::program;
 
 const DEFAULT_TEXT: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/../../examples/bangkok.jsonc");
-/// Bound on the whole demonstration beside the time of its traffic.
+/// Time limit of the whole demonstration, in addition to the duration of its
+/// traffic.
 const EXTRA_TIME: Duration = Duration::from_secs(120);
 
 /// Options of `bangkok`.
@@ -20,26 +22,27 @@
 pub(super) struct BangkokOptions {
     #[options(help = "print this help")]
     help: bool,
-    #[options(help = "time over which calls start", default = "10", meta = "N")]
+    #[options(help = "seconds over which calls start", default = "10", meta = "N")]
     seconds: f64,
-    #[options(help = "calls a second", default = "200", meta = "N")]
+    #[options(help = "calls per second", default = "200", meta = "N")]
     rate: f64,
     #[options(help = "seed of the traffic", default = "1", meta = "N")]
     seed: u64,
     #[options(help = "file for the report as JSON", meta = "FILE")]
     json: Option<PathBuf>,
     #[options(
-        help = "the configuration text, in place of the example",
+        help = "configuration text to use instead of the example",
         meta = "FILE"
     )]
     text: Option<PathBuf>,
 }
 
-/// Runs the demonstration; fails when anything was lost or run twice.
+/// Runs the demonstration and returns a failure status if a call was lost, run
+/// twice or answered wrongly.
 pub(super) async fn run(options: &BangkokOptions) -> Result<ExitCode> {
     let bound = EXTRA_TIME + Duration::from_secs_f64(options.seconds.max(0.0));
-    let playing = play(options);
-    let report = program::run_bounded(playing, bound, "the demonstration took too long").await?;
+    let running = run_traffic(options);
+    let report = program::run_bounded(running, bound, "the demonstration took too long").await?;
     print!("{}", report.table());
     if let Some(path) = &options.json {
         std::fs::write(path, report.json()?)?;
@@ -49,30 +52,30 @@
         println!("nothing lost, nothing run twice, no wrong answer");
         return Ok(ExitCode::SUCCESS);
     }
-    println!("FAILED: the books do not agree");
+    println!("FAILED: the callers' records and the targets' journals disagree");
     Ok(ExitCode::FAILURE)
 }
 
-async fn play(options: &BangkokOptions) -> Result<Report> {
+async fn run_traffic(options: &BangkokOptions) -> Result<Report> {
     let path = options.text.as_deref();
     let path = path.unwrap_or(Path::new(DEFAULT_TEXT));
     let text = std::fs::read_to_string(path)
         .wrap_err_with(|| format!("cannot read the text {}", path.display()))?;
     let deployment = deployment();
     println!(
-        "starting the platform, {} targets and as many nodes",
+        "starting the platform, {} targets and one node for each",
         deployment.targets().len()
     );
-    let programs = Programs::beside_this(NodeKind::Ticketed)?;
-    let mut stage = Stage::start(&programs, &deployment, &text).await?;
-    println!("all nodes are ready in {} ms", stage.ready_in().0);
-    let mut plan = deployment.plan(stage.entries());
+    let programs = Programs::beside_current_exe(NodeKind::Ticketed)?;
+    let mut running = RunningDeployment::start(&programs, &deployment, &text).await?;
+    println!("all nodes are ready in {} ms", running.ready_in().0);
+    let mut plan = deployment.plan(running.entries());
     plan.rate_per_s = options.rate;
     plan.seconds = options.seconds;
     plan.seed = options.seed;
     let outcome = load::run(plan).await?;
-    let runs = load::fetch_runs(&stage.target_addrs()).await?;
-    stage.stop().await?;
-    println!("all processes have ended with status 0\n");
+    let runs = load::fetch_runs(&running.target_addrs()).await?;
+    running.stop().await?;
+    println!("all processes have exited with status 0\n");
     Ok(outcome.report(Some(&runs)))
 }
--- a/crates/standins/src/load/answer.rs
+++ b/crates/standins/src/load/answer.rs
@@ -1,4 +1,5 @@
-//! Reads a node's or a target's answer as a documented caller does.
+//! Interprets answers of nodes and targets as the documented protocol requires of
+//! callers.
 
 use crate::http_client::WholeAnswer;
 use crate::http_server::{header_number, header_text};
@@ -8,20 +9,20 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) struct Meaning {
     pub(super) code: Option<u16>,
-    pub(super) what: What,
-    /// When to come back, as far as the answer says.
+    pub(super) kind: AnswerKind,
+    /// Delay before the next send, if the answer specifies one.
     pub(super) wait: Option<Duration>,
-    /// A ticket to go on with.
+    /// A ticket for the next try.
     pub(super) next_ticket: Option<String>,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(super) enum What {
+pub(super) enum AnswerKind {
     Answered,
-    /// Nothing has run; the request belongs to this path.
+    /// Nothing has run; the request must be sent to this path.
     Redirect(String),
     NotRun,
-    /// Not run, and trying again would not help.
+    /// Not run, and a retry would not help.
     Refused,
     NotYet,
     TicketDead,
@@ -29,60 +30,62 @@
     Unknown,
 }
 
-/// Reads an answer of a node.
+/// Interprets an answer of a node.
 pub(super) fn from_node(answer: &WholeAnswer) -> Meaning {
     let headers = &answer.headers;
     let number = header_number(headers, header::CODE);
     let number = number.and_then(|number| u16::try_from(number).ok());
     Meaning {
         code: number,
-        what: what_of(number.and_then(ResultCode::from_number), headers),
+        kind: kind_of(number.and_then(ResultCode::from_number), headers),
         wait: wait_of(headers),
         next_ticket: header_text(headers, header::NEXT_TICKET).map(str::to_owned),
     }
 }
 
-/// Reads an answer of a target that was called without nodes.
+/// Interprets an answer of a target that was called directly.
 pub(super) fn from_target(answer: &WholeAnswer) -> Meaning {
-    let what = match answer.headers.contains_key(header::NOT_RUN) {
-        true => What::NotRun,
-        false => What::Answered,
+    let kind = match answer.headers.contains_key(header::NOT_RUN) {
+        true => AnswerKind::NotRun,
+        false => AnswerKind::Answered,
     };
     Meaning {
         code: None,
-        what,
+        kind,
         wait: wait_of(&answer.headers),
         next_ticket: None,
     }
 }
 
-fn what_of(code: Option<ResultCode>, headers: &HeaderMap) -> What {
+fn kind_of(code: Option<ResultCode>, headers: &HeaderMap) -> AnswerKind {
     let Some(code) = code else {
-        // Not from a node that keeps to the protocol, so nothing is certain.
-        return What::Unknown;
+        // The answer does not follow the protocol of nodes, so nothing is certain.
+        return AnswerKind::Unknown;
     };
     match code {
         ResultCode::TicketNeeded => {
             let location = header_text(headers, http::header::LOCATION.as_str());
-            return location.map_or(What::Unknown, |url| What::Redirect(path_of(url)));
+            return location.map_or(AnswerKind::Unknown, |url| {
+                AnswerKind::Redirect(path_of(url))
+            });
         }
         ResultCode::CrashSuspect
         | ResultCode::TooLarge
         | ResultCode::KeyReused
-        | ResultCode::UnknownService => return What::Refused,
+        | ResultCode::UnknownService => return AnswerKind::Refused,
         _ => {}
     }
     match code.certainty() {
-        Certainty::Answered => What::Answered,
-        Certainty::NotRun => What::NotRun,
-        Certainty::NotYet => What::NotYet,
-        Certainty::TicketDead => What::TicketDead,
-        Certainty::Pending => What::Pending,
-        Certainty::Unknown => What::Unknown,
+        Certainty::Answered => AnswerKind::Answered,
+        Certainty::NotRun => AnswerKind::NotRun,
+        Certainty::NotYet => AnswerKind::NotYet,
+        Certainty::TicketDead => AnswerKind::TicketDead,
+        Certainty::Pending => AnswerKind::Pending,
+        Certainty::Unknown => AnswerKind::Unknown,
     }
 }
 
-/// The path of a URL, which any entry serves.
+/// Returns the path and query of a URL; they are valid at any entry.
 fn path_of(url: &str) -> String {
     let Ok(uri) = url.parse::<http::Uri>() else {
         return url.to_owned();
--- a/crates/standins/src/overhead/bench.rs
+++ b/crates/standins/src/overhead/bench.rs
@@ -1,18 +1,18 @@
-//! The processes that are measured: two targets, each with its node.
+//! The measured processes: the platform and two targets, each with its node.
 
 use std::collections::{BTreeMap, VecDeque};
 
 use crate::demo::deployment::ServiceSpec;
-use crate::demo::{Deployment, NodeKind, Programs, Stage};
+use crate::demo::{Deployment, NodeKind, Programs, RunningDeployment};
 use crate::http_client::{HttpClient, HttpVersion};
 use crate::prelude::*;
 use crate::target::ServiceTime;
 
-use super::open_loop::{CallTemplate, Offer, OpenLoop, Outcome};
+use super::open_loop::{CallTemplate, OfferedLoad, OpenLoop, Outcome};
 use super::process_time::{ProcessTime, resident_bytes};
 use super::series::{CallType, Route, Series};
 
-/// The service whose target is called.
+/// Service whose target is called.
 const SERVICE: &str = "cashier";
 /// Another service, whose node is the entry on the second VM.
 const OTHER_SERVICE: &str = "ledger";
@@ -20,16 +20,19 @@
 const OTHER_VM: &str = "ledger-1";
 const LOOKUP_PATH: &str = "/prices/passport";
 const PAYMENT_PATH: &str = "/charge";
-/// Where routed nodes find the service; paths begin with a route's prefix there.
+/// Host by which routed nodes find the service. Their paths begin with the prefix of
+/// a route.
 const ROUTED_HOST: &str = "cashier.example";
 const ROUTED_PAYMENT_PATH: &str = "/charges/one";
 const PAYMENT_BYTES: usize = 200;
 const SLOTS: u32 = 12;
-/// Most tickets that one request fetches.
+/// Maximum number of tickets that one request fetches.
 const TICKET_BATCH: usize = 32;
 
-/// Records outlive their calls, and a run makes more calls than a gate keeps
-/// records by default.
+/// Configuration text for ticketed nodes.
+///
+/// `max_records` is raised because records outlive their calls, and a run makes more
+/// calls than a gate keeps records by default.
 const TEXT: &str = r#"{
   "deployment": "overhead",
   "data_centres": ["dc-1"],
@@ -44,7 +47,7 @@
   },
 }"#;
 
-/// The same service for nodes that route by host and path.
+/// Configuration text for nodes that route by host and path, with the same services.
 const ROUTED_TEXT: &str = r#"{
   "deployment": "overhead",
   "data_centres": ["dc-1"],
@@ -58,16 +61,16 @@
   ],
 }"#;
 
-/// Tickets as a node hands them out.
+/// Answer of a node to a request for tickets.
 #[derive(Deserialize)]
 struct Tickets {
     tickets: Vec<String>,
 }
 
-/// The running processes, and callers on each route.
+/// The running processes and the callers of each route.
 pub struct Bench {
     kind: NodeKind,
-    stage: Stage,
+    deployment: RunningDeployment,
     callers: BTreeMap<Route, OpenLoop>,
     addrs: BTreeMap<Route, SocketAddr>,
     client: HttpClient,
@@ -78,16 +81,16 @@
     ///
     /// # Errors
     ///
-    /// Fails when a process does not come up.
+    /// Fails when a process does not become ready.
     pub async fn start(programs: &Programs, connections: usize) -> Result<Self> {
         let text = match programs.kind {
             NodeKind::Ticketed => TEXT,
             NodeKind::Routed => ROUTED_TEXT,
         };
-        let mut stage = Stage::start(programs, &deployment(), text).await?;
-        let target = stage.target_addrs()[0];
-        let own_entry = stage.fleet().addresses(MEASURED_VM)?.callers;
-        let other_entry = stage.fleet().addresses(OTHER_VM)?.callers;
+        let mut deployment = RunningDeployment::start(programs, &deployment(), text).await?;
+        let target = deployment.target_addrs()[0];
+        let own_entry = deployment.fleet().addresses(MEASURED_VM)?.callers;
+        let other_entry = deployment.fleet().addresses(OTHER_VM)?.callers;
         let addrs = BTreeMap::from([
             (Route::Direct, target),
             (Route::OneVm, own_entry),
@@ -99,27 +102,27 @@
         }
         Ok(Self {
             kind: programs.kind,
-            stage,
+            deployment,
             callers,
             addrs,
             client: HttpClient::new(HttpVersion::Http1),
         })
     }
 
-    /// Makes the calls of an offer.
+    /// Makes the calls of an offered load.
     ///
     /// # Errors
     ///
-    /// Fails when tickets or connections cannot be had.
-    pub async fn offer(&mut self, series: Series, offer: &Offer) -> Result<Outcome> {
-        let template = self.template(series, offer).await?;
+    /// Fails when tickets cannot be fetched or connections cannot be established.
+    pub async fn run_load(&mut self, series: Series, offered: &OfferedLoad) -> Result<Outcome> {
+        let template = self.template(series, offered).await?;
         let callers = self.callers.get_mut(&series.route);
         let callers = callers.ok_or_else(|| eyre!("no callers for {series}"))?;
-        // Blocks this thread; it is the only task of the program by now.
-        tokio::task::block_in_place(|| callers.run(offer, &template))
+        // Blocks this thread. No other task of the program needs it now.
+        tokio::task::block_in_place(|| callers.run(offered, &template))
     }
 
-    async fn template(&self, series: Series, offer: &Offer) -> Result<CallTemplate> {
+    async fn template(&self, series: Series, offered: &OfferedLoad) -> Result<CallTemplate> {
         let path = match (series.call, self.kind) {
             (CallType::Lookup, _) => LOOKUP_PATH,
             (CallType::Payment, NodeKind::Ticketed) => PAYMENT_PATH,
@@ -133,7 +136,7 @@
         let mut template = CallTemplate {
             method: Method::GET,
             host: (self.kind == NodeKind::Routed).then_some(ROUTED_HOST),
-            own_paths: Mutex::default(),
+            single_use_paths: Mutex::default(),
             path,
             body: Bytes::new(),
         };
@@ -142,8 +145,8 @@
             template.body = Bytes::from(vec![b'x'; PAYMENT_BYTES]);
         }
         if series.is_ticketed() && self.kind == NodeKind::Ticketed {
-            let paths = self.ticketed_paths(series.route, offer.max_calls(), &template.path);
-            template.own_paths = Mutex::new(paths.await?);
+            let paths = self.ticketed_paths(series.route, offered.max_calls(), &template.path);
+            template.single_use_paths = Mutex::new(paths.await?);
         }
         Ok(template)
     }
@@ -166,44 +169,44 @@
         Ok(paths)
     }
 
-    /// Processor time of each node since its start, by VM.
+    /// Returns the processor time of each node since its start, by VM.
     ///
     /// # Errors
     ///
-    /// Fails when a node has ended.
+    /// Fails when a node has exited.
     pub fn processor_times(&mut self) -> Result<BTreeMap<String, ProcessTime>> {
         let mut times = BTreeMap::new();
         for vm in [MEASURED_VM, OTHER_VM] {
-            let id = self.stage.fleet().process_id(vm)?;
+            let id = self.deployment.fleet().process_id(vm)?;
             times.insert(vm.to_owned(), ProcessTime::read(id)?);
         }
         Ok(times)
     }
 
-    /// Memory of each node, by VM, in bytes.
+    /// Returns the resident memory of each node by VM, in bytes.
     ///
     /// # Errors
     ///
-    /// Fails when a node has ended.
+    /// Fails when a node has exited.
     pub fn resident_bytes(&mut self) -> Result<BTreeMap<String, u64>> {
         let mut bytes = BTreeMap::new();
         for vm in [MEASURED_VM, OTHER_VM] {
-            let id = self.stage.fleet().process_id(vm)?;
+            let id = self.deployment.fleet().process_id(vm)?;
             bytes.insert(vm.to_owned(), resident_bytes(id)?);
         }
         Ok(bytes)
     }
 
-    /// Ends all processes.
+    /// Stops all processes.
     ///
     /// # Errors
     ///
-    /// Fails when one does not end in time or not with status 0.
+    /// Fails when a process does not exit in time or not with status 0.
     pub async fn stop(mut self) -> Result<()> {
-        // Kept connections would be waited for.
+        // The nodes would wait for open connections while they drain.
         let callers = std::mem::take(&mut self.callers);
         tokio::task::block_in_place(|| drop(callers));
-        self.stage.stop().await
+        self.deployment.stop().await
     }
 }
 
