--- a/crates/core/src/control/board.rs
+++ b/crates/core/src/control/board.rs
@@ -23,7 +23,7 @@
 use super::status::{ControlCounters, PlatformState, RefusedText};
 use crate::prelude::*;
 use crate::suspects::{SuspectEntry, Suspects};
-use crate::view::HeardLoad;
+use crate::view::ReceivedLoad;
 
 /// A service that was requested on demand is dropped after this time without a call.
 const ON_DEMAND_TIMEOUT: Millis = Millis::from_secs(10 * 60);
@@ -133,7 +133,7 @@
     pub(super) draining: bool,
     /// A later incarnation of this VM has been seen.
     pub(super) superseded: bool,
-    pub(super) own_load: Option<HeardLoad>,
+    pub(super) own_load: Option<ReceivedLoad>,
     pub(super) suspects: Suspects,
     pub(super) pending_publish: PendingPublish,
     pub(super) outbox: Vec<ControlAction>,
--- a/crates/core/src/entry/tests/retries.rs
+++ b/crates/core/src/entry/tests/retries.rs
@@ -1,11 +1,11 @@
-//! Retries, hedges, giving up, and when to come back.
+//! Retries, hedges, giving up, and `Retry-After`.
 
 use super::*;
 
-/// Resends keep an overload alive: every target fails every call, each failed
-/// call asks for a retry, and each layer above does so on its own account.
-/// What is added is the share and the initial reserve, to the attempt; a retry
-/// costs double per level, and deep down there is none.
+/// Every target fails every call, each failed call asks for a retry, and each
+/// layer above does the same, which keeps an overload going. Exactly the share
+/// plus the initial reserve may be added. The cost of a retry doubles per
+/// level, and calls at great depth get none.
 #[test]
 fn retries_are_a_share_that_halves_with_each_level() {
     for (depth, expected) in [
@@ -22,15 +22,15 @@
         let mut retries = 0;
         for now in 0..2_000 {
             let first = pick(&mut service, now);
-            service.finish(&first, &ended(FAILS), Millis(now));
-            let next = service.after_failure(&deep, &FAILS, Millis(now));
+            service.finish(&first, &ended(FAILURE), Millis(now));
+            let next = service.after_failure(&deep, &FAILURE, Millis(now));
             retries += u32::from(next == Next::Retry);
         }
         assert_eq!(retries, expected, "at depth {depth}");
     }
 }
 
-/// A payment whose stream broke may have run; resending it would charge twice.
+/// A payment whose stream broke may have run; resending it could charge twice.
 #[test]
 fn a_non_idempotent_call_is_retried_only_when_it_did_not_run() {
     let payment = CallProgress {
@@ -46,7 +46,7 @@
         let next = service(&view(3)).after_failure(&payment, &end, Millis(1));
         assert_eq!(next, Next::Retry, "{end:?}");
     }
-    for end in [AttemptEnd::Broken, AttemptEnd::TimedOut, FAILS] {
+    for end in [AttemptEnd::Broken, AttemptEnd::TimedOut, FAILURE] {
         let next = service(&view(3)).after_failure(&payment, &end, Millis(1));
         assert_eq!(given_up(next).code, ResultCode::RunBroken, "{end:?}");
     }
@@ -55,8 +55,8 @@
     assert_eq!(given_up(next).code, ResultCode::GateLost);
 }
 
-/// One request crashes each target that runs it. Retried after each break, it
-/// takes down as many targets as it has attempts.
+/// A request that crashes each target that runs it would take down one target
+/// per attempt if it were retried after each break.
 #[test]
 fn a_call_that_broke_twice_is_not_sent_a_third_time() {
     let mut service = service(&view(9));
@@ -70,7 +70,7 @@
     let second = service.after_failure(&broke_before, &AttemptEnd::Broken, Millis(1));
     assert_eq!(given_up(second).code, ResultCode::AttemptsFailed);
     assert_eq!(
-        service.after_failure(&broke_before, &FAILS, Millis(1)),
+        service.after_failure(&broke_before, &FAILURE, Millis(1)),
         Next::Retry
     );
 }
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn giving_up_names_what_is_known() {
+fn the_final_code_states_what_is_known() {
     let last = CallProgress {
         attempts: 3,
         ..call()
@@ -115,8 +115,8 @@
     }
 }
 
-/// The caller is told "not run" although the first attempt may have: it broke,
-/// the retry was refused, and only the refusal was looked at.
+/// The first attempt broke and may have run, and the retry was refused. The
+/// caller must not be told "not run" because of the refusal alone.
 #[test]
 fn not_run_is_never_said_after_an_attempt_that_may_have_run() {
     assert!(AttemptEnd::Broken.may_have_run());
@@ -143,7 +143,7 @@
     }
     let mut service = service(&view(1));
     let tried = [TargetIndex(0)];
-    let refusal = pick_excluding(&mut service, &tried, 1).expect_err("all were tried");
+    let refusal = pick_excluding(&mut service, &tried, 1).expect_err("every target was tried");
     assert_eq!(refusal.code.certainty(), Certainty::Unknown);
 }
 
@@ -154,14 +154,18 @@
     {
         let progress = CallProgress { attempts, ..call() };
         let next = service(&view(targets)).after_failure(&progress, &end, Millis(1));
-        assert_eq!(next == Next::Retry, retried, "{attempts} of {targets}");
+        assert_eq!(
+            next == Next::Retry,
+            retried,
+            "{attempts} attempts with {targets} targets"
+        );
     }
 }
 
 #[test]
 fn a_retry_that_would_miss_the_deadline_is_not_made() {
     let mut service = service(&view(3));
-    run(&mut service, 0, 100, |_| WORKS);
+    run(&mut service, 0, 100, |_| SUCCESS);
     let end = refused(ResultCode::Overloaded);
     for (left_ms, retried) in [(10, false), (30, true)] {
         let progress = CallProgress {
@@ -179,14 +183,16 @@
     assert_eq!(
         service.hedge_delay_ms(&call()),
         None,
-        "nothing is known yet"
+        "no latency has been recorded yet"
     );
     for sample in 0..1_000 {
-        let mut outcome = ended(WORKS);
+        let mut outcome = ended(SUCCESS);
         outcome.latency_us = if sample % 10 == 0 { 200_000 } else { 20_000 };
         outcome_at(&mut service, 0, &outcome, sample);
     }
-    let delay = service.hedge_delay_ms(&call()).expect("much is known");
+    let delay = service
+        .hedge_delay_ms(&call())
+        .expect("enough latencies were recorded");
     assert!((200..=225).contains(&delay.0), "p95 is 200 ms, not {delay}");
     let payment = CallProgress {
         idempotent: false,
@@ -202,18 +208,21 @@
     }
 }
 
-/// Lost hedges are the slow attempts. Were they left out, the quantile would
-/// sink, more hedges would start, and more slow attempts would be left out.
+/// Cancelled hedged attempts are the slow ones. If they were ignored, the
+/// quantile would fall, more hedges would start, and more slow attempts would
+/// be ignored.
 #[test]
 fn cancelled_attempts_keep_the_quantile_up() {
     let mut service = service(&view(3));
-    run(&mut service, 0, 200, |_| WORKS);
+    run(&mut service, 0, 200, |_| SUCCESS);
     for now in 200..400 {
         let mut outcome = ended(AttemptEnd::Cancelled);
         outcome.latency_us = 300_000;
         outcome_at(&mut service, 0, &outcome, now);
     }
-    let delay = service.hedge_delay_ms(&call()).expect("much is known");
+    let delay = service
+        .hedge_delay_ms(&call())
+        .expect("enough latencies were recorded");
     assert!(delay >= Millis(300), "{delay}");
 }
 
@@ -225,16 +234,17 @@
         let first = pick(&mut service, now);
         if service.try_hedge(&call(), Millis(now)) {
             hedges += 1;
-            let hedge = pick_excluding(&mut service, &[first.target], now).expect("two are left");
+            let hedge =
+                pick_excluding(&mut service, &[first.target], now).expect("two targets are left");
             assert_ne!(hedge.target, first.target);
-            service.finish(&hedge, &ended(WORKS), Millis(now));
+            service.finish(&hedge, &ended(SUCCESS), Millis(now));
         }
         service.finish(&first, &ended(AttemptEnd::Cancelled), Millis(now));
     }
     assert_eq!(hedges, 4 + 100);
 }
 
-/// All targets are busy, so every call is slow and would be hedged.
+/// If all targets are busy, every call is slow and would be hedged.
 #[test]
 fn nothing_is_hedged_when_all_targets_are_busy() {
     let mut service = service(&view(3));
@@ -250,25 +260,26 @@
 
 #[test]
 fn a_share_of_zero_turns_hedges_and_retries_off() {
-    let mut seen = view(3);
+    let mut snapshot = view(3);
     let mut changed = policy();
     changed.budgets.hedge_share = 0.0;
     changed.budgets.retry_share = 0.0;
-    seen.policy = Arc::new(changed);
-    let mut service = service(&seen);
-    run(&mut service, 0, 100, |_| WORKS);
+    snapshot.policy = Arc::new(changed);
+    let mut service = service(&snapshot);
+    run(&mut service, 0, 100, |_| SUCCESS);
     assert_eq!(service.hedge_delay_ms(&call()), None);
     assert!(!service.try_hedge(&call(), Millis(100)));
     let next = service.after_failure(&call(), &AttemptEnd::Unreachable, Millis(100));
     assert_ne!(next, Next::Retry);
 }
 
-/// Refused callers who all return after the same time are refused together.
+/// Refused callers that all return after the same time are refused together
+/// again.
 #[test]
 fn retry_after_is_spread_and_grows_with_refusals() {
     let mut service = service(&view(3));
-    run(&mut service, 0, 200, |_| WORKS);
-    let calm: Vec<u64> = (0..100)
+    run(&mut service, 0, 200, |_| SUCCESS);
+    let unloaded: Vec<u64> = (0..100)
         .map(|_| service.retry_after_ms(Millis(200)).0)
         .collect();
     run(&mut service, 200, 1_000, |_| {
@@ -277,8 +288,11 @@
     let now = Millis(1_200);
     let loaded: Vec<u64> = (0..100).map(|_| service.retry_after_ms(now).0).collect();
     let mean = |times: &[u64]| times.iter().sum::<u64>() / times.len() as u64;
-    assert!(mean(&loaded) > 5 * mean(&calm), "{calm:?} {loaded:?}");
-    for times in [&calm, &loaded] {
+    assert!(
+        mean(&loaded) > 5 * mean(&unloaded),
+        "{unloaded:?} {loaded:?}"
+    );
+    for times in [&unloaded, &loaded] {
         let (least, most) = (times.iter().min(), times.iter().max());
         assert!(
             most.zip(least)
@@ -289,9 +303,9 @@
 }
 
 #[test]
-fn the_gates_own_time_to_come_back_is_respected_within_bounds() {
-    for (told_ms, expected) in [(3_000, 3_000), (60_000, 10_000)] {
-        let refusal = Refusal::retry_after(ResultCode::Overloaded, Millis(told_ms));
+fn the_gates_retry_after_is_respected_within_bounds() {
+    for (gate_retry_ms, expected) in [(3_000, 3_000), (60_000, 10_000)] {
+        let refusal = Refusal::retry_after(ResultCode::Overloaded, Millis(gate_retry_ms));
         let end = AttemptEnd::Refused(refusal);
         let last = CallProgress {
             attempts: 3,
@@ -302,14 +316,14 @@
     }
 }
 
-/// A convicted request's caller is told to stay away for minutes. Were that cut
-/// to the usual longest time, it would come back dozens of times in vain.
+/// The caller of a convicted request is told to wait for minutes. With the
+/// usual maximum, it would retry dozens of times in vain.
 #[test]
-fn a_convicted_request_keeps_the_time_that_its_gate_gave() {
-    let told = Refusal::retry_after(ResultCode::CrashSuspect, Millis::from_secs(600));
-    let end = AttemptEnd::Refused(told);
+fn a_convicted_request_keeps_its_gates_retry_after() {
+    let gate_refusal = Refusal::retry_after(ResultCode::CrashSuspect, Millis::from_secs(600));
+    let end = AttemptEnd::Refused(gate_refusal);
     let refusal = given_up(service(&view(3)).after_failure(&call(), &end, Millis(1)));
-    assert_eq!(refusal, told);
+    assert_eq!(refusal, gate_refusal);
     let long = Refusal::retry_after(ResultCode::Overloaded, Millis::from_secs(600));
     let end = AttemptEnd::Refused(long);
     let single = CallProgress {
--- a/crates/core/src/gate/pump.rs
+++ b/crates/core/src/gate/pump.rs
@@ -1,54 +1,55 @@
-//! Hands out starts: the next call of the queue, or a suspect's turn.
+//! Starts waiting calls: the next one from the queue, or a suspect.
 
-use super::queue::Place;
+use super::queue::QueuePosition;
 use super::run::Phase;
 use super::{Gate, RunId, Wake};
 use crate::prelude::*;
-use crate::suspects::Standing;
+use crate::suspects::SuspicionLevel;
 
 impl Gate {
-    /// Starts every held call that may start now.
+    /// Starts every waiting call that may start now.
     ///
-    /// Each deadline is checked at the very moment of its start: after a pause
-    /// of the process the queue is full of calls whose callers have long given
-    /// up, and running them would only delay the living.
+    /// Each deadline is checked again at the start of the call. After a pause
+    /// of the process the queue is full of calls whose callers have given up,
+    /// and running them would only delay the others.
     pub(super) fn pump(&mut self, now: Millis) {
-        if let Some(run) = self.quarantine.end_overlong(now) {
-            self.share_again(run, now);
+        if let Some(run) = self.quarantine.end_overdue(now) {
+            self.resume_sharing(run, now);
         }
         while self.step(now) {}
     }
 
-    /// Refuses held calls that cannot make their deadline any more.
-    pub(super) fn refuse_hopeless(&mut self, now: Millis) {
-        let mut hopeless = Vec::new();
+    /// Refuses waiting calls that can no longer meet their deadline.
+    pub(super) fn refuse_late_calls(&mut self, now: Millis) {
+        let mut late = Vec::new();
         let mut ahead = 0;
-        for place in self.queue.iter() {
-            let class = self.runs[&place.run].class;
+        for position in self.queue.iter() {
+            let class = self.runs[&position.run].class;
             let wait_us = self.wait_us(ahead, now);
-            if self.is_hopeless(class, place.deadline_at, wait_us, now) {
-                hopeless.push(place.run);
+            if self.will_miss_deadline(class, position.deadline_at, wait_us, now) {
+                late.push(position.run);
                 continue;
             }
             ahead += 1;
         }
-        for place in self.quarantine.iter() {
-            if now >= place.deadline_at {
-                hopeless.push(place.run);
+        for position in self.quarantine.iter() {
+            if now >= position.deadline_at {
+                late.push(position.run);
             }
         }
-        for run in hopeless {
-            self.refuse_late(run);
+        for run in late {
+            self.refuse_for_deadline(run);
         }
     }
 
-    /// Puts a suspect where it waits for the target to itself.
-    pub(super) fn quarantine_held(&mut self, run: RunId, place: Place) {
-        self.quarantine.insert(place);
+    /// Places a suspect in quarantine, where it waits until it can run alone.
+    pub(super) fn quarantine_call(&mut self, run: RunId, position: QueuePosition) {
+        self.quarantine.insert(position);
         self.set_phase(run, Phase::Quarantined);
     }
 
-    /// Decides about one held call; false when there is nothing to decide.
+    /// Decides about one waiting call; returns false if there is nothing to
+    /// decide.
     fn step(&mut self, now: Millis) -> bool {
         if self.quarantine.is_running_alone() {
             return false;
@@ -59,83 +60,83 @@
         if self.in_flight >= self.limit.current(now) {
             return false;
         }
-        let Some(place) = self.queue.pop() else {
+        let Some(position) = self.queue.pop() else {
             return false;
         };
-        self.step_queued(place, now);
+        self.step_queued(position, now);
         true
     }
 
-    fn step_queued(&mut self, place: Place, now: Millis) {
-        let run = &self.runs[&place.run];
+    fn step_queued(&mut self, position: QueuePosition, now: Millis) {
+        let run = &self.runs[&position.run];
         let (class, fingerprint) = (run.class, run.fingerprint);
-        if self.is_hopeless(class, place.deadline_at, 0.0, now) {
-            return self.refuse_late(place.run);
+        if self.will_miss_deadline(class, position.deadline_at, 0.0, now) {
+            return self.refuse_for_deadline(position.run);
         }
-        match self.standing(fingerprint) {
-            Standing::Clear => self.start_held(place.run, false, now),
-            Standing::Convicted => self.refuse_held(place.run, Self::convicted_refusal()),
-            Standing::Suspect if self.quarantine.has_room() => {
-                self.quarantine_held(place.run, place);
+        match self.suspicion_level(fingerprint) {
+            SuspicionLevel::Clear => self.start_waiting(position.run, false, now),
+            SuspicionLevel::Convicted => self.refuse_call(position.run, Self::convicted_refusal()),
+            SuspicionLevel::Suspect if self.quarantine.has_room() => {
+                self.quarantine_call(position.run, position);
             }
-            Standing::Suspect => self.refuse_crowded(place.run),
+            SuspicionLevel::Suspect => self.refuse_for_overload(position.run),
         }
     }
 
     fn step_suspect(&mut self, now: Millis) -> bool {
-        let Some(place) = self.quarantine.first() else {
+        let Some(position) = self.quarantine.first() else {
             return false;
         };
-        let run = &self.runs[&place.run];
+        let run = &self.runs[&position.run];
         let (class, fingerprint) = (run.class, run.fingerprint);
-        if now >= place.deadline_at {
-            self.refuse_late(place.run);
+        if now >= position.deadline_at {
+            self.refuse_for_deadline(position.run);
             return true;
         }
-        match self.standing(fingerprint) {
-            Standing::Convicted => self.refuse_held(place.run, Self::convicted_refusal()),
-            Standing::Clear => {
-                self.quarantine.remove(&place);
-                self.queue.insert(class, place);
-                self.set_phase(place.run, Phase::Queued);
+        match self.suspicion_level(fingerprint) {
+            SuspicionLevel::Convicted => self.refuse_call(position.run, Self::convicted_refusal()),
+            SuspicionLevel::Clear => {
+                self.quarantine.remove(&position);
+                self.queue.insert(class, position);
+                self.set_phase(position.run, Phase::Queued);
             }
-            Standing::Suspect if self.in_flight == 0 => {
-                self.quarantine.remove(&place);
-                self.start_held(place.run, true, now);
+            SuspicionLevel::Suspect if self.in_flight == 0 => {
+                self.quarantine.remove(&position);
+                self.start_waiting(position.run, true, now);
             }
-            Standing::Suspect if self.quarantine.drain(now) => return false,
-            Standing::Suspect => {
-                self.refuse_crowded(place.run);
-                self.quarantine.owe(self.limit.current(now));
+            SuspicionLevel::Suspect if self.quarantine.drain(now) => return false,
+            SuspicionLevel::Suspect => {
+                self.refuse_for_overload(position.run);
+                self.quarantine.reserve_starts(self.limit.current(now));
             }
         }
         true
     }
 
-    fn start_held(&mut self, run: RunId, alone: bool, now: Millis) {
+    fn start_waiting(&mut self, run: RunId, alone: bool, now: Millis) {
         self.mark_started(run, alone, now);
         self.wakes.push(Wake::Start(run));
     }
 
-    fn refuse_late(&mut self, run: RunId) {
+    fn refuse_for_deadline(&mut self, run: RunId) {
         let refusal = self.refusal(ResultCode::DeadlineTooShort);
-        self.refuse_held(run, refusal);
+        self.refuse_call(run, refusal);
     }
 
-    fn refuse_crowded(&mut self, run: RunId) {
-        let refusal = self.overload();
-        self.refuse_held(run, refusal);
+    fn refuse_for_overload(&mut self, run: RunId) {
+        let refusal = self.overload_refusal();
+        self.refuse_call(run, refusal);
     }
 
-    fn share_again(&mut self, run: RunId, now: Millis) {
+    fn resume_sharing(&mut self, run: RunId, now: Millis) {
         if let Some(run) = self.runs.get_mut(&run) {
             run.alone = false;
         }
-        self.quarantine.owe(self.limit.current(now));
+        self.quarantine.reserve_starts(self.limit.current(now));
     }
 
     fn set_phase(&mut self, run: RunId, phase: Phase) {
         let run = self.runs.get_mut(&run);
-        run.expect("only calls in hand are held").phase = phase;
+        run.expect("only active calls wait").phase = phase;
     }
 }
--- a/crates/core/src/gate/tests/admission.rs
+++ b/crates/core/src/gate/tests/admission.rs
@@ -1,11 +1,11 @@
-//! Admission, the queue and the limit under load and noise.
+//! Tests of admission, the queue and the limit under load and noise.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
 use super::*;
 
-fn roomy() -> ServicePolicy {
+fn roomy_policy() -> ServicePolicy {
     ServicePolicy {
         slots: 12,
         queue_limit: 100,
@@ -22,15 +22,15 @@
 
 #[test]
 fn queue_goes_by_class_then_deadline() {
-    let mut gate = gate(&roomy());
+    let mut gate = gate(&roomy_policy());
     gate.update(
         Arc::new(ServicePolicy {
             slots: 1,
-            ..roomy()
+            ..roomy_policy()
         }),
         Millis(0),
     );
-    let running = run_of(gate.arrive(&plain(FAR_MS), Millis(0)));
+    let running = run_of(gate.arrive(&plain(FAR_DEADLINE_MS), Millis(0)));
     let mut expected = Vec::new();
     for (class, deadline) in [
         (CallClass::Background, 10_000),
@@ -48,7 +48,7 @@
     for _ in &expected {
         let wakes = gate.finish(next, answered_plain(), 100, Millis(2));
         let [Wake::Start(run)] = wakes[..] else {
-            panic!("one start for one end: {wakes:?}");
+            panic!("expected one start per finished run: {wakes:?}");
         };
         served.push(run);
         next = run;
@@ -57,35 +57,39 @@
 }
 
 #[test]
-fn better_class_displaces_the_worst_of_a_lower_one() {
+fn higher_class_displaces_the_last_of_a_lower_one() {
     // The queue is full of background work when a payment arrives. The last of
-    // the background calls is refused at once, with a time to come back, and
-    // the only one left of its class keeps its place.
+    // the background calls is refused at once with a retry time. The only
+    // remaining call of its class keeps its place.
     let mut gate = gate(&policy());
-    run_of(gate.arrive(&plain(FAR_MS), Millis(0)));
-    let [keeps, goes] = [5_000, 6_000]
+    run_of(gate.arrive(&plain(FAR_DEADLINE_MS), Millis(0)));
+    let [remaining, displaced] = [5_000, 6_000]
         .map(|deadline| run_of(gate.arrive(&of_class(CallClass::Background, deadline), Millis(1))));
     let payment = of_class(CallClass::Payment, 3_000);
     assert!(matches!(gate.arrive(&payment, Millis(2)), Verdict::Wait(_)));
     let wakes = gate.take_wakes();
     assert_eq!(wakes.len(), 1);
-    assert!(refused(goes, ResultCode::Overloaded, &wakes), "{wakes:?}");
+    assert!(
+        refused(displaced, ResultCode::Overloaded, &wakes),
+        "{wakes:?}"
+    );
     let second = gate.arrive(&payment, Millis(3));
     assert_eq!(code_of(second), ResultCode::Overloaded);
     assert_eq!(gate.take_wakes(), []);
-    assert!(gate.runs.contains_key(&keeps));
+    assert!(gate.runs.contains_key(&remaining));
 }
 
 #[test]
 fn call_that_cannot_make_its_deadline_is_refused_at_once() {
-    // The target takes 100 ms. A call with 40 ms left would only fail late; a
-    // call behind a queue that takes longer than its deadline likewise.
+    // The target takes 100 ms. A call with 40 ms left would miss its deadline,
+    // and so would a call behind a queue that takes longer than the call's
+    // remaining time.
     let mut gate = gate(&policy());
     for _ in 0..20 {
-        let run = run_of(gate.arrive(&plain(FAR_MS), Millis(0)));
+        let run = run_of(gate.arrive(&plain(FAR_DEADLINE_MS), Millis(0)));
         gate.finish(run, answered_plain(), 100_000, Millis(0));
     }
-    run_of(gate.arrive(&plain(FAR_MS), Millis(0)));
+    run_of(gate.arrive(&plain(FAR_DEADLINE_MS), Millis(0)));
     let short = gate.arrive(&plain(40), Millis(0));
     assert_eq!(code_of(short), ResultCode::DeadlineTooShort);
     let behind = gate.arrive(&plain(150), Millis(0));
@@ -101,11 +105,12 @@
 
 #[test]
 fn target_that_was_slow_once_is_tried_again() {
-    // The target took 10 s a call, far beyond any deadline, and has recovered.
-    // If predictions alone decided, no call would ever show the recovery.
+    // The target took 10 s per call, far beyond any deadline, and has
+    // recovered. If predictions alone decided, no call would ever show the
+    // recovery.
     let mut gate = gate(&policy());
     for _ in 0..20 {
-        let run = run_of(gate.arrive(&plain(FAR_MS), Millis(0)));
+        let run = run_of(gate.arrive(&plain(FAR_DEADLINE_MS), Millis(0)));
         gate.finish(run, answered_plain(), 10_000_000, Millis(0));
     }
     let mut tries = 0;
@@ -118,12 +123,12 @@
 }
 
 #[test]
-fn failing_fast_is_not_taken_for_fast() {
-    // A sick target answers 500 in no time. If that counted as service time,
-    // its gate would look like the fastest of all and draw all the load.
+fn fast_failures_do_not_count_as_fast_service() {
+    // An unhealthy target answers 500 immediately. If that counted as service
+    // time, its gate would look like the fastest one and attract all the load.
     let mut gate = gate(&policy());
     for failed in [false, true, true, true] {
-        let run = run_of(gate.arrive(&plain(FAR_MS), Millis(0)));
+        let run = run_of(gate.arrive(&plain(FAR_DEADLINE_MS), Millis(0)));
         let end = RunEnd::Answered {
             answer: None,
             failed,
@@ -138,7 +143,7 @@
 fn cold_target_ramps_and_ramps_again_after_a_crash() {
     let mut gate = gate(&ServicePolicy {
         cold_ramp_ms: Millis(10_000),
-        ..roomy()
+        ..roomy_policy()
     });
     let limit = |gate: &Gate, now| gate.load(Millis(now)).limit;
     assert_eq!(limit(&gate, 60_000), 3);
@@ -151,50 +156,52 @@
 
 #[test]
 fn leaving_gate_refuses_new_work_and_finishes_the_rest() {
-    // The VM is leaving. What is running or waiting is finished; new calls hear
-    // at once that nothing ran, also from late duplicates after a return.
+    // When the VM is leaving, running and waiting calls are finished. New calls
+    // are told at once that they did not run, and late duplicates of them must
+    // not run after the gate accepts work again.
     let mut gate = gate(&policy());
-    let running = run_of(gate.arrive(&plain(FAR_MS), Millis(0)));
-    let waiting = run_of(gate.arrive(&plain(FAR_MS), Millis(0)));
+    let running = run_of(gate.arrive(&plain(FAR_DEADLINE_MS), Millis(0)));
+    let waiting = run_of(gate.arrive(&plain(FAR_DEADLINE_MS), Millis(0)));
     gate.set_leaving(true);
     assert!(gate.load(Millis(0)).leaving);
     let ticket = ticket(1, TICKET_TTL_MS);
-    let verdict = gate.arrive(&under(&ticket), Millis(1));
+    let verdict = gate.arrive(&with_ticket(&ticket), Millis(1));
     assert_eq!(code_of(verdict), ResultCode::Leaving);
     let wakes = gate.finish(running, answered_plain(), 100, Millis(2));
     assert_eq!(wakes, [Wake::Start(waiting)]);
     gate.finish(waiting, answered_plain(), 100, Millis(3));
-    assert_eq!(gate.in_hand(), 0);
+    assert_eq!(gate.active_calls(), 0);
     gate.set_leaving(false);
-    let late = gate.arrive(&under(&ticket), Millis(4));
+    let late = gate.arrive(&with_ticket(&ticket), Millis(4));
     assert_eq!(code_of(late), ResultCode::Fenced);
 }
 
-/// What a load of one kind of call has come to.
+/// Results of an offered load.
 #[derive(Debug, Default)]
 struct Outcome {
     in_time: u32,
     late: u32,
     refused: u32,
     background_in_time: u32,
-    longest_stay_ms: u64,
+    max_time_in_gate_ms: u64,
     lowest_limit: u32,
     retry_after_ms: Vec<u64>,
 }
 
-/// A target whose service time depends on the time and the calls in it.
+/// The service time of a target, depending on the time and the number of calls
+/// in flight.
 type Service = fn(now_ms: u64, in_flight: u32) -> u64;
 
-/// Offers `per_s` calls a second for `span_ms`; one in `background_every` is
-/// background work.
+/// Offers `per_s` calls per second for `span_ms`. One in `background_every`
+/// calls is background work.
 fn offer(per_s: u64, span_ms: u64, background_every: u64, service_ms: Service) -> Outcome {
     const DEADLINE_MS: u64 = 1_000;
-    let mut gate = gate(&roomy());
+    let mut gate = gate(&roomy_policy());
     let mut outcome = Outcome {
         lowest_limit: u32::MAX,
         ..Outcome::default()
     };
-    let mut came: HashMap<RunId, (u64, CallClass)> = HashMap::new();
+    let mut arrivals: HashMap<RunId, (u64, CallClass)> = HashMap::new();
     let mut ends = BinaryHeap::new();
     let mut sent = 0;
     for now in 0..span_ms {
@@ -208,15 +215,15 @@
             let verdict = gate.arrive(&of_class(class, now + DEADLINE_MS), Millis(now));
             match verdict {
                 Verdict::Run(run) => {
-                    came.insert(run, (now, class));
+                    arrivals.insert(run, (now, class));
                     starts.push(run);
                 }
                 Verdict::Wait(run) => {
-                    came.insert(run, (now, class));
+                    arrivals.insert(run, (now, class));
                 }
                 Verdict::Refuse(refusal) => {
                     outcome.refused += 1;
-                    let retry_after_ms = refusal.retry_after_ms.expect("come back").0;
+                    let retry_after_ms = refusal.retry_after_ms.expect("a retry time").0;
                     outcome.retry_after_ms.push(retry_after_ms);
                 }
                 other => panic!("{other:?}"),
@@ -230,9 +237,9 @@
             ends.pop();
             let took_us = (now - started) as u32 * 1_000;
             wakes.extend(gate.finish(run, answered_plain(), took_us, Millis(now)));
-            let (came_at, class) = came.remove(&run).expect("a run that came");
-            outcome.longest_stay_ms = outcome.longest_stay_ms.max(now - came_at);
-            if now >= came_at + DEADLINE_MS {
+            let (arrived_at, class) = arrivals.remove(&run).expect("the run has arrived");
+            outcome.max_time_in_gate_ms = outcome.max_time_in_gate_ms.max(now - arrived_at);
+            if now >= arrived_at + DEADLINE_MS {
                 outcome.late += 1;
                 continue;
             }
@@ -259,28 +266,37 @@
 
 #[test]
 fn goodput_holds_at_twice_the_capacity() {
-    // 12 slots of 20 ms serve 600 calls a second; 1,200 come. Without a bound
-    // on the wait every call would spend its deadline in the queue.
+    // 12 slots of 20 ms serve 600 calls per second; 1,200 are offered. Without
+    // a bound on the wait, every call would use up its deadline in the queue.
     let peak = offer(600, 10_000, u64::MAX, |_, _| 20);
     let over = offer(1_200, 10_000, u64::MAX, |_, _| 20);
     assert!(over.in_time * 100 >= peak.in_time * 97, "{over:?} {peak:?}");
     assert_eq!(over.late, 0);
-    assert!(over.longest_stay_ms <= 90, "{}", over.longest_stay_ms);
+    assert!(
+        over.max_time_in_gate_ms <= 90,
+        "{}",
+        over.max_time_in_gate_ms
+    );
 }
 
 #[test]
 fn background_is_served_beside_a_flood_of_payments() {
     // Payments alone exceed the capacity for ten seconds. Background work must
-    // still get its fair turn (one in eight when it asks for that much).
+    // still get its fair turn (one in eight if there is that much of it).
     let over = offer(1_200, 10_000, 5, |_, _| 20);
     let share = f64::from(over.background_in_time) / f64::from(over.in_time);
-    assert!(share > 0.02, "{share} of {}", over.in_time);
+    assert!(
+        share > 0.02,
+        "background share {share} of {} calls",
+        over.in_time
+    );
 }
 
 #[test]
 fn noisy_neighbour_does_not_collapse_the_limit() {
-    // A neighbour stalls the host for 50 ms in every 300 ms. The slots are as
-    // good as before; a limit that shrank would refuse what can be served.
+    // A neighbour stalls the host for 50 ms in every 300 ms. The capacity of
+    // the slots has not changed, so a smaller limit would refuse calls that can
+    // be served.
     let stalls = |now, _| 5 + 50_u64.saturating_sub(now % 300);
     let noisy = offer(1_500, 20_000, u64::MAX, stalls);
     assert_eq!(noisy.lowest_limit, 12);
@@ -289,12 +305,12 @@
 
 #[test]
 fn limit_shrinks_only_where_that_helps() {
-    // First a target whose work slows each other down beyond four at once, so
-    // that fewer at once serve as much, faster. Then one that has become four
-    // times slower whatever its load: there the limit must come back.
+    // The first target slows down with more than four concurrent calls, so a
+    // lower limit serves as many calls faster. The second one has become four
+    // times slower regardless of load, so its limit must be restored.
     let contended = offer(2_000, 20_000, u64::MAX, |now, in_flight| {
-        let crowd = u64::from(in_flight.saturating_sub(4));
-        if now < 2_000 { 5 } else { 5 + crowd * 4 }
+        let excess = u64::from(in_flight.saturating_sub(4));
+        if now < 2_000 { 5 } else { 5 + excess * 4 }
     });
     assert!(contended.lowest_limit <= 8, "{}", contended.lowest_limit);
     assert!(contended.lowest_limit >= 3);
@@ -322,5 +338,5 @@
         assert!((50..=10_000).contains(retry_after_ms));
     }
     let (low, high) = (heavy.iter().min(), heavy.iter().max());
-    assert!(high > low, "all refused callers would come back together");
+    assert!(high > low, "all refused callers would return together");
 }
--- a/crates/node/src/gate_server/board/permit.rs
+++ b/crates/node/src/gate_server/board/permit.rs
@@ -1,4 +1,4 @@
-//! The right to run a call, and a call that waits for it.
+//! Permits to run calls, and queued calls that wait for a permit.
 
 use std::sync::Arc;
 use std::time::Instant;
@@ -10,10 +10,10 @@
 use super::GateBoard;
 use super::waiting::Release;
 
-/// The right to run one call in the target.
+/// Permission to run one call in the target.
 ///
-/// Ending it is the only way to free the place; dropping it counts as a
-/// cancellation, so a caller that leaves can never leak a slot.
+/// Only ending it frees the slot. Dropping it counts as a cancellation, so a
+/// caller that disconnects cannot leak a slot.
 #[derive(Debug)]
 pub struct RunPermit {
     board: Arc<GateBoard>,
@@ -24,7 +24,7 @@
 }
 
 impl RunPermit {
-    /// The right to run a call that the gate has started.
+    /// Creates the permit of a run that the gate has started.
     pub(super) fn new(board: &Arc<GateBoard>, run: RunId, class: CallClass) -> Self {
         Self {
             board: Arc::clone(board),
@@ -35,7 +35,7 @@
         }
     }
 
-    /// Ends the run.
+    /// Ends the run with the given outcome and frees the slot.
     pub fn end(mut self, end: RunEnd) {
         self.finish(end);
     }
@@ -63,17 +63,17 @@
 
 /// A call in the gate's queue.
 #[derive(Debug)]
-pub struct HeldCall {
+pub struct QueuedCall {
     board: Arc<GateBoard>,
     run: RunId,
     class: CallClass,
-    held_at: Instant,
+    queued_at: Instant,
     release: oneshot::Receiver<Release>,
     resolved: bool,
 }
 
-impl HeldCall {
-    /// A call that the gate holds until `release` says otherwise.
+impl QueuedCall {
+    /// Creates a call that stays queued until a decision arrives on `release`.
     pub(super) fn new(
         board: &Arc<GateBoard>,
         run: RunId,
@@ -84,23 +84,23 @@
             board: Arc::clone(board),
             run,
             class,
-            held_at: Instant::now(),
+            queued_at: Instant::now(),
             release,
             resolved: false,
         }
     }
 
-    /// Waits for a place.
+    /// Waits for a slot.
     ///
     /// # Errors
     ///
-    /// The gate's refusal, when none can be had in time.
+    /// Returns the gate's refusal if no slot is available in time.
     pub async fn wait(mut self) -> Result<RunPermit, Refusal> {
         let released = (&mut self.release).await;
         self.resolved = true;
         match released {
             Ok(Release::Start) => {
-                let waited_us = self.held_at.elapsed().as_micros();
+                let waited_us = self.queued_at.elapsed().as_micros();
                 let waited_us = u64::try_from(waited_us).unwrap_or(u64::MAX);
                 self.board.metrics.gate_waited(self.class, waited_us);
                 Ok(self.board.permit(self.run, self.class))
@@ -111,9 +111,10 @@
     }
 }
 
-impl Drop for HeldCall {
-    /// The caller left. If its start was emitted in the same moment, the place
-    /// must be given back; else the call is taken out of the queue.
+impl Drop for QueuedCall {
+    /// Handles a caller that disconnected while its call was queued. If the
+    /// call was started at the same moment, its slot is freed; otherwise the
+    /// call is removed from the queue.
     fn drop(&mut self) {
         if self.resolved {
             return;
--- a/crates/node/src/metrics/labels.rs
+++ b/crates/node/src/metrics/labels.rs
@@ -1,4 +1,4 @@
-//! Bounds the label values that callers could otherwise invent.
+//! Limits the number of label values that callers can cause.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -7,39 +7,40 @@
 use opentelemetry::KeyValue;
 use parking_lot::Mutex;
 
-/// Services that one process ever counts by name. A node holds its own service
-/// and its dependencies, so this is far above what is usual.
+/// Maximum number of services that one process counts by name. A node tracks
+/// its own service and its dependencies, so this is far above the usual number.
 pub(super) const MAX_SERVICES: usize = 64;
-/// Tenants that one process ever counts by name.
+/// Maximum number of tenants that one process counts by name.
 pub(super) const MAX_TENANTS: usize = 100;
-/// Everyone else.
+/// Label value of all other services and tenants.
 pub(super) const OTHER: &str = "other";
 
-/// The names that are counted apart.
+/// The services and tenants that are counted by name.
 ///
-/// A label value lives in the metrics library until the process ends. Without
-/// a bound, a caller that makes up a tenant for each call would fill the VM's
-/// memory, and a long series of edits to the text would do so slowly. Names
-/// come from the configuration only, and names beyond the first `MAX_*` of one
-/// process count as `other`, so the number of values is bounded for good.
+/// The metrics library keeps a label value until the process ends. Without a
+/// limit, a caller that invents a tenant for each call would fill the VM's
+/// memory, and a long series of configuration edits would do so slowly. Names
+/// only come from the configuration, and names beyond the first `MAX_*` of a
+/// process count as `other`, so the number of label values is limited for the
+/// lifetime of the process.
 #[derive(Debug)]
 pub(super) struct Labels {
-    now: ArcSwap<Names>,
-    ever: Mutex<Ever>,
+    current: ArcSwap<CurrentNames>,
+    seen: Mutex<SeenNames>,
     other_service: KeyValue,
     other_tenant: KeyValue,
 }
 
-/// Names of the configuration in force, with ready labels.
+/// Names of the configuration in force, with prepared labels.
 #[derive(Debug, Default)]
-struct Names {
+struct CurrentNames {
     services: BTreeMap<ServiceName, KeyValue>,
     tenants: BTreeMap<TenantName, KeyValue>,
 }
 
-/// Names of all configurations since the start.
+/// Names of all configurations since the process started.
 #[derive(Debug, Default)]
-struct Ever {
+struct SeenNames {
     services: BTreeSet<ServiceName>,
     tenants: BTreeSet<TenantName>,
 }
@@ -47,8 +48,8 @@
 impl Default for Labels {
     fn default() -> Self {
         Self {
-            now: ArcSwap::default(),
-            ever: Mutex::default(),
+            current: ArcSwap::default(),
+            seen: Mutex::default(),
             other_service: KeyValue::new("service", OTHER),
             other_tenant: KeyValue::new("tenant", OTHER),
         }
@@ -57,28 +58,29 @@
 
 impl Labels {
     pub(super) fn set(&self, services: &[ServiceName], tenants: &[TenantName]) {
-        let mut ever = self.ever.lock();
-        let mut names = Names::default();
+        let mut seen = self.seen.lock();
+        let mut names = CurrentNames::default();
         for service in services {
-            if !admit(&mut ever.services, service, MAX_SERVICES) {
+            if !admit(&mut seen.services, service, MAX_SERVICES) {
                 continue;
             }
             let label = KeyValue::new("service", std::sync::Arc::<str>::from(service.as_str()));
             names.services.insert(service.clone(), label);
         }
         for tenant in tenants {
-            if !admit(&mut ever.tenants, tenant, MAX_TENANTS) {
+            if !admit(&mut seen.tenants, tenant, MAX_TENANTS) {
                 continue;
             }
             let label = KeyValue::new("tenant", std::sync::Arc::<str>::from(tenant.as_str()));
             names.tenants.insert(tenant.clone(), label);
         }
-        self.now.store(std::sync::Arc::new(names));
+        self.current.store(std::sync::Arc::new(names));
     }
 
-    /// The label of a service; a clone of it only counts a reference.
+    /// Returns the label of a service. Cloning it only increments a reference
+    /// count.
     pub(super) fn service(&self, name: &str) -> KeyValue {
-        let names = self.now.load();
+        let names = self.current.load();
         names
             .services
             .get(name)
@@ -86,9 +88,10 @@
             .clone()
     }
 
-    /// The label of a tenant; a clone of it only counts a reference.
+    /// Returns the label of a tenant. Cloning it only increments a reference
+    /// count.
     pub(super) fn tenant(&self, name: &str) -> KeyValue {
-        let names = self.now.load();
+        let names = self.current.load();
         names
             .tenants
             .get(name)
@@ -97,13 +100,14 @@
     }
 }
 
-/// Whether a name is known or there is room to make it so.
-fn admit<T: Clone + Ord>(ever: &mut BTreeSet<T>, name: &T, max: usize) -> bool {
-    if ever.contains(name) {
+/// Returns whether a name may be counted by name: it is known already, or there
+/// is room to add it.
+fn admit<T: Clone + Ord>(seen: &mut BTreeSet<T>, name: &T, max: usize) -> bool {
+    if seen.contains(name) {
         return true;
     }
-    if ever.len() >= max {
+    if seen.len() >= max {
         return false;
     }
-    ever.insert(name.clone())
+    seen.insert(name.clone())
 }
--- a/crates/node/src/operators/tests.rs
+++ b/crates/node/src/operators/tests.rs
@@ -1,4 +1,4 @@
-//! The endpoints as an operator's HTTP client sees them, over loopback.
+//! Tests the endpoints with an HTTP client over loopback.
 
 use std::sync::atomic::{AtomicBool, Ordering};
 
@@ -16,7 +16,7 @@
 use super::*;
 use crate::metrics::{AttemptKind, Metrics};
 
-/// A node that holds one service and becomes ready when told.
+/// A node that tracks one service and whose readiness the test sets.
 #[derive(Default)]
 struct FakeNode {
     ready: AtomicBool,
@@ -125,7 +125,7 @@
 }
 
 #[tokio::test]
-async fn status_reads_back_as_it_was() {
+async fn status_round_trips() {
     let fixture = Fixture::start();
     let answer = fixture.get("/v1/status").await;
     assert_eq!(answer.status, StatusCode::OK);
@@ -152,11 +152,11 @@
 }
 
 #[tokio::test]
-async fn where_answers_for_services_held_and_for_no_others() {
+async fn where_answers_for_tracked_services_only() {
     let fixture = Fixture::start();
-    let held = fixture.get("/v1/where/ledger").await;
-    assert_eq!(held.status, StatusCode::OK);
-    assert_eq!(held.json()["name"], "ledger");
+    let tracked = fixture.get("/v1/where/ledger").await;
+    assert_eq!(tracked.status, StatusCode::OK);
+    assert_eq!(tracked.json()["name"], "ledger");
     let unknown = fixture.get("/v1/where/no%0Asuch").await;
     assert_eq!(unknown.status, StatusCode::NOT_FOUND);
     assert_eq!(unknown.json()["error_code"], "UnknownService");
@@ -177,7 +177,7 @@
 }
 
 #[tokio::test]
-async fn nothing_can_be_written() {
+async fn no_endpoint_accepts_writes() {
     let fixture = Fixture::start();
     for path in [
         "/v1/status",
@@ -200,10 +200,11 @@
 
 #[tokio::test]
 async fn a_large_head_is_refused() {
-    // A faulty scraper sends a head of a megabyte. The server gives up long
-    // before its end and closes; depending on how much was still being sent,
-    // the client reads 431 or finds the connection reset. It is never served,
-    // and the server goes on.
+    // Guards against a faulty scraper that sends a head of one megabyte. The
+    // server stops reading long before its end and closes the connection.
+    // Depending on how much was still being sent, the client reads 431 or sees
+    // a connection reset. The request is never served, and the server continues
+    // to work.
     let fixture = Fixture::start();
     let request = Request::builder()
         .uri(format!("http://{}/v1/live", fixture.server.local_addr()))
@@ -217,7 +218,7 @@
 }
 
 #[tokio::test]
-async fn an_address_in_use_is_named() {
+async fn an_address_in_use_is_reported() {
     let fixture = Fixture::start();
     let taken = fixture.server.local_addr();
     let second = start(taken, fixture.node, fixture.metrics);
@@ -233,7 +234,7 @@
     let fixture = Fixture::start();
     assert_eq!(fixture.get("/v1/live").await.status, StatusCode::OK);
     let address = fixture.server.local_addr();
-    // The client keeps its connection alive, as scrapers do.
+    // The client keeps its connection open, as scrapers do.
     fixture.server.close().await;
     assert!(tokio::net::TcpStream::connect(address).await.is_err());
 }
--- a/crates/standins/src/bin/hornbeamhitch-platform-standin.rs
+++ b/crates/standins/src/bin/hornbeamhitch-platform-standin.rs
@@ -1,4 +1,4 @@
-//! The platform's stand-in as a process, steered over `/admin/`.
+//! The stand-in for the platform as a program, controlled over `/admin/`.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -15,9 +15,9 @@
     help: bool,
     #[options(help = "address to listen on", default = "127.0.0.1:0", meta = "ADDR")]
     addr: String,
-    #[options(help = "file with the first text", meta = "FILE")]
+    #[options(help = "file with the initial configuration text", meta = "FILE")]
     text: Option<PathBuf>,
-    #[options(help = "file with the first VM list, a JSON array", meta = "FILE")]
+    #[options(help = "file with the initial VM list, a JSON array", meta = "FILE")]
     vms: Option<PathBuf>,
 }
 
@@ -33,8 +33,8 @@
     if let Some(path) = &options.vms {
         platform.set_vms(program::read_json_file::<Vec<VmEntry>>(path)?)?;
     }
-    program::announce(platform.addr());
-    program::wait_for_end().await?;
+    program::log_listening_addr(platform.addr());
+    program::wait_for_shutdown_signal().await?;
     platform.stop().await;
     Ok(())
 }
--- a/crates/standins/src/target.rs
+++ b/crates/standins/src/target.rs
@@ -1,5 +1,5 @@
-//! The target's stand-in: an HTTP/1.1 server with slots, moods and a journal
-//! of what ran.
+//! The stand-in for a target: an HTTP/1.1 server with a limited number of slots,
+//! a configurable behaviour and a journal of its runs.
 
 use std::sync::atomic::{AtomicU32, AtomicU64, Ordering};
 
@@ -7,17 +7,17 @@
 use tokio::time::{Instant, sleep};
 
 use crate::http_client::{HttpClient, HttpVersion};
-use crate::http_server::{HttpServer, ServerControl, control};
+use crate::http_server::{HttpServer, ServerControl, control_channel};
 use crate::prelude::*;
 
 pub mod admin;
+pub mod behaviour;
 pub mod config;
 pub mod cut;
 pub mod echo;
 pub mod headers;
 pub mod hints;
 pub mod journal;
-pub mod mood;
 pub mod service_time;
 pub mod slots;
 
@@ -25,11 +25,11 @@
 mod downstream;
 mod stall;
 
+pub use behaviour::{Behaviour, HealthReport, RandomStalls};
 pub use config::TargetConfig;
 pub use cut::Cut;
 pub use hints::Load;
 pub use journal::{RequestMarks, RunEnd, RunRecord};
-pub use mood::{HealthSays, Mood, RandomStalls};
 pub use service_time::ServiceTime;
 pub use slots::Overflow;
 
@@ -39,31 +39,31 @@
 use slots::Slots;
 use stall::Stalls;
 
-/// Share of the newest run in the smoothed service time, as a divisor.
+/// The newest run contributes one part in this many to the smoothed service time.
 const SMOOTHING: u32 = 8;
 
-/// What a target has counted.
+/// Counters of a target since its start.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TargetCounts {
-    /// Requests to `/.health`.
+    /// Number of requests to `/.health`.
     pub health_probes: u64,
-    /// Requests to `/.load`.
+    /// Number of requests to `/.load`.
     pub load_probes: u64,
-    /// Requests that were calls.
+    /// Calls, that is, all other requests outside `/admin/`.
     pub calls: u64,
-    /// Calls shed with `hitch-not-run`.
+    /// Calls rejected with `hitch-not-run`.
     pub shed: u64,
-    /// Calls whose client went away before a slot was free.
+    /// Calls whose client disconnected before a slot was free.
     pub cancelled_in_queue: u64,
-    /// Crashes.
+    /// Number of crashes.
     pub crashes: u64,
-    /// Stalls.
+    /// Number of stalls.
     pub stalls: u64,
-    /// Answers cut on command.
+    /// Answers cut on request.
     pub cut: u64,
-    /// The most runs that were in progress at once.
+    /// Highest number of concurrent runs.
     pub max_in_flight: u32,
-    /// Runs that the journal had no room for.
+    /// Runs that were not recorded because the journal was full.
     pub runs_forgotten: u64,
 }
 
@@ -77,16 +77,16 @@
     cut: AtomicU64,
 }
 
-struct CutOrder {
+struct PendingCuts {
     cut: Cut,
     left: u32,
 }
 
 pub(crate) struct Shared {
     config: TargetConfig,
-    mood: Mutex<Mood>,
+    behaviour: Mutex<Behaviour>,
     node: Mutex<Option<SocketAddr>>,
-    next_cuts: Mutex<Option<CutOrder>>,
+    pending_cuts: Mutex<Option<PendingCuts>>,
     started_at: Mutex<Instant>,
     slots: Slots,
     stalls: Stalls,
@@ -99,118 +99,118 @@
     control: ServerControl,
 }
 
-/// A running stand-in of a target; it ends when this value is dropped.
+/// A running stand-in for a target, which stops when this value is dropped.
 pub struct TargetStandin {
     server: HttpServer,
     shared: Arc<Shared>,
-    staller: AbortHandle,
+    stall_task: AbortHandle,
 }
 
 impl TargetStandin {
-    /// Binds and serves.
+    /// Binds the configured address and starts to serve.
     ///
     /// # Errors
     ///
-    /// Fails when the address cannot be bound or the journal's file not made.
+    /// Fails when the address cannot be bound or the journal file cannot be created.
     pub async fn start(config: TargetConfig) -> Result<Self> {
-        let (control, end) = control();
+        let (control, end) = control_channel();
         let addr = config.addr;
         let shared = Arc::new(Shared::new(config, control)?);
         let handler = Arc::new(calls::TargetHandler {
             shared: Arc::clone(&shared),
         });
         let server = HttpServer::start(addr, handler, end).await?;
-        let staller = tokio::spawn(stall_at_random(Arc::clone(&shared)));
+        let stall_task = tokio::spawn(stall_at_random(Arc::clone(&shared)));
         Ok(Self {
             server,
             shared,
-            staller: staller.abort_handle(),
+            stall_task: stall_task.abort_handle(),
         })
     }
 
-    /// The address that was bound.
+    /// Returns the bound address.
     #[must_use]
     pub fn addr(&self) -> SocketAddr {
         self.server.addr()
     }
 
-    /// Its name.
+    /// Returns the name of the target.
     #[must_use]
     pub fn name(&self) -> &str {
         &self.shared.config.name
     }
 
-    /// The present mood.
+    /// Returns the current behaviour.
     #[must_use]
-    pub fn mood(&self) -> Mood {
-        self.shared.mood()
+    pub fn behaviour(&self) -> Behaviour {
+        self.shared.behaviour()
     }
 
-    /// Takes another mood, in place of the present one.
-    pub fn set_mood(&self, mood: Mood) {
-        self.shared.set_mood(mood);
+    /// Replaces the current behaviour.
+    pub fn set_behaviour(&self, behaviour: Behaviour) {
+        self.shared.set_behaviour(behaviour);
     }
 
-    /// Changes parts of the mood.
-    pub fn change_mood(&self, change: impl FnOnce(&mut Mood)) {
-        let mut mood = self.shared.mood();
-        change(&mut mood);
-        self.shared.set_mood(mood);
+    /// Changes parts of the current behaviour.
+    pub fn change_behaviour(&self, change: impl FnOnce(&mut Behaviour)) {
+        let mut behaviour = self.shared.behaviour();
+        change(&mut behaviour);
+        self.shared.set_behaviour(behaviour);
     }
 
-    /// Names the node through which it calls other services.
+    /// Sets the node through which the target calls other services.
     pub fn set_node(&self, node: SocketAddr) {
         *self.shared.node.lock() = Some(node);
     }
 
-    /// Freezes all work for a while, from now.
+    /// Freezes all work for `span_ms` milliseconds from now.
     pub fn stall(&self, span_ms: u64) {
         self.shared.stalls.freeze(Duration::from_millis(span_ms));
     }
 
-    /// Cuts the next answers to calls.
+    /// Cuts the next `count` answers to calls.
     pub fn cut_next(&self, cut: Cut, count: u32) {
         self.shared.cut_next(cut, count);
     }
 
-    /// Crashes now: resets all connections, comes back cold after its
-    /// `restart_ms`.
+    /// Simulates a crash: resets all connections and starts again, cold, after
+    /// the configured `restart_ms`.
     pub async fn crash(&self) {
         self.shared.crash().await;
     }
 
-    /// Closes the port for good, or until [`Self::reopen`].
+    /// Closes the port and resets all connections, until [`Self::reopen`].
     pub async fn close(&self) {
         self.shared.journal.set_crashing(true);
         self.shared.control.close().await;
         self.shared.journal.set_crashing(false);
     }
 
-    /// Listens again after [`Self::close`], cold.
+    /// Listens again after [`Self::close`], with a cold start.
     pub async fn reopen(&self) {
         *self.shared.started_at.lock() = Instant::now();
         self.shared.control.open().await;
     }
 
-    /// Runs of one `hitch-key`, idempotency key or nonce.
+    /// Returns the runs with this `hitch-key`, idempotency key or nonce.
     #[must_use]
     pub fn runs(&self, key: &str) -> Vec<RunRecord> {
-        self.shared.journal.of_key(key)
+        self.shared.journal.runs_of_key(key)
     }
 
-    /// All runs since the start, crashes included.
+    /// Returns all runs since the stand-in was started; crashes do not clear them.
     #[must_use]
     pub fn all_runs(&self) -> Vec<RunRecord> {
         self.shared.journal.all()
     }
 
-    /// Its load as it truly is now.
+    /// Returns the actual load, regardless of the configured behaviour.
     #[must_use]
     pub fn load(&self) -> Load {
         self.shared.load()
     }
 
-    /// Counts since the start.
+    /// Returns the counters since the start.
     #[must_use]
     pub fn counts(&self) -> TargetCounts {
         self.shared.counts()
@@ -224,7 +224,7 @@
 
 impl Drop for TargetStandin {
     fn drop(&mut self) {
-        self.staller.abort();
+        self.stall_task.abort();
     }
 }
 
@@ -235,9 +235,9 @@
             ..Load::default()
         };
         Ok(Self {
-            mood: Mutex::new(config.mood.clone()),
+            behaviour: Mutex::new(config.behaviour.clone()),
             node: Mutex::new(config.node),
-            next_cuts: Mutex::new(None),
+            pending_cuts: Mutex::new(None),
             started_at: Mutex::new(Instant::now()),
             slots: Slots::new(config.slots, config.overflow),
             stalls: Stalls::new(),
@@ -252,18 +252,18 @@
         })
     }
 
-    fn mood(&self) -> Mood {
-        self.mood.lock().clone()
+    fn behaviour(&self) -> Behaviour {
+        self.behaviour.lock().clone()
     }
 
-    fn set_mood(&self, mood: Mood) {
-        *self.mood.lock() = mood;
+    fn set_behaviour(&self, behaviour: Behaviour) {
+        *self.behaviour.lock() = behaviour;
         self.note_load();
     }
 
     fn note_load(&self) {
         let load = self.load();
-        self.hints.note(load, &self.mood.lock());
+        self.hints.note(load, &self.behaviour.lock());
     }
 
     fn load(&self) -> Load {
@@ -275,7 +275,7 @@
         }
     }
 
-    fn learn_service_time(&self, took: Duration) {
+    fn record_service_time(&self, took: Duration) {
         let took_us = u32::try_from(took.as_micros()).unwrap_or(u32::MAX);
         let before = self.smoothed_us.load(Ordering::Relaxed);
         let after = before - before / SMOOTHING + took_us / SMOOTHING;
@@ -283,17 +283,17 @@
     }
 
     fn cut_next(&self, cut: Cut, count: u32) {
-        *self.next_cuts.lock() = Some(CutOrder { cut, left: count });
+        *self.pending_cuts.lock() = Some(PendingCuts { cut, left: count });
     }
 
-    fn take_cut_order(&self) -> Option<Cut> {
-        let mut orders = self.next_cuts.lock();
-        let order = orders.as_mut()?;
-        if order.left == 0 {
+    fn take_pending_cut(&self) -> Option<Cut> {
+        let mut pending = self.pending_cuts.lock();
+        let cuts = pending.as_mut()?;
+        if cuts.left == 0 {
             return None;
         }
-        order.left -= 1;
-        Some(order.cut)
+        cuts.left -= 1;
+        Some(cuts.cut)
     }
 
     async fn crash(&self) {
@@ -305,8 +305,8 @@
         self.journal.set_crashing(false);
     }
 
-    /// How many times slower a cold target is now.
-    fn coldness(&self) -> f64 {
+    /// Factor by which service times are longer now because of the cold start.
+    fn cold_start_factor(&self) -> f64 {
         let cold = Duration::from_millis(self.config.cold_start_ms);
         let age = self.started_at.lock().elapsed();
         if age >= cold {
@@ -333,13 +333,14 @@
     }
 }
 
-/// How often the wish for random stalls is looked up while there is none.
-const STALLER_POLL: Duration = Duration::from_millis(20);
+/// Interval at which the behaviour is checked for random stalls while they are
+/// off.
+const RANDOM_STALLS_POLL: Duration = Duration::from_millis(20);
 
 async fn stall_at_random(shared: Arc<Shared>) {
     loop {
-        let Some(stalls) = shared.mood().random_stalls else {
-            sleep(STALLER_POLL).await;
+        let Some(stalls) = shared.behaviour().random_stalls else {
+            sleep(RANDOM_STALLS_POLL).await;
             continue;
         };
         let pause_ms = shared.sampler.between(1, stalls.every_ms.max(1));
--- a/crates/standins/tests/target.rs
+++ b/crates/standins/tests/target.rs
@@ -1,4 +1,4 @@
-//! The target's stand-in, over HTTP as a gate sees it.
+//! Tests of the stand-in for a target, over HTTP as a gate uses it.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -73,8 +73,8 @@
     assert_eq!(runs, target.runs("n-1"));
 }
 
-/// A cut answer must look broken to a client that reads it whole, in each way
-/// of cutting; otherwise tests of cut answers would prove nothing.
+/// Each way of cutting an answer must appear as a broken connection to a client that
+/// reads complete answers; otherwise tests with cut answers would prove nothing.
 #[tokio::test]
 async fn cut_answers_are_seen_as_broken() {
     let target = start(TargetConfig::default()).await;
@@ -139,8 +139,8 @@
     assert_eq!(queueing.all_runs().len(), 10);
 }
 
-/// The caller closes its connection in the middle of a run: the target must
-/// stop the run and say so, or work for nobody would look like work done.
+/// The caller closes its connection during a run. The target must stop the run and
+/// record it as cancelled; otherwise abandoned work would be counted as finished.
 #[tokio::test]
 async fn closed_connections_and_deadlines_end_runs() {
     let target = start(TargetConfig::default()).await;
@@ -161,7 +161,7 @@
     assert_eq!(target.runs("late")[0].end, RunEnd::DeadlinePassed);
 }
 
-/// One marked request takes the whole target down: an innocent call in flight
+/// One request with the crash mark crashes the whole target: another call in flight
 /// loses its connection too, and the port is closed until the restart.
 #[tokio::test]
 async fn a_marked_request_crashes_the_target() {
@@ -214,22 +214,22 @@
 }
 
 #[tokio::test]
-async fn moods_change_answers_and_hints_lag() {
+async fn behaviour_changes_answers_and_hints_lag() {
     let target = start(TargetConfig::default()).await;
     let client = client();
     let addr = target.addr();
-    target.change_mood(|mood| mood.draining = true);
+    target.change_behaviour(|behaviour| behaviour.draining = true);
     let answer = post(&client, &target, "/a", &[], "").await.unwrap();
     assert_eq!(answer.headers["hitch-state"], "draining");
     let health = client.get(addr, "/.health").await.unwrap();
     assert_eq!(health.status, 503);
     assert_eq!(health.headers["hitch-state"], "draining");
-    target.change_mood(|mood| mood.hint_lag_ms = 60_000);
+    target.change_behaviour(|behaviour| behaviour.hint_lag_ms = 60_000);
     assert_eq!(client.get(addr, "/.health").await.unwrap().status, 200);
 
-    target.change_mood(|mood| {
-        mood.fail_fast = true;
-        mood.load = Some(Load::default());
+    target.change_behaviour(|behaviour| {
+        behaviour.fail_fast = true;
+        behaviour.load = Some(Load::default());
     });
     let sent = [(headers::NONCE, "failed")];
     assert_eq!(
@@ -243,7 +243,7 @@
     let load = client.get(addr, "/.load").await.unwrap();
     assert_eq!(load.json::<Load>().unwrap(), Load::default());
 
-    target.change_mood(|mood| mood.shed = true);
+    target.change_behaviour(|behaviour| behaviour.shed = true);
     let shed = post(&client, &target, "/a", &[], "").await.unwrap();
     assert_eq!(shed.headers["hitch-not-run"], "1");
     let counts = client.get(addr, "/admin/counts").await.unwrap();
@@ -252,9 +252,10 @@
     assert_eq!(counts.shed, 1);
 }
 
-/// A chain of calls grows one deeper at each target and keeps its deadline.
+/// The depth of a chain of calls increases by one at each target. The calls go through
+/// the node that is set for the target.
 #[tokio::test]
-async fn calls_go_on_through_the_node() {
+async fn downstream_calls_go_through_the_node() {
     let last = start(TargetConfig::default()).await;
     let first = start(TargetConfig {
         node: Some(last.addr()),
--- a/crates/text/src/checked.rs
+++ b/crates/text/src/checked.rs
@@ -1,4 +1,4 @@
-//! A text that passed its checks.
+//! A text that passed all checks.
 
 use hornbeamhitch_dispatch::routes::{CallerLimits, Route, RouteSet};
 use serde::Serialize;
@@ -6,22 +6,22 @@
 
 use crate::prelude::*;
 
-/// A checked text, resolved to what the nodes run by.
+/// A checked text, resolved to the policies that the nodes apply.
 ///
-/// It can only come from [`crate::check`], so every value is in the range that
-/// its policy names.
+/// Only [`crate::check`] can create it, so every value is in the range documented
+/// at its policy's field.
 #[derive(Clone, Debug, PartialEq)]
 #[non_exhaustive]
 pub struct CheckedText {
-    /// What holds for the whole deployment.
+    /// The policy of the whole deployment.
     pub deployment: DeploymentPolicy,
     /// Data centres that the text lists, ordered by name.
     pub data_centres: Vec<DataCentre>,
     /// The services, ordered by name.
     pub services: Vec<ServicePolicy>,
-    /// Routes by host and path prefix, ordered by both.
+    /// The routes, ordered by host and path prefix.
     pub routes: Vec<HostRoute>,
-    /// What is allowed but probably not meant.
+    /// Warnings about values that are allowed but probably not intended.
     pub warnings: Vec<Warning>,
     /// Where the values of `services` come from, in the same order.
     pub(crate) sources: Vec<ServiceSources>,
@@ -35,12 +35,12 @@
         Some(&self.services[index])
     }
 
-    /// The routes as a set that nodes route by, under a version.
+    /// Builds the set of routes that nodes use, with the given version.
     #[must_use]
     pub fn route_set(&self, version: u64) -> RouteSet {
         let mut routes = RouteSet::new(version, CallerLimits::default());
-        for one in &self.routes {
-            routes.add(&one.host, one.route.clone());
+        for host_route in &self.routes {
+            routes.add(&host_route.host, host_route.route.clone());
         }
         routes
     }
@@ -51,12 +51,16 @@
             .ok()
     }
 
-    /// Names of the services that depend on a service.
+    /// Returns the names of the services that depend on a service.
     #[must_use]
     pub fn callers_of(&self, name: &str) -> Vec<&ServiceName> {
         let mut callers = Vec::new();
         for service in &self.services {
-            if !service.depends_on.iter().any(|one| one.as_str() == name) {
+            if !service
+                .depends_on
+                .iter()
+                .any(|dependency| dependency.as_str() == name)
+            {
                 continue;
             }
             callers.push(&service.service);
@@ -65,30 +69,30 @@
     }
 }
 
-/// A route under its host.
+/// A route with its host.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct HostRoute {
     /// The host in lower case.
     pub host: String,
     /// Line on which the route begins.
     pub line: u32,
-    /// What the nodes route by.
+    /// The route as the nodes use it.
     pub route: Route,
 }
 
 impl HostRoute {
-    /// Host and prefix, as reports name a route.
+    /// Formats host and path prefix, which identify a route in reports.
     #[must_use]
-    pub fn under(&self) -> String {
+    pub fn host_and_prefix(&self) -> String {
         format!("{}{}", self.host, self.route.prefix)
     }
 
-    /// The parts with their weights, as reports show them.
+    /// Formats the destinations with their weights for reports.
     #[must_use]
     pub fn destinations(&self) -> String {
         let mut parts = Vec::new();
-        for part in &self.route.destinations {
-            parts.push(format!("{} {}", part.service, part.weight));
+        for destination in &self.route.destinations {
+            parts.push(format!("{} {}", destination.service, destination.weight));
         }
         parts.join(", ")
     }
@@ -100,10 +104,10 @@
 pub enum Origin {
     /// Neither the service nor the text's defaults set it.
     BuiltIn,
-    /// It follows another value.
+    /// It is not set and is derived from another value.
     Follows {
-        /// The value that it follows.
-        value: Followed,
+        /// The other value.
+        value: FollowedValue,
     },
     /// The text's `defaults` set it.
     Defaults {
@@ -117,11 +121,11 @@
     },
 }
 
-/// A value that another one follows when it is not set.
+/// A value from which another one is derived if that one is not set.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, strum::Display)]
 #[serde(rename_all = "snake_case")]
 #[strum(serialize_all = "snake_case")]
-pub enum Followed {
+pub enum FollowedValue {
     /// The service's slots.
     Slots,
     /// The service's deadline.
--- a/crates/text/src/relations.rs
+++ b/crates/text/src/relations.rs
@@ -1,15 +1,16 @@
-//! Warnings that follow from several resolved values together.
+//! Warnings about combinations of resolved values.
 
 use std::collections::HashMap;
 
 use crate::checked::CheckedText;
 use crate::draft::{CallDraft, NamedService, TextDraft};
-use crate::fault::Place;
+use crate::fault::KeyPath;
 use crate::prelude::*;
 use crate::report::Report;
 use crate::resolve::is_safe;
 
-/// Warns of values that are allowed each by itself but not meant together.
+/// Warns about values that are each allowed but probably not intended in
+/// combination.
 pub(crate) fn check(draft: &TextDraft<'_>, resolved: &CheckedText, report: &mut Report<'_, '_>) {
     let deadlines = longest_deadlines(resolved);
     for service in &draft.services {
@@ -20,8 +21,8 @@
         check_tickets(service, policy, report);
         check_dependencies(draft, service, &deadlines, report);
         if let Some(calls) = &service.draft.calls {
-            let place = format!("services.{}.calls", service.name.value);
-            check_payments(&place, &calls.value, report);
+            let path = format!("services.{}.calls", service.name.value);
+            check_payments(&path, &calls.value, report);
         }
     }
     if let Some(calls) = &draft.defaults.calls {
@@ -44,7 +45,7 @@
             connections: policy.connections,
             slots: policy.slots,
         };
-        (place_of(service), kind)
+        (service_path(service), kind)
     });
 }
 
@@ -60,11 +61,12 @@
             ticket_ttl_ms: policy.ticket_ttl_ms.0,
             deadline_ms: deadline_ms.0,
         };
-        (place_of(service), kind)
+        (service_path(service), kind)
     });
 }
 
-/// A caller that gives up first leaves its dependency working for nobody.
+/// Warns about dependencies whose deadline is longer than that of their caller:
+/// once the caller has timed out, the dependency's work is wasted.
 fn check_dependencies(
     draft: &TextDraft<'_>,
     service: &NamedService<'_>,
@@ -89,14 +91,14 @@
                 dependency_ms: dependency_ms.0,
             };
             (
-                Place(format!("services.{}.depends_on", service.name.value)),
+                KeyPath(format!("services.{}.depends_on", service.name.value)),
                 kind,
             )
         });
     }
 }
 
-fn check_payments(place: &str, calls: &[CallDraft<'_>], report: &mut Report<'_, '_>) {
+fn check_payments(path: &str, calls: &[CallDraft<'_>], report: &mut Report<'_, '_>) {
     for call in calls {
         let Some(class) = call.class else {
             continue;
@@ -113,7 +115,7 @@
                 method: call.method.to_owned(),
                 class: class.value,
             };
-            (Place(place.to_owned()), kind)
+            (KeyPath(path.to_owned()), kind)
         });
     }
 }
@@ -134,6 +136,6 @@
     longest
 }
 
-fn place_of(service: &NamedService<'_>) -> Place {
-    Place(format!("services.{}", service.name.value))
+fn service_path(service: &NamedService<'_>) -> KeyPath {
+    KeyPath(format!("services.{}", service.name.value))
 }
--- a/crates/text/tests/all/hostile.rs
+++ b/crates/text/tests/all/hostile.rs
@@ -1,9 +1,9 @@
-//! Texts that are meant to exhaust the checker are refused quickly.
+//! Tests that texts designed to exhaust the checker are rejected.
 //!
-//! What the operator sees: a broken or malicious value lands in the platform.
-//! Every node reads it on its control thread, so a check that overflowed the
-//! stack or took minutes would take the whole fleet down at once. Each text
-//! here must be refused on a thread with a small stack.
+//! Every node checks each value of the platform on its control thread. If a
+//! broken or malicious value made the check overflow the stack or run for
+//! minutes, the whole fleet would fail at once. Each text here must be rejected
+//! on a thread with a small stack.
 
 use std::thread;
 
@@ -12,7 +12,7 @@
 
 use crate::support::{BANGKOK, fixed_seed};
 
-/// An eighth of the 2 MiB that the daemon's threads have.
+/// One eighth of the 2 MiB stack of the daemon's threads.
 const STACK_BYTES: usize = 256 * 1_024;
 
 fn check_on_small_stack(text: String) -> Result<CheckedText, Faults> {
@@ -21,7 +21,7 @@
         .spawn(move || check(&text))
         .expect("a thread can be started")
         .join()
-        .expect("the check must neither panic nor overflow")
+        .expect("the check must neither panic nor overflow the stack")
 }
 
 fn refused(text: String) -> Faults {
@@ -59,9 +59,9 @@
 }
 
 #[test]
-fn brackets_cannot_hide_from_the_bound_on_nesting() {
-    // Brackets after something that looks like the start of a string or a
-    // comment to a scan, but not to the parser, would reach its recursion.
+fn brackets_cannot_evade_the_nesting_limit() {
+    // If the scan took a prefix for the start of a string or a comment and the
+    // parser did not, the scan would miss the brackets and the parser would recurse.
     let deep = "[".repeat(100_000);
     let prefixes = [
         "'\"' ",
@@ -91,7 +91,7 @@
     let text = format!(
         "// {brackets}\n/* {brackets} */ {{ \"deployment\": \"d\", \"services\": {{ \"a\": {{}} }} }}"
     );
-    check_on_small_stack(text).expect("comments may hold anything");
+    check_on_small_stack(text).expect("comments may contain anything");
     let text = format!("{{ \"{brackets}\": 1 }}");
     let faults = refused(text);
     assert_eq!(faults.faults[0].kind.name(), "missing-key");
@@ -137,8 +137,8 @@
 
 #[test]
 fn messages_never_carry_control_characters() {
-    // A name with terminal escapes would otherwise rewrite the operator's
-    // screen when the faults are shown.
+    // A name with terminal escape sequences could otherwise alter the operator's
+    // screen when the faults are displayed.
     let text = "{ \"deployment\": \"\\u001b[2J\\u0000\", \"\\u001b\": 1, \"services\": \
                 { \"\\u001b\": { \"depends_on\": [\"\\u0007\"], \"calls\": [{ \"name\": \"a\", \
                 \"match\": \"\\u0007\", \"class\": \"\\u0007\" }] } } }";
@@ -186,7 +186,7 @@
     }
     services.push_str(&format!("\"s{count}\":{{}}"));
     let text = format!(r#"{{ "deployment": "d", "services": {{ {services} }} }}"#);
-    let checked = check_on_small_stack(text).expect("a chain is no circle");
+    let checked = check_on_small_stack(text).expect("a chain is not a cycle");
     assert_eq!(checked.services.len(), count + 1);
     assert_eq!(checked.warnings.len(), 1);
 }
@@ -200,7 +200,7 @@
     }
 
     #[test]
-    fn any_soup_of_json_tokens_is_checked_without_a_panic(
+    fn any_sequence_of_json_tokens_is_checked_without_a_panic(
         tokens in prop::collection::vec(
             prop::sample::select(vec![
                 "{", "}", "[", "]", ",", ":", "\"", "//", "/*", "*/", "\n", "\\", "\0", "-", "+",
--- a/src/commands/trace.rs
+++ b/src/commands/trace.rs
@@ -1,4 +1,5 @@
-//! `hornbeamhitch trace`: tells one request's story from the logs of nodes.
+//! `hornbeamhitch trace`: shows what happened to one request, from the logs of
+//! nodes.
 
 use std::collections::BTreeMap;
 use std::io::Write;
@@ -12,10 +13,10 @@
 use crate::logs::{self, LogLine};
 use crate::source::write_json;
 
-/// Fields of a line that are shown apart from the others.
+/// Log fields that are not listed with the other fields of a step.
 const OWN_FIELDS: [&str; 6] = ["time_ms", "level", "target", "vm", "message", "request"];
 
-/// Tells one request's story.
+/// Shows what happened to one request.
 #[derive(Debug, Options)]
 pub(crate) struct Arguments {
     /// print this help
@@ -31,7 +32,7 @@
     files: Vec<String>,
 }
 
-/// One step of the story.
+/// One log line of the request.
 #[derive(Debug, Serialize)]
 struct Step {
     time_ms: u64,
@@ -41,41 +42,41 @@
     fields: BTreeMap<String, Value>,
 }
 
-/// The story with what is missing from it.
+/// The log lines of one request, and the reasons why further lines are missing.
 #[derive(Debug, Default, Serialize)]
-struct Story {
+struct RequestTrace {
     request: String,
     steps: Vec<Step>,
     missing: Vec<String>,
-    /// Lines that were no JSON of a node.
+    /// Number of lines that are not a node's log lines.
     unread_lines: u64,
 }
 
 pub(crate) fn run(arguments: &Arguments, out: &mut dyn Write) -> Result<Exit> {
-    let mut story = Story {
+    let mut trace = RequestTrace {
         request: arguments.request.clone(),
-        ..Story::default()
+        ..RequestTrace::default()
     };
-    story.unread_lines = logs::read_all(&arguments.files, |line| {
+    trace.unread_lines = logs::read_all(&arguments.files, |line| {
         if line.text("request") == Some(&arguments.request) {
-            story.steps.push(Step::of(line));
+            trace.steps.push(Step::of(line));
         }
     })?;
-    story.steps.sort_by_key(|step| step.time_ms);
-    story.name_missing();
+    trace.steps.sort_by_key(|step| step.time_ms);
+    trace.report_missing();
     if arguments.json {
-        write_json(out, &story)?;
+        write_json(out, &trace)?;
     } else {
-        story.write(out)?;
+        trace.write(out)?;
     }
-    Ok(match story.steps.is_empty() {
+    Ok(match trace.steps.is_empty() {
         true => Exit::Found,
         false => Exit::Ok,
     })
 }
 
-impl Story {
-    fn name_missing(&mut self) {
+impl RequestTrace {
+    fn report_missing(&mut self) {
         if self.steps.is_empty() {
             let reason = "no line names the request: its entry's log is not among the files, or \
                           lines were left out (see hitch_log_lines_suppressed_total)";
--- a/tests/all/leaving.rs
+++ b/tests/all/leaving.rs
@@ -166,12 +166,12 @@
     let event_at = wall_clock();
     deployment
         .target(LEAVING_VM)
-        .change_mood(|mood| mood.draining = true);
+        .change_behaviour(|behaviour| behaviour.draining = true);
     time_to_last_start(&deployment, traffic, event_at, "the target's drain").await?;
 
     deployment
         .target(LEAVING_VM)
-        .change_mood(|mood| mood.draining = false);
+        .change_behaviour(|behaviour| behaviour.draining = false);
     let ended_at = wall_clock();
     wait_leaving(&deployment, false).await?;
     println!(
@@ -199,7 +199,7 @@
     let deployment = start().await?;
     deployment
         .target(LEAVING_VM)
-        .change_mood(|mood| mood.draining = true);
+        .change_behaviour(|behaviour| behaviour.draining = true);
     let event_at = wall_clock();
     wait_leaving(&deployment, true).await?;
     println!(
@@ -214,7 +214,7 @@
 
     deployment
         .target(LEAVING_VM)
-        .change_mood(|mood| mood.draining = false);
+        .change_behaviour(|behaviour| behaviour.draining = false);
     wait_leaving(&deployment, false).await
 }
 
@@ -262,11 +262,11 @@
     let event_at = wall_clock();
     deployment
         .target(LEAVING_VM)
-        .change_mood(|mood| mood.draining = true);
+        .change_behaviour(|behaviour| behaviour.draining = true);
     time_to_last_start(&deployment, traffic, event_at, "drain, platform stale").await?;
     deployment
         .target(LEAVING_VM)
-        .change_mood(|mood| mood.draining = false);
+        .change_behaviour(|behaviour| behaviour.draining = false);
     wait_leaving(&deployment, false).await?;
 
     deployment.platform.down().await;
@@ -335,7 +335,7 @@
         match self {
             Self::Drain => deployment
                 .target(vm)
-                .change_mood(|mood| mood.draining = true),
+                .change_behaviour(|behaviour| behaviour.draining = true),
             Self::List => drop(deployment.platform.set_vm_state(vm, VmState::Leaving)?),
             Self::Terminate => deployment.fleet.terminate(vm)?,
         }
--- a/tests/all/measuring.rs
+++ b/tests/all/measuring.rs
@@ -12,7 +12,7 @@
 use hornbeamhitch_node::control_loop::FleetTag;
 use hornbeamhitch_standins::fleet::{Fleet, FleetConfig, NodeSpec};
 use hornbeamhitch_standins::platform::{PlatformStandin, VmEntry, VmState};
-use hornbeamhitch_standins::target::{HealthSays, Mood, TargetConfig, TargetStandin};
+use hornbeamhitch_standins::target::{Behaviour, HealthReport, TargetConfig, TargetStandin};
 use hornbeamhitch_wire::control::{Datagram, DatagramBody};
 
 use crate::support::caller::{Call, Caller};
@@ -104,9 +104,9 @@
 }
 
 /// Counts probes of a stand-in with this behaviour, without calls.
-async fn probes_in_mood(what: &str, mood: Mood) -> Result<()> {
+async fn probes_with_behaviour(what: &str, behaviour: Behaviour) -> Result<()> {
     let target = TargetStandin::start(TargetConfig {
-        mood,
+        behaviour,
         ..TargetConfig::default()
     })
     .await?;
@@ -123,26 +123,26 @@
     // healthy, drains, reports itself unhealthy, or fails each request. Without the
     // budget the node would probe four times a second; the budget allows one probe in
     // four seconds.
-    let idle = probes_in_mood("idle", Mood::default());
-    let draining = probes_in_mood(
+    let idle = probes_with_behaviour("idle", Behaviour::default());
+    let draining = probes_with_behaviour(
         "draining",
-        Mood {
+        Behaviour {
             draining: true,
-            ..Mood::default()
+            ..Behaviour::default()
         },
     );
-    let ill = probes_in_mood(
+    let ill = probes_with_behaviour(
         "ill",
-        Mood {
-            health: HealthSays::AlwaysIll,
-            ..Mood::default()
+        Behaviour {
+            health: HealthReport::AlwaysIll,
+            ..Behaviour::default()
         },
     );
-    let failing = probes_in_mood(
+    let failing = probes_with_behaviour(
         "failing fast",
-        Mood {
+        Behaviour {
             fail_fast: true,
-            ..Mood::default()
+            ..Behaviour::default()
         },
     );
     tokio::try_join!(idle, draining, ill, failing).map(drop)
@@ -273,7 +273,7 @@
         let (mut probes, mut others) = (0, 0);
         let mut buffer = [0; 4_096];
         while let Ok(length) = self.socket.recv(&mut buffer) {
-            let own = FleetTag::of(deployment).take_off(&buffer[..length]);
+            let own = FleetTag::of(deployment).strip(&buffer[..length]);
             let datagram = own.map(Datagram::decode);
             match datagram.map(|datagram| datagram.map(|datagram| datagram.body)) {
                 Some(Ok(DatagramBody::Probe { .. })) => probes += 1,
--- a/tests/all/not_run.rs
+++ b/tests/all/not_run.rs
@@ -187,11 +187,11 @@
     answer_log.wait_answers(ANSWERS_BETWEEN_FAILURES).await?;
     deployment
         .target("cashier-1")
-        .change_mood(|mood| mood.shed = true);
+        .change_behaviour(|behaviour| behaviour.shed = true);
     answer_log.wait_answers(ANSWERS_BETWEEN_FAILURES).await?;
     deployment
         .target("cashier-1")
-        .change_mood(|mood| mood.shed = false);
+        .change_behaviour(|behaviour| behaviour.shed = false);
 
     pause(deployment, "cashier-2").await?;
     answer_log.wait_answers(ANSWERS_BETWEEN_FAILURES).await?;
--- a/tests/all/shutdown.rs
+++ b/tests/all/shutdown.rs
@@ -223,7 +223,7 @@
         .await?;
     deployment
         .target(GATE)
-        .change_mood(|mood| mood.draining = true);
+        .change_behaviour(|behaviour| behaviour.draining = true);
     wait_leaving(&deployment, GATE).await?;
     let is_idle = |deployment: &Deployment| {
         let runs = deployment.target(GATE).all_runs();
@@ -241,7 +241,7 @@
     let before = deployment.target(GATE).all_runs().len();
     deployment
         .target(GATE)
-        .change_mood(|mood| mood.draining = false);
+        .change_behaviour(|behaviour| behaviour.draining = false);
     deployment.target(GATE).reopen().await;
     let is_back = |deployment: &Deployment| deployment.target(GATE).all_runs().len() >= before + 10;
     deployment
