--- a/crates/lab/benches/decisions.rs
+++ b/crates/lab/benches/decisions.rs
@@ -1,5 +1,5 @@
-//! What one decision costs, against the size of what is known. Not part of
-//! CI's verdict: times depend on the machine.
+//! Benchmarks of single decisions by the number of targets or records. CI does not check
+//! them, since times depend on the machine.
 
 use std::hint::black_box;
 
--- a/crates/lab/src/bounds.rs
+++ b/crates/lab/src/bounds.rs
@@ -1,4 +1,4 @@
-//! Bounds on counts and virtual-time quantiles, kept in a committed file.
+//! Checks counts and virtual-time quantiles against the bounds in a committed file.
 
 use serde::{Deserialize, Serialize};
 use strum::{Display, EnumString};
@@ -9,80 +9,80 @@
 use crate::run::{Job, run_all};
 use crate::world::RunReport;
 
-/// The committed file.
+/// Content of the committed file.
 #[derive(Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct BoundsFile {
-    /// Seed of the runs that the bounds are about.
+    /// Seed of the runs to which the bounds apply.
     pub seed: u64,
     /// The bounds.
     pub bounds: Vec<Bound>,
 }
 
-/// One bound on one measure of ours in one case.
+/// Bound on a measure of the core's own policy in one case.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Bound {
     /// Name of the case.
     pub case: String,
-    /// What is bounded.
+    /// Measure to which the bound applies.
     pub measure: Measure,
-    /// Greatest value that passes.
+    /// Greatest allowed value.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub at_most: Option<f64>,
-    /// Least value that passes.
+    /// Least allowed value.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub at_least: Option<f64>,
-    /// Why the bound stands where it stands.
+    /// Reason for the value of the bound.
     pub why: String,
 }
 
-/// What a bound can be about.
+/// Measures that can have a bound.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, Display, EnumString)]
 #[serde(rename_all = "snake_case")]
 #[strum(serialize_all = "snake_case")]
 pub enum Measure {
-    /// 99th percentile of answered tries in microseconds.
+    /// 99th percentile of the latency of answered tries in microseconds.
     P99Us,
-    /// 99.9th percentile of answered tries in microseconds.
+    /// 99.9th percentile of the latency of answered tries in microseconds.
     P999Us,
-    /// Tail of ours over the oracle's.
+    /// Ratio of the core's tail latency to the oracle's.
     OverOracle,
-    /// Tail of ours over the lowest among the baselines.
+    /// Ratio of the core's tail latency to the lowest among the baselines.
     OverBestBaseline,
-    /// Answered calls as a share of what the slots can carry.
+    /// Answered calls per second as a share of the capacity.
     GoodputShare,
-    /// Refused tries as a share of all.
+    /// Rejected tries as a share of all tries.
     RefusedShare,
-    /// Failed tries as a share of all.
+    /// Failed tries as a share of all tries.
     FailedShare,
-    /// Attempts per try, over all depths.
+    /// Attempts per try, at all depths.
     AttemptsPerTry,
     /// Probes per try.
     ProbesPerCall,
-    /// Share of the slots' busy time that was useful.
+    /// Share of the slots' busy time that was spent on answers that reached their entry.
     UsefulShare,
-    /// Crashes of targets.
+    /// Number of target crashes.
     Crashes,
 }
 
-/// A bound beside what was measured.
+/// Result of checking a bound.
 #[derive(Clone, Debug)]
 pub struct Verdict {
     /// The bound.
     pub bound: Bound,
-    /// What the run gave.
+    /// Measured value.
     pub measured: f64,
     /// Whether the bound holds.
     pub holds: bool,
 }
 
-/// Runs what the bounds need and holds every bound against it.
+/// Makes the runs that the bounds need and checks every bound.
 ///
 /// # Errors
 ///
-/// A bound that names a case which is not in the catalogue is an error: it
-/// would otherwise pass unseen.
+/// Fails if a bound names a case that is not in the catalogue, since the bound would
+/// otherwise never be checked.
 pub fn check(file: &BoundsFile, cases: &[Case]) -> eyre::Result<Vec<Verdict>> {
     let mut jobs: Vec<Job> = Vec::new();
     let mut used: Vec<Case> = Vec::new();
--- a/crates/lab/src/capacity.rs
+++ b/crates/lab/src/capacity.rs
@@ -1,14 +1,14 @@
-//! Slopes: what one node costs against the size of what it knows.
+//! Measures the cost of one node as a function of the deployment's size.
 //!
-//! `docs/contributing/lab-capacity.md` is worked out from these figures. Counts, bytes and
-//! times in force come from virtual time and repeat exactly; processor times
-//! are those of this machine, and memory is what the allocator was asked for.
+//! `docs/contributing/lab-capacity.md` is based on these figures. Counts, bytes and times
+//! until a text is in force are measured in virtual time and are reproducible. Processor
+//! times depend on the machine, and memory is what the allocator was asked for.
 //!
-//! - [`fleet`] runs many control halves against a fake network and platform;
+//! - [`fleet`] runs many control halves with a fake network and platform;
 //! - [`control`], [`reader`] and [`changes`] measure the control half;
 //! - [`text`] measures the check of a configuration text;
 //! - [`traffic`] measures entry and gate;
-//! - [`report`] prints it all.
+//! - [`report`] prints the results.
 
 pub mod changes;
 pub mod control;
--- a/crates/lab/src/capacity/changes.rs
+++ b/crates/lab/src/capacity/changes.rs
@@ -1,4 +1,4 @@
-//! What changes of the VM list cost: single VMs, a rack, a data centre.
+//! Cost of VM list changes when a VM, a rack or a data centre is lost.
 
 use serde::Serialize;
 
@@ -10,39 +10,39 @@
 const SETTLE: Millis = Millis::from_secs(30);
 const SPREAD_LIMIT: Millis = Millis::from_secs(120);
 
-/// What is lost at once.
+/// VMs that are lost at the same time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub enum Loss {
-    /// Nothing; the same span for comparison.
+    /// No VM, for comparison over the same time.
     Nothing,
     /// One VM.
     Vm,
-    /// So many VMs, each of another service.
+    /// This number of VMs, each of another service.
     Rack(usize),
     /// All VMs of one data centre.
     DataCentre,
 }
 
-/// What a loss cost.
+/// Cost of a loss.
 #[derive(Clone, Debug, Serialize)]
 pub struct LossFigures {
-    /// What was lost.
+    /// The loss.
     pub loss: Loss,
-    /// VMs lost.
+    /// Number of lost VMs.
     pub vms: usize,
-    /// Nodes that remain.
+    /// Number of remaining nodes.
     pub nodes: usize,
-    /// Until every remaining node held the newer VM list.
+    /// Time until every remaining node had the newer VM list.
     pub known_after: Millis,
-    /// Bytes of a node in the 30 s after it, mean.
+    /// Mean number of bytes that a node sent and received in the 30 s after the loss.
     pub mean_bytes: f64,
-    /// The same of the node with the most.
+    /// Number of those bytes for the node with the most.
     pub worst_bytes: u64,
-    /// Bulk requests of all nodes in that time.
+    /// Number of bulk requests of all nodes in that time.
     pub pulls: u64,
 }
 
-/// Loses something of a fleet.
+/// Measures the cost of a loss in a running fleet.
 #[must_use]
 pub fn measure(layout: &Layout, loss: Loss) -> LossFigures {
     let mut fleet = Fleet::start(layout, Calls::None);
@@ -112,7 +112,7 @@
     lost
 }
 
-/// Bytes and pulls of every node that is alive.
+/// Total bytes and bulk requests of every running node.
 fn totals(fleet: &Fleet) -> Vec<(u64, u64)> {
     let mut totals = Vec::new();
     for index in fleet.alive() {
--- a/crates/lab/src/capacity/control.rs
+++ b/crates/lab/src/capacity/control.rs
@@ -1,4 +1,5 @@
-//! The control half of one node against its service and its dependencies.
+//! Cost of the control half of one node by the size of its service and the number of
+//! its dependencies.
 
 use serde::Serialize;
 
@@ -8,69 +9,68 @@
 use crate::prelude::*;
 
 const COLD_START_LIMIT: Millis = Millis::from_secs(60);
-/// One change of the text: 60,000 a day are one in 1.44 s.
+/// Interval between edits of the text: 60,000 edits a day.
 const EDIT_EVERY: Millis = Millis(1_440);
-/// A node other than those that read the platform is watched: this many are
-/// tried.
+/// Number of nodes among which a node that does not read the platform is searched.
 const MAX_MEMBERS_TRIED: usize = 40;
 
-/// What is run.
+/// A case of the control measurement.
 #[derive(Clone, Debug)]
 pub struct ControlCase {
-    /// Name in tables.
+    /// Name in the tables.
     pub name: String,
-    /// The deployment; a node of its first service is measured.
+    /// Deployment of the fleet. A node of its first service is measured.
     pub layout: Layout,
-    /// What nodes do with the services that they depend on.
+    /// Calls of nodes to the services that they depend on.
     pub calls: Calls,
-    /// Whether the text changes as on an ordinary day.
+    /// Whether the text is edited at the usual rate.
     pub edited: bool,
-    /// Time before the measurement.
+    /// Time before the measurement, in seconds.
     pub settle_s: u64,
-    /// Time measured.
+    /// Length of the measurement, in seconds.
     pub measure_s: u64,
 }
 
-/// What one node costs a second.
+/// Cost of one node per second.
 #[derive(Clone, Debug, Serialize)]
 pub struct ControlFigures {
-    /// The case.
+    /// Name of the case.
     pub name: String,
-    /// Nodes of the run.
+    /// Number of nodes in the fleet.
     pub nodes: usize,
-    /// Targets that the node knows of, its own included.
+    /// Number of targets that the node knows, including its own.
     pub known_targets: usize,
-    /// Those of them that are doubtful.
+    /// Number of those targets that are doubtful.
     pub doubtful_targets: usize,
-    /// Datagrams sent.
+    /// Datagrams sent per second.
     pub datagrams_out_per_s: f64,
-    /// Datagrams received.
+    /// Datagrams received per second.
     pub datagrams_in_per_s: f64,
-    /// Bytes sent, bulk included.
+    /// Bytes sent per second, including bulk messages.
     pub bytes_out_per_s: f64,
-    /// Bytes received, bulk included.
+    /// Bytes received per second, including bulk messages and platform reads.
     pub bytes_in_per_s: f64,
-    /// Bulk requests sent.
+    /// Bulk requests sent per second.
     pub pulls_per_s: f64,
-    /// Probes sent.
+    /// Probes sent per second.
     pub probes_per_s: f64,
-    /// Route tables published.
+    /// Route tables published per second.
     pub tables_per_s: f64,
-    /// Processor time, in microseconds.
+    /// Processor time per second, in microseconds.
     pub processor_us_per_s: f64,
-    /// Memory that control and route table hold.
+    /// Memory of the control half and the route table.
     pub memory_bytes: u64,
 }
 
 impl ControlFigures {
-    /// Bytes in both directions.
+    /// Bytes sent and received per second.
     #[must_use]
     pub fn bytes_per_s(&self) -> f64 {
         self.bytes_out_per_s + self.bytes_in_per_s
     }
 }
 
-/// Runs a case.
+/// Runs a case and measures one node.
 #[must_use]
 pub fn measure(case: &ControlCase) -> ControlFigures {
     let mut fleet = Fleet::start(&case.layout, case.calls);
@@ -112,7 +112,8 @@
     }
 }
 
-/// The first member of the first service that does not read the platform.
+/// Index of the first node that does not read the platform, or 0 if there is none among
+/// the first [`MAX_MEMBERS_TRIED`].
 fn first_non_reader(fleet: &Fleet) -> usize {
     for index in 0..MAX_MEMBERS_TRIED.min(fleet.alive().len()) {
         if !fleet.status(index).reading {
@@ -122,7 +123,7 @@
     0
 }
 
-/// What was spent between two looks, a second.
+/// Usage per second between two measurements of the same node.
 #[must_use]
 pub fn rates(before: &NodeUsage, after: &NodeUsage, seconds: f64) -> ControlFigures {
     let (old, new) = (&before.counters, &after.counters);
@@ -152,7 +153,7 @@
     }
 }
 
-/// The cases of the full measurement.
+/// Returns the cases; `quick` selects only the small ones.
 #[must_use]
 pub fn cases(quick: bool) -> Vec<ControlCase> {
     let mut cases = Vec::new();
--- a/crates/lab/src/capacity/fleet.rs
+++ b/crates/lab/src/capacity/fleet.rs
@@ -1,7 +1,7 @@
-//! Many control halves in virtual time, with a fake network and platform.
+//! Runs many control halves in virtual time, with a fake network and platform.
 //!
-//! The control halves are the real ones, and texts are checked by the real
-//! checker. Datagrams take one to three milliseconds and none is lost.
+//! The control halves and the checker of texts are the real ones. Datagrams take one to
+//! three milliseconds, and none is lost.
 
 mod platform;
 
@@ -23,13 +23,13 @@
 
 const SEED: u64 = 42;
 const TICK: Millis = Millis(50);
-/// The daemon takes a status for operators this often.
+/// Number of ticks after which the daemon computes its status for operators.
 const STATUS_TICKS: u64 = 4;
 const DATAGRAM_DELAY_MS: std::ops::RangeInclusive<u64> = 1..=3;
 const BULK_DELAY: Millis = Millis(2);
 const PLATFORM_DELAY: Millis = Millis(5);
 const SECOND: Millis = Millis(1_000);
-/// Length of a line of the VM list in JSON; see `docs/contributing/architecture.md`.
+/// Length of an entry of the VM list in JSON; see `docs/contributing/architecture.md`.
 const LISTED_VM_JSON_BYTES: u64 = 150;
 
 struct Checker;
@@ -48,18 +48,18 @@
     }
 }
 
-/// What one node has sent, received and spent so far.
+/// Messages, bytes and processor time of one node so far.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct NodeUsage {
-    /// The counters of its control half.
+    /// Counters of the node's control half.
     pub counters: ControlCounters,
-    /// Bodies that its reads of the platform have brought.
+    /// Bytes of the bodies that the node read from the platform.
     pub platform_bytes: u64,
-    /// Processor time of the control half; only of the watched node.
+    /// Processor time of the control half. It is 0 for all nodes but the measured one.
     pub processor_ns: u64,
 }
 
-/// One node.
+/// A node of a fleet.
 pub struct Node {
     settings: ControlSettings,
     control: Control,
@@ -68,38 +68,38 @@
     platform_bytes: u64,
     ticks: u64,
     alive: bool,
-    /// Reached this version of the text at that time.
+    /// Times at which versions of the text came into force on the node.
     reached: BTreeMap<u64, Millis>,
 }
 
 impl Node {
-    /// The route table published last.
+    /// Route table that was published last.
     #[must_use]
     pub fn table(&self) -> &RouteTable {
         &self.table
     }
 }
 
-/// What nodes do with the services that they depend on.
+/// Calls of nodes to the services that they depend on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Calls {
-    /// Nothing.
+    /// There are no calls.
     None,
-    /// Each node calls every target once a second and hears of its load.
+    /// Each node calls every target once per second and gets its load with the answer.
     EveryTarget,
-    /// Each node calls so seldom that it hears of no target by answers.
+    /// Each node calls so rarely that it gets no load reports with answers.
     Seldom,
 }
 
 enum FleetEvent {
     Tick,
-    /// The calls of one second.
+    /// The node sends its calls of one second.
     Calls,
     Event(ControlEvent),
     BulkRequest(usize, Vec<u8>),
 }
 
-/// All nodes with the network and the platform between them.
+/// All nodes of a deployment, with the network and the platform.
 pub struct Fleet {
     now: Millis,
     nodes: Vec<Option<Node>>,
@@ -117,7 +117,7 @@
 }
 
 impl Fleet {
-    /// Starts a node on each VM of a layout.
+    /// Starts a node on every VM of a layout.
     #[must_use]
     pub fn start(layout: &Layout, calls: Calls) -> Self {
         let mut fleet = Self {
@@ -181,39 +181,43 @@
         }
     }
 
-    /// The present virtual time.
+    /// Current virtual time.
     #[must_use]
     pub const fn now(&self) -> Millis {
         self.now
     }
 
-    /// Reads of the platform so far, a waiting watch as one.
+    /// Number of platform reads so far. A watch counts as one read.
     #[must_use]
     pub const fn platform_reads(&self) -> u64 {
         self.platform_reads
     }
 
-    /// Measures the processor time of this node from now on.
+    /// Starts to measure the processor time of this node.
     pub fn measure_node(&mut self, index: usize) {
         self.measured_node = index;
         self.stopwatch = Stopwatch::default();
     }
 
-    /// One node, while it is there.
+    /// Returns a node.
+    ///
+    /// # Panics
+    ///
+    /// Panics if the node was removed.
     #[must_use]
     pub fn node(&self, index: usize) -> &Node {
         self.nodes[index]
             .as_ref()
-            .expect("the node was not taken out")
+            .expect("the node was not removed")
     }
 
-    /// The status of one node.
+    /// Returns the status of a node.
     #[must_use]
     pub fn status(&self, index: usize) -> ControlStatus {
         self.node(index).control.status(self.now)
     }
 
-    /// What one node has spent.
+    /// Returns the usage of a node so far.
     #[must_use]
     pub fn usage(&self, index: usize) -> NodeUsage {
         NodeUsage {
@@ -227,7 +231,7 @@
         }
     }
 
-    /// Nodes that are alive.
+    /// Indices of the running nodes.
     #[must_use]
     pub fn alive(&self) -> Vec<usize> {
         let mut alive = Vec::new();
@@ -239,7 +243,7 @@
         alive
     }
 
-    /// Nodes that read the platform.
+    /// Indices of the nodes that read the platform.
     #[must_use]
     pub fn readers(&self) -> Vec<usize> {
         let mut readers = self.alive();
@@ -247,35 +251,33 @@
         readers
     }
 
-    /// Takes a node out, so that what it holds can be weighed.
+    /// Removes a node, so that its memory can be measured.
     pub fn remove_node(&mut self, index: usize) -> Node {
-        self.nodes[index]
-            .take()
-            .expect("the node was not taken out")
+        self.nodes[index].take().expect("the node was not removed")
     }
 
-    /// Publishes a newer text; gives its version.
+    /// Publishes a new text and returns its version.
     pub fn publish_text(&mut self, text: &str) -> u64 {
         self.text = (self.text.0 + 1, Arc::from(text));
         self.wake_watches();
         self.text.0
     }
 
-    /// Publishes a newer VM list.
+    /// Publishes a changed VM list.
     pub fn publish_vms(&mut self, change: impl FnOnce(&mut Vec<ListedVm>)) {
         change(&mut self.vms);
         self.list_version += 1;
         self.wake_watches();
     }
 
-    /// Ends nodes without a word.
+    /// Stops a node without notice to its peers.
     pub fn kill(&mut self, index: usize) {
         if let Some(node) = &mut self.nodes[index] {
             node.alive = false;
         }
     }
 
-    /// Whether all nodes have this version of the text in force.
+    /// Whether all running nodes have this or a later version of the text in force.
     #[must_use]
     pub fn all_at(&self, version: u64) -> bool {
         let version = Some(ConfigVersion(version));
@@ -283,7 +285,7 @@
         nodes.all(|node| !node.alive || node.table.version >= version)
     }
 
-    /// When each node reached a version.
+    /// Times at which this or a later version came into force on each running node.
     #[must_use]
     pub fn reached(&self, version: u64) -> Vec<Millis> {
         let mut times = Vec::new();
@@ -298,7 +300,7 @@
         times
     }
 
-    /// Gives every gate a load, which makes every statement longer.
+    /// Gives every gate a load report, which makes the nodes' messages longer.
     pub fn report_loads(&mut self) {
         for index in self.alive() {
             let load = self.load_of(index);
@@ -310,7 +312,7 @@
         }
     }
 
-    /// Runs for a span of virtual time.
+    /// Runs the fleet for a span of virtual time.
     pub fn run(&mut self, span: Millis) {
         let end = self.now + span;
         while let Some(entry) = self.queue.first_entry() {
@@ -326,11 +328,11 @@
         self.now = end;
     }
 
-    /// Runs until the condition holds; gives the time that it took.
+    /// Runs the fleet until a condition holds and returns the elapsed virtual time.
     ///
     /// # Panics
     ///
-    /// It does not hold within the limit.
+    /// Panics if the condition does not hold within the limit.
     pub fn run_until(&mut self, limit: Millis, holds: impl Fn(&Self) -> bool) -> Millis {
         let start = self.now;
         while !holds(self) {
@@ -371,7 +373,8 @@
         }
     }
 
-    /// As the daemon does: the gate's load, the tick, now and then a status.
+    /// Handles the gate's load and a tick, and sometimes computes a status, as the daemon
+    /// does.
     fn tick(&mut self, index: usize) {
         self.push(self.now + TICK, index, FleetEvent::Tick);
         let load = self.load_of(index);
@@ -379,7 +382,7 @@
         self.handle(index, ControlEvent::Tick);
         let now = self.now;
         let is_watched = index == self.measured_node;
-        let node = self.nodes[index].as_mut().expect("it was just there");
+        let node = self.nodes[index].as_mut().expect("the node is running");
         node.ticks += 1;
         if is_watched && node.ticks.is_multiple_of(STATUS_TICKS) {
             self.stopwatch.time(|| drop(node.control.status(now)));
@@ -416,7 +419,7 @@
         self.push(self.now + BULK_DELAY, requester, FleetEvent::Event(event));
     }
 
-    /// Hands an event to a node and carries out its actions; gives the answer
+    /// Passes an event to a node and carries out the resulting actions. Returns the answer
     /// to a bulk request.
     fn handle(&mut self, index: usize, event: ControlEvent) -> Option<Vec<u8>> {
         let now = self.now;
--- a/crates/lab/src/capacity/fleet/platform.rs
+++ b/crates/lab/src/capacity/fleet/platform.rs
@@ -1,4 +1,4 @@
-//! The platform of a fleet: reads, and watches that wait for a newer value.
+//! The fake platform of a fleet, with reads and watches.
 
 use std::sync::Arc;
 
@@ -38,12 +38,12 @@
         self.end_watches();
     }
 
-    /// A node gives up the reads that it has on their way.
+    /// Cancels the pending reads of a node.
     pub(super) fn cancel_reads(&mut self, node: usize) {
         self.watches.retain(|watch| watch.node != node);
     }
 
-    /// Ends watches whose value has come.
+    /// Answers the watches for which there is a newer value.
     pub(super) fn wake_watches(&mut self) {
         for watch in std::mem::take(&mut self.watches) {
             let Some((event, bytes)) = self.newer_value(&watch) else {
@@ -58,7 +58,7 @@
         }
     }
 
-    /// Ends watches whose time is over.
+    /// Ends the watches whose wait is over, without a newer value.
     pub(super) fn end_watches(&mut self) {
         let now = self.now;
         if !self.watches.iter().any(|watch| watch.until <= now) {
--- a/crates/lab/src/capacity/layout.rs
+++ b/crates/lab/src/capacity/layout.rs
@@ -1,4 +1,4 @@
-//! The deployment that a fleet runs: services, VMs, and the text.
+//! The deployment of a fleet: its services, VMs and configuration text.
 
 use std::fmt::Write;
 use std::net::SocketAddr;
@@ -10,32 +10,33 @@
 const PEER_PORT: u16 = 7_000;
 const CONTROL_PORT: u16 = 7_001;
 
-/// One service.
+/// A service.
 #[derive(Clone, Debug)]
 pub struct ServiceShape {
-    /// Its name.
+    /// Name of the service.
     pub name: String,
-    /// Its targets.
+    /// Number of targets.
     pub targets: usize,
-    /// Services that it calls, by their place in the layout.
+    /// Services that it calls, by their index in the layout.
     pub depends_on: Vec<usize>,
 }
 
 /// All services of a deployment.
 #[derive(Clone, Debug)]
 pub struct Layout {
-    /// The services; VMs are numbered in this order.
+    /// The services. VMs are numbered in this order.
     pub services: Vec<ServiceShape>,
-    /// Data centres, over which the VMs of each service are spread in turn;
-    /// where a service has too few VMs for all, the services take turns too.
+    /// Number of data centres. The VMs of each service are spread over them in turn. If a
+    /// service has fewer VMs than there are data centres, the turn continues across
+    /// services.
     pub data_centres: usize,
-    /// Characters of comment in each service, so that a text gets the length
-    /// of a real one.
+    /// Length of a comment in each service, in characters. It gives the text a realistic
+    /// length.
     pub comment_chars: usize,
 }
 
 impl Layout {
-    /// A service that calls others, each of the same size.
+    /// A service that calls others, all of which have the same size.
     #[must_use]
     pub fn caller_and_callees(targets: usize, callees: usize, callee_targets: usize) -> Self {
         let mut services = vec![shape("caller", targets, (1..=callees).collect())];
@@ -49,7 +50,7 @@
         Self::of(services)
     }
 
-    /// Services of one size that all call the first one.
+    /// A service that is called by others, all of which have the same size.
     #[must_use]
     pub fn callers_of_one(targets: usize, callers: usize, caller_targets: usize) -> Self {
         let mut services = vec![shape("shared", targets, Vec::new())];
@@ -63,7 +64,7 @@
         Self::of(services)
     }
 
-    /// Services of one size, each of which calls the two after it.
+    /// Services of the same size, each of which calls the next two.
     #[must_use]
     pub fn equal(services: usize, targets: usize) -> Self {
         let mut shapes = Vec::with_capacity(services);
@@ -85,7 +86,7 @@
         }
     }
 
-    /// All VMs in the order of services.
+    /// Returns all VMs in the order of the services.
     #[must_use]
     pub fn vms(&self) -> Vec<ListedVm> {
         let mut vms = Vec::new();
@@ -107,8 +108,8 @@
         vms
     }
 
-    /// The configuration text; each of `edits` changes a value of one service,
-    /// of all in turn.
+    /// Returns the configuration text after a number of edits. Each edit changes a value
+    /// of one service, and the services take turns.
     #[must_use]
     pub fn text(&self, edits: u64) -> String {
         let services = self.services.len() as u64;
@@ -151,13 +152,13 @@
     }
 }
 
-/// The address of the VM with this number.
+/// Address of the VM with this index.
 fn address(index: usize, port: u16) -> SocketAddr {
     let [high, low] = u16::try_from(index).expect("few nodes").to_be_bytes();
     SocketAddr::from(([10, 0, high, low], port))
 }
 
-/// The number of the VM at an address.
+/// Index of the VM at an address.
 #[must_use]
 pub fn index_at(address: SocketAddr) -> usize {
     match address {
--- a/crates/lab/src/capacity/reader.rs
+++ b/crates/lab/src/capacity/reader.rs
@@ -1,5 +1,5 @@
-//! What a reader of the platform costs against the size of the text, and how
-//! soon an edit is in force.
+//! Cost of a platform reader by the size of the text, and the time until an edit is in
+//! force.
 
 use serde::Serialize;
 
@@ -13,41 +13,41 @@
 const SETTLE: Millis = Millis::from_secs(30);
 const EDIT_EVERY: Millis = Millis(1_440);
 
-/// What is run.
+/// A case of the reader measurement.
 #[derive(Clone, Debug)]
 pub struct ReaderCase {
-    /// Name in tables.
+    /// Name in the tables.
     pub name: String,
-    /// The deployment.
+    /// Deployment of the fleet.
     pub layout: Layout,
-    /// Edits published, one in 1.44 s.
+    /// Number of edits, which are published every 1.44 s.
     pub edits: u64,
 }
 
-/// What reading costs.
+/// Cost of reading the platform.
 #[derive(Clone, Debug, Serialize)]
 pub struct ReaderFigures {
-    /// The case.
+    /// Name of the case.
     pub name: String,
-    /// Length of the text.
+    /// Length of the text in bytes.
     pub text_bytes: usize,
-    /// Readers of all data centres.
+    /// Number of readers in all data centres.
     pub readers: usize,
-    /// Reads of the platform by all.
+    /// Platform reads of all readers per second.
     pub platform_reads_per_s: f64,
-    /// Bodies of the platform that one reader takes in.
+    /// Bytes of platform bodies that one reader receives per second.
     pub platform_bytes_per_s: f64,
-    /// Messages and bodies of one reader, in and out.
+    /// Cost of one reader.
     pub reader: ControlFigures,
-    /// Time from an edit to its being in force, median of nodes and edits.
+    /// Median time until an edit is in force, over all nodes and edits.
     pub in_force_p50: Millis,
-    /// The same, 99 of 100.
+    /// 99th percentile of that time.
     pub in_force_p99: Millis,
-    /// The last node after the worst edit.
+    /// Longest time until an edit is in force on the last node.
     pub in_force_last: Millis,
 }
 
-/// Runs a case.
+/// Runs a case and measures one reader.
 #[must_use]
 pub fn measure(case: &ReaderCase) -> ReaderFigures {
     let mut fleet = Fleet::start(&case.layout, Calls::None);
@@ -94,7 +94,7 @@
     }
 }
 
-/// The cases of the full measurement.
+/// Returns the cases; `quick` selects only the smallest one.
 #[must_use]
 pub fn cases(quick: bool) -> Vec<ReaderCase> {
     let mut cases = Vec::new();
--- a/crates/lab/src/capacity/report.rs
+++ b/crates/lab/src/capacity/report.rs
@@ -1,4 +1,4 @@
-//! Runs the parts of the measurement and prints their tables.
+//! Runs the parts of the capacity measurement and prints their tables.
 
 use serde::Serialize;
 use strum::{Display, EnumString, VariantArray};
@@ -10,11 +10,11 @@
 use crate::capacity::text::{self, TextFigures};
 use crate::capacity::traffic::{self, EntryFigures, GateFigures};
 
-/// What can be measured on its own.
+/// A part of the capacity measurement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, VariantArray, EnumString, Display)]
 #[strum(serialize_all = "kebab-case")]
 pub enum Part {
-    /// The control half of an ordinary node.
+    /// The control half of a node that does not read the platform.
     Control,
     /// A reader of the platform.
     Reader,
@@ -28,10 +28,10 @@
     Gate,
 }
 
-/// All figures of one run.
+/// All results of one measurement.
 #[derive(Debug, Default, Serialize)]
 pub struct CapacityReport {
-    /// Control of ordinary nodes.
+    /// Control halves of nodes that do not read the platform.
     pub control: Vec<ControlFigures>,
     /// Readers of the platform.
     pub readers: Vec<ReaderFigures>,
@@ -46,7 +46,8 @@
 }
 
 impl CapacityReport {
-    /// Measures one part and prints its lines as they come.
+    /// Measures one part and prints each line as soon as it is available. In the parts
+    /// `control` and `reader`, only cases whose names contain `case` are measured.
     pub fn measure(&mut self, part: Part, quick: bool, case: &str) {
         match part {
             Part::Control => self.measure_control(quick, case),
--- a/crates/lab/src/capacity/stopwatch.rs
+++ b/crates/lab/src/capacity/stopwatch.rs
@@ -1,13 +1,14 @@
-//! Processor time of the measuring thread.
+//! Measures the processor time of the current thread.
 
 use cpu_time::ThreadTime;
 
-/// Repetitions of a measurement that is reported by its best and its median.
+/// Number of repetitions of a measurement, of which the best and the median are
+/// reported.
 const REPETITIONS: usize = 7;
 
-/// Adds up the processor time of this thread over many short spans.
+/// Sums up the processor time of this thread over many short spans.
 ///
-/// The thread's own clock is read, and not the wall clock, because other
+/// It uses the thread's processor time instead of wall-clock time, because other
 /// processes share the machine.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Stopwatch {
@@ -16,7 +17,7 @@
 }
 
 impl Stopwatch {
-    /// Runs something and adds the time that it took.
+    /// Runs some work and adds its processor time.
     pub fn time<T>(&mut self, work: impl FnOnce() -> T) -> T {
         let started = ThreadTime::now();
         let result = work();
@@ -25,29 +26,29 @@
         result
     }
 
-    /// Time added up, in nanoseconds.
+    /// Total processor time in nanoseconds.
     #[must_use]
     pub const fn spent_ns(&self) -> u64 {
         self.spent_ns
     }
 
-    /// Spans added up.
+    /// Number of measured spans.
     #[must_use]
     pub const fn spans(&self) -> u64 {
         self.spans
     }
 }
 
-/// Processor time of one step, in nanoseconds.
+/// Processor time per step, in nanoseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, serde::Serialize)]
 pub struct StepTime {
-    /// The least of all repetitions.
+    /// Minimum of all repetitions.
     pub best_ns: f64,
-    /// The median of all repetitions.
+    /// Median of all repetitions.
     pub median_ns: f64,
 }
 
-/// Measures one step out of many, several times over.
+/// Measures the mean processor time of a step over `steps` steps, several times.
 pub fn time_steps(steps: u64, mut step: impl FnMut(u64)) -> StepTime {
     let mut times_ns = Vec::with_capacity(REPETITIONS);
     let mut number = 0;
--- a/crates/lab/src/capacity/text.rs
+++ b/crates/lab/src/capacity/text.rs
@@ -1,4 +1,4 @@
-//! What the check of a configuration text costs against its size.
+//! Cost of checking a configuration text by its size.
 
 use std::hint::black_box;
 
@@ -10,26 +10,26 @@
 
 const CHECKS: u64 = 3;
 
-/// One size of text.
+/// Cost of checking a text of one size.
 #[derive(Clone, Debug, Serialize)]
 pub struct TextFigures {
-    /// Services of the text.
+    /// Number of services in the text.
     pub services: usize,
-    /// Its length.
+    /// Length of the text in bytes.
     pub text_bytes: usize,
     /// Processor time of one check.
     pub check: StepTime,
-    /// The most memory held during a check.
+    /// Peak memory during a check, in bytes.
     pub peak_bytes: u64,
-    /// Memory of the checked text.
+    /// Memory of the checked text, in bytes.
     pub held_bytes: u64,
 }
 
-/// Checks a text of so many services with comments of so many characters.
+/// Measures the check of a text with this number of services and comments of this length.
 ///
 /// # Panics
 ///
-/// The text has faults.
+/// Panics if the text has faults.
 #[must_use]
 pub fn measure(services: usize, comment_chars: usize) -> TextFigures {
     let mut layout = Layout::equal(services, 1);
--- a/crates/lab/src/capacity/traffic.rs
+++ b/crates/lab/src/capacity/traffic.rs
@@ -1,4 +1,4 @@
-//! Entry and gate against targets and records.
+//! Cost of entries by the number of targets, and of gates by the number of records.
 
 use std::hint::black_box;
 use std::sync::Arc;
@@ -14,49 +14,49 @@
 use crate::prelude::*;
 
 const STEPS: u64 = 50_000;
-/// Calls between two ticks of the gate.
+/// Number of calls between two ticks of the gate.
 const CALLS_PER_TICK: u64 = 1_000;
 const UPDATES: u64 = 100;
 const SEED: u64 = 1;
 const MAX_STORED_BYTES: u64 = 1 << 30;
-/// The built-in value of the text.
+/// Default of the setting in the configuration text.
 const MAX_STORED_ANSWER_BYTES: u32 = 65_536;
 const SERVICE_TIME_US: u32 = 10_000;
 
-/// An entry against targets.
+/// Cost of an entry with some number of targets.
 #[derive(Clone, Debug, Serialize)]
 pub struct EntryFigures {
-    /// Targets of the service.
+    /// Number of targets of the service.
     pub targets: usize,
-    /// A pick with its finish.
+    /// Time of a pick and its finish.
     pub pick_and_finish: StepTime,
-    /// The choice of a gate for a ticket.
+    /// Time of the choice of a gate for a ticket.
     pub ticket_gate: StepTime,
-    /// Taking over a view in which every load has changed.
+    /// Time of an update to a view in which every load has changed.
     pub update: StepTime,
-    /// Memory of the entry, its view not counted.
+    /// Memory of the entry without its view, in bytes.
     pub entry_bytes: u64,
-    /// Memory of the view.
+    /// Memory of the view, in bytes.
     pub view_bytes: u64,
 }
 
-/// A gate against records.
+/// Cost of a gate with some number of records.
 #[derive(Clone, Debug, Serialize)]
 pub struct GateFigures {
-    /// Records held.
+    /// Number of records.
     pub records: u64,
-    /// Stored answer of each.
+    /// Length of the stored answer of each record, in bytes.
     pub answer_bytes: usize,
-    /// An arrival without a ticket and its end.
+    /// Time of an arrival without a ticket and its finish.
     pub plain: StepTime,
-    /// An arrival with a new ticket and its end, records being forgotten at
-    /// the same rate.
+    /// Time of an arrival with a new ticket and its finish, while records expire at the
+    /// same rate.
     pub ticketed: StepTime,
-    /// Memory of the gate.
+    /// Memory of the gate, in bytes.
     pub gate_bytes: u64,
 }
 
-/// Measures an entry.
+/// Measures an entry with this number of targets.
 #[must_use]
 pub fn measure_entry(targets: usize) -> EntryFigures {
     let mut entry = entry_with_targets(targets);
@@ -96,22 +96,22 @@
     }
 }
 
-/// The policy of the experiments, with answers kept as the text's built-in
-/// value has it.
+/// Policy of the experiments, with the default limit on stored answers of the
+/// configuration text.
 fn gate_policy() -> Arc<ServicePolicy> {
     let mut policy = ServicePolicy::clone(&policy());
     policy.max_stored_answer_bytes = MAX_STORED_ANSWER_BYTES;
     Arc::new(policy)
 }
 
-/// Measures a gate with so many records.
+/// Measures a gate with this number of records.
 #[must_use]
 pub fn measure_gate(records: u64, answer_bytes: usize) -> GateFigures {
     let policy = gate_policy();
     let mut gate = gate_with_answers(&policy, records, answer_bytes);
     let ttl_ms = policy.ticket_ttl_ms.0;
-    // New calls come so fast that as many records expire as are added; they
-    // are forgotten by a tick, as in the daemon.
+    // New calls arrive at the rate at which records expire. Ticks remove the expired
+    // records, as in the daemon.
     let ticketed = time_steps(records.max(CALLS_PER_TICK), |step| {
         let now = Millis(ttl_ms + step * ttl_ms / records.max(1));
         let key = records + step;
@@ -187,7 +187,7 @@
         fingerprint: digest + 1,
     };
     let Verdict::Run(run) = gate.arrive(&arrival, now) else {
-        panic!("an idle gate runs a call at once");
+        panic!("an idle gate runs a call immediately");
     };
     let end = RunEnd::Answered {
         answer,
--- a/crates/lab/src/case.rs
+++ b/crates/lab/src/case.rs
@@ -1,4 +1,4 @@
-//! The experiments: deployments, loads and faults.
+//! The experiments, each with its deployment, load and faults.
 
 use std::sync::Arc;
 
@@ -10,49 +10,49 @@
 
 pub use catalogue::catalogue;
 
-/// One service of an experiment.
+/// A service of an experiment.
 #[derive(Clone, Debug)]
 pub struct ServiceSpec {
-    /// Its name.
+    /// Name of the service.
     pub name: &'static str,
-    /// Number of targets, each with a gate on its own VM.
+    /// Number of targets. Each has its own VM with a gate.
     pub targets: usize,
-    /// Calls that one target runs at the same time.
+    /// Number of calls that one target runs concurrently.
     pub slots: u32,
-    /// Mean work of one call in microseconds, on a warm target without faults.
+    /// Mean service time of a call on a warm target without faults, in microseconds.
     pub mean_work_us: f64,
 }
 
-/// What befalls the first service of a case.
+/// A fault in the first service of a case, or the end of one.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Fault {
     /// Calls that start on the target take `factor` times as long.
     Slow {
         /// Index of the target.
         target: usize,
-        /// 1 ends the fault.
+        /// Slowdown factor. The value 1 ends the fault.
         factor: f64,
     },
-    /// The target answers every call at once with a 5xx, or no longer.
+    /// The target starts or stops answering every call immediately with a 5xx status.
     FailFast {
         /// Index of the target.
         target: usize,
-        /// Whether the fault begins.
+        /// Whether the fault begins or ends.
         on: bool,
     },
-    /// The target's gate leaves: what is in hand ends, nothing new is taken.
+    /// The target's gate drains: it finishes its calls and rejects new ones.
     Drain {
         /// Index of the target.
         target: usize,
     },
-    /// A new life of the gate starts with a cold target.
+    /// A new incarnation of the gate starts with a cold target.
     ColdStart {
         /// Index of the target.
         target: usize,
     },
-    /// A caller sends a request that crashes each target that runs it.
+    /// A caller sends a request that crashes every target that runs it.
     CrashCall,
-    /// A crashed target's process is up again, cold.
+    /// The process of a crashed target has restarted and is cold.
     Restarted {
         /// Index of the target.
         target: usize,
@@ -62,81 +62,81 @@
         /// Index of the data centre.
         data_centre: usize,
     },
-    /// They are back, with what they held.
+    /// The lost nodes and targets answer again, with their previous state.
     RestoreDataCentre {
         /// Index of the data centre.
         data_centre: usize,
     },
 }
 
-/// Who makes the key of a call that may not run twice.
+/// Which side creates the key of a call that must not run twice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum KeyMaker {
-    /// The entry: its gates take turns.
+    /// The entry, which alternates between the gates.
     Entry,
-    /// The caller: the same key must name the same gate again.
+    /// The caller. The same key must always lead to the same gate.
     Caller,
 }
 
-/// A fault and its time.
+/// A fault with the time at which it occurs.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct FaultAt {
-    /// When it begins.
+    /// Virtual time of the fault.
     pub at: Micros,
-    /// What it is.
+    /// The fault.
     pub fault: Fault,
 }
 
-/// One experiment.
+/// An experiment.
 #[derive(Clone, Debug)]
 pub struct Case {
     /// Name on the command line and in reports.
     pub name: String,
-    /// What it shows, in a line.
+    /// One-line description.
     pub about: &'static str,
-    /// Services; targets of each one call the next before they answer.
+    /// Chain of services. A target of each service calls the next service before it
+    /// answers.
     pub chain: Vec<ServiceSpec>,
-    /// Nodes that callers reach; the first stand on the targets' VMs.
+    /// Number of nodes that accept callers. The first ones run on the targets' VMs.
     pub nodes: usize,
-    /// Offered load as a share of what the first service's slots can carry.
+    /// Offered load as a share of the capacity of the first service's slots.
     pub load: f64,
-    /// Spread of the work of calls (sigma of a log-normal distribution).
+    /// Sigma of the log-normal distribution of service times.
     pub work_sigma: f64,
-    /// Noisy neighbours freeze targets now and then.
+    /// Whether noisy neighbours freeze targets at random times.
     pub noisy: bool,
-    /// Reports on answers are 10 to 500 ms old.
+    /// Whether load reports on answers are 10 to 500 ms old.
     pub stale_reports: bool,
-    /// Who makes the keys of calls that go by tickets; `None` for idempotent
-    /// calls.
+    /// Which side creates the keys of ticketed calls. `None` for idempotent calls.
     pub ticket_keys: Option<KeyMaker>,
-    /// Refused or failed callers come back, as documented.
+    /// Whether callers resend rejected and failed calls as documented.
     pub callers_resend: bool,
     /// Length of the run.
     pub duration: Micros,
-    /// Calls that arrive earlier are not measured.
+    /// Time before which calls are not measured.
     pub warm_up: Micros,
-    /// What goes wrong, in order of time.
+    /// Faults in order of time.
     pub faults: Vec<FaultAt>,
 }
 
 /// Number of data centres in both deployments.
 pub const DATA_CENTRES: usize = 3;
-/// One-way time between data centres in microseconds.
+/// One-way network delay between data centres in microseconds.
 pub const BETWEEN_DATA_CENTRES_US: u32 = 1_500;
-/// One-way time inside a data centre in microseconds.
+/// One-way network delay inside a data centre in microseconds.
 pub const INSIDE_DATA_CENTRE_US: u32 = 100;
-/// One-way time between callers and entries.
+/// One-way network delay between callers and entries.
 pub const CALLER_DISTANCE: Micros = Micros::from_millis(8);
-/// What a new connection costs.
+/// Time that it takes to open a connection.
 pub const CONNECT_COST: Micros = Micros::from_millis(1);
 
-/// Network time of one call from a target to the next service and back, as
-/// far as it counts into the time for which the caller's slot is held: every
-/// service has a target in every data centre.
+/// Network time of a target's call to the next service and back, during which the
+/// calling target's slot is occupied. It assumes a target in the same data centre,
+/// since every service has a target in every data centre.
 const HOP_US: f64 = 2.0 * INSIDE_DATA_CENTRE_US as f64;
 
 impl Case {
-    /// Calls a second that fill every slot of the first service.
+    /// Calls per second that occupy every slot of the first service.
     #[must_use]
     pub fn capacity_per_s(&self) -> f64 {
         let first = &self.chain[0];
@@ -148,19 +148,19 @@
         slots * 1e6 / occupied_us
     }
 
-    /// New calls a second, without those that come back.
+    /// New calls per second, without resends.
     #[must_use]
     pub fn rate_per_s(&self) -> f64 {
         self.load * self.capacity_per_s()
     }
 
-    /// The time a caller gives to a call.
+    /// Deadline of every call, as a duration.
     #[must_use]
     pub fn deadline(&self) -> Millis {
         Millis(1_000)
     }
 
-    /// The service's policy as an operator would write it.
+    /// Policy of a service with the settings of the experiments.
     #[must_use]
     pub fn service_policy(&self, service: usize) -> Arc<ServicePolicy> {
         let spec = &self.chain[service];
--- a/crates/lab/src/case/catalogue.rs
+++ b/crates/lab/src/case/catalogue.rs
@@ -1,18 +1,18 @@
-//! Every case by name, for both deployments of the brief.
+//! All cases by name, for the deployments `bangkok` and `ljubljana`.
 
 use super::{Case, Fault, FaultAt, KeyMaker, ServiceSpec};
 use crate::time::Micros;
 
-/// Calls that a steady case measures; enough for a p99.9 of a hundred calls.
+/// Number of calls that a steady case measures. A hundred of them are above the p99.9.
 const STEADY_CALLS: f64 = 100_000.0;
-/// Longer than the cold ramp that every new gate goes through.
+/// Time before measurement. It is longer than the warm-up of a new gate.
 const WARM_UP: Micros = Micros::from_millis(7_000);
-/// Fault cases all last as long, so that a fault weighs the same everywhere.
+/// Length of fault cases. It is the same for all, so that faults have the same weight.
 const FAULT_DURATION: Micros = Micros::from_millis(30_000);
-/// Load of the cases with several faults; what is left of Ljubljana's four
-/// targets while one is slow and one away carries a little over half.
+/// Load of the cases with several faults, in percent. While one of Ljubljana's four
+/// targets is slow and another is away, the rest has a little over half the capacity.
 const COMBINED_FAULTS_PERCENT: u32 = 45;
-/// Shorter, because every call is eight.
+/// Length of chain cases. They are shorter, because each call causes eight.
 const CHAIN_DURATION: Micros = Micros::from_millis(17_000);
 const DEEPEST_CHAIN: usize = 8;
 const CHAIN_NAMES: [&str; DEEPEST_CHAIN] = ["a", "b", "c", "d", "e", "f", "g", "h"];
@@ -25,7 +25,7 @@
     nodes: usize,
 }
 
-/// All cases in the order of the report.
+/// Returns all cases in the order of the report.
 #[must_use]
 pub fn catalogue() -> Vec<Case> {
     let bangkok = Deployment {
--- a/crates/lab/src/commands.rs
+++ b/crates/lab/src/commands.rs
@@ -1,4 +1,4 @@
-//! The subcommands of the program, one a file.
+//! The subcommands of the program, with one file each.
 
 use gumdrop::Options;
 
@@ -13,12 +13,12 @@
     /// Print this help.
     #[options(help = "print this help")]
     pub help: bool,
-    /// What to do.
+    /// The subcommand to run.
     #[options(command)]
     pub command: Option<Command>,
 }
 
-/// What the program can do.
+/// The subcommands.
 #[derive(Debug, Options)]
 pub enum Command {
     /// Run cases and print their tables.
@@ -27,10 +27,10 @@
     /// List the cases.
     #[options(help = "list the cases")]
     List(list::ListArguments),
-    /// Hold runs against the committed bounds.
-    #[options(help = "hold runs against the committed bounds")]
+    /// Check runs against the committed bounds.
+    #[options(help = "check runs against the committed bounds")]
     Check(check::CheckArguments),
-    /// Measure what a node costs against what it knows.
-    #[options(help = "measure what a node costs against what it knows")]
+    /// Measure the cost of a node by the size of the deployment.
+    #[options(help = "measure the cost of a node by the size of the deployment")]
     Capacity(capacity::CapacityArguments),
 }
--- a/crates/lab/src/commands/capacity.rs
+++ b/crates/lab/src/commands/capacity.rs
@@ -1,4 +1,4 @@
-//! `hornbeamhitch-lab capacity`.
+//! The subcommand `hornbeamhitch-lab capacity`.
 
 use std::fs;
 
@@ -14,28 +14,28 @@
     /// Print help.
     #[options(help = "print this help")]
     pub help: bool,
-    /// Small sizes only.
+    /// Measure only small sizes.
     #[options(help = "small sizes only")]
     pub quick: bool,
-    /// Only this part.
+    /// Measure only these parts.
     #[options(
         help = "only this part: control, reader, changes, text, entry or gate; may be given again",
         meta = "PART"
     )]
     pub part: Vec<Part>,
-    /// Only cases whose names contain this.
+    /// Measure only cases whose names contain this.
     #[options(help = "only cases whose names contain this", meta = "NAME")]
     pub case: Option<String>,
-    /// Write all figures to this file.
+    /// File to which all results are written.
     #[options(help = "write all figures to this file", meta = "FILE")]
     pub json: Option<String>,
 }
 
-/// Measures and prints tables.
+/// Runs the measurement and prints its tables.
 ///
 /// # Errors
 ///
-/// The file cannot be written.
+/// Fails if the file cannot be written.
 pub fn capacity(arguments: &CapacityArguments) -> eyre::Result<()> {
     let parts: &[Part] = match arguments.part.as_slice() {
         [] => Part::VARIANTS,
--- a/crates/lab/src/commands/check.rs
+++ b/crates/lab/src/commands/check.rs
@@ -1,4 +1,4 @@
-//! `hornbeamhitch-lab check`.
+//! The subcommand `hornbeamhitch-lab check`.
 
 use std::fs;
 
@@ -21,11 +21,11 @@
     pub bounds: Option<String>,
 }
 
-/// Holds runs against the bounds; says whether all hold.
+/// Checks runs against the bounds and returns whether all bounds hold.
 ///
 /// # Errors
 ///
-/// The file cannot be read, or names a case that does not exist.
+/// Fails if the file cannot be read or names a case that does not exist.
 pub fn check(arguments: &CheckArguments) -> eyre::Result<bool> {
     let path = arguments.bounds.as_deref().unwrap_or(COMMITTED_FILE);
     let text = fs::read_to_string(path).wrap_err_with(|| format!("reading {path}"))?;
--- a/crates/lab/src/commands/list.rs
+++ b/crates/lab/src/commands/list.rs
@@ -1,4 +1,4 @@
-//! `hornbeamhitch-lab list`.
+//! The subcommand `hornbeamhitch-lab list`.
 
 use gumdrop::Options;
 
@@ -12,7 +12,7 @@
     pub help: bool,
 }
 
-/// Prints every case with what it shows.
+/// Prints every case with its description.
 pub fn list(_arguments: &ListArguments) {
     for case in catalogue() {
         println!("{:32} {}", case.name, case.about);
--- a/crates/lab/src/commands/run.rs
+++ b/crates/lab/src/commands/run.rs
@@ -1,4 +1,4 @@
-//! `hornbeamhitch-lab run`.
+//! The subcommand `hornbeamhitch-lab run`.
 
 use std::fs;
 
@@ -21,20 +21,20 @@
     /// Print help.
     #[options(help = "print this help")]
     pub help: bool,
-    /// Only cases whose names contain this.
+    /// Run only cases whose names contain this.
     #[options(help = "only cases whose names contain this", meta = "NAME")]
     pub case: Option<String>,
-    /// Only this policy.
+    /// Run only these policies.
     #[options(help = "only this policy; may be given again", meta = "NAME")]
     pub policy: Vec<PolicyKind>,
-    /// Seed of every draw.
-    #[options(help = "seed of every draw (1)", meta = "N")]
+    /// Seed of all random numbers.
+    #[options(help = "seed of all random numbers (1)", meta = "N")]
     pub seed: Option<u64>,
-    /// Write all figures to this file.
+    /// File to which all results are written.
     #[options(help = "write all figures to this file", meta = "FILE")]
     pub json: Option<String>,
-    /// Draw the tails into this SVG file.
-    #[options(help = "draw the tails into this SVG file", meta = "FILE")]
+    /// SVG file to which the tail latencies are plotted.
+    #[options(help = "plot the tail latencies into this SVG file", meta = "FILE")]
     pub plot: Option<String>,
 }
 
@@ -42,7 +42,7 @@
 ///
 /// # Errors
 ///
-/// No case has such a name, or a file cannot be written.
+/// Fails if no case has a matching name or a file cannot be written.
 pub fn run(arguments: &RunArguments) -> eyre::Result<()> {
     let cases = chosen_cases(arguments.case.as_deref())?;
     let seed = arguments.seed.unwrap_or(DEFAULT_SEED);
@@ -74,6 +74,6 @@
     if let Some(part) = wanted {
         cases.retain(|case| case.name.contains(part));
     }
-    eyre::ensure!(!cases.is_empty(), "no case has such a name; see `list`");
+    eyre::ensure!(!cases.is_empty(), "no case has a matching name; see `list`");
     Ok(cases)
 }
--- a/crates/lab/src/event.rs
+++ b/crates/lab/src/event.rs
@@ -1,4 +1,4 @@
-//! The queue of things that will happen, in exact order.
+//! The event queue of a run, with a deterministic order.
 
 use std::cmp::Ordering;
 use std::collections::BinaryHeap;
@@ -6,58 +6,58 @@
 use crate::case::Fault;
 use crate::time::Micros;
 
-/// Index of a call in the world's table.
+/// Index of a call in [`World`](crate::world::World).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct CallIndex(pub(crate) usize);
 
-/// Index of an attempt in the world's table.
+/// Index of an attempt in [`World`](crate::world::World).
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct AttemptIndex(pub(crate) usize);
 
-/// One gate with its target, within one service.
+/// Identifies a host by its service and its index within the service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct HostId {
     pub(crate) service: usize,
     pub(crate) target: usize,
 }
 
-/// Something that happens at a point of virtual time.
+/// An event at a point of virtual time.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum Event {
-    /// The next new call of the open workload.
+    /// The next new call of the open-loop workload arrives.
     NewCall,
-    /// A call reaches its entry, after its caller's way or a wait.
+    /// A call reaches its entry, after network delay and the caller's wait.
     CallAtEntry(CallIndex),
     /// An attempt reaches its gate.
     AttemptAtGate(AttemptIndex),
-    /// The target has done the work of a run, unless it was frozen meanwhile.
+    /// The target finishes the work of a run, unless it was frozen in the meantime.
     WorkDone(HostId, AttemptIndex),
-    /// An attempt's end reaches its entry.
+    /// The end of an attempt reaches its entry.
     EndAtEntry(AttemptIndex),
-    /// A cancellation reaches the gate.
+    /// The cancellation of an attempt reaches its gate.
     CancelAtGate(AttemptIndex),
-    /// The time to consider a hedge has come.
+    /// The hedging delay of a call is over.
     HedgeDue(CallIndex),
-    /// The deadline of a call at its entry.
+    /// The deadline of a call is reached at its entry.
     DeadlineAt(CallIndex),
-    /// Every gate looks after what it holds.
+    /// Every gate ticks.
     GateTick,
-    /// Every gate keeps a copy of its report, for cases with stale reports.
+    /// Every host stores its load report, in cases with stale reports.
     ReportTick,
     /// A fault begins or ends.
     Fault(Fault),
-    /// A noisy neighbour freezes one target.
+    /// A noisy neighbour freezes a target.
     Stall(HostId),
-    /// The entries hear what control has found out.
+    /// The entries get new views from control.
     ViewUpdate,
-    /// The gates hear of suspected requests.
+    /// The gates get a new set of crash suspects.
     SuspectsUpdate,
 }
 
 #[derive(Debug)]
 struct Scheduled {
     at: Micros,
-    /// Breaks ties in the order of scheduling, so that runs repeat.
+    /// Orders events of the same time by scheduling, so that runs are reproducible.
     sequence: u64,
     event: Event,
 }
@@ -77,13 +77,13 @@
 }
 
 impl Ord for Scheduled {
-    /// Reversed, because the standard heap gives its greatest first.
+    /// The order is reversed, because the standard heap pops its greatest element.
     fn cmp(&self, other: &Self) -> Ordering {
         (other.at, other.sequence).cmp(&(self.at, self.sequence))
     }
 }
 
-/// Events by time, and by order of scheduling within one microsecond.
+/// Events ordered by time, and by scheduling within the same microsecond.
 #[derive(Debug, Default)]
 pub(crate) struct EventQueue {
     heap: BinaryHeap<Scheduled>,
--- a/crates/lab/src/fixture.rs
+++ b/crates/lab/src/fixture.rs
@@ -1,4 +1,4 @@
-//! Entries and gates of a given size, for measuring what one decision costs.
+//! Entries and gates of a given size, for measuring the cost of a decision.
 
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::sync::Arc;
@@ -13,16 +13,16 @@
 const SEED: u64 = 1;
 const SERVICE_TIME_US: u32 = 10_000;
 const DEADLINE_MS: Millis = Millis(1_000);
-/// A time at which no target is cold any more.
+/// Time at which all targets are warm.
 const WARM_AT: Millis = Millis::from_secs(60);
 
-/// The policy that the experiments use.
+/// Service policy of the experiments.
 #[must_use]
 pub fn policy() -> Arc<ServicePolicy> {
     catalogue()[0].service_policy(0)
 }
 
-/// A view of so many targets, each with a report.
+/// Creates a view with this number of targets, each with a load report.
 #[must_use]
 pub fn view_with_targets(targets: usize) -> ServiceView {
     let mut listed = Vec::with_capacity(targets);
@@ -48,14 +48,14 @@
     }
 }
 
-/// An entry that knows so many targets, all warm and with a fresh report.
+/// Creates an entry with this number of targets, each with a fresh load report.
 #[must_use]
 pub fn entry_with_targets(targets: usize) -> EntryService {
     let view = Arc::new(view_with_targets(targets));
     EntryService::new(&EntrySettings { seed: SEED }, view, Millis::ZERO)
 }
 
-/// A report as it rides on an answer.
+/// Creates a load report as answers carry it.
 #[must_use]
 pub const fn report(in_flight: u32, gate_clock_ms: Millis) -> LoadReport {
     LoadReport {
@@ -69,8 +69,8 @@
     }
 }
 
-/// Picks a target for a first attempt and ends it with an answer; `step` makes
-/// time pass and loads differ.
+/// Picks a target for a first attempt and finishes the attempt with an answer. Time and
+/// load depend on `step`.
 pub fn pick_and_finish(entry: &mut EntryService, step: u64) {
     let now = WARM_AT + Millis(step / 4);
     let request = PickRequest {
@@ -86,7 +86,7 @@
     entry.finish(&pick, &outcome, now);
 }
 
-/// A gate that keeps so many records of ticketed calls.
+/// Creates a gate that has this number of records of ticketed calls.
 #[must_use]
 pub fn gate_with_records(records: u64) -> Gate {
     let settings = GateSettings {
@@ -109,7 +109,7 @@
     gate
 }
 
-/// Takes in a call, runs it at once and ends it with an answer.
+/// Admits a call, runs it immediately and finishes it with an answer.
 pub fn arrive_and_finish(gate: &mut Gate, ticket: Option<&Ticket>, step: u64) {
     let now = Millis(step / 4);
     let arrival = Arrival {
@@ -120,7 +120,7 @@
         fingerprint: step + 1,
     };
     let Verdict::Run(run) = gate.arrive(&arrival, now) else {
-        panic!("an idle gate runs a call at once");
+        panic!("an idle gate runs a call immediately");
     };
     let end = RunEnd::Answered {
         answer: None,
@@ -128,6 +128,9 @@
     };
     for wake in gate.finish(run, end, SERVICE_TIME_US, now) {
         let is_own_end = ticket.is_some() && matches!(wake, Wake::Settled(..));
-        assert!(is_own_end, "nobody was held, but the gate says {wake:?}");
+        assert!(
+            is_own_end,
+            "no call was queued, but the gate returned {wake:?}"
+        );
     }
 }
--- a/crates/lab/src/host.rs
+++ b/crates/lab/src/host.rs
@@ -1,5 +1,5 @@
-//! A target's VM: the fake target, and the gate before it unless a baseline
-//! does without.
+//! The VM of a target, with the fake target and its gate. Baselines without gates have
+//! none.
 
 use std::collections::{HashMap, VecDeque};
 use std::sync::Arc;
@@ -12,15 +12,15 @@
 use crate::target::FakeTarget;
 use crate::workload::mix;
 
-/// Time between two copies of a gate's report in cases with stale reports.
+/// Interval at which load reports are stored in cases with stale reports.
 pub(crate) const REPORT_INTERVAL: Micros = Micros::from_millis(10);
-/// Copies kept, enough for the oldest report that a case asks for.
+/// Number of stored reports. It covers the oldest report that a case uses.
 const STORED_REPORTS: usize = 52;
-/// Weight of the newest service time in a target's own smoothed value.
+/// Weight of the newest value in the moving average of service times.
 const SMOOTHING: f64 = 0.1;
 const MAX_STORED_BYTES: u64 = 64 << 20;
 
-/// One VM with a target.
+/// A VM with a target.
 #[derive(Debug)]
 pub(crate) struct Host {
     pub(crate) vm: VmId,
@@ -31,14 +31,14 @@
     pub(crate) target: FakeTarget,
     pub(crate) incarnation: Incarnation,
     pub(crate) leaving: bool,
-    /// Partitioned away, or gone with its data centre.
+    /// When the host became unreachable because its data centre was lost.
     pub(crate) unreachable_since: Option<Micros>,
-    /// Attempts on their way here, from their pick or their ticket on, which
-    /// only the oracle sees.
+    /// Number of attempts in transit to this host, since their pick or their ticket.
+    /// Only the oracle uses it.
     pub(crate) incoming: usize,
-    /// The attempt behind each admitted run.
+    /// Attempt of each admitted run.
     pub(crate) attempts: HashMap<RunId, AttemptIndex>,
-    /// Attempts that wait for the run of another.
+    /// Attempts that wait for the run of another attempt.
     pub(crate) joined: Vec<(RunId, AttemptIndex)>,
     reports: VecDeque<LoadReport>,
     service_time_us: f64,
@@ -46,7 +46,7 @@
     seed: u64,
 }
 
-/// Where a host stands and whether it has a gate.
+/// Settings of a host.
 #[derive(Clone, Debug)]
 pub(crate) struct HostSettings {
     pub(crate) vm: VmId,
@@ -93,7 +93,7 @@
         Gate::new(settings, Arc::clone(&self.policy), now.floor_millis())
     }
 
-    /// A new life of the gate, with a cold target.
+    /// Starts a new incarnation of the gate with a cold target.
     pub(crate) fn restart(&mut self, suspects: &Arc<SuspectSet>, now: Micros) {
         self.incarnation.0 += 1;
         self.leaving = false;
@@ -117,7 +117,7 @@
         self.service_time_us += SMOOTHING * (service_time.0 as f64 - self.service_time_us);
     }
 
-    /// The report of this moment.
+    /// Current load report.
     pub(crate) fn load(&self, now: Micros) -> LoadReport {
         if let Some(gate) = &self.gate {
             return gate.load(now.floor_millis());
@@ -141,7 +141,7 @@
         self.reports.push_front(report);
     }
 
-    /// The kept report of about that age.
+    /// Stored load report of about this age.
     pub(crate) fn old_report(&self, age: Micros, now: Micros) -> LoadReport {
         let steps = (age.0 / REPORT_INTERVAL.0) as usize;
         let oldest = self.reports.len().saturating_sub(1);
@@ -151,8 +151,8 @@
         }
     }
 
-    /// When a call that sets out now would be answered, in microseconds from
-    /// now, for an eye that sees every queue at once.
+    /// Expected time until a call that is sent now would be answered, in microseconds.
+    /// It uses the exact state of all queues and is for the oracle only.
     pub(crate) fn expected_time_us(&self, mean_work_us: f64, now: Micros) -> f64 {
         if self.unreachable_since.is_some() || self.leaving || !self.target.is_up() {
             return f64::INFINITY;
@@ -167,7 +167,7 @@
         self.target.frozen_for(now).0 as f64 + wait_us + work_us
     }
 
-    /// Whether a call that sets out now would run at once.
+    /// Whether a call that is sent now would run without waiting.
     pub(crate) fn has_free_slot(&self, now: Micros) -> bool {
         self.unreachable_since.is_none()
             && !self.leaving
@@ -175,7 +175,7 @@
             && self.pending_calls(now) < self.concurrency(now)
     }
 
-    /// Calls here and on their way, running and waiting.
+    /// Number of calls that run or wait at the host or are in transit to it.
     fn pending_calls(&self, now: Micros) -> usize {
         let at_target = self.target.running() + self.target.waiting();
         let mut held = 0;
@@ -185,7 +185,7 @@
         at_target + held + self.incoming
     }
 
-    /// Calls that may run at once by the gate's limit and the slots.
+    /// Number of calls that may run concurrently by the gate's limit and the slots.
     fn concurrency(&self, now: Micros) -> usize {
         let slots = self.target.slots();
         match &self.gate {
--- a/crates/lab/src/lib.rs
+++ b/crates/lab/src/lib.rs
@@ -1,17 +1,17 @@
 //! Virtual-time experiments on the decision core.
 //!
-//! A small fake target, a network of fixed delays and an event loop drive the
-//! core's [`EntryService`](hornbeamhitch_core::entry::EntryService) and
-//! [`Gate`](hornbeamhitch_core::gate::Gate) from a fixed seed, beside baselines
-//! and an oracle that see the very same calls. Time is virtual and whole
-//! microseconds, so every count and quantile repeats exactly.
+//! An event loop with fake targets and a network of fixed delays drives the core's
+//! [`EntryService`](hornbeamhitch_core::entry::EntryService) and
+//! [`Gate`](hornbeamhitch_core::gate::Gate) from a fixed seed. The core is compared
+//! with baseline policies and an oracle on the same calls. Virtual time counts whole
+//! microseconds, so every count and quantile is reproducible.
 //!
 //! - [`case`] lists the experiments;
-//! - [`policy`] has the ways of picking that are compared;
-//! - [`world`] is the event loop;
-//! - [`capacity`] measures what a node costs against what it knows;
-//! - [`report`], [`plot`] and [`bounds`] turn runs into tables, pictures and a
-//!   verdict.
+//! - [`policy`] has the target selection policies that are compared;
+//! - [`world`] has the event loop;
+//! - [`capacity`] measures the cost of a node as a function of the deployment's size;
+//! - [`report`], [`plot`] and [`bounds`] make tables and plots of the runs and check
+//!   them against committed bounds.
 
 pub mod bounds;
 pub mod capacity;
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -1,4 +1,4 @@
-//! The program `hornbeamhitch-lab`.
+//! The program `hornbeamhitch-lab`, which runs virtual-time experiments.
 
 use std::process::ExitCode;
 
--- a/crates/lab/src/plot.rs
+++ b/crates/lab/src/plot.rs
@@ -1,4 +1,4 @@
-//! A picture of the tails: one row a case, one dot a policy.
+//! Plots tail latencies with one row per case and one dot per policy.
 
 use std::fmt::Write;
 
@@ -17,7 +17,7 @@
 const HIGHEST_MS: f64 = 2_000.0;
 const TICKS_MS: [u32; 7] = [10, 20, 50, 100, 200, 500, 1_000];
 
-/// Draws the compared tails on a logarithmic scale as SVG.
+/// Draws the compared tail latencies on a logarithmic scale as SVG.
 #[must_use]
 pub fn svg(cases: &[Case], runs: &[RunReport]) -> String {
     let height = TOP + ROW_HEIGHT * (cases.len() + 1);
--- a/crates/lab/src/policy.rs
+++ b/crates/lab/src/policy.rs
@@ -1,7 +1,7 @@
-//! The ways of picking that are compared.
+//! The target selection policies that are compared.
 //!
-//! Every way shares the core's retries, hedges and `Retry-After`, so that a
-//! difference between two runs with gates comes from picking alone.
+//! All policies share the core's retries, hedges and `Retry-After`, so that two runs
+//! with gates differ only by target selection.
 
 use std::sync::Arc;
 
@@ -20,40 +20,41 @@
 use baseline::Baseline;
 use core_policy::CorePolicy;
 
-/// A way of picking, with or without gates.
+/// A target selection policy, with or without gates.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, EnumString, IntoStaticStr, VariantArray)]
 #[strum(serialize_all = "kebab-case")]
 pub enum PolicyKind {
-    /// The core's own picking and its gate.
+    /// The core's own selection, with the core's gate.
     Ours,
-    /// Sees all queues of this moment; the core's gate.
+    /// Selection by the exact state of all queues, with the core's gate.
     Oracle,
-    /// Any target; the core's gate.
+    /// Random selection, with the core's gate.
     Random,
-    /// One target after the other; the core's gate.
+    /// Round robin, with the core's gate.
     RoundRobin,
-    /// Fewest requests in flight from this entry; the core's gate.
+    /// Fewest requests in flight from this entry, with the core's gate.
     LeastInFlight,
-    /// The better of two by the last report, however old; the core's gate.
+    /// The less loaded of two random targets by their last reports, of any age, with
+    /// the core's gate.
     TwoChoices,
-    /// Random, and a plain queue without limit in the target.
+    /// Random selection, with an unlimited queue in the target instead of a gate.
     RandomNoGate,
-    /// Round robin, and a plain queue without limit in the target.
+    /// Round robin, with an unlimited queue in the target instead of a gate.
     RoundRobinNoGate,
-    /// Least in flight, and a plain queue without limit in the target.
+    /// Fewest in flight, with an unlimited queue in the target instead of a gate.
     LeastInFlightNoGate,
-    /// Two choices, and a plain queue without limit in the target.
+    /// Two choices, with an unlimited queue in the target instead of a gate.
     TwoChoicesNoGate,
 }
 
 impl PolicyKind {
-    /// The name in tables.
+    /// Name on the command line and in reports.
     #[must_use]
     pub fn name(self) -> &'static str {
         self.into()
     }
 
-    /// Whether the core's gate stands before each target.
+    /// Whether each target has the core's gate in front of it.
     #[must_use]
     pub const fn has_gates(self) -> bool {
         !matches!(
@@ -65,13 +66,13 @@
         )
     }
 
-    /// Whether it reads the reports on answers.
+    /// Whether the policy uses the load reports on answers.
     #[must_use]
     pub const fn reads_reports(self) -> bool {
         matches!(self, Self::Ours | Self::TwoChoices | Self::TwoChoicesNoGate)
     }
 
-    /// Whether it is one of the ways that ours is compared with.
+    /// Whether this is one of the baselines with which the core is compared.
     #[must_use]
     pub const fn is_baseline(self) -> bool {
         !matches!(self, Self::Ours | Self::Oracle)
@@ -84,7 +85,7 @@
     }
 }
 
-/// What an eye that sees everything sees; for the oracle alone.
+/// Exact state of all targets of a service, which only the oracle may use.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Truth<'a> {
     pub(crate) hosts: &'a [Host],
@@ -92,12 +93,12 @@
     pub(crate) now: Micros,
 }
 
-/// One entry's way of picking for one service.
+/// Target selection of one entry for one service.
 pub(crate) trait Policy: std::fmt::Debug {
-    /// Chooses a target for an attempt and counts it as in flight.
+    /// Selects a target for an attempt and counts the attempt as in flight.
     fn pick(&mut self, request: &PickRequest<'_>, truth: &Truth<'_>) -> Result<Pick, Refusal>;
 
-    /// Chooses the only target that may run a ticketed call.
+    /// Selects the only VM whose target may run a ticketed call.
     fn pick_ticket_gate(
         &mut self,
         key: CallKey,
@@ -105,24 +106,25 @@
         truth: &Truth<'_>,
     ) -> Result<VmId, Refusal>;
 
-    /// Whether a hedge would find a free slot, for all that this policy knows
-    /// beyond the core's own judgement.
+    /// Whether a hedge may find a free slot, as far as this policy knows. The core
+    /// decides about hedges in addition.
     fn has_free_slot(&self, truth: &Truth<'_>) -> bool;
 
     /// Ends an attempt.
     fn finish(&mut self, pick: &Pick, outcome: &AttemptOutcome, now: Millis);
 
-    /// Takes over a newer view.
+    /// Replaces the view.
     fn update(&mut self, view: Arc<ServiceView>, now: Millis);
 
-    /// The core behind it, for retries, hedges and `Retry-After`.
+    /// The core's entry service, which decides about retries, hedges and
+    /// `Retry-After`.
     fn core(&mut self) -> &mut EntryService;
 
-    /// The index of a target within its service, as views list it.
+    /// Index of a target's host within its service, in the order of the views.
     fn host_of(&self, target: TargetIndex) -> usize;
 }
 
-/// Makes the policy of one entry for one service.
+/// Creates the policy of one entry for one service.
 pub(crate) fn new_policy(kind: PolicyKind, seed: u64, view: Arc<ServiceView>) -> Box<dyn Policy> {
     let settings = EntrySettings { seed };
     let core = EntryService::new(&settings, Arc::clone(&view), Millis::ZERO);
@@ -144,7 +146,7 @@
     Box::new(Baseline::new(core, view, chooser))
 }
 
-/// Finds a VM's place in a view; places are the same in every view of a run.
+/// Position of a VM in a view. All views of a run list VMs in the same order.
 fn position_of(view: &ServiceView, vm: &VmId) -> usize {
     let position = view.targets.iter().position(|target| target.vm == *vm);
     position.expect("views of a run list every VM of the service")
--- a/crates/lab/src/policy/baseline.rs
+++ b/crates/lab/src/policy/baseline.rs
@@ -1,4 +1,4 @@
-//! A simple chooser on top of the core's retries and hedges.
+//! A baseline policy: a simple chooser with the core's retries and hedges.
 
 use std::sync::Arc;
 
@@ -8,7 +8,7 @@
 use super::{Policy, Truth};
 use crate::prelude::*;
 
-/// One target as a chooser sees it.
+/// A target as choosers see it.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Candidate {
     pub(super) index: TargetIndex,
@@ -24,7 +24,7 @@
     core: EntryService,
     candidates: Vec<Candidate>,
     chooser: Box<dyn Chooser>,
-    /// Reused between picks.
+    /// Buffer that is reused by all picks.
     eligible: Vec<Candidate>,
     view: Arc<ServiceView>,
 }
@@ -73,9 +73,10 @@
         Ok(self.eligible[position])
     }
 
-    /// The core's budgets grow with first attempts that it picks itself. So
-    /// that a baseline may retry and hedge as much as ours, the core picks as
-    /// well, and that attempt is taken back before anything is sent.
+    /// Lets the core pick a target for the first attempt and cancels that pick.
+    ///
+    /// The core's retry and hedge budgets grow with the first attempts that it picks
+    /// itself, and a baseline must have the same budgets.
     fn credit_budgets(&mut self, request: &PickRequest<'_>, now: Millis) {
         let Ok(pick) = self.core.pick(request, now) else {
             return;
--- a/crates/lab/src/policy/choosers.rs
+++ b/crates/lab/src/policy/choosers.rs
@@ -1,4 +1,4 @@
-//! The baselines' ways of choosing, and the oracle's.
+//! Selection algorithms of the baselines and the oracle.
 
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
@@ -6,12 +6,12 @@
 use super::Truth;
 use super::baseline::Candidate;
 
-/// Chooses one of some candidates, of which there is at least one.
+/// Selects one of the candidates. There is always at least one.
 pub(super) trait Chooser: std::fmt::Debug {
-    /// The place of the chosen candidate.
+    /// Returns the index of the selected candidate.
     fn choose(&mut self, candidates: &[Candidate], truth: &Truth<'_>) -> usize;
 
-    /// Whether some target has a free slot; those who cannot tell say yes.
+    /// Whether a target has a free slot. Choosers that do not know return `true`.
     fn has_free_slot(&self, _truth: &Truth<'_>) -> bool {
         true
     }
@@ -23,7 +23,8 @@
     })
 }
 
-/// Starts at a random place, so that entries do not march in step.
+/// Starts at a random candidate, so that entries do not use the same targets at the
+/// same time.
 pub(super) fn round_robin(seed: u64) -> Box<dyn Chooser> {
     Box::new(RoundRobin {
         next: (seed % 1_000) as usize,
@@ -117,7 +118,7 @@
     }
 }
 
-/// Calls at the target by its last report; nothing heard counts as idle.
+/// Calls at the target by its last load report, or 0 if there is none.
 fn reported_load(candidate: &Candidate) -> u32 {
     match candidate.load {
         Some(load) => load.in_flight + load.queued,
@@ -125,7 +126,7 @@
     }
 }
 
-/// Joins the queue with the shortest expected completion.
+/// Selects the target with the earliest expected answer.
 #[derive(Debug)]
 struct Oracle;
 
--- a/crates/lab/src/policy/core_policy.rs
+++ b/crates/lab/src/policy/core_policy.rs
@@ -1,4 +1,4 @@
-//! The core's own picking.
+//! The core's own target selection.
 
 use std::sync::Arc;
 
--- a/crates/lab/src/prelude.rs
+++ b/crates/lab/src/prelude.rs
@@ -1,4 +1,4 @@
-//! The types that most modules of the lab need.
+//! Types that most modules of the lab use.
 
 pub use crate::case::{Case, Fault, FaultAt, KeyMaker};
 pub use crate::time::Micros;
--- a/crates/lab/src/report.rs
+++ b/crates/lab/src/report.rs
@@ -1,4 +1,4 @@
-//! Tables and JSON of runs, and how ours compares with the others.
+//! Tables and JSON of runs, and the comparison of the core with the other policies.
 
 use std::fmt::Write;
 
@@ -8,46 +8,46 @@
 use crate::prelude::*;
 use crate::world::RunReport;
 
-/// All runs of one seed, as they go into the JSON file.
+/// All runs with one seed, as written to the JSON file.
 #[derive(Debug, Serialize)]
 pub struct RunSet<'a> {
-    /// The seed of every draw.
+    /// Seed of all random numbers.
     pub seed: u64,
-    /// Comparisons, one a case.
+    /// Comparisons, one per case.
     pub summaries: Vec<Summary>,
     /// Runs in the order of the cases.
     pub runs: &'a [RunReport],
 }
 
-/// How ours stands in one case.
+/// Comparison of the core with the oracle and the baselines in one case.
 #[derive(Clone, Debug, Serialize)]
 pub struct Summary {
     /// Name of the case.
     pub case: String,
-    /// The tail that is compared, in microseconds; see [`tail_us`].
+    /// Tail latency of the core in microseconds; see [`tail_us`].
     pub ours_us: u64,
-    /// The oracle's tail.
+    /// Tail latency of the oracle in microseconds.
     pub oracle_us: u64,
-    /// The lowest tail among the baselines that serve as much as ours.
+    /// Lowest tail latency among the baselines with comparable goodput.
     pub best_baseline_us: Option<u64>,
-    /// Which baseline has it.
+    /// Baseline with that tail latency.
     pub best_baseline: Option<PolicyKind>,
-    /// Ours over the oracle.
+    /// Ratio of the core's tail latency to the oracle's.
     pub over_oracle: f64,
-    /// Ours over the best baseline; 1 or less when ours has the lowest tail,
-    /// 0 when no baseline serves as much.
+    /// Ratio of the core's tail latency to the best baseline's. It is at most 1 if the
+    /// core has the lowest tail latency, and 0 if no baseline has comparable goodput.
     pub over_best_baseline: f64,
 }
 
-/// A baseline that serves less than this share of ours is not compared: who
-/// refuses most calls has the shortest queues.
+/// Beyond capacity, a baseline with less than this share of the core's goodput is not
+/// compared, because a policy that rejects more calls has shorter queues.
 const COMPARABLE_GOODPUT: f64 = 0.99;
 
-/// The tail by which policies are compared.
+/// Tail latency by which policies are compared, in microseconds.
 ///
-/// Below capacity every try counts, and one without an answer with its whole
-/// deadline. Beyond capacity somebody must be refused, so that only answered
-/// tries can be compared, among policies that serve as many.
+/// Below capacity it covers all tries, and a try without an answer counts with its
+/// whole deadline. Beyond capacity some calls must be rejected, so it covers only
+/// answered tries, and only policies with comparable goodput are compared.
 #[must_use]
 pub fn tail_us(case: &Case, report: &RunReport) -> u64 {
     if case.load > 1.0 {
@@ -56,7 +56,7 @@
     report.p99_all_us
 }
 
-/// Compares ours with the oracle and the baselines, case by case.
+/// Compares the core with the oracle and the baselines in each case.
 #[must_use]
 pub fn summarise(cases: &[Case], runs: &[RunReport]) -> Vec<Summary> {
     let mut summaries = Vec::with_capacity(cases.len());
@@ -105,7 +105,7 @@
 |---|---|--:|--:|--:|--:|--:|--:|--:|--:|--:|--:|--:|--:|--:|
 ";
 
-/// Every run as a line of a Markdown table.
+/// Formats the runs as a Markdown table with one line per run.
 #[must_use]
 pub fn table(runs: &[RunReport]) -> String {
     let mut text = String::from(TABLE_HEAD);
@@ -144,7 +144,7 @@
 |---|--:|--:|--:|---|--:|--:|
 ";
 
-/// The comparisons as a Markdown table.
+/// Formats the comparisons as a Markdown table.
 #[must_use]
 pub fn summary_table(summaries: &[Summary]) -> String {
     let mut text = String::from(SUMMARY_HEAD);
--- a/crates/lab/src/run.rs
+++ b/crates/lab/src/run.rs
@@ -1,4 +1,4 @@
-//! Runs many cases and policies, each on its own, and keeps their order.
+//! Runs many cases and policies in parallel and returns their reports in order.
 
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -8,20 +8,19 @@
 use crate::prelude::*;
 use crate::world::{RunReport, World};
 
-/// Runs that are independent of each other may share the machine, but leave
-/// half of it to others.
+/// Processor cores per thread. Half of the machine stays free for other processes.
 const CORES_PER_THREAD: usize = 2;
 
-/// One run to make.
+/// A run that is to be made.
 #[derive(Clone, Debug)]
 pub struct Job {
-    /// The experiment.
+    /// Experiment of the run.
     pub case: Case,
-    /// The way of picking.
+    /// Target selection policy of the run.
     pub kind: PolicyKind,
 }
 
-/// Every case with every way of picking.
+/// Creates a job for each case and each policy.
 #[must_use]
 pub fn jobs_for(cases: &[Case], kinds: &[PolicyKind]) -> Vec<Job> {
     let mut jobs = Vec::with_capacity(cases.len() * kinds.len());
@@ -36,8 +35,8 @@
     jobs
 }
 
-/// Makes all runs; the reports come in the order of the jobs, whatever thread
-/// made them, so that output repeats.
+/// Makes all runs. The reports are in the order of the jobs, regardless of the threads,
+/// so that the output is reproducible.
 #[must_use]
 pub fn run_all(jobs: &[Job], seed: u64) -> Vec<RunReport> {
     let next = AtomicUsize::new(0);
--- a/crates/lab/src/target.rs
+++ b/crates/lab/src/target.rs
@@ -1,38 +1,38 @@
-//! The fake target: slots, a plain queue, and everything that goes wrong.
+//! The fake target, with slots, a queue and faults.
 
 use std::collections::VecDeque;
 
 use crate::event::AttemptIndex;
 use crate::time::Micros;
 
-/// A target that fails fast answers in this time.
+/// Time in which a target that fails fast answers.
 const FAIL_FAST_WORK: Micros = Micros(200);
-/// How many times slower than warm the first call of a cold target is, less one.
+/// Slowdown of the first call of a cold target, in addition to the normal factor of 1.
 const COLD_PENALTY: f64 = 3.0;
-/// Time in which the cold penalty falls to a third.
+/// Time constant of the exponential warm-up, in which the cold penalty falls to 1/e.
 const WARMING_US: f64 = 1_500_000.0;
 
-/// A call that holds a slot.
+/// A call that occupies a slot.
 #[derive(Clone, Copy, Debug)]
 struct Running {
     attempt: AttemptIndex,
     started_at: Micros,
-    /// `None` while the call waits for a service that it calls itself.
+    /// When the call's work is done. `None` while the call waits for its nested call.
     done_at: Option<Micros>,
 }
 
-/// What to do when the time comes at which a call's work should be done.
+/// State of a call at the time when its work was expected to be done.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Progress {
-    /// The work is done now.
+    /// The work is done.
     Done,
-    /// A stall came in between; look again then.
+    /// A stall delayed the work until this time.
     Later(Micros),
-    /// The call no longer runs here.
+    /// The call does not run at the target any more.
     Gone,
 }
 
-/// One target process.
+/// A target process.
 #[derive(Debug)]
 pub(crate) struct FakeTarget {
     slots: usize,
@@ -59,7 +59,8 @@
         }
     }
 
-    /// Takes a call; says when its work will be done if it got a slot at once.
+    /// Adds a call. Returns when its work will be done, or `None` if it has to wait for a
+    /// slot.
     pub(crate) fn offer(
         &mut self,
         attempt: AttemptIndex,
@@ -90,7 +91,7 @@
         Micros::from_f64(work.0 as f64 * self.factor(now))
     }
 
-    /// How many times longer than on a healthy, warm target calls take now.
+    /// Current service time of calls relative to a healthy, warm target.
     pub(crate) fn factor(&self, now: Micros) -> f64 {
         let Some(started_at) = self.started_cold_at else {
             return self.slow_factor;
@@ -113,7 +114,7 @@
         Progress::Gone
     }
 
-    /// The call has done its own work and holds its slot while it calls on.
+    /// Marks the call's own work as done. It occupies its slot during its nested call.
     pub(crate) fn wait_for_nested_call(&mut self, attempt: AttemptIndex) {
         for running in &mut self.running {
             if running.attempt == attempt {
@@ -122,7 +123,7 @@
         }
     }
 
-    /// Frees what a call holds; gives the time for which it held a slot.
+    /// Removes a call. Returns the time for which it occupied a slot.
     pub(crate) fn remove(&mut self, attempt: AttemptIndex, now: Micros) -> Micros {
         for index in 0..self.running.len() {
             if self.running[index].attempt != attempt {
@@ -135,7 +136,8 @@
         Micros::ZERO
     }
 
-    /// Starts the next waiting call if a slot is free.
+    /// Starts the next waiting call if a slot is free. Returns when its work will be
+    /// done.
     pub(crate) fn start_waiting(&mut self, now: Micros) -> Option<(AttemptIndex, Micros)> {
         if self.running.len() >= self.slots {
             return None;
@@ -144,7 +146,7 @@
         Some((attempt, self.start(attempt, work, now)))
     }
 
-    /// A noisy neighbour stops all work for a while.
+    /// Stops all work for a time, as a noisy neighbour does.
     pub(crate) fn freeze(&mut self, length: Micros, now: Micros) {
         let from = self.frozen_until.max(now);
         let until = from.max(now + length);
@@ -155,7 +157,7 @@
         }
     }
 
-    /// Everything that ran or waited, in the order of its arrival here.
+    /// Stops the process. Returns the calls that ran or waited.
     pub(crate) fn crash(&mut self) -> Vec<AttemptIndex> {
         self.up = false;
         self.clear()
@@ -205,7 +207,7 @@
         self.waiting.len()
     }
 
-    /// What is left of a stall.
+    /// Remaining time of the current stall.
     pub(crate) fn frozen_for(&self, now: Micros) -> Micros {
         self.frozen_until.since(now)
     }
--- a/crates/lab/src/workload.rs
+++ b/crates/lab/src/workload.rs
@@ -1,7 +1,7 @@
-//! Random draws: arrivals, the work of calls, stalls.
+//! Random arrivals, service times, stalls and report ages.
 //!
-//! Arrivals and work come from one generator that no policy can disturb, so
-//! that every policy of a case sees the very same calls.
+//! Arrivals and service times do not depend on the policy, so that all policies of a
+//! case get exactly the same calls.
 
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
@@ -9,25 +9,25 @@
 use crate::case::Case;
 use crate::time::Micros;
 
-/// Mean time between two stalls of one target in a noisy case.
+/// Mean time between two stalls of a target in noisy cases.
 const MEAN_STALL_GAP_US: f64 = 1_000_000.0;
 const MIN_STALL_US: u64 = 5_000;
 const MAX_STALL_US: u64 = 50_000;
 const MIN_REPORT_AGE_US: u64 = 10_000;
 const MAX_REPORT_AGE_US: u64 = 500_000;
 
-/// One new call as its caller sends it.
+/// A new call of a caller.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct NewCall {
-    /// Time until the next one.
+    /// Time until the next new call.
     pub(crate) gap: Micros,
-    /// Picks the entry; reduced modulo the number of live ones.
+    /// Random number that selects the entry, modulo the number of nodes.
     pub(crate) entry_draw: u64,
-    /// Identity, unique within a run.
+    /// Identity of the call, unique within a run.
     pub(crate) identity: u64,
 }
 
-/// Draws for a whole run.
+/// Random number generators of a run.
 #[derive(Debug)]
 pub(crate) struct Workload {
     calls: StdRng,
@@ -66,8 +66,8 @@
         }
     }
 
-    /// Work of a call at one service. It belongs to the call, not to the
-    /// attempt: a retry or hedge cannot make a heavy call light.
+    /// Service time of a call at one service. It depends on the call and not on the
+    /// attempt, so that a retry or hedge of a slow call is equally slow.
     pub(crate) fn work(&self, identity: u64, depth: u32, mean_us: f64) -> Micros {
         let uniform_1 = unit(mix(identity, 2 * u64::from(depth)));
         let uniform_2 = unit(mix(identity, 2 * u64::from(depth) + 1));
@@ -97,12 +97,12 @@
     -mean * (1.0 - uniform).ln()
 }
 
-/// A number above 0 and up to 1 from 53 random bits.
+/// Converts 53 random bits to a number in (0, 1].
 fn unit(bits: u64) -> f64 {
     ((bits >> 11) + 1) as f64 / (1_u64 << 53) as f64
 }
 
-/// Spreads two numbers over 64 bits (the finaliser of SplitMix64).
+/// Hashes two numbers to 64 bits (the finaliser of SplitMix64).
 pub(crate) const fn mix(seed: u64, salt: u64) -> u64 {
     let mut z = seed.wrapping_add(salt.wrapping_mul(0x9e37_79b9_7f4a_7c15));
     z = (z ^ (z >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
--- a/crates/lab/src/world.rs
+++ b/crates/lab/src/world.rs
@@ -1,4 +1,4 @@
-//! The event loop: callers, entries, the network, gates and targets.
+//! The event loop that simulates callers, entries, the network, gates and targets.
 
 use std::sync::Arc;
 
@@ -23,13 +23,13 @@
 
 pub use tally::RunReport;
 
-/// How often a gate looks after what it holds, as the daemon does.
+/// Interval of a gate's ticks, as in the daemon.
 const GATE_TICK: Micros = Micros::from_millis(5);
-/// After the last arrival, ticks go on for as long as calls can last.
+/// How long ticks continue after the last arrival. It covers the longest calls.
 const TICKS_AFTER_LAST_ARRIVAL: Micros = Micros::from_millis(10_000);
 const SAME_VM_US: u32 = 20;
 
-/// One service with its targets.
+/// A service with its targets.
 #[derive(Debug)]
 struct Service {
     policy: Arc<ServicePolicy>,
@@ -37,17 +37,17 @@
     hosts: Vec<Host>,
 }
 
-/// One node as an entry.
+/// A node in its role as an entry.
 #[derive(Debug)]
 struct Node {
     data_centre: usize,
-    /// One way of picking for each service.
+    /// Selection policy for each service.
     policies: Vec<Box<dyn Policy>>,
     /// Open connections by service and target.
     connected: Vec<Vec<bool>>,
 }
 
-/// One run of one case with one way of picking.
+/// One run of a case with one selection policy.
 #[derive(Debug)]
 pub struct World {
     case: Case,
@@ -65,7 +65,7 @@
 }
 
 impl World {
-    /// Sets up a run; nothing has happened yet.
+    /// Sets up a run before its first event.
     #[must_use]
     pub fn new(case: &Case, kind: PolicyKind, seed: u64) -> Self {
         let services = new_services(case, kind, seed);
@@ -92,7 +92,7 @@
         world
     }
 
-    /// Plays the run to its end and reports it.
+    /// Processes all events and returns the report of the run.
     #[must_use]
     pub fn run(mut self) -> RunReport {
         while let Some((at, event)) = self.queue.next() {
@@ -230,7 +230,7 @@
         &mut self.attempts[index.0]
     }
 
-    /// One-way time between a node and a host.
+    /// One-way network delay between a node and a host.
     fn distance(&self, node: usize, id: HostId) -> Micros {
         let host = self.host(id);
         Micros(u64::from(distance_us(node, node % DATA_CENTRES, host)))
--- a/crates/lab/src/world/call.rs
+++ b/crates/lab/src/world/call.rs
@@ -1,4 +1,4 @@
-//! Calls and attempts in hand.
+//! State of calls and attempts.
 
 use hornbeamhitch_core::gate::RunId;
 
@@ -8,47 +8,48 @@
 /// Fingerprint of the request that crashes targets.
 const CRASH_FINGERPRINT: u64 = 0xdead_beef;
 
-/// What a call is, beside its place in the chain.
+/// Origin of a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum CallKind {
-    /// A caller's own call.
+    /// A call of a caller.
     FromCaller,
-    /// A caller's call that crashes every target that runs it.
+    /// A call of a caller that crashes every target that runs it.
     Crashing,
-    /// A target's call to the next service, on behalf of a run.
+    /// A target's nested call to the next service during the run of this attempt.
     FromTarget(AttemptIndex),
 }
 
-/// One call at one entry; a caller that comes back keeps its call.
+/// A call at an entry. A resend by the caller is another try of the same call.
 #[derive(Debug)]
 pub(super) struct Call {
     pub(super) kind: CallKind,
-    /// Place in the chain, and depth.
+    /// Index of the service in the chain, which is also the depth of the call.
     pub(super) service: usize,
     pub(super) node: usize,
     pub(super) identity: u64,
     pub(super) sent_at: Micros,
-    /// When the present try reached its entry.
+    /// When the current try reached its entry.
     pub(super) arrived_at: Micros,
     pub(super) deadline_at: Micros,
-    /// A try is in hand at the entry.
+    /// Whether a try is in progress at the entry.
     pub(super) live: bool,
     pub(super) live_attempts: Vec<AttemptIndex>,
     pub(super) tried: Vec<TargetIndex>,
-    /// Attempts of the present try.
+    /// Number of attempts of the current try.
     pub(super) attempts: u32,
-    /// An attempt of the present try that ended may have run.
+    /// Whether an ended attempt of the current try may have run.
     pub(super) may_have_run: bool,
-    /// An attempt of the present try broke; its gate is told with the next one.
+    /// Whether an attempt of the current try ended as broken. The gate of the next
+    /// attempt is informed of it.
     pub(super) broke: bool,
     pub(super) hedged: bool,
-    /// Tries of the caller, the first included.
+    /// Number of tries of the caller, including the first.
     pub(super) tries: u32,
     pub(super) ticket: Option<Ticket>,
 }
 
 impl Call {
-    /// What suspicion knows the call by.
+    /// Fingerprint by which the crash suspects identify the request.
     pub(super) const fn fingerprint(&self) -> u64 {
         match self.kind {
             CallKind::Crashing => CRASH_FINGERPRINT,
@@ -67,18 +68,18 @@
     }
 }
 
-/// Where an attempt is, seen from the gate.
+/// Stage of an attempt from the gate's point of view.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Stage {
-    /// On its way to the gate.
+    /// In transit to the gate.
     Sent,
-    /// Held by the gate.
+    /// Queued in the gate.
     Queued(RunId),
-    /// Waits for the run of another attempt with the same key.
+    /// Waiting for the run of another attempt with the same key.
     Joined(RunId),
-    /// In the target, waiting there or running.
+    /// At the target, waiting or running.
     AtTarget,
-    /// Over at the gate.
+    /// Ended at the gate.
     Ended,
 }
 
@@ -90,15 +91,15 @@
     pub(super) pick: Pick,
     pub(super) sent_at: Micros,
     pub(super) stage: Stage,
-    /// The admitted run, with a gate.
+    /// Run that the gate admitted. `None` without a gate.
     pub(super) run: Option<RunId>,
     pub(super) at_target_since: Micros,
-    /// The entry still waits for it.
+    /// Whether the entry still waits for the attempt.
     pub(super) live: bool,
-    /// The call that the target made on its behalf.
+    /// Call that the target makes to the next service during the run.
     pub(super) nested_call: Option<CallIndex>,
-    /// Time for which it held a slot.
+    /// Time for which the attempt occupied a slot.
     pub(super) slot_time: Micros,
-    /// What travels back to the entry.
+    /// Outcome that is sent to the entry.
     pub(super) outcome: Option<AttemptOutcome>,
 }
--- a/crates/lab/src/world/entry_side.rs
+++ b/crates/lab/src/world/entry_side.rs
@@ -1,4 +1,4 @@
-//! Calls at their entries: attempts, retries, hedges, final answers.
+//! Calls at their entries, with attempts, retries, hedges and final answers.
 
 use hornbeamhitch_core::suspects::SuspicionLevel;
 
@@ -10,11 +10,11 @@
 use crate::policy::Truth;
 use crate::prelude::*;
 
-/// A caller sends a call at most this often.
+/// Number of times that a caller sends a call at most.
 const MAX_TRIES: u32 = 5;
-/// When a caller without `Retry-After` comes back.
+/// Time after which a caller resends a call if the answer has no `Retry-After`.
 const DEFAULT_RETRY_WAIT: Micros = Micros::from_millis(500);
-/// The way to the caller and back to an entry.
+/// Round trip from an entry to the caller and back.
 const CALLER_ROUND_TRIP: Micros = Micros(2 * CALLER_DISTANCE.0);
 
 impl World {
@@ -64,7 +64,7 @@
         self.call_at_entry(index);
     }
 
-    /// The entry answers 307; the call comes back with its ticket.
+    /// The entry answers 307, and the caller sends the call again with its ticket.
     fn fetch_ticket(&mut self, index: CallIndex, maker: KeyMaker) {
         let call = self.call(index);
         let (node, service, identity) = (call.node, call.service, call.identity);
@@ -99,7 +99,7 @@
         self.queue.schedule(at, Event::CallAtEntry(index));
     }
 
-    /// A node that callers can reach.
+    /// Selects a node that callers can reach.
     pub(super) fn live_node(&self, draw: u64) -> usize {
         let nodes = self.nodes.len();
         let mut node = (draw % nodes as u64) as usize;
@@ -194,7 +194,7 @@
         policy.pick(&request, &truth)
     }
 
-    /// What it costs to have a connection.
+    /// Marks the connection as open and returns the time that it takes to open it.
     fn connect(&mut self, node: usize, host: HostId) -> Micros {
         let connected = &mut self.nodes[node].connected[host.service][host.target];
         if *connected {
@@ -272,8 +272,8 @@
         let next = core.after_failure(&progress, end, now);
         self.call_mut(index).may_have_run |= end.may_have_run();
         match next {
-            // A gate that refused a ticket never runs it later, so sending it
-            // there again is of no use; its caller gets a new one.
+            // A gate never runs a ticket that it rejected, so a retry there is useless.
+            // The caller has to get a new ticket.
             Next::Retry if self.call(index).ticket.is_some() => {
                 let refusal = Refusal::fixed(ResultCode::Overloaded);
                 self.finish_try(index, call_end(end, refusal));
@@ -286,7 +286,7 @@
         }
     }
 
-    /// Ends an attempt at its entry.
+    /// Finishes an attempt at its entry.
     pub(super) fn finish_attempt(&mut self, index: AttemptIndex, outcome: &AttemptOutcome) {
         let now = self.now.floor_millis();
         let attempt = self.attempt_mut(index);
@@ -308,7 +308,7 @@
         self.finish_try(index, CallEnd::Failed(refusal));
     }
 
-    /// Ends every attempt that is still out, here and at the gates.
+    /// Ends all attempts of a call that are in flight, here and at the gates.
     pub(super) fn cancel_attempts(&mut self, index: CallIndex, end: AttemptEnd) {
         while let Some(&attempt) = self.call(index).live_attempts.last() {
             let outcome = AttemptOutcome {
@@ -323,7 +323,7 @@
         }
     }
 
-    /// Gives the caller its final answer for this try.
+    /// Sends the caller the final answer of this try.
     pub(super) fn finish_try(&mut self, index: CallIndex, end: CallEnd) {
         self.cancel_attempts(index, AttemptEnd::Cancelled);
         let now = self.now;
@@ -353,7 +353,7 @@
         self.queue.schedule(at, Event::CallAtEntry(index));
     }
 
-    /// When a caller that was not served comes back, as documented.
+    /// Time at which a caller sends the call again, as documented. `None` if it does not.
     fn next_try_at(&self, index: CallIndex, end: &CallEnd) -> Option<Micros> {
         let call = self.call(index);
         if !self.case.callers_resend || call.tries >= MAX_TRIES {
@@ -374,7 +374,8 @@
     }
 }
 
-/// A refused last attempt says "not run"; all others may have run.
+/// End of a call by its last attempt. A rejected or unreachable attempt did not run;
+/// all others may have run.
 fn call_end(end: &AttemptEnd, refusal: Refusal) -> CallEnd {
     match end {
         AttemptEnd::Refused(_) | AttemptEnd::Unreachable => CallEnd::Refused(refusal),
--- a/crates/lab/src/world/faults.rs
+++ b/crates/lab/src/world/faults.rs
@@ -1,4 +1,4 @@
-//! What goes wrong, and how word of it spreads.
+//! Faults, and the propagation of news about them.
 
 use std::sync::Arc;
 
@@ -11,21 +11,22 @@
 use crate::event::{AttemptIndex, Event, HostId};
 use crate::prelude::*;
 
-/// Word of a leaving gate reaches every entry in this time.
+/// Time until every entry knows that a gate is leaving.
 const LEAVING_DELAY: Micros = Micros::from_millis(1_000);
-/// Word of a new life reaches every entry in this time.
+/// Time until every entry knows of a new incarnation.
 const INCARNATION_DELAY: Micros = Micros::from_millis(200);
-/// Silence after which control calls a peer of a small service doubtful.
+/// Time after the last message at which control marks a peer of a small service as
+/// doubtful.
 const DOUBTFUL_AFTER: Micros = Micros::from_millis(6_000);
-/// Time after which a silent open connection counts as broken; the daemon
-/// pings an open connection and gives up on the answer after this time.
+/// Time after which an unresponsive connection is broken. The daemon pings open
+/// connections and waits this long for the answer.
 const KEEP_ALIVE_TIMEOUT: Micros = Micros::from_millis(2_000);
-/// Word of a peer that is heard again reaches every entry in this time.
+/// Time until every entry knows that a peer is reachable again.
 const RECOVERY_DELAY: Micros = Micros::from_millis(1_000);
-/// Suspicion reaches every gate in this time: control sends it at once, and
-/// traffic reads a new snapshot within a tick.
+/// Time until every gate knows a new suspect. Control sends suspects immediately, and
+/// gates read a new snapshot within a tick.
 const SUSPECTS_DELAY: Micros = Micros::from_millis(55);
-/// Time that a crashed target needs to be up again.
+/// Time that a crashed target needs to restart.
 const RESTART_TIME: Micros = Micros::from_millis(2_000);
 const CRASH_IDENTITY: u64 = 0x0c0f_fee0;
 
@@ -66,7 +67,7 @@
         }
     }
 
-    /// The target's process dies with everything that it ran.
+    /// Crashes the target's process and fails all its runs.
     pub(super) fn crash_target(&mut self, id: HostId) {
         self.tally.crashes += 1;
         let now = self.now.floor_millis();
@@ -85,7 +86,7 @@
         self.merge_suspects(&entries);
     }
 
-    /// Suspicion reaches the other gates by control.
+    /// Merges suspects, and schedules the update of all gates if something changed.
     pub(super) fn merge_suspects(&mut self, entries: &[SuspectEntry]) {
         let now = self.now.floor_millis();
         let mut changed = false;
@@ -124,7 +125,7 @@
         self.queue.schedule(now + DOUBTFUL_AFTER, Event::ViewUpdate);
     }
 
-    /// Callers of the lost entries see their connections break.
+    /// Fails the calls at lost entries, whose callers' connections break.
     fn fail_calls_at_lost_entries(&mut self) {
         for index in 0..self.calls.len() {
             let index = crate::event::CallIndex(index);
@@ -138,7 +139,8 @@
         }
     }
 
-    /// What is at a lost host ends there; its entries see it by keep-alive.
+    /// Ends the attempts at lost hosts. Their entries notice it by the keep-alive
+    /// timeout.
     fn break_attempts_at_lost_hosts(&mut self) {
         let at = self.now + KEEP_ALIVE_TIMEOUT;
         for index in 0..self.attempts.len() {
--- a/crates/lab/src/world/gate_side.rs
+++ b/crates/lab/src/world/gate_side.rs
@@ -1,4 +1,4 @@
-//! Attempts at their gates and targets.
+//! Attempts at gates and targets.
 
 use std::fmt::Write;
 
@@ -11,9 +11,9 @@
 use crate::prelude::*;
 use crate::target::Progress;
 
-/// Time after which an entry gives up on a new connection.
+/// Timeout for opening a connection.
 const CONNECT_TIMEOUT: Micros = Micros::from_millis(750);
-/// What a gate that met a refused connection tells its entry to wait.
+/// `Retry-After` of calls that the target or a leaving host rejects.
 const REFUSAL_RETRY_AFTER: Millis = Millis(100);
 
 impl World {
@@ -160,7 +160,7 @@
         }))
     }
 
-    /// The call that a target made on behalf of a run has ended.
+    /// Ends a run whose nested call has ended.
     pub(super) fn nested_call_ended(&mut self, parent: AttemptIndex, answered: bool) {
         self.attempt_mut(parent).nested_call = None;
         if self.attempt(parent).stage != Stage::AtTarget {
@@ -171,7 +171,7 @@
         self.run_ended(parent, RunEnd::Answered { answer, failed });
     }
 
-    /// A run is over at its target, in whatever way.
+    /// Ends a run at its target.
     pub(super) fn run_ended(&mut self, index: AttemptIndex, end: RunEnd) {
         let now = self.now;
         let attempt = &self.attempts[index.0];
@@ -205,7 +205,7 @@
         }
     }
 
-    /// Does what a gate has decided about the calls that it held.
+    /// Carries out a gate's decisions about queued and joined calls.
     pub(super) fn apply_wakes(&mut self, id: HostId, wakes: Vec<Wake>) {
         for wake in wakes {
             match wake {
@@ -238,7 +238,7 @@
         }
     }
 
-    /// Sends an end with the gate's report to the entry.
+    /// Sends the end of an attempt to the entry, with the gate's load report.
     fn send_end(&mut self, index: AttemptIndex, end: AttemptEnd) {
         let attempt = self.attempt(index);
         let id = attempt.host;
@@ -292,7 +292,7 @@
                 self.attempt_mut(index).stage = Stage::Ended;
                 let host = self.host_mut(id);
                 host.attempts.remove(&run);
-                let gate = host.gate.as_mut().expect("only gates hold calls");
+                let gate = host.gate.as_mut().expect("only gates queue calls");
                 let wakes = gate.abandon(run, now);
                 self.apply_wakes(id, wakes);
             }
@@ -318,8 +318,8 @@
     }
 }
 
-/// What the daemon tells the entry about a run's end; `None` when it no longer
-/// listens.
+/// End of an attempt that the daemon reports to the entry. `None` if the attempt was
+/// cancelled, because the entry does not wait for it any more.
 fn attempt_end(end: &RunEnd) -> Option<AttemptEnd> {
     match end {
         RunEnd::Answered { failed, .. } => Some(AttemptEnd::Answered { failed: *failed }),
@@ -333,7 +333,7 @@
     }
 }
 
-/// Length of the header's text, without writing it anywhere.
+/// Length of the load report as header text, computed without allocating the text.
 fn text_bytes(report: &LoadReport) -> u64 {
     struct Counter(u64);
     impl Write for Counter {
--- a/crates/lab/src/world/tally.rs
+++ b/crates/lab/src/world/tally.rs
@@ -1,4 +1,4 @@
-//! What is counted in a run, and the report of it.
+//! Counters of a run and the report of them.
 
 use hdrhistogram::Histogram;
 use serde::Serialize;
@@ -7,17 +7,17 @@
 use crate::prelude::*;
 
 const MAX_LATENCY_US: u64 = 60_000_000;
-/// Three digits: quantiles are exact to a thousandth.
+/// With three significant digits, quantiles are exact to a thousandth.
 const SIGNIFICANT_DIGITS: u8 = 3;
 
 /// How a call ended for its caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum CallEnd {
-    /// Its own whole answer came in time.
+    /// The caller got the complete answer before the deadline.
     Answered,
-    /// It did not run.
+    /// The call did not run.
     Refused(Refusal),
-    /// It failed, or may have run.
+    /// The call failed or may have run.
     Failed(Refusal),
 }
 
@@ -72,8 +72,8 @@
         }
     }
 
-    /// One try of a caller has ended; one without an answer counts as if it
-    /// had lasted to its deadline, so that refusing cannot look fast.
+    /// Counts the end of a caller's try. The latency of a try without an answer counts
+    /// as its whole deadline, so that rejections do not lower the quantiles.
     pub(super) fn count_try(&mut self, end: &CallEnd, latency: Micros, deadline: Micros) {
         self.tries_measured += 1;
         match end {
@@ -88,7 +88,7 @@
         self.all.saturating_record(deadline.0);
     }
 
-    /// A caller does not come back any more.
+    /// Counts a call that its caller does not send again.
     pub(super) fn count_call(&mut self, end: &CallEnd) {
         self.calls += 1;
         if *end == CallEnd::Answered {
@@ -136,38 +136,38 @@
     part as f64 / whole as f64
 }
 
-/// The figures of one run. Times are from the arrival of a try at its entry
-/// to the answer there; callers see the way to the entry and back on top.
+/// Results of a run. Times are from the arrival of a try at its entry to the answer at
+/// the entry. They exclude the round trip between caller and entry.
 #[derive(Clone, Debug, Serialize)]
 pub struct RunReport {
     /// Name of the case.
     pub case: String,
-    /// Way of picking.
+    /// Target selection policy.
     pub policy: PolicyKind,
-    /// Measured calls.
+    /// Number of measured calls.
     pub calls: u64,
-    /// Measured calls that were answered in the end.
+    /// Number of measured calls that were finally answered.
     pub calls_answered: u64,
-    /// Tries of measured calls; more than calls when callers come back.
+    /// Number of tries of measured calls, including resends.
     pub tries: u64,
-    /// Tries that ended with "not run".
+    /// Number of tries that ended as "not run".
     pub refused: u64,
-    /// Tries that failed in another way.
+    /// Number of tries that failed in another way.
     pub failed: u64,
-    /// Median time of answered tries.
+    /// Median latency of answered tries.
     pub p50_us: u64,
-    /// 99th percentile of answered tries.
+    /// 99th percentile of the latency of answered tries.
     pub p99_us: u64,
-    /// 99.9th percentile of answered tries.
+    /// 99.9th percentile of the latency of answered tries.
     pub p999_us: u64,
-    /// 99th percentile of all tries, where a try that was not answered counts
-    /// with its whole deadline.
+    /// 99th percentile of the latency of all tries. A try without an answer counts with
+    /// its whole deadline.
     pub p99_all_us: u64,
-    /// Answered calls a second.
+    /// Answered calls per second.
     pub goodput_per_s: f64,
-    /// The same as a share of what the slots can carry without faults.
+    /// Answered calls per second as a share of the capacity without faults.
     pub goodput_share: f64,
-    /// Attempts at gates per try at an entry, over all depths.
+    /// Attempts at gates per try at an entry, at all depths.
     pub attempts_per_try: f64,
     /// Retries per try at an entry.
     pub retries_per_try: f64,
@@ -177,8 +177,8 @@
     pub probes_per_call: f64,
     /// Bytes of load reports on answers per try at an entry.
     pub control_bytes_per_call: f64,
-    /// Share of the slots' busy time that went into answers which arrived.
+    /// Share of the slots' busy time that was spent on answers that reached their entry.
     pub useful_share: f64,
-    /// Crashes of targets.
+    /// Number of target crashes.
     pub crashes: u64,
 }
--- a/crates/lab/src/world/views.rs
+++ b/crates/lab/src/world/views.rs
@@ -1,4 +1,4 @@
-//! What entries hear from control: membership, lives, doubts.
+//! Views that entries get from control: members, incarnations and doubtful targets.
 
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::sync::Arc;
@@ -10,7 +10,7 @@
 const PEER_PORT: u16 = 7_000;
 
 impl World {
-    /// What a node knows of a service once word has reached it.
+    /// Builds a node's view of a service from the current state.
     pub(super) fn view_for(
         &self,
         node: usize,
--- a/crates/lab/tests/allocation.rs
+++ b/crates/lab/tests/allocation.rs
@@ -1,4 +1,4 @@
-//! Decisions on the way of a call allocate nothing.
+//! Decisions on the path of a call allocate no memory.
 
 use hornbeamhitch_lab::fixture::{
     arrive_and_finish, entry_with_targets, gate_with_records, pick_and_finish,
@@ -7,9 +7,9 @@
 const WARM_UP_STEPS: u64 = 20_000;
 const MEASURED_STEPS: u64 = 10_000;
 
-/// A pick that allocates is seen by callers as a tail: under load the
-/// allocator's locks and page faults land on a random call. The entry is
-/// warmed up first, so that buffers have their size; then nothing may allocate.
+/// Allocations in a pick increase the tail latency, because under load the allocator's
+/// locks and page faults delay random calls. The entry is warmed up first, until its
+/// buffers have their final size; after that no pick may allocate.
 #[test]
 fn pick_and_finish_allocate_nothing() {
     for targets in [3, 5, 50, 500] {
@@ -26,8 +26,8 @@
     }
 }
 
-/// The same at the gate, for a call without a ticket that runs at once. Tables
-/// of the gate grow during the warm-up and then keep their size.
+/// The same applies to the gate, for a call without a ticket that runs immediately. The
+/// gate's tables grow during the warm-up and then keep their size.
 #[test]
 fn arrive_and_finish_allocate_nothing() {
     for records in [0, 500] {
--- a/crates/lab/tests/bounds.rs
+++ b/crates/lab/tests/bounds.rs
@@ -1,4 +1,4 @@
-//! A short part of `hornbeamhitch-lab check`, quick enough for a debug build.
+//! A part of `hornbeamhitch-lab check` that is fast enough for a debug build.
 
 use hornbeamhitch_lab::bounds::{BoundsFile, Measure, check};
 use hornbeamhitch_lab::case::catalogue;
@@ -6,8 +6,8 @@
 use hornbeamhitch_lab::world::World;
 
 const COMMITTED: &str = include_str!("../bounds.json");
-/// One case of a slow target, one of failing fast, one of draining and cold
-/// start; each has few calls.
+/// Cases with few calls: one with a slow target, one with a target that fails fast, and
+/// one with drains and cold starts.
 const SHORT_CASES: [&str; 3] = [
     "ljubljana-slow-60",
     "ljubljana-fail-fast-60",
@@ -18,16 +18,16 @@
     serde_json::from_str(COMMITTED).expect("the committed bounds are well-formed")
 }
 
-/// A change of picking makes callers wait behind a slow, failing or cold
-/// target. The committed bounds notice before it is merged: the whole set in
-/// CI by the release binary, these cases in every test run.
+/// A change of target selection may make callers wait for a slow, failing or cold target.
+/// The committed bounds detect this before the change is merged: CI checks all of them
+/// with the release binary, and this test checks some.
 #[test]
 fn short_cases_stay_within_their_bounds() {
     let mut file = committed();
     file.bounds.retain(|bound| {
         SHORT_CASES.contains(&bound.case.as_str()) && bound.measure != Measure::OverBestBaseline
     });
-    assert!(file.bounds.len() >= SHORT_CASES.len(), "bounds were lost");
+    assert!(file.bounds.len() >= SHORT_CASES.len(), "bounds are missing");
     for verdict in check(&file, &catalogue()).expect("the cases exist") {
         let bound = &verdict.bound;
         assert!(
@@ -38,8 +38,7 @@
     }
 }
 
-/// A bound whose case was renamed would pass unseen for ever; so would a file
-/// that no longer covers every case.
+/// A bound whose case was renamed, or a case without a bound, would never be checked.
 #[test]
 fn every_case_has_a_bound_and_every_bound_a_case() {
     let file = committed();
@@ -57,8 +56,8 @@
     }
 }
 
-/// A verdict that differs between two runs of the same code teaches people to
-/// run it again until it passes. The same seed must give the same figures.
+/// The same seed must give the same results. Otherwise a failing check could pass when it
+/// is merely run again.
 #[test]
 fn the_same_seed_gives_the_same_figures() {
     let cases = catalogue();
--- a/crates/lab/tests/capacity.rs
+++ b/crates/lab/tests/capacity.rs
@@ -1,20 +1,19 @@
-//! What one node's control half costs, in exact counts of virtual time.
+//! Cost of one node's control half, by exact counts in virtual time.
 //!
-//! Operators see a node that sends or receives more than 26 kB a second as lost
-//! datagrams on small VMs. Each case starts a fleet of real control halves,
-//! lets it settle, and counts. What must not grow is held against the same
-//! figure of a smaller run.
+//! A node that sends or receives more than 26 kB per second causes datagram loss on small
+//! VMs. Each test starts a fleet of real control halves, lets it settle, and counts.
+//! Values that must not grow are compared with those of a smaller fleet.
 
 use hornbeamhitch_lab::capacity::control::{ControlCase, ControlFigures, measure};
 use hornbeamhitch_lab::capacity::fleet::Calls;
 use hornbeamhitch_lab::capacity::layout::Layout;
 
-/// The letter's bound on control traffic of a node.
+/// Required limit on the control traffic of a node.
 const MAX_BYTES_PER_S: f64 = 26_000.0;
-/// Seven messages a second go out, and three answers at most; the same come in
+/// A node sends seven messages and at most three answers per second, and receives as many
 /// on average.
 const MAX_DATAGRAMS_PER_S: f64 = 20.0;
-/// The letter's bound is 256 MB for the whole process.
+/// Limit for the control half. The required limit for the whole process is 256 MB.
 const MAX_CONTROL_MEMORY_BYTES: u64 = 1_000_000;
 
 fn figures(layout: Layout, calls: Calls) -> ControlFigures {
@@ -30,8 +29,7 @@
     figures
 }
 
-/// Dependencies add one question a second and its answer, and nothing that
-/// follows their number.
+/// Dependencies add one request per second and its answer, regardless of their number.
 #[test]
 fn messages_do_not_grow_with_service_and_dependencies() {
     let small = figures(Layout::caller_and_callees(5, 1, 6), Calls::None);
@@ -45,8 +43,8 @@
     assert_eq!(large.known_targets, 16 + 5 * 6);
 }
 
-/// A service of three that 48 nodes call: each target answers a few of their
-/// questions a second, and callers that are not answered ask less often.
+/// 48 nodes call a service of three targets. Each target answers a few of their requests
+/// per second, and callers without an answer send requests less often.
 #[test]
 fn a_shared_service_stays_within_the_budget() {
     let shared = figures(Layout::callers_of_one(3, 4, 12), Calls::None);
@@ -54,8 +52,8 @@
     assert!(shared.datagrams_in_per_s <= MAX_DATAGRAMS_PER_S);
 }
 
-/// A node that calls 30 targets in one second hears of each by an answer, and
-/// none of this costs a probe or makes it publish more than five tables.
+/// A node that calls 30 targets per second gets their load reports with the answers. This
+/// causes no probes, and the node publishes at most six route tables per second.
 #[test]
 fn load_reports_on_answers_add_no_messages() {
     let calling = figures(Layout::caller_and_callees(5, 5, 6), Calls::EveryTarget);
