--- a/crates/lab/src/world/faults.rs
+++ b/crates/lab/src/world/faults.rs
@@ -72,12 +72,12 @@
         self.tally.crashes += 1;
         let now = self.now.floor_millis();
         let host = self.host_mut(id);
-        let lost = host.target.crash();
+        let failed = host.target.crash();
         let mut entries = Vec::new();
         if let Some(gate) = &mut host.gate {
             entries = gate.target_crashed(now).entries;
         }
-        for index in lost {
+        for index in failed {
             self.run_ended(index, RunEnd::Broken);
         }
         let fault = Fault::Restarted { target: id.target };
--- a/crates/lab/src/world/gate_side.rs
+++ b/crates/lab/src/world/gate_side.rs
@@ -42,8 +42,8 @@
     fn is_unreachable(&self, index: AttemptIndex) -> bool {
         let attempt = self.attempt(index);
         let node = self.call(attempt.call).node;
-        let node_lost = self.lost_data_centres[self.nodes[node].data_centre].is_some();
-        node_lost || self.host(attempt.host).unreachable_since.is_some()
+        let entry_lost = self.lost_data_centres[self.nodes[node].data_centre].is_some();
+        entry_lost || self.host(attempt.host).unreachable_since.is_some()
     }
 
     fn fail_to_connect(&mut self, index: AttemptIndex) {
--- a/tests/all/at_most_once.rs
+++ b/tests/all/at_most_once.rs
@@ -117,11 +117,14 @@
     count: u32,
 ) -> Result<()> {
     let what = format!("{count} calls in flight from {entry} at {gate}");
-    let fits = |status: &NodeStatus| {
+    let is_reached = |status: &NodeStatus| {
         let mut targets = status.services.iter().flat_map(|known| &known.targets);
         targets.any(|target| target.vm.as_str() == gate && target.in_flight == count)
     };
-    deployment.wait_status(entry, &what, fits).await.map(drop)
+    deployment
+        .wait_status(entry, &what, is_reached)
+        .await
+        .map(drop)
 }
 
 /// Fails if an answer states that the call ran or that it did not run, although
--- a/tests/all/at_most_once/callers.rs
+++ b/tests/all/at_most_once/callers.rs
@@ -53,22 +53,26 @@
 #[tokio::test]
 async fn a_resend_before_the_run_joins_the_queued_call() -> Result<()> {
     let deployment = Deployment::start(ONE_SLOT_TEXT, cashiers(3)).await?;
-    let holder = payment_at(&deployment, "cashier-3", long_charge("holder")).await?;
-    let held = payment_at(&deployment, "cashier-3", Call::charge("held")).await?;
-    let first = holder.begin(deployment.entry("cashier-1"));
-    holder.wait_started(&deployment).await?;
+    let running_payment = payment_at(&deployment, "cashier-3", long_charge("holder")).await?;
+    let queued_payment = payment_at(&deployment, "cashier-3", Call::charge("held")).await?;
+    let first = running_payment.begin(deployment.entry("cashier-1"));
+    running_payment.wait_started(&deployment).await?;
 
-    let cut = held.begin(deployment.entry("cashier-1"));
+    let cut = queued_payment.begin(deployment.entry("cashier-1"));
     let queued = |status: &NodeStatus| status.gate.queued == 1;
     deployment
         .wait_status("cashier-3", "one call is queued", queued)
         .await?;
     cut.abort();
-    let answer = held.settle(deployment.entry("cashier-2")).await?;
+    let answer = queued_payment.settle(deployment.entry("cashier-2")).await?;
     assert_eq!(certainty_of(&answer), Certainty::Answered);
-    assert!(held.call.is_answered_by(&answer), "{:?}", answer.body);
-    assert!(holder.call.is_answered_by(&first.await??));
-    assert_eq!(held.runs(&deployment).len(), 1);
+    assert!(
+        queued_payment.call.is_answered_by(&answer),
+        "{:?}",
+        answer.body
+    );
+    assert!(running_payment.call.is_answered_by(&first.await??));
+    assert_eq!(queued_payment.runs(&deployment).len(), 1);
     assert_at_most_once(&deployment);
     Ok(())
 }
--- a/tests/all/at_most_once/partitions.rs
+++ b/tests/all/at_most_once/partitions.rs
@@ -122,9 +122,9 @@
     let relay = far.relay("cashier-2");
     relay.hold_requests(true);
     let first = payment.begin(far.addr());
-    let kept = |_: &Deployment| relay.holds(&payment.call.body);
+    let is_held = |_: &Deployment| relay.holds(&payment.call.body);
     deployment
-        .wait_until("the payment is underway", kept)
+        .wait_until("the payment is underway", is_held)
         .await?;
     relay.reset_entry_side();
     let answer = first.await??;
@@ -152,9 +152,9 @@
     let relay = far.relay("cashier-2");
     relay.hold_requests(true);
     let first = payment.within_ms(SHORT_DEADLINE_MS).begin(far.addr());
-    let kept = |_: &Deployment| relay.holds(&payment.call.body);
+    let is_held = |_: &Deployment| relay.holds(&payment.call.body);
     deployment
-        .wait_until("the payment is underway", kept)
+        .wait_until("the payment is underway", is_held)
         .await?;
     relay.refuse(true);
     relay.reset_entry_side();
--- a/tests/all/at_most_once/pauses.rs
+++ b/tests/all/at_most_once/pauses.rs
@@ -52,12 +52,12 @@
 #[tokio::test]
 async fn a_gate_that_resumes_late_starts_nothing_past_its_deadline() -> Result<()> {
     let mut deployment = Deployment::start(ONE_SLOT_TEXT, cashiers(2)).await?;
-    let holder = payment_at(&deployment, "cashier-2", long_charge("holder")).await?;
-    let held = payment_at(&deployment, "cashier-2", Call::charge("held")).await?;
+    let running_payment = payment_at(&deployment, "cashier-2", long_charge("holder")).await?;
+    let queued_payment = payment_at(&deployment, "cashier-2", Call::charge("held")).await?;
     let entry = deployment.entry("cashier-1");
-    let first = holder.begin(entry);
-    holder.wait_started(&deployment).await?;
-    let second = held.within_ms(1_000).begin(entry);
+    let first = running_payment.begin(entry);
+    running_payment.wait_started(&deployment).await?;
+    let second = queued_payment.within_ms(1_000).begin(entry);
     let queued = |status: &NodeStatus| status.gate.queued == 1;
     deployment
         .wait_status("cashier-2", "one call is queued", queued)
@@ -72,12 +72,12 @@
         "{:?}",
         code_of(&answer)
     );
-    holder.wait_ended(&deployment).await?;
+    running_payment.wait_ended(&deployment).await?;
     deployment.fleet.resume("cashier-2")?;
     assert_eq!(certainty_of(&first.await??), Certainty::Answered);
-    let answer = held.settle(entry).await?;
+    let answer = queued_payment.settle(entry).await?;
     assert_eq!(certainty_of(&answer), Certainty::NotRun);
-    assert_eq!(held.runs(&deployment).len(), 0);
+    assert_eq!(queued_payment.runs(&deployment).len(), 0);
     assert_at_most_once(&deployment);
     Ok(())
 }
--- a/tests/all/at_most_once/records.rs
+++ b/tests/all/at_most_once/records.rs
@@ -11,9 +11,9 @@
 /// runs nothing. Once there is room, the same ticket runs, once.
 #[tokio::test]
 async fn full_records_reject_payments_instead_of_evicting() -> Result<()> {
-    let roomy = TEXT.replace("\"connections\"", "\"max_records\": 100, \"connections\"");
-    let tight = TEXT.replace("\"connections\"", "\"max_records\": 2, \"connections\"");
-    let deployment = Deployment::start(&tight, cashiers(2)).await?;
+    let large_limit = TEXT.replace("\"connections\"", "\"max_records\": 100, \"connections\"");
+    let small_limit = TEXT.replace("\"connections\"", "\"max_records\": 2, \"connections\"");
+    let deployment = Deployment::start(&small_limit, cashiers(2)).await?;
     let entry = deployment.entry("cashier-1");
     for number in 0..2 {
         let call = Call::charge(&format!("first-{number}"));
@@ -27,7 +27,7 @@
     assert!(answer.headers.contains_key(http::header::RETRY_AFTER));
     assert_eq!(third.runs(&deployment).len(), 0);
 
-    publish(&deployment, &roomy).await?;
+    publish(&deployment, &large_limit).await?;
     let answer = third.settle(entry).await?;
     assert_eq!(code_of(&answer), Some(ResultCode::Answered));
     assert_eq!(third.runs(&deployment).len(), 1);
@@ -51,18 +51,18 @@
 /// must not be taken for a new payment: the ticket has expired.
 #[tokio::test]
 async fn a_duplicate_after_the_record_expired_runs_nothing() -> Result<()> {
-    let brief = TEXT.replace(
+    let short_ttl = TEXT.replace(
         "\"connections\"",
         "\"ticket_ttl_ms\": 3000, \"connections\"",
     );
-    let deployment = Deployment::start(&brief, cashiers(2)).await?;
+    let deployment = Deployment::start(&short_ttl, cashiers(2)).await?;
     let payment = payment_at(&deployment, "cashier-2", Call::charge("forgotten")).await?;
     let entry = deployment.entry("cashier-1");
     let answer = payment.send(entry).await?;
     assert_eq!(code_of(&answer), Some(ResultCode::Answered));
-    let forgotten = |status: &NodeStatus| status.gate.records == 0;
+    let is_empty = |status: &NodeStatus| status.gate.records == 0;
     deployment
-        .wait_status("cashier-2", "has no records", forgotten)
+        .wait_status("cashier-2", "has no records", is_empty)
         .await?;
     let answer = payment.send(entry).await?;
     assert_eq!(code_of(&answer), Some(ResultCode::TicketExpired));
@@ -85,24 +85,27 @@
     );
     let deployment = Deployment::start(&large, cashiers(2)).await?;
     let call = Call::charge("sized").with_body(vec![b'x'; 1_500]);
-    let ran = payment_at(&deployment, "cashier-2", call.clone()).await?;
+    let executed = payment_at(&deployment, "cashier-2", call.clone()).await?;
     let call = Call::charge("unused").with_body(call.body);
     let fresh = payment_at(&deployment, "cashier-2", call).await?;
     let entry = deployment.entry("cashier-1");
-    assert_eq!(code_of(&ran.send(entry).await?), Some(ResultCode::Answered));
+    assert_eq!(
+        code_of(&executed.send(entry).await?),
+        Some(ResultCode::Answered)
+    );
 
     publish(&deployment, &small).await?;
-    let answer = ran.send(entry).await?;
+    let answer = executed.send(entry).await?;
     assert_eq!(code_of(&answer), Some(ResultCode::BadRequest));
     let answer = fresh.send(entry).await?;
     assert_eq!(code_of(&answer), Some(ResultCode::TooLarge));
 
     publish(&deployment, &large).await?;
-    let answer = ran.send(entry).await?;
+    let answer = executed.send(entry).await?;
     assert_eq!(code_of(&answer), Some(ResultCode::Replayed));
     let answer = fresh.send(entry).await?;
     assert_eq!(certainty_of(&answer), Certainty::NotRun);
-    assert_eq!(ran.runs(&deployment).len(), 1);
+    assert_eq!(executed.runs(&deployment).len(), 1);
     assert_eq!(fresh.runs(&deployment).len(), 0);
     assert_at_most_once(&deployment);
     Ok(())
--- a/tests/all/configuration.rs
+++ b/tests/all/configuration.rs
@@ -24,7 +24,7 @@
 /// Longest allowed time until a version is in force on all nodes.
 const MAX_DELAY: Duration = Duration::from_secs(5);
 /// Extra time for a large text, as a multiple of the time that one check of it takes.
-const LARGE_CHECKS: u32 = 8;
+const LARGE_TEXT_CHECKS: u32 = 8;
 const DATA_CENTRES: [&str; 3] = ["a", "b", "c"];
 
 /// A text in which only the deadline varies.
@@ -291,7 +291,7 @@
         hornbeamhitch_text::check(&large).is_ok(),
         "the text has faults"
     );
-    let bound = MAX_DELAY + LARGE_CHECKS * check_at.elapsed();
+    let bound = MAX_DELAY + LARGE_TEXT_CHECKS * check_at.elapsed();
     let changed_at = Instant::now();
     let version = deployment.platform.set_text(&large)?;
     let took = deployment.wait_in_force(&vms, version, changed_at).await?;
--- a/tests/all/configuration/platform.rs
+++ b/tests/all/configuration/platform.rs
@@ -34,11 +34,11 @@
 async fn describe_reads(deployment: &Deployment) -> String {
     let mut lines = format!("{:#?}", deployment.platform.counts());
     for vm in deployment.fleet.names() {
-        let said = match deployment.status(&vm).await {
+        let description = match deployment.status(&vm).await {
             Ok(status) => format!("{:?}", status.platform),
             Err(error) => format!("{error:#}"),
         };
-        lines.push_str(&format!("\n{vm}: {said}"));
+        lines.push_str(&format!("\n{vm}: {description}"));
     }
     lines
 }
--- a/tests/all/deployments.rs
+++ b/tests/all/deployments.rs
@@ -40,14 +40,14 @@
         control: foreign_node.control,
     });
     own.platform.set_vms(listed)?;
-    let noticed = |_: &Deployment| {
+    let has_logged = |_: &Deployment| {
         let logs = other.fleet.logs(vm).unwrap_or_default();
         logs.iter()
             .filter(|line| line.contains(FOREIGN_DATAGRAM_LOG))
             .count()
             >= 3
     };
-    own.wait_until("the foreign node logs three datagrams", noticed)
+    own.wait_until("the foreign node logs three datagrams", has_logged)
         .await
 }
 
@@ -64,8 +64,8 @@
     assert_eq!(in_force(&own, "cashier-1").await?, Some(ConfigVersion(1)));
     let expected = Some(ConfigVersion(HIGH_VERSION));
     assert_eq!(in_force(&other, "izplacila-1").await?, expected);
-    let heard = other.status("izplacila-1").await?;
-    for service in &heard.services {
+    let status = other.status("izplacila-1").await?;
+    for service in &status.services {
         let foreign_targets = service.targets.iter();
         let foreign_targets = foreign_targets.filter(|target| target.vm.as_str() == "cashier-1");
         assert_eq!(foreign_targets.count(), 0, "{service:?}");
--- a/tests/all/leaving.rs
+++ b/tests/all/leaving.rs
@@ -148,11 +148,11 @@
 }
 
 async fn wait_leaving(deployment: &Deployment, leaving: bool) -> Result<()> {
-    let turned =
+    let reached =
         deployment.wait_status(LEAVING_VM, "reports the expected leaving state", |status| {
             status.leaving == leaving
         });
-    turned.await.map(drop)
+    reached.await.map(drop)
 }
 
 #[tokio::test]
@@ -355,7 +355,7 @@
     let mut far = FarEntry::with_list(TEXT, deployment.fleet.vm_entries()).await?;
     send_some(far.addr(), "before").await?;
     let leaving_vm = most_used_target(&deployment);
-    let held = begin_long_call(&deployment, &leaving_vm).await?;
+    let long_call = begin_long_call(&deployment, &leaving_vm).await?;
 
     let far_vm = far.fleet.names().remove(0);
     let control = far.fleet.addresses(&far_vm)?.control;
@@ -372,7 +372,7 @@
     let refusals = deployment.status(&leaving_vm).await?.gate.refused - refused;
     println!("{cause:?}, announcements lost: {refusals} refusals by the gate");
     assert!(refusals > 0, "{cause:?}: the entry sent nothing there");
-    held.abort();
+    long_call.abort();
     Ok(())
 }
 
@@ -384,8 +384,8 @@
         .with(header::DEADLINE_MS, 60_000);
     let runs = deployment.target(vm).all_runs().len();
     let sending = tokio::spawn(async move { Caller::new().send(entry, &call).await });
-    let is_held = |deployment: &Deployment| deployment.target(vm).all_runs().len() > runs;
-    deployment.wait_until("the call runs", is_held).await?;
+    let has_started = |deployment: &Deployment| deployment.target(vm).all_runs().len() > runs;
+    deployment.wait_until("the call runs", has_started).await?;
     Ok(sending)
 }
 
--- a/tests/all/measuring.rs
+++ b/tests/all/measuring.rs
@@ -131,7 +131,7 @@
             ..Behaviour::default()
         },
     );
-    let ill = probes_with_behaviour(
+    let unhealthy = probes_with_behaviour(
         "ill",
         Behaviour {
             health: HealthReport::AlwaysIll,
@@ -145,7 +145,7 @@
             ..Behaviour::default()
         },
     );
-    tokio::try_join!(idle, draining, ill, failing).map(drop)
+    tokio::try_join!(idle, draining, unhealthy, failing).map(drop)
 }
 
 /// Counts every connection, since a probe needs at least one.
@@ -212,12 +212,15 @@
     assert!(target.calls() > 0, "no call reached the target");
     node.assert_within(target.probes(), "broken runs");
     // One connection may be ready for the next call when the window ends.
-    let bare = target.connections().saturating_sub(target.calls() + 1);
+    let unused = target.connections().saturating_sub(target.calls() + 1);
     println!(
-        "{calls} calls, {} broken runs, {bare} connections for neither a call nor the next",
+        "{calls} calls, {} broken runs, {unused} connections for neither a call nor the next",
         target.calls()
     );
-    assert!(bare <= target.probes(), "{bare} connections without a call");
+    assert!(
+        unused <= target.probes(),
+        "{unused} connections without a call"
+    );
     Ok(())
 }
 
--- a/tests/all/not_run.rs
+++ b/tests/all/not_run.rs
@@ -228,19 +228,19 @@
         let runs = deployment.runs_of(key).len();
         for certainty in &received.certainties {
             *tally.entry(certainty.into()).or_default() += 1;
-            let is_true = match certainty {
+            let is_consistent = match certainty {
                 Certainty::NotRun => runs == 0,
                 Certainty::Answered => runs == 1,
                 _ => runs <= 1,
             };
             assert!(
-                is_true,
+                is_consistent,
                 "{certainty:?} but {runs} runs of {key}: {received:?}"
             );
         }
-        let never_ran =
+        let excludes_run =
             |received: &Certainty| matches!(received, Certainty::NotYet | Certainty::TicketDead);
-        if received.unanswered_sends == 0 && received.certainties.iter().all(never_ran) {
+        if received.unanswered_sends == 0 && received.certainties.iter().all(excludes_run) {
             assert_eq!(runs, 0, "the answers exclude a run of {key}: {received:?}");
         }
     }
@@ -252,8 +252,8 @@
         let runs = deployment.runs_of(nonce).len();
         for certainty in &received.certainties {
             *tally.entry(certainty.into()).or_default() += 1;
-            let is_true = *certainty != Certainty::NotRun || runs == 0;
-            assert!(is_true, "{certainty:?} but {runs} runs of {nonce}");
+            let is_consistent = *certainty != Certainty::NotRun || runs == 0;
+            assert!(is_consistent, "{certainty:?} but {runs} runs of {nonce}");
         }
     }
     tally
--- a/tests/all/support.rs
+++ b/tests/all/support.rs
@@ -168,8 +168,8 @@
             let Some(own) = status.services.iter().find(|known| known.name == service) else {
                 return false;
             };
-            let heard = own.targets.iter().filter(|target| target.load.is_some());
-            heard.count() == expected
+            let with_report = own.targets.iter().filter(|target| target.load.is_some());
+            with_report.count() == expected
         })
         .await
         .map(drop)
@@ -190,13 +190,13 @@
         &self,
         vm: &str,
         what: &str,
-        fits: impl Fn(&NodeStatus) -> bool,
+        condition: impl Fn(&NodeStatus) -> bool,
     ) -> Result<NodeStatus> {
         let give_up = Instant::now() + WAIT_TIMEOUT;
         let mut last = None;
         while Instant::now() < give_up {
             if let Ok(status) = self.status(vm).await {
-                if fits(&status) {
+                if condition(&status) {
                     return Ok(status);
                 }
                 last = Some(status);
@@ -233,10 +233,10 @@
     /// # Errors
     ///
     /// Fails with `what` after [`WAIT_TIMEOUT`].
-    pub async fn wait_until(&self, what: &str, holds: impl Fn(&Self) -> bool) -> Result<()> {
+    pub async fn wait_until(&self, what: &str, condition: impl Fn(&Self) -> bool) -> Result<()> {
         let give_up = Instant::now() + WAIT_TIMEOUT;
         while Instant::now() < give_up {
-            if holds(self) {
+            if condition(self) {
                 return Ok(());
             }
             tokio::time::sleep(POLL).await;
--- a/tests/all/support/caller.rs
+++ b/tests/all/support/caller.rs
@@ -165,11 +165,11 @@
 pub fn certainty_of(answer: &WholeAnswer) -> Certainty {
     let code = code_of(answer);
     let code = code.unwrap_or_else(|| panic!("no code: {} {:?}", answer.status, answer.headers));
-    let said = answer.headers.get(header::CERTAINTY);
-    let said = said.and_then(|value| value.to_str().ok());
+    let stated = answer.headers.get(header::CERTAINTY);
+    let stated = stated.and_then(|value| value.to_str().ok());
     let expected: &'static str = code.certainty().into();
     assert_eq!(
-        said,
+        stated,
         Some(expected),
         "the certainty header matches the code"
     );
--- a/tests/all/support/far_entry.rs
+++ b/tests/all/support/far_entry.rs
@@ -103,9 +103,10 @@
             let _ = Caller::new().send(self.addr(), &Call::price("hear")).await;
             let status: NodeStatus = client.get(operators, STATUS_PATH).await?.json()?;
             let targets = status.services.iter().flat_map(|known| &known.targets);
-            let heard: Vec<_> = targets.filter(|target| target.load.is_some()).collect();
-            let is_heard = |gate: &String| heard.iter().any(|target| target.vm.as_str() == gate);
-            if self.relays.keys().all(is_heard) {
+            let with_report: Vec<_> = targets.filter(|target| target.load.is_some()).collect();
+            let has_report =
+                |gate: &String| with_report.iter().any(|target| target.vm.as_str() == gate);
+            if self.relays.keys().all(has_report) {
                 return Ok(());
             }
             tokio::time::sleep(POLL).await;
--- a/tests/all/whole_answers.rs
+++ b/tests/all/whole_answers.rs
@@ -122,7 +122,7 @@
         let caller = std::sync::Arc::clone(&caller);
         calls.spawn(async move { (is_late, caller.send(entry, &call).await, call) });
     }
-    let mut given_up = 0;
+    let mut expired = 0;
     while let Some(ended) = calls.join_next().await {
         let (is_late, answer, call) = ended?;
         let answer = answer?;
@@ -130,12 +130,12 @@
             // A gate that expects the call to miss its deadline rejects it before
             // the start.
             assert_ne!(certainty_of(&answer), Certainty::Answered);
-            given_up += u32::from(code_of(&answer) == Some(ResultCode::DeadlinePassed));
+            expired += u32::from(code_of(&answer) == Some(ResultCode::DeadlinePassed));
             continue;
         }
         assert!(call.is_answered_by(&answer), "{}", call.nonce);
     }
-    assert!(given_up > 0, "no call reached its deadline during its run");
+    assert!(expired > 0, "no call reached its deadline during its run");
     Ok(())
 }
 
