--- a/crates/lab/src/bounds.rs
+++ b/crates/lab/src/bounds.rs
@@ -134,14 +134,14 @@
     let ours = runs
         .iter()
         .find(|run| run.case == bound.case && run.policy == PolicyKind::Ours)
-        .expect("every bound needs a run of ours");
+        .expect("every bound needs a run of the core's policy");
     let summary = summaries.iter().find(|summary| summary.case == bound.case);
     let tries = ours.tries.max(1) as f64;
     match bound.measure {
         Measure::P99Us => ours.p99_us as f64,
         Measure::P999Us => ours.p999_us as f64,
         Measure::OverOracle => summary.expect("the oracle was run").over_oracle,
-        Measure::OverBestBaseline => summary.expect("all were run").over_best_baseline,
+        Measure::OverBestBaseline => summary.expect("all policies were run").over_best_baseline,
         Measure::GoodputShare => ours.goodput_share,
         Measure::RefusedShare => ours.refused as f64 / tries,
         Measure::FailedShare => ours.failed as f64 / tries,
--- a/crates/lab/src/capacity/report.rs
+++ b/crates/lab/src/capacity/report.rs
@@ -63,7 +63,7 @@
     fn measure_control(&mut self, quick: bool, case: &str) {
         println!(
             "{:48} {:>5} {:>5} {:>5} {:>7} {:>7} {:>8} {:>8} {:>8} {:>7} {:>7} {:>7} {:>8} {:>8}",
-            "control of one node, a second",
+            "control of one node, per second",
             "nodes",
             "known",
             "doubt",
@@ -89,7 +89,7 @@
     }
 
     fn measure_readers(&mut self, quick: bool, case: &str) {
-        println!("readers of the platform, one edit in 1.44 s");
+        println!("readers of the platform, one edit every 1.44 s");
         for one in reader::cases(quick) {
             if !one.name.contains(case) {
                 continue;
@@ -97,7 +97,7 @@
             let figures = reader::measure(&one);
             print_control(&figures.reader);
             println!(
-                "    text {} B, {} readers, {:.2} reads/s, one reader takes in {:.0} B/s of the \
+                "    text {} B, {} readers, {:.2} reads/s, one reader reads {:.0} B/s from the \
                  platform; in force p50 {}, p99 {}, last {}",
                 figures.text_bytes,
                 figures.readers,
@@ -128,7 +128,7 @@
         for loss in losses {
             let figures = changes::measure(&layout, *loss);
             println!(
-                "{:24} {:4} VMs lost, {:4} nodes left: known to all after {}, mean {:.0} B a node, \
+                "{:24} {:4} VMs lost, {:4} nodes left: known to all after {}, mean {:.0} B per node, \
                  worst {} B, {} pulls",
                 format!("{:?}", figures.loss),
                 figures.vms,
@@ -209,7 +209,7 @@
             let figures = traffic::measure_gate(*records, *answer_bytes);
             println!(
                 "{:7} records with {:5} B: plain {:.0} ns (median {:.0}), ticketed {:.0} ns \
-                 (median {:.0}), gate {} B, {:.0} B a record",
+                 (median {:.0}), gate {} B, {:.0} B per record",
                 figures.records,
                 figures.answer_bytes,
                 figures.plain.best_ns,
--- a/crates/lab/src/case/catalogue.rs
+++ b/crates/lab/src/case/catalogue.rs
@@ -69,17 +69,17 @@
     }
     for percent in [50, 80, 95] {
         let mut case = steady(deployment, &deployment.payments, "tickets", percent);
-        case.about = "calls that may not run twice, by tickets";
+        case.about = "ticketed calls, which must not run twice";
         case.ticket_keys = Some(KeyMaker::Entry);
         cases.push(case);
     }
     let mut keyed = steady(deployment, &deployment.payments, "keyed", 80);
-    keyed.about = "the same, with keys that callers make";
+    keyed.about = "ticketed calls with keys from callers";
     keyed.ticket_keys = Some(KeyMaker::Caller);
     cases.push(keyed);
     for percent in [50, 80, 95] {
         let mut case = steady(deployment, &deployment.lookups, "noisy", percent);
-        case.about = "each target freezes for 5-50 ms about once a second";
+        case.about = "each target freezes for 5-50 ms about once per second";
         case.noisy = true;
         cases.push(case);
     }
@@ -91,7 +91,7 @@
         cases.push(case);
     }
     let mut overload = steady(deployment, &deployment.lookups, "overload", 200);
-    overload.about = "twice the capacity, and refused callers come back";
+    overload.about = "twice the capacity, and callers resend rejected calls";
     overload.callers_resend = true;
     cases.push(overload);
 }
@@ -138,7 +138,7 @@
     cases.push(faulty(
         deployment,
         "fail-fast",
-        "one target answers 500 at once for 12 s",
+        "one target answers 500 immediately for 12 s",
         fail_fast,
     ));
     let drain = vec![
@@ -150,14 +150,14 @@
     cases.push(faulty(
         deployment,
         "drain-cold",
-        "two targets in turn drain and start cold",
+        "two targets drain and start cold, one after the other",
         drain,
     ));
     let crash = vec![at(10_000, Fault::CrashCall)];
     let mut crash = faulty(
         deployment,
         "crash",
-        "a request crashes targets; its caller sends it again",
+        "a request crashes targets, and its caller resends it",
         crash,
     );
     crash.callers_resend = true;
@@ -201,7 +201,7 @@
 fn push_chains(cases: &mut Vec<Case>, deployment: &Deployment) {
     for percent in [60, 120] {
         let mut case = steady(deployment, &deployment.small, "deep", percent);
-        case.about = "calls 8 deep; each target calls the next service";
+        case.about = "a chain of 8 services; each target calls the next service";
         case.chain.clear();
         for name in CHAIN_NAMES {
             case.chain
--- a/crates/lab/src/run.rs
+++ b/crates/lab/src/run.rs
@@ -49,7 +49,7 @@
     let reports = reports.into_inner().expect("a run that panics ends all");
     let mut done = Vec::with_capacity(jobs.len());
     for report in reports {
-        done.push(report.expect("every job was made"));
+        done.push(report.expect("every job was run"));
     }
     done
 }
--- a/tests/all/at_most_once.rs
+++ b/tests/all/at_most_once.rs
@@ -116,7 +116,7 @@
     gate: &str,
     count: u32,
 ) -> Result<()> {
-    let what = format!("{count} calls in flight from {entry} at {gate}");
+    let what = format!("has {count} calls in flight at {gate}");
     let is_reached = |status: &NodeStatus| {
         let mut targets = status.services.iter().flat_map(|known| &known.targets);
         targets.any(|target| target.vm.as_str() == gate && target.in_flight == count)
--- a/tests/all/at_most_once/callers.rs
+++ b/tests/all/at_most_once/callers.rs
@@ -61,7 +61,7 @@
     let cut = queued_payment.begin(deployment.entry("cashier-1"));
     let queued = |status: &NodeStatus| status.gate.queued == 1;
     deployment
-        .wait_status("cashier-3", "one call is queued", queued)
+        .wait_status("cashier-3", "has one queued call", queued)
         .await?;
     cut.abort();
     let answer = queued_payment.settle(deployment.entry("cashier-2")).await?;
--- a/tests/all/at_most_once/partitions.rs
+++ b/tests/all/at_most_once/partitions.rs
@@ -124,7 +124,7 @@
     let first = payment.begin(far.addr());
     let is_held = |_: &Deployment| relay.holds(&payment.call.body);
     deployment
-        .wait_until("the payment is underway", is_held)
+        .wait_until("the relay holds the payment", is_held)
         .await?;
     relay.reset_entry_side();
     let answer = first.await??;
@@ -134,7 +134,7 @@
     let fenced = format!("\"code\":{}", ResultCode::Fenced.number());
     let refused = |_: &Deployment| relay.has_answered_late(fenced.as_bytes());
     deployment
-        .wait_until("the late one is refused", refused)
+        .wait_until("the late payment is rejected", refused)
         .await?;
     assert_eq!(payment.runs(&deployment).len(), 0);
     Ok(())
@@ -154,7 +154,7 @@
     let first = payment.within_ms(SHORT_DEADLINE_MS).begin(far.addr());
     let is_held = |_: &Deployment| relay.holds(&payment.call.body);
     deployment
-        .wait_until("the payment is underway", is_held)
+        .wait_until("the relay holds the payment", is_held)
         .await?;
     relay.refuse(true);
     relay.reset_entry_side();
@@ -165,7 +165,7 @@
     let late = format!("\"code\":{}", ResultCode::DeadlineTooShort.number());
     let refused = |_: &Deployment| relay.has_answered_late(late.as_bytes());
     deployment
-        .wait_until("the late one is refused", refused)
+        .wait_until("the late payment is rejected", refused)
         .await?;
     relay.refuse(false);
     let answer = payment.settle(far.addr()).await?;
--- a/tests/all/at_most_once/pauses.rs
+++ b/tests/all/at_most_once/pauses.rs
@@ -60,7 +60,7 @@
     let second = queued_payment.within_ms(1_000).begin(entry);
     let queued = |status: &NodeStatus| status.gate.queued == 1;
     deployment
-        .wait_status("cashier-2", "one call is queued", queued)
+        .wait_status("cashier-2", "has one queued call", queued)
         .await?;
 
     pause(&mut deployment, "cashier-2").await?;
--- a/tests/all/configuration/platform.rs
+++ b/tests/all/configuration/platform.rs
@@ -51,7 +51,7 @@
     // Each reader has two watches. At a cold start there are more readers, until the
     // nodes of a data centre know each other.
     let is_settled = |deployment: &Deployment| deployment.platform.counts().waiting == 2 * readers;
-    let settled = deployment.wait_until("two readers per data centre", is_settled);
+    let settled = deployment.wait_until("each data centre has two readers", is_settled);
     if let Err(error) = settled.await {
         return Err(error.wrap_err(describe_reads(&deployment).await));
     }
--- a/tests/all/measuring.rs
+++ b/tests/all/measuring.rs
@@ -189,7 +189,7 @@
     let counts = target.counts();
     let probes = counts.health_probes + counts.load_probes;
     let allowed = allowed(node.started_at.elapsed());
-    println!("vanishing, {edits} times: {probes} probes, {allowed} allowed");
+    println!("{edits} restarts: {probes} probes, {allowed} allowed");
     assert!(probes <= allowed, "{probes} probes, {allowed} allowed");
     Ok(())
 }
@@ -207,7 +207,7 @@
         calls += 1;
         let call = Call::price(&format!("broken-{calls}"));
         let answer = caller.send(entry, &call).await?;
-        ensure!(!answer.status.is_success(), "a broken run looks whole");
+        ensure!(!answer.status.is_success(), "a broken run looks complete");
     }
     assert!(target.calls() > 0, "no call reached the target");
     node.assert_within(target.probes(), "broken runs");
@@ -319,7 +319,10 @@
         if probes > 0 {
             window_end.get_or_insert_with(|| Instant::now() + WINDOW);
         }
-        ensure!(node.started_at.elapsed() < WAIT_TIMEOUT, "no probe came");
+        ensure!(
+            node.started_at.elapsed() < WAIT_TIMEOUT,
+            "no probe was received"
+        );
     }
     println!("four silent gates: {probes} probes, {others} other datagrams, {number} calls");
     node.assert_within(probes, "silent gates");
--- a/tests/all/shutdown.rs
+++ b/tests/all/shutdown.rs
@@ -294,7 +294,7 @@
     fleet.terminate(GATE)?;
     let status = fleet.wait_exit(GATE, EXIT_TIMEOUT).await?;
     println!(
-        "a call without an end: the node ended after {:?}",
+        "an endless call: the node exited after {:?}",
         terminated_at.elapsed()
     );
     assert_eq!(status.code(), Some(DRAIN_TIMED_OUT));
--- a/tests/all/support.rs
+++ b/tests/all/support.rs
@@ -203,7 +203,7 @@
             }
             tokio::time::sleep(POLL).await;
         }
-        bail!("{vm} never reached: {what}; last seen {last:#?}")
+        bail!("timed out waiting until {vm} {what}; last status {last:#?}")
     }
 
     /// Address at which a node accepts callers.
@@ -241,7 +241,7 @@
             }
             tokio::time::sleep(POLL).await;
         }
-        Err(eyre!("never came true: {what}"))
+        Err(eyre!("timed out waiting until {what}"))
     }
 }
 
--- a/tests/all/support/in_force.rs
+++ b/tests/all/support/in_force.rs
@@ -63,7 +63,10 @@
         for vm in self.fleet.names() {
             let versions = self.versions_in_force(&vm)?;
             assert!(!versions.is_empty(), "{vm} has logged no version");
-            assert!(versions.is_sorted(), "{vm} went back: {versions:?}");
+            assert!(
+                versions.is_sorted(),
+                "{vm} applied an older version: {versions:?}"
+            );
         }
         Ok(())
     }
--- a/tests/all/support/slow_answer.rs
+++ b/tests/all/support/slow_answer.rs
@@ -59,7 +59,7 @@
         while self.read_part().await? {}
         ensure!(
             self.received == self.expected,
-            "{} of {} bytes, or others",
+            "received {} of {} bytes, or wrong ones",
             self.received.len(),
             self.expected.len()
         );
@@ -70,8 +70,11 @@
         let Some(frame) = self.body.frame().await else {
             return Ok(false);
         };
-        let frame = frame.wrap_err_with(|| format!("cut after {}", self.received.len()))?;
-        let data = frame.into_data().map_err(|_| eyre!("no data"))?;
+        let frame =
+            frame.wrap_err_with(|| format!("truncated after {} bytes", self.received.len()))?;
+        let data = frame
+            .into_data()
+            .map_err(|_| eyre!("a frame without data"))?;
         self.received.extend_from_slice(&data);
         Ok(true)
     }
--- a/tests/all/whole_answers.rs
+++ b/tests/all/whole_answers.rs
@@ -304,7 +304,7 @@
         assert!(answer.status.is_server_error(), "{answer:?}");
         tokio::time::sleep(RETRY_INTERVAL).await;
     }
-    bail!("never answered")
+    bail!("the call was never answered")
 }
 
 /// The connection between entry and gate is reset in the middle of a small answer. A
