--- a/crates/text/src/depth.rs
+++ b/crates/text/src/depth.rs
@@ -18,7 +18,7 @@
 /// platform would abort every node that reads it. The scan skips strings and
 /// comments by the same rules as the parser, so it counts every bracket that
 /// the parser sees.
-pub(crate) fn too_deep(text: &str) -> Option<usize> {
+pub(crate) fn find_too_deep(text: &str) -> Option<usize> {
     let mut state = State::Values;
     let mut depth = 0_usize;
     let mut bytes = text.bytes().enumerate().peekable();
--- a/crates/text/src/diff.rs
+++ b/crates/text/src/diff.rs
@@ -16,7 +16,7 @@
     let mut changes = Vec::new();
     let callers = callers(old);
     diff_deployment(old, new, &mut changes);
-    for (before, after) in paired(&old.services, &new.services, service_order) {
+    for (before, after) in merge_sorted(&old.services, &new.services, service_order) {
         match (before, after) {
             (Some(before), Some(after)) => diff_service(before, after, &mut changes),
             (Some(before), None) => changes.push(service_removed(before, &callers, new)),
@@ -34,7 +34,7 @@
 fn diff_routes(old: &CheckedText, new: &CheckedText, changes: &mut Vec<Change>) {
     let order =
         |a: &HostRoute, b: &HostRoute| (&a.host, &a.route.prefix).cmp(&(&b.host, &b.route.prefix));
-    for pair in paired(&old.routes, &new.routes, order) {
+    for pair in merge_sorted(&old.routes, &new.routes, order) {
         match pair {
             (Some(before), Some(after)) => diff_route(before, after, changes),
             (Some(before), None) => changes.push(Change::RouteRemoved {
@@ -116,7 +116,7 @@
             new: after.deployment.clone(),
         });
     }
-    for pair in paired(&old.data_centres, &new.data_centres, Ord::cmp) {
+    for pair in merge_sorted(&old.data_centres, &new.data_centres, Ord::cmp) {
         match pair {
             (Some(name), None) => changes.push(Change::DataCentreRemoved {
                 data_centre: name.clone(),
@@ -127,7 +127,7 @@
             _ => {}
         }
     }
-    for pair in paired(&before.tenants, &after.tenants, Ord::cmp) {
+    for pair in merge_sorted(&before.tenants, &after.tenants, Ord::cmp) {
         match pair {
             (Some(name), None) => changes.push(Change::TenantRemoved {
                 tenant: name.clone(),
@@ -149,7 +149,7 @@
             new_us: new_default,
         });
     }
-    for (old, new) in paired(&before.distances, &after.distances, distance_order) {
+    for (old, new) in merge_sorted(&before.distances, &after.distances, distance_order) {
         let old_us = old.map_or(old_default, |distance| distance.one_way_us);
         let new_us = new.map_or(new_default, |distance| distance.one_way_us);
         let Some(ends) = old.or(new) else {
@@ -173,7 +173,7 @@
 
 fn diff_service(before: &ServicePolicy, after: &ServicePolicy, changes: &mut Vec<Change>) {
     let service = &after.service;
-    for pair in paired(&before.depends_on, &after.depends_on, Ord::cmp) {
+    for pair in merge_sorted(&before.depends_on, &after.depends_on, Ord::cmp) {
         match pair {
             (Some(dependency), None) => changes.push(Change::DependencyRemoved {
                 service: service.clone(),
@@ -306,7 +306,7 @@
 }
 
 /// Merges two sorted lists into pairs. Entries that compare equal form one pair.
-fn paired<'a, T>(
+fn merge_sorted<'a, T>(
     old: &'a [T],
     new: &'a [T],
     order: impl Fn(&T, &T) -> Ordering,
--- a/crates/text/src/explanation.rs
+++ b/crates/text/src/explanation.rs
@@ -92,14 +92,14 @@
         row(
             f,
             "depends_on",
-            &joined(&self.depends_on),
+            &join_or_dash(&self.depends_on),
             &self.depends_on_origin,
         )?;
         writeln!(
             f,
             "  {:KEY_WIDTH$} {}",
             "depended on by",
-            joined(&self.callers)
+            join_or_dash(&self.callers)
         )?;
         for explained in &self.settings {
             let key = full_key(explained.setting);
@@ -171,7 +171,7 @@
     }
 }
 
-fn joined(names: &[ServiceName]) -> String {
+fn join_or_dash(names: &[ServiceName]) -> String {
     if names.is_empty() {
         return "-".to_owned();
     }
--- a/crates/text/src/position.rs
+++ b/crates/text/src/position.rs
@@ -62,7 +62,7 @@
     }
 
     pub(crate) fn line(&self, offset: usize) -> u32 {
-        narrow(self.line_number(offset))
+        saturate_to_u32(self.line_number(offset))
     }
 
     pub(crate) fn position(&self, offset: usize) -> Position {
@@ -70,8 +70,8 @@
         let line_start = self.line_starts[line - 1];
         let column = self.chars_before(offset) - self.chars_before(line_start) + 1;
         Position {
-            line: narrow(line),
-            column: narrow(column),
+            line: saturate_to_u32(line),
+            column: saturate_to_u32(column),
         }
     }
 
@@ -98,6 +98,6 @@
     byte & CONTINUATION_MASK != CONTINUATION
 }
 
-fn narrow(count: usize) -> u32 {
+fn saturate_to_u32(count: usize) -> u32 {
     u32::try_from(count).unwrap_or(u32::MAX)
 }
--- a/crates/text/src/read.rs
+++ b/crates/text/src/read.rs
@@ -141,7 +141,7 @@
             value: pair.as_str(),
             offset: element.start(),
         };
-        if reader.is_repeated(&mut seen, entry) {
+        if reader.report_if_repeated(&mut seen, entry) {
             continue;
         }
         distances.push(found);
--- a/crates/text/src/read/call.rs
+++ b/crates/text/src/read/call.rs
@@ -46,10 +46,10 @@
             value: pattern.as_str(),
             offset: call.match_offset,
         };
-        if reader.is_repeated(&mut seen_names, call.name) {
+        if reader.report_if_repeated(&mut seen_names, call.name) {
             continue;
         }
-        if reader.is_repeated(&mut seen_matches, entry) {
+        if reader.report_if_repeated(&mut seen_matches, entry) {
             continue;
         }
         calls.push(call);
--- a/crates/text/src/read/route.rs
+++ b/crates/text/src/read/route.rs
@@ -51,10 +51,10 @@
             value: host_and_prefix.as_str(),
             offset: route.prefix.offset,
         };
-        if reader.is_repeated(&mut seen_names, route.name) {
+        if reader.report_if_repeated(&mut seen_names, route.name) {
             continue;
         }
-        if reader.is_repeated(&mut seen_prefixes, entry) {
+        if reader.report_if_repeated(&mut seen_prefixes, entry) {
             continue;
         }
         routes.push(route);
--- a/crates/text/src/reader.rs
+++ b/crates/text/src/reader.rs
@@ -200,7 +200,7 @@
             let Some(name) = self.at_index(index, |reader| reader.name(element, kind)) else {
                 continue;
             };
-            if self.is_repeated(&mut seen, name) {
+            if self.report_if_repeated(&mut seen, name) {
                 continue;
             }
             names.push(name);
@@ -210,7 +210,7 @@
 
     /// Reports an entry that is already in `seen`, and adds others to it. Returns
     /// whether the entry is repeated.
-    pub(crate) fn is_repeated(
+    pub(crate) fn report_if_repeated(
         &mut self,
         seen: &mut HashMap<String, usize>,
         entry: Located<&str>,
--- a/crates/text/src/syntax.rs
+++ b/crates/text/src/syntax.rs
@@ -4,7 +4,7 @@
 use jsonc_parser::errors::ParseError;
 use jsonc_parser::{CollectOptions, ParseOptions, parse_to_ast};
 
-use crate::depth::too_deep;
+use crate::depth::find_too_deep;
 use crate::fault::{FaultKind, KeyPath};
 use crate::limits::{LARGE_TEXT_BYTES, MAX_TEXT_BYTES};
 use crate::report::Report;
@@ -30,7 +30,7 @@
 /// Returns options that accept more than [`SYNTAX`], such as missing commas,
 /// unquoted keys and other number formats.
 ///
-/// Single-quoted strings stay disabled, because [`too_deep`] must find the same
+/// Single-quoted strings stay disabled, because [`find_too_deep`] must find the same
 /// end of each string as the parser.
 fn lenient() -> ParseOptions {
     ParseOptions {
@@ -52,7 +52,7 @@
         });
         return None;
     }
-    if let Some(offset) = too_deep(text) {
+    if let Some(offset) = find_too_deep(text) {
         report.fault(offset, || (KeyPath::default(), FaultKind::TooDeep));
         return None;
     }
--- a/crates/text/tests/all/differences.rs
+++ b/crates/text/tests/all/differences.rs
@@ -6,7 +6,7 @@
 
 use crate::support::{BANGKOK, LJUBLJANA, checked, edited};
 
-fn words(old: &str, new: &str) -> String {
+fn describe_diff(old: &str, new: &str) -> String {
     let mut lines = String::new();
     for change in diff(&checked(old), &checked(new)) {
         lines.push_str(&format!("{change}\n"));
@@ -16,7 +16,7 @@
 
 #[test]
 fn a_text_does_not_differ_from_itself() {
-    assert_eq!(words(BANGKOK, BANGKOK), "");
+    assert_eq!(describe_diff(BANGKOK, BANGKOK), "");
 }
 
 #[test]
@@ -27,7 +27,7 @@
       "services": { "b": { "slots": 8 }, "a": { "queue_limit": 8, "depends_on": [] } },
       "deployment": "d", "tenants": [], "distances": [],
     }"#;
-    assert_eq!(words(old, new), "");
+    assert_eq!(describe_diff(old, new), "");
 }
 
 #[test]
@@ -37,7 +37,7 @@
         "\"deadline_ms\": 1500,",
         "\"slots\": 10, \"deadline_ms\": 1500,",
     );
-    assert_snapshot!(words(BANGKOK, &new));
+    assert_snapshot!(describe_diff(BANGKOK, &new));
 }
 
 #[test]
@@ -47,7 +47,7 @@
         "\"probes_per_s\": 0.2,",
         "\"probes_per_s\": 0, \"hedge_share\": 0.07,",
     );
-    assert_snapshot!(words(BANGKOK, &new));
+    assert_snapshot!(describe_diff(BANGKOK, &new));
 }
 
 #[test]
@@ -64,8 +64,8 @@
     "ledger": {}
   }
 }"#;
-    assert_snapshot!("removed", words(ledger_there, ledger_gone));
-    assert_snapshot!("added", words(ledger_gone, ledger_there));
+    assert_snapshot!("removed", describe_diff(ledger_there, ledger_gone));
+    assert_snapshot!("added", describe_diff(ledger_gone, ledger_there));
 }
 
 #[test]
@@ -75,7 +75,7 @@
         r#""match": "POST /charge", "idempotent": false"#,
         r#""match": "POST /charge", "idempotent": true"#,
     );
-    assert_snapshot!(words(BANGKOK, &new));
+    assert_snapshot!(describe_diff(BANGKOK, &new));
 }
 
 #[test]
@@ -90,7 +90,7 @@
     let new = r#"{ "deployment": "d", "services": { "a": { "calls": [
       { "name": "any", "match": "POST /", "idempotent": true }
     ] } } }"#;
-    assert_snapshot!(words(old, new));
+    assert_snapshot!(describe_diff(old, new));
 }
 
 #[test]
@@ -105,7 +105,7 @@
       { "name": "find", "match": "POST /find", "idempotent": true },
       { "name": "refund", "match": "POST /refund" }
     ] } } }"#;
-    assert_snapshot!(words(old, new));
+    assert_snapshot!(describe_diff(old, new));
 }
 
 #[test]
@@ -124,7 +124,7 @@
       ],
       "services": { "s": {} }
     }"#;
-    assert_snapshot!(words(old, new));
+    assert_snapshot!(describe_diff(old, new));
 }
 
 #[test]
@@ -143,7 +143,7 @@
         "max_ejection_ms": 10000
       }
     } } }"#;
-    assert_snapshot!(words(old, new));
+    assert_snapshot!(describe_diff(old, new));
 }
 
 #[test]
@@ -154,7 +154,7 @@
       "budgets": { "probes_per_s": 0, "retry_share": 0, "hedge_share": 0 },
       "ejection": { "max_ejected_share": 0 }
     } } }"#;
-    assert_snapshot!(words(old, new));
+    assert_snapshot!(describe_diff(old, new));
 }
 
 #[test]
--- a/src/commands/check.rs
+++ b/src/commands/check.rs
@@ -8,7 +8,7 @@
 use serde::Serialize;
 
 use crate::exit::Exit;
-use crate::source::{counted, load, warning_line, write_faults, write_json};
+use crate::source::{format_count, load, warning_line, write_faults, write_json};
 
 /// Checks a configuration text and names every fault.
 #[derive(Debug, Options)]
@@ -52,8 +52,8 @@
     writeln!(
         out,
         "{file}: accepted, {}, {}",
-        counted(text.services.len(), "service"),
-        counted(text.warnings.len(), "warning"),
+        format_count(text.services.len(), "service"),
+        format_count(text.warnings.len(), "warning"),
     )?;
     Ok(Exit::Ok)
 }
--- a/src/commands/where.rs
+++ b/src/commands/where.rs
@@ -63,13 +63,13 @@
 #[derive(Serialize)]
 struct Disagreement<'a> {
     target: &'a VmId,
-    seen: Vec<Seen<'a>>,
+    seen: Vec<ObservedState<'a>>,
 }
 
 /// The state of a target as one node sees it. It is absent if the node does not
 /// know the target.
 #[derive(Serialize)]
-struct Seen<'a> {
+struct ObservedState<'a> {
     by: &'a VmId,
     state: Option<TargetState>,
 }
@@ -106,10 +106,10 @@
         });
     }
     let disagreements = disagreements(&nodes);
-    let held = nodes.iter().any(|node| node.view.is_some());
+    let is_tracked = nodes.iter().any(|node| node.view.is_some());
     Views {
         service,
-        agree: held && disagreements.is_empty(),
+        agree: is_tracked && disagreements.is_empty(),
         nodes,
         disagreements,
     }
@@ -124,14 +124,14 @@
 /// Returns the targets that the nodes tracking the service see in different
 /// states.
 fn disagreements<'a>(nodes: &[NodeView<'a>]) -> Vec<Disagreement<'a>> {
-    let mut holders = Vec::new();
+    let mut tracking_nodes = Vec::new();
     for node in nodes {
         if let (Some(vm), Some(view)) = (node.vm, node.view) {
-            holders.push((vm, states(view)));
+            tracking_nodes.push((vm, states(view)));
         }
     }
     let mut targets: Vec<&VmId> = Vec::new();
-    for (_, states) in &holders {
+    for (_, states) in &tracking_nodes {
         targets.extend(states.keys());
     }
     targets.sort();
@@ -139,9 +139,9 @@
     let mut disagreements = Vec::new();
     for target in targets {
         let mut seen = Vec::new();
-        for (by, states) in &holders {
+        for (by, states) in &tracking_nodes {
             let state = states.get(target).copied();
-            seen.push(Seen { by, state });
+            seen.push(ObservedState { by, state });
         }
         if seen.iter().all(|one| one.state == seen[0].state) {
             continue;
@@ -217,19 +217,19 @@
 }
 
 fn write_verdict(out: &mut dyn Write, views: &Views<'_>) -> Result<()> {
-    let holders = views
+    let tracking_nodes = views
         .nodes
         .iter()
         .filter(|node| node.view.is_some())
         .count();
-    if holders == 0 {
+    if tracking_nodes == 0 {
         writeln!(out, "no node that answered holds {}", views.service)?;
         return Ok(());
     }
     if views.disagreements.is_empty() {
         writeln!(
             out,
-            "all nodes that hold {} agree ({holders})",
+            "all nodes that hold {} agree ({tracking_nodes})",
             views.service
         )?;
         return Ok(());
--- a/src/source.rs
+++ b/src/source.rs
@@ -55,7 +55,7 @@
     if faults.omitted > 0 {
         writeln!(out, "{file}: {} more faults are not listed", faults.omitted)?;
     }
-    writeln!(out, "{file}: refused, {}", counted(count, "fault"))?;
+    writeln!(out, "{file}: refused, {}", format_count(count, "fault"))?;
     Ok(())
 }
 
@@ -80,7 +80,7 @@
 }
 
 /// Formats a count with its noun, such as `1 fault` or `2 faults`.
-pub(crate) fn counted(count: usize, what: &str) -> String {
+pub(crate) fn format_count(count: usize, what: &str) -> String {
     match count {
         1 => format!("1 {what}"),
         _ => format!("{count} {what}s"),
