--- a/crates/text/src/checked.rs
+++ b/crates/text/src/checked.rs
@@ -121,7 +121,7 @@
     },
 }
 
-/// A value from which another one is derived if that one is not set.
+/// A value from which an unset value is derived.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, strum::Display)]
 #[serde(rename_all = "snake_case")]
 #[strum(serialize_all = "snake_case")]
--- a/crates/text/src/diff.rs
+++ b/crates/text/src/diff.rs
@@ -243,9 +243,9 @@
 
 /// Compares whether calls are idempotent, for each match in either text.
 ///
-/// If an entry is removed or its match changes, another entry or the method
-/// decides about its previous calls. A comparison of the entries alone would not
-/// show that a payment may now run twice.
+/// If an entry is removed or its match changes, another entry or the HTTP method
+/// determines whether its previous calls are idempotent. A comparison of the
+/// entries alone would not show that a payment may now run twice.
 fn diff_idempotence(before: &ServicePolicy, after: &ServicePolicy, changes: &mut Vec<Change>) {
     let mut calls = BTreeMap::new();
     for call in before.calls.iter().chain(&after.calls) {
--- a/crates/text/tests/all/hostile.rs
+++ b/crates/text/tests/all/hostile.rs
@@ -1,9 +1,9 @@
 //! Tests that texts designed to exhaust the checker are rejected.
 //!
-//! Every node checks each value of the platform on its control thread. If a
-//! broken or malicious value made the check overflow the stack or run for
-//! minutes, the whole fleet would fail at once. Each text here must be rejected
-//! on a thread with a small stack.
+//! Every node checks the configuration text from the platform on its control
+//! thread. If a broken or malicious text made the check overflow the stack or run
+//! for minutes, the whole fleet would fail at once. Each text here must be
+//! rejected on a thread with a small stack.
 
 use std::thread;
 
