--- a/crates/core/src/control/member.rs
+++ b/crates/core/src/control/member.rs
@@ -6,7 +6,7 @@
 
 use super::status::MemberState;
 use crate::prelude::*;
-use crate::view::HeardLoad;
+use crate::view::ReceivedLoad;
 
 /// Outcome of merging a statement about a peer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -37,7 +37,7 @@
     pub(super) last_statement_at: Option<Millis>,
     /// The peer reported that it is leaving.
     reported_leaving: bool,
-    pub(super) load: Option<HeardLoad>,
+    pub(super) load: Option<ReceivedLoad>,
     /// The VM list contains the peer.
     pub(super) listed: bool,
     /// The incarnation that the VM list marks as leaving.
@@ -144,9 +144,9 @@
         self.service = digest.service.clone();
         self.last_statement_at = Some(self.last_statement_at.unwrap_or_default().max(stated_at));
         if let Some(report) = digest.load_report() {
-            self.load = Some(HeardLoad {
+            self.load = Some(ReceivedLoad {
                 report,
-                heard_at: stated_at,
+                received_at: stated_at,
             });
         }
         if !changed {
@@ -175,9 +175,9 @@
         self.clock_ms = report.gate_clock_ms;
         self.reported_leaving = report.leaving;
         self.last_statement_at = Some(now);
-        self.load = Some(HeardLoad {
+        self.load = Some(ReceivedLoad {
             report,
-            heard_at: now,
+            received_at: now,
         });
         if !changed {
             return MergeOutcome::LoadOnly;
--- a/crates/core/src/control/membership.rs
+++ b/crates/core/src/control/membership.rs
@@ -8,7 +8,7 @@
 use super::board::{Board, Controller, Input, PendingPublish};
 use super::member::MergeOutcome;
 use crate::prelude::*;
-use crate::view::HeardLoad;
+use crate::view::ReceivedLoad;
 
 /// Interval between searches for members to remove.
 const SWEEP_INTERVAL: Millis = Millis::from_secs(1);
@@ -74,13 +74,13 @@
                 gate_clock_ms: report.gate_clock_ms,
                 ..known.report
             };
-            if unchanged == report && now.since(known.heard_at) < OWN_LOAD_REFRESH {
+            if unchanged == report && now.since(known.received_at) < OWN_LOAD_REFRESH {
                 return;
             }
         }
-        board.own_load = Some(HeardLoad {
+        board.own_load = Some(ReceivedLoad {
             report,
-            heard_at: now,
+            received_at: now,
         });
         board.request_publish(PendingPublish::Loads);
     }
--- a/crates/core/src/entry/tests.rs
+++ b/crates/core/src/entry/tests.rs
@@ -1,9 +1,9 @@
-//! Failures replayed against the entry in virtual time, with fixed seeds.
+//! Replays failures against the entry in virtual time, with fixed seeds.
 
 use std::net::{Ipv4Addr, SocketAddr};
 
 use super::*;
-use crate::view::HeardLoad;
+use crate::view::ReceivedLoad;
 
 mod bounds;
 mod ejection;
@@ -13,8 +13,8 @@
 mod slow_start;
 mod tickets;
 
-const FAR: Millis = Millis(1_000_000);
-const NEW_LIFE: Incarnation = Incarnation(9_000);
+const FAR_DEADLINE: Millis = Millis(1_000_000);
+const NEW_INCARNATION: Incarnation = Incarnation(9_000);
 const SERVICE_US: u32 = 20_000;
 
 fn policy() -> ServicePolicy {
@@ -53,7 +53,7 @@
         vm: VmId::new(&format!("vm-{number:03}")),
         data_centre: DataCentre::new("dc-1"),
         peer: SocketAddr::from((Ipv4Addr::LOCALHOST, 1)),
-        incarnation: Some(life(number)),
+        incarnation: Some(incarnation_of(number)),
         distance_us: 100,
         leaving: false,
         doubtful: false,
@@ -61,7 +61,7 @@
     }
 }
 
-fn life(number: usize) -> Incarnation {
+fn incarnation_of(number: usize) -> Incarnation {
     Incarnation(1_000 + number as u64)
 }
 
@@ -84,15 +84,15 @@
         limit: 12,
         service_time_us: SERVICE_US,
         gate_clock_ms: Millis(clock_ms),
-        incarnation: life(number),
+        incarnation: incarnation_of(number),
         leaving: false,
     }
 }
 
-fn heard(number: usize, outstanding: u32, at: u64) -> Option<HeardLoad> {
-    Some(HeardLoad {
+fn received_load(number: usize, outstanding: u32, at: u64) -> Option<ReceivedLoad> {
+    Some(ReceivedLoad {
         report: report(number, outstanding, at),
-        heard_at: Millis(at),
+        received_at: Millis(at),
     })
 }
 
@@ -104,8 +104,8 @@
     }
 }
 
-const WORKS: AttemptEnd = AttemptEnd::Answered { failed: false };
-const FAILS: AttemptEnd = AttemptEnd::Answered { failed: true };
+const SUCCESS: AttemptEnd = AttemptEnd::Answered { failed: false };
+const FAILURE: AttemptEnd = AttemptEnd::Answered { failed: true };
 
 fn refused(code: ResultCode) -> AttemptEnd {
     AttemptEnd::Refused(Refusal::fixed(code))
@@ -122,12 +122,12 @@
 ) -> Result<Pick, Refusal> {
     let request = PickRequest {
         exclude,
-        deadline_at: FAR,
+        deadline_at: FAR_DEADLINE,
     };
     service.pick(&request, Millis(now))
 }
 
-/// Sends one attempt to a given target and ends it so.
+/// Sends one attempt to a given target and ends it with `end`.
 fn end_at(service: &mut EntryService, target: u32, end: AttemptEnd, now: u64) {
     outcome_at(service, target, &ended(end), now);
 }
@@ -139,13 +139,13 @@
 
 fn answer_with_load(service: &mut EntryService, report: &LoadReport, now: u64) {
     let number = (report.incarnation.0 % 1_000) as u32;
-    let mut outcome = ended(WORKS);
+    let mut outcome = ended(SUCCESS);
     outcome.load = Some(*report);
     outcome_at(service, number, &outcome, now);
 }
 
-/// Picks and ends `calls` attempts one after the other, one a millisecond, and
-/// counts them by target.
+/// Picks and ends `calls` attempts in sequence, one per millisecond, and
+/// returns the number of attempts per target.
 fn run(
     service: &mut EntryService,
     from: u64,
@@ -158,7 +158,7 @@
         let number = pick.target.0 as usize;
         counts[number] += 1;
         let mut outcome = ended(end_of(number));
-        if outcome.end == FAILS {
+        if outcome.end == FAILURE {
             outcome.latency_us = 100;
         }
         service.finish(&pick, &outcome, Millis(now));
@@ -171,7 +171,7 @@
         idempotent: true,
         attempts: 1,
         depth: 0,
-        deadline_at: FAR,
+        deadline_at: FAR_DEADLINE,
         may_have_run: false,
     }
 }
--- a/crates/core/src/gate/queue.rs
+++ b/crates/core/src/gate/queue.rs
@@ -1,4 +1,4 @@
-//! The short queue: by class, then by deadline, then by arrival.
+//! The queue, ordered by class, then by deadline, then by arrival.
 
 use std::collections::BTreeSet;
 
@@ -7,25 +7,25 @@
 use super::RunId;
 use crate::prelude::*;
 
-/// Every so many calls taken from the queue, one goes to the next class in
-/// turn instead of the best one, so that a steady load of better classes
+/// Every this many calls, the next one is taken from the classes in rotation
+/// and not from the highest class, so that a steady load of higher classes
 /// cannot starve the others.
 const FAIR_TURN_EVERY: u32 = 8;
 
 const CLASSES: usize = CallClass::VARIANTS.len();
 
-/// Where a call stands within its class.
+/// Position of a call within its class.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(super) struct Place {
+pub(super) struct QueuePosition {
     pub(super) deadline_at: Millis,
-    /// Grows with arrival, so it keeps equal deadlines in order.
+    /// Increases with each arrival, so it orders calls with equal deadlines.
     pub(super) run: RunId,
 }
 
 /// Calls that wait for a slot.
 #[derive(Debug, Default)]
 pub(super) struct Queue {
-    by_class: [BTreeSet<Place>; CLASSES],
+    by_class: [BTreeSet<QueuePosition>; CLASSES],
     len: usize,
     taken: u32,
     fair_class: usize,
@@ -40,16 +40,16 @@
         self.len == 0
     }
 
-    pub(super) fn insert(&mut self, class: CallClass, place: Place) {
-        self.len += usize::from(self.by_class[rank(class)].insert(place));
+    pub(super) fn insert(&mut self, class: CallClass, position: QueuePosition) {
+        self.len += usize::from(self.by_class[rank(class)].insert(position));
     }
 
-    pub(super) fn remove(&mut self, class: CallClass, place: &Place) {
-        self.len -= usize::from(self.by_class[rank(class)].remove(place));
+    pub(super) fn remove(&mut self, class: CallClass, position: &QueuePosition) {
+        self.len -= usize::from(self.by_class[rank(class)].remove(position));
     }
 
-    /// Takes the call to serve next.
-    pub(super) fn pop(&mut self) -> Option<Place> {
+    /// Removes and returns the call to serve next.
+    pub(super) fn pop(&mut self) -> Option<QueuePosition> {
         if self.is_empty() {
             return None;
         }
@@ -57,29 +57,30 @@
         if self.taken.is_multiple_of(FAIR_TURN_EVERY) {
             return self.pop_fair();
         }
-        for places in &mut self.by_class {
-            let Some(place) = places.pop_first() else {
+        for positions in &mut self.by_class {
+            let Some(position) = positions.pop_first() else {
                 continue;
             };
             self.len -= 1;
-            return Some(place);
+            return Some(position);
         }
         None
     }
 
-    /// How many calls would be served before a newcomer; counting stops above
-    /// `enough`, so an arrival costs no more in a long queue than in a short.
-    pub(super) fn ahead(&self, class: CallClass, deadline_at: Millis, enough: usize) -> usize {
+    /// Returns how many calls would be served before a new one. Counting stops
+    /// above `max_counted`, so that an arrival costs no more with a long queue than
+    /// with a short one.
+    pub(super) fn ahead(&self, class: CallClass, deadline_at: Millis, max_counted: usize) -> usize {
         let mut ahead = 0;
-        for places in &self.by_class[..rank(class)] {
-            ahead += places.len();
+        for positions in &self.by_class[..rank(class)] {
+            ahead += positions.len();
         }
-        let newcomer = Place {
+        let new_position = QueuePosition {
             deadline_at,
             run: RunId(u64::MAX),
         };
-        for _ in self.by_class[rank(class)].range(..newcomer) {
-            if ahead > enough {
+        for _ in self.by_class[rank(class)].range(..new_position) {
+            if ahead > max_counted {
                 break;
             }
             ahead += 1;
@@ -87,36 +88,36 @@
         ahead
     }
 
-    /// Whom a call of `class` may displace from a full queue: the last of the
-    /// lowest class, if that ranks below `class`.
+    /// Returns the call that a call of `class` may displace from a full queue:
+    /// the last one of the lowest class, if that class ranks below `class`.
     ///
     /// The only waiting call of a class is never displaced. Otherwise a steady
-    /// load of better classes would push each call of the class out before its
-    /// fair turn came, and the class would starve in spite of it.
+    /// load of higher classes would displace each call of the class before its
+    /// fair turn, and the class would starve.
     pub(super) fn displaceable(&self, class: CallClass) -> Option<RunId> {
-        for places in self.by_class[rank(class) + 1..].iter().rev() {
-            if places.len() < 2 {
+        for positions in self.by_class[rank(class) + 1..].iter().rev() {
+            if positions.len() < 2 {
                 continue;
             }
-            return places.last().map(|place| place.run);
+            return positions.last().map(|position| position.run);
         }
         None
     }
 
-    /// All waiting calls in the order in which they are served, but for fair
-    /// turns.
-    pub(super) fn iter(&self) -> impl Iterator<Item = &Place> {
+    /// Returns all queued calls in the order in which they are served, ignoring
+    /// fair turns.
+    pub(super) fn iter(&self) -> impl Iterator<Item = &QueuePosition> {
         self.by_class.iter().flatten()
     }
 
-    fn pop_fair(&mut self) -> Option<Place> {
+    fn pop_fair(&mut self) -> Option<QueuePosition> {
         for _ in 0..CLASSES {
             self.fair_class = (self.fair_class + 1) % CLASSES;
-            let Some(place) = self.by_class[self.fair_class].pop_first() else {
+            let Some(position) = self.by_class[self.fair_class].pop_first() else {
                 continue;
             };
             self.len -= 1;
-            return Some(place);
+            return Some(position);
         }
         None
     }
--- a/crates/core/src/gate/run.rs
+++ b/crates/core/src/gate/run.rs
@@ -1,22 +1,22 @@
-//! Calls in hand: from admission to their end.
+//! Admitted calls, from admission to their end.
 
-use super::queue::Place;
+use super::queue::QueuePosition;
 use super::records::{RecordState, size_bytes};
 use super::{Arrival, Gate, RunEnd, RunId, Settlement, Verdict, Wake};
 use crate::prelude::*;
 
-/// How far a call in hand has come.
+/// The state of an admitted call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Phase {
     /// Waits for a slot.
     Queued,
-    /// Waits for the target to itself.
+    /// Waits until it can run alone.
     Quarantined,
-    /// Was handed out to be sent to the target.
+    /// Has been handed to the driver to be sent to the target.
     Running,
 }
 
-/// One call in hand.
+/// One admitted call.
 #[derive(Clone, Debug)]
 pub(super) struct Run {
     pub(super) class: CallClass,
@@ -25,19 +25,19 @@
     pub(super) key: Option<CallKey>,
     pub(super) fingerprint: u64,
     pub(super) phase: Phase,
-    /// Callers, the first and those that joined, while it is held.
+    /// Number of callers, including those that joined, while the call waits.
     pub(super) callers: u32,
-    /// Whether the target runs nothing else.
+    /// Whether the target runs no other call.
     pub(super) alone: bool,
-    /// Place of its start in the order of starts and breaks.
+    /// Sequence number of its start among starts and breaks.
     pub(super) started: u64,
-    /// Whether it was counted in a crash of the target already.
+    /// Whether the call was already counted in a crash of the target.
     pub(super) in_crash: bool,
 }
 
 impl Run {
-    pub(super) const fn place(&self, id: RunId) -> Place {
-        Place {
+    pub(super) const fn position(&self, id: RunId) -> QueuePosition {
+        QueuePosition {
             deadline_at: self.deadline_at,
             run: id,
         }
@@ -53,13 +53,13 @@
     Quarantine,
 }
 
-/// What the end of a ticketed run leaves behind.
-struct Ending {
+/// The result of a ticketed run, for its record and for its callers.
+struct RunOutcome {
     state: RecordState,
     settlement: Settlement,
 }
 
-impl Ending {
+impl RunOutcome {
     fn fenced(refusal: Refusal) -> Self {
         Self {
             state: RecordState::Fenced {
@@ -71,16 +71,16 @@
 }
 
 impl Gate {
-    /// Takes an admitted call in hand.
-    pub(super) fn enlist(
+    /// Registers an admitted call and starts or queues it.
+    pub(super) fn register_call(
         &mut self,
         arrival: &Arrival<'_>,
         admission: Admission,
         now: Millis,
     ) -> Verdict {
         self.backoff.note_admitted();
-        self.last_run += 1;
-        let id = RunId(self.last_run);
+        self.last_run_id += 1;
+        let id = RunId(self.last_run_id);
         let run = Run {
             class: arrival.class,
             deadline_at: arrival.deadline_at,
@@ -92,13 +92,13 @@
             started: 0,
             in_crash: false,
         };
-        let place = run.place(id);
+        let position = run.position(id);
         self.runs.insert(id, run);
         match admission {
             Admission::Run => self.mark_started(id, false, now),
             Admission::RunAlone => self.mark_started(id, true, now),
-            Admission::Queue => self.queue.insert(arrival.class, place),
-            Admission::Quarantine => self.quarantine_held(id, place),
+            Admission::Queue => self.queue.insert(arrival.class, position),
+            Admission::Quarantine => self.quarantine_call(id, position),
         }
         match admission {
             Admission::Run | Admission::RunAlone => Verdict::Run(id),
@@ -106,11 +106,12 @@
         }
     }
 
-    /// Counts a call as running. Whoever calls this hands the start out.
+    /// Counts a call as running. The caller of this method reports the start to
+    /// the driver.
     pub(super) fn mark_started(&mut self, id: RunId, alone: bool, now: Millis) {
         let started = self.crash_evidence.next_order();
         let run = self.runs.get_mut(&id);
-        let run = run.expect("only a call in hand is started");
+        let run = run.expect("only an active call is started");
         run.phase = Phase::Running;
         run.alone = alone;
         run.started = started;
@@ -119,11 +120,11 @@
         if alone {
             self.quarantine.begin_alone(id, now);
         } else {
-            self.quarantine.note_innocent_start();
+            self.quarantine.count_regular_start();
         }
     }
 
-    /// Removes a run from those running.
+    /// Removes a run from the running calls.
     pub(super) fn take_running(&mut self, id: RunId, now: Millis) -> Option<Run> {
         if self.runs.get(&id)?.phase != Phase::Running {
             return None;
@@ -135,16 +136,16 @@
     }
 
     /// Removes a call that was not started; it ends with this refusal.
-    pub(super) fn refuse_held(&mut self, id: RunId, refusal: Refusal) {
-        let Some(run) = self.take_held(id) else {
+    pub(super) fn refuse_call(&mut self, id: RunId, refusal: Refusal) {
+        let Some(run) = self.remove_waiting(id) else {
             return;
         };
         self.wakes.push(Wake::Refuse(id, refusal));
-        self.settle_ticketed(id, &run, Ending::fenced(refusal));
+        self.settle_ticketed(id, &run, RunOutcome::fenced(refusal));
     }
 
-    /// One caller of a held call has left.
-    pub(super) fn leave_held(&mut self, id: RunId) {
+    /// Counts that one caller of a waiting call has left.
+    pub(super) fn drop_caller(&mut self, id: RunId) {
         let Some(run) = self.runs.get_mut(&id) else {
             return;
         };
@@ -155,15 +156,22 @@
         if run.callers > 0 {
             return;
         }
-        let Some(run) = self.take_held(id) else {
+        let Some(run) = self.remove_waiting(id) else {
             return;
         };
-        let fenced = Ending::fenced(Refusal::fixed(ResultCode::Fenced));
+        let fenced = RunOutcome::fenced(Refusal::fixed(ResultCode::Fenced));
         self.settle_ticketed(id, &run, fenced);
     }
 
-    /// Draws the lesson from a run for limits, times and suspicion.
-    pub(super) fn learn(&mut self, run: &Run, end: &RunEnd, service_time_us: u32, now: Millis) {
+    /// Updates the limit, the service times and the crash evidence with the end
+    /// of a run.
+    pub(super) fn record_end(
+        &mut self,
+        run: &Run,
+        end: &RunEnd,
+        service_time_us: u32,
+        now: Millis,
+    ) {
         match end {
             RunEnd::Answered { failed, .. } => {
                 if run.alone {
@@ -179,18 +187,18 @@
         }
     }
 
-    /// Writes the end of a ticketed run into its record.
+    /// Writes the end of a ticketed run to its record.
     pub(super) fn settle_ended(&mut self, id: RunId, run: &Run, end: RunEnd) {
         if run.key.is_none() {
             return;
         }
-        let ending = self.ending(end);
-        self.settle_ticketed(id, run, ending);
+        let outcome = self.outcome(end);
+        self.settle_ticketed(id, run, outcome);
     }
 
-    fn ending(&mut self, end: RunEnd) -> Ending {
+    fn outcome(&mut self, end: RunEnd) -> RunOutcome {
         match end {
-            RunEnd::Answered { answer: None, .. } => Ending {
+            RunEnd::Answered { answer: None, .. } => RunOutcome {
                 state: RecordState::AnswerNotKept,
                 settlement: Settlement::Refused(Refusal::fixed(ResultCode::AnswerNotKept)),
             },
@@ -204,35 +212,35 @@
                 } else {
                     RecordState::Answered(answer.clone())
                 };
-                Ending {
+                RunOutcome {
                     state,
                     settlement: Settlement::Answered(answer),
                 }
             }
-            RunEnd::NotRun => Ending::fenced(self.refusal(ResultCode::Overloaded)),
-            RunEnd::Unreachable => Ending::fenced(self.refusal(ResultCode::NoTarget)),
-            RunEnd::Broken | RunEnd::Cancelled => Ending {
+            RunEnd::NotRun => RunOutcome::fenced(self.refusal(ResultCode::Overloaded)),
+            RunEnd::Unreachable => RunOutcome::fenced(self.refusal(ResultCode::NoTarget)),
+            RunEnd::Broken | RunEnd::Cancelled => RunOutcome {
                 state: RecordState::Unknown,
                 settlement: Settlement::Refused(Refusal::fixed(ResultCode::RunBroken)),
             },
         }
     }
 
-    fn settle_ticketed(&mut self, id: RunId, run: &Run, ending: Ending) {
+    fn settle_ticketed(&mut self, id: RunId, run: &Run, outcome: RunOutcome) {
         let Some(key) = run.key else {
             return;
         };
         let max_bytes = self.settings.max_stored_bytes;
-        self.records.settle(key, ending.state, max_bytes);
-        self.wakes.push(Wake::Settled(id, ending.settlement));
+        self.records.settle(key, outcome.state, max_bytes);
+        self.wakes.push(Wake::Settled(id, outcome.settlement));
     }
 
-    fn take_held(&mut self, id: RunId) -> Option<Run> {
-        let place = self.runs.get(&id)?.place(id);
+    fn remove_waiting(&mut self, id: RunId) -> Option<Run> {
+        let position = self.runs.get(&id)?.position(id);
         match self.runs.get(&id)?.phase {
             Phase::Running => return None,
-            Phase::Queued => self.queue.remove(self.runs[&id].class, &place),
-            Phase::Quarantined => self.quarantine.remove(&place),
+            Phase::Queued => self.queue.remove(self.runs[&id].class, &position),
+            Phase::Quarantined => self.quarantine.remove(&position),
         }
         self.runs.remove(&id)
     }
--- a/crates/core/src/suspects/mark.rs
+++ b/crates/core/src/suspects/mark.rs
@@ -1,44 +1,45 @@
-//! What is known about one fingerprint, and how two nodes' knowledge merges.
+//! What is known about one fingerprint, and how the knowledge of two nodes is
+//! merged.
 
 use hornbeamhitch_types::prelude::*;
 use serde::{Deserialize, Serialize};
 
-use super::Standing;
+use super::SuspicionLevel;
 
-/// Crashes without a good run in between after which a suspect is convicted
-/// even though it never crashed a target alone.
+/// Number of crashes without a successful run in between after which a suspect
+/// is convicted although it never crashed a target while running alone.
 ///
-/// A suspect whose run outlasts its time alone shares the target again, so its
-/// crash never counts as a crash alone; without this bound it would go on for
-/// ever. An innocent request is cleared by its first good run alone, long
-/// before it has been in this many.
-pub(crate) const CROWDED_CRASHES_TO_CONVICT: u8 = 4;
+/// A suspect that exceeds its exclusive time shares the target again, so its
+/// crash never counts as a crash alone; without this limit it could continue to
+/// crash targets. An innocent request is cleared by its first successful run
+/// alone, long before it reaches this number.
+pub(crate) const SHARED_CRASHES_TO_CONVICT: u8 = 4;
 
 /// The mergeable part of what is known about a fingerprint.
 ///
-/// The derived order is the merge rule: the higher version wins, then the
-/// graver standing, then the higher count. A maximum is commutative,
-/// associative and idempotent, so nodes may hear each other in any order and
-/// any number of times.
+/// The derived order is the merge rule: the higher version wins, then the more
+/// severe level, then the higher count. A maximum is commutative, associative
+/// and idempotent, so nodes may exchange entries in any order and any number of
+/// times.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct Mark {
-    /// Goes up by one with each observation on top of what was known.
+    /// Increases by one with each observation.
     pub(crate) version: u32,
-    /// What is held against the fingerprint.
-    pub(crate) standing: Standing,
-    /// Crashes since it was last cleared.
+    /// The suspicion level of the fingerprint.
+    pub(crate) standing: SuspicionLevel,
+    /// Number of crashes since the request was last cleared.
     pub(crate) crashes: u8,
 }
 
 impl Mark {
-    /// This mark after one more crash.
+    /// Returns this mark after one more crash.
     pub(crate) fn after_crash(self, alone: bool) -> Self {
         let crashes = self.crashes.saturating_add(1);
-        let repeated_alone = alone && self.standing != Standing::Clear;
-        let standing = if repeated_alone || crashes >= CROWDED_CRASHES_TO_CONVICT {
-            Standing::Convicted
+        let repeated_alone = alone && self.standing != SuspicionLevel::Clear;
+        let standing = if repeated_alone || crashes >= SHARED_CRASHES_TO_CONVICT {
+            SuspicionLevel::Convicted
         } else {
-            self.standing.max(Standing::Suspect)
+            self.standing.max(SuspicionLevel::Suspect)
         };
         Self {
             version: self.version.saturating_add(1),
@@ -47,43 +48,44 @@
         }
     }
 
-    /// This mark after a good run alone. A conviction only ages out.
-    pub(crate) fn after_good_run(self) -> Self {
-        if self.standing != Standing::Suspect {
+    /// Returns this mark after a successful run alone. A conviction only ends
+    /// by expiry.
+    pub(crate) fn after_successful_run(self) -> Self {
+        if self.standing != SuspicionLevel::Suspect {
             return self;
         }
         Self {
             version: self.version.saturating_add(1),
-            standing: Standing::Clear,
+            standing: SuspicionLevel::Clear,
             crashes: 0,
         }
     }
 
-    /// How long a mark of this standing is kept.
+    /// Returns how long a mark of this level is kept.
     ///
     /// A clearance is kept as long as a suspicion, so that it outlives every
-    /// older suspicion that it has to beat.
+    /// older suspicion that it overrides.
     pub(crate) const fn lifetime(self) -> Millis {
         match self.standing {
-            Standing::Clear | Standing::Suspect => Millis::from_secs(10 * 60),
-            Standing::Convicted => Millis::from_secs(30 * 60),
+            SuspicionLevel::Clear | SuspicionLevel::Suspect => Millis::from_secs(10 * 60),
+            SuspicionLevel::Convicted => Millis::from_secs(30 * 60),
         }
     }
 }
 
-/// What one node tells others about one fingerprint.
+/// What one node sends to others about one fingerprint.
 ///
-/// Times travel as spans of age, because clocks of two nodes must not be
+/// Times are sent as ages, because clocks of different nodes cannot be
 /// compared.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SuspectEntry {
     /// Fingerprint of the request.
     pub fingerprint: u64,
-    /// Count of observations that led here.
+    /// Number of observations that led to this entry.
     pub version: u32,
-    /// What is held against the request.
-    pub standing: Standing,
-    /// Crashes since it was last cleared.
+    /// The suspicion level of the request.
+    pub standing: SuspicionLevel,
+    /// Number of crashes since the request was last cleared.
     pub crashes: u8,
     /// Time since the observation.
     pub age_ms: Millis,
--- a/crates/core/src/suspects/tests.rs
+++ b/crates/core/src/suspects/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of suspicion and of its spreading.
+//! Tests of suspicions and their exchange between nodes.
 
 use proptest::prelude::*;
 
@@ -6,7 +6,7 @@
 
 const MINUTE_MS: u64 = 60_000;
 
-fn entry(fingerprint: u64, version: u32, standing: Standing, age_ms: u64) -> SuspectEntry {
+fn entry(fingerprint: u64, version: u32, standing: SuspicionLevel, age_ms: u64) -> SuspectEntry {
     SuspectEntry {
         fingerprint,
         version,
@@ -22,63 +22,67 @@
     suspects.observe_crash(&[1, 2, NO_FINGERPRINT], false, Millis(1));
     suspects.observe_crash(&[3], true, Millis(2));
     for fingerprint in [1, 2, 3] {
-        assert_eq!(suspects.standing(fingerprint), Standing::Suspect);
+        assert_eq!(suspects.level(fingerprint), SuspicionLevel::Suspect);
     }
-    assert_eq!(suspects.standing(NO_FINGERPRINT), Standing::Clear);
+    assert_eq!(suspects.level(NO_FINGERPRINT), SuspicionLevel::Clear);
     suspects.clear(2, Millis(3));
     for fingerprint in [1, 2] {
         suspects.observe_crash(&[fingerprint], true, Millis(4));
     }
-    assert_eq!(suspects.standing(1), Standing::Convicted);
-    assert_eq!(suspects.standing(2), Standing::Suspect);
-    assert_eq!(suspects.clear(1, Millis(5)), None, "a conviction ages out");
+    assert_eq!(suspects.level(1), SuspicionLevel::Convicted);
+    assert_eq!(suspects.level(2), SuspicionLevel::Suspect);
+    assert_eq!(
+        suspects.clear(1, Millis(5)),
+        None,
+        "a conviction only ends by expiry"
+    );
 }
 
 #[test]
-fn crowded_crashes_convict_in_the_end() {
-    // A request that outlasts its time alone is never alone in its crash. It
-    // must not crash targets for ever.
+fn repeated_shared_crashes_lead_to_conviction() {
+    // A request that exceeds its exclusive time is never alone in its crash. It
+    // must not be able to crash targets for ever.
     let mut suspects = Suspects::new();
     for crash in 1..=4 {
-        assert_ne!(suspects.standing(1), Standing::Convicted, "{crash}");
+        assert_ne!(suspects.level(1), SuspicionLevel::Convicted, "{crash}");
         suspects.observe_crash(&[1, 100 + crash], false, Millis(crash));
     }
-    assert_eq!(suspects.standing(1), Standing::Convicted);
+    assert_eq!(suspects.level(1), SuspicionLevel::Convicted);
 }
 
 #[test]
 fn clearance_beats_an_older_suspicion_that_arrives_later() {
-    // One node clears a request; the suspicion from before is still passed
-    // round and reaches others after the clearance, and again.
+    // One node clears a request. The earlier suspicion is still in circulation
+    // and reaches other nodes after the clearance, more than once.
     let mut suspects = Suspects::new();
-    assert!(suspects.merge(&entry(1, 2, Standing::Clear, 10), Millis(1)));
-    assert!(!suspects.merge(&entry(1, 1, Standing::Suspect, 500), Millis(2)));
-    assert_eq!(suspects.standing(1), Standing::Clear);
-    assert!(suspects.merge(&entry(1, 3, Standing::Suspect, 0), Millis(3)));
-    assert_eq!(suspects.standing(1), Standing::Suspect);
+    assert!(suspects.merge(&entry(1, 2, SuspicionLevel::Clear, 10), Millis(1)));
+    assert!(!suspects.merge(&entry(1, 1, SuspicionLevel::Suspect, 500), Millis(2)));
+    assert_eq!(suspects.level(1), SuspicionLevel::Clear);
+    assert!(suspects.merge(&entry(1, 3, SuspicionLevel::Suspect, 0), Millis(3)));
+    assert_eq!(suspects.level(1), SuspicionLevel::Suspect);
 }
 
 #[test]
-fn suspicion_ages_out_although_it_is_echoed() {
-    // Two nodes tell each other the same entry over and over, each time a bit
-    // too young by the time on the way. It must still age out, also when an
-    // echo arrives just after one node has dropped it.
-    const ON_THE_WAY: Millis = Millis(20);
+fn suspicion_expires_despite_echoes() {
+    // Two nodes exchange the same entry repeatedly, each time too young by its
+    // transit time. It must still expire, also when an echo arrives just after
+    // one node has expired it.
+    const TRANSIT_TIME: Millis = Millis(20);
     let mut nodes = [Suspects::new(), Suspects::new()];
     nodes[0].observe_crash(&[1], false, Millis(0));
     for step in 0..=60_050 {
         let now = Millis(step * 10);
         for (from, to) in [(0, 1), (1, 0)] {
-            let heard: Vec<SuspectEntry> = nodes[from].entries(now).collect();
+            let received: Vec<SuspectEntry> = nodes[from].entries(now).collect();
             nodes[0].tick(now);
             nodes[1].tick(now);
-            for entry in &heard {
-                nodes[to].merge(entry, now + ON_THE_WAY);
+            for entry in &received {
+                nodes[to].merge(entry, now + TRANSIT_TIME);
             }
         }
     }
-    assert_eq!(nodes[0].standing(1), Standing::Clear);
-    assert_eq!(nodes[1].standing(1), Standing::Clear);
+    assert_eq!(nodes[0].level(1), SuspicionLevel::Clear);
+    assert_eq!(nodes[1].level(1), SuspicionLevel::Clear);
 }
 
 #[test]
@@ -87,18 +91,18 @@
     suspects.observe_crash(&[1, 2], false, Millis(0));
     suspects.observe_crash(&[1], true, Millis(0));
     suspects.tick(Millis(11 * MINUTE_MS));
-    assert_eq!(suspects.standing(2), Standing::Clear);
-    assert_eq!(suspects.standing(1), Standing::Convicted);
+    assert_eq!(suspects.level(2), SuspicionLevel::Clear);
+    assert_eq!(suspects.level(1), SuspicionLevel::Convicted);
     assert!(suspects.tick(Millis(30 * MINUTE_MS)));
-    assert_eq!(suspects.standing(1), Standing::Clear);
+    assert_eq!(suspects.level(1), SuspicionLevel::Clear);
     suspects.tick(Millis(31 * MINUTE_MS));
     assert!(suspects.is_empty());
 }
 
 #[test]
-fn flood_of_suspects_does_not_wash_out_a_conviction() {
-    // Busy targets crash again and again, each time with hundreds of requests
-    // in flight. The convicted request must not be forgotten for them.
+fn flood_of_suspects_does_not_evict_a_conviction() {
+    // Busy targets crash repeatedly, each time with hundreds of requests in
+    // flight. The convicted request must not be evicted because of them.
     let mut suspects = Suspects::new();
     suspects.observe_crash(&[1], true, Millis(0));
     suspects.observe_crash(&[1], true, Millis(1));
@@ -106,14 +110,18 @@
         suspects.observe_crash(&[fingerprint], false, Millis(fingerprint));
     }
     assert_eq!(suspects.len(), MAX_SUSPECTS);
-    assert_eq!(suspects.standing(1), Standing::Convicted);
-    assert_eq!(suspects.standing(2), Standing::Clear, "the oldest goes");
-    assert_eq!(suspects.snapshot().standing(4_999), Standing::Suspect);
+    assert_eq!(suspects.level(1), SuspicionLevel::Convicted);
+    assert_eq!(
+        suspects.level(2),
+        SuspicionLevel::Clear,
+        "the oldest is evicted"
+    );
+    assert_eq!(suspects.snapshot().level(4_999), SuspicionLevel::Suspect);
 }
 
 #[test]
 fn store_full_of_convictions_takes_no_suspects() {
-    // Only a newer conviction may take the place of the oldest one.
+    // Only a newer conviction may replace the oldest one.
     let mut suspects = Suspects::new();
     let full = MAX_SUSPECTS as u64;
     for fingerprint in 1..=full {
@@ -121,20 +129,20 @@
             suspects.observe_crash(&[fingerprint], true, Millis(fingerprint + at));
         }
     }
-    let told = suspects.observe_crash(&[full + 1], false, Millis(5_000));
-    assert_eq!(told, []);
-    assert_eq!(suspects.standing(1), Standing::Convicted);
-    let convicted = entry(full + 2, 2, Standing::Convicted, 0);
+    let sent = suspects.observe_crash(&[full + 1], false, Millis(5_000));
+    assert_eq!(sent, []);
+    assert_eq!(suspects.level(1), SuspicionLevel::Convicted);
+    let convicted = entry(full + 2, 2, SuspicionLevel::Convicted, 0);
     assert!(suspects.merge(&convicted, Millis(5_001)));
-    assert_eq!(suspects.standing(1), Standing::Clear);
-    assert_eq!(suspects.standing(2), Standing::Convicted);
+    assert_eq!(suspects.level(1), SuspicionLevel::Clear);
+    assert_eq!(suspects.level(2), SuspicionLevel::Convicted);
 }
 
 fn entries() -> impl Strategy<Value = Vec<SuspectEntry>> {
     let standing = prop_oneof![
-        Just(Standing::Clear),
-        Just(Standing::Suspect),
-        Just(Standing::Convicted)
+        Just(SuspicionLevel::Clear),
+        Just(SuspicionLevel::Suspect),
+        Just(SuspicionLevel::Convicted)
     ];
     let one = (1..4_u64, 1..4_u32, standing, 0..2_000_000_u64);
     let one = one.prop_map(|(mark, version, standing, age)| entry(mark, version, standing, age));
@@ -144,8 +152,8 @@
 proptest! {
     #[test]
     fn order_and_repetition_of_news_do_not_matter(news in entries(), shuffled in entries()) {
-        // Nodes hear the same news in different orders, some of it twice, and
-        // must come to the same view.
+        // Nodes receive the same entries in different orders, some of them
+        // twice, and must reach the same state.
         let all: Vec<SuspectEntry> = news.iter().chain(&shuffled).copied().collect();
         let mut one = Suspects::new();
         let mut other = Suspects::new();
--- a/crates/edge/src/suspicion.rs
+++ b/crates/edge/src/suspicion.rs
@@ -1,7 +1,7 @@
 //! Requests that are suspected of crashing targets, and the notices by which nodes share
 //! them.
 
-use hornbeamhitch_core::suspects::{Standing, SuspectEntry, Suspects};
+use hornbeamhitch_core::suspects::{SuspectEntry, Suspects, SuspicionLevel};
 use hornbeamhitch_wire::link::SuspectNotice;
 use parking_lot::Mutex;
 use tokio::sync::broadcast;
@@ -43,7 +43,7 @@
     /// Whether the request is rejected by all nodes.
     #[must_use]
     pub fn is_convicted(&self, fingerprint: u64) -> bool {
-        self.suspects.lock().standing(fingerprint) == Standing::Convicted
+        self.suspects.lock().level(fingerprint) == SuspicionLevel::Convicted
     }
 
     /// Records that the target crashed with these requests in flight.
@@ -132,7 +132,11 @@
 }
 
 fn from_notice(notice: &SuspectNotice) -> Option<SuspectEntry> {
-    let all = [Standing::Clear, Standing::Suspect, Standing::Convicted];
+    let all = [
+        SuspicionLevel::Clear,
+        SuspicionLevel::Suspect,
+        SuspicionLevel::Convicted,
+    ];
     let standing = all.into_iter().find(|standing| {
         let name: &'static str = standing.into();
         name == notice.standing
--- a/crates/standins/src/load/caller.rs
+++ b/crates/standins/src/load/caller.rs
@@ -1,8 +1,8 @@
-//! A caller that keeps to the documented protocol.
+//! A caller that follows the documented protocol.
 //!
-//! The rules are those of `docs/callers/result-codes.md`: a new ticket only
-//! after a certain "not run", the same ticket through another entry after a
-//! broken connection, and a stop at "unknown".
+//! The rules are those of `docs/callers/result-codes.md`: a caller uses a new ticket
+//! only after a certain "not run", sends the same ticket through another entry after
+//! a broken connection, and stops at "unknown".
 
 use std::time::Instant;
 
@@ -15,66 +15,68 @@
 use crate::target::echo::{EchoRequest, digest, echo_body, push_filler};
 use crate::target::headers;
 
-use super::answer::{What, from_node, from_target};
+use super::answer::{AnswerKind, from_node, from_target};
 use super::plan::{CallKind, CallerLimits, Destination, LoadPlan};
 use super::progress::Progress;
 use super::record::{CallRecord, Verdict};
-use super::tickets::{TicketBatch, TicketStash};
+use super::tickets::{TicketBatch, TicketCache};
 
-/// Wait after a fault for which nobody named a time; it doubles each time.
-const FIRST_BACKOFF: Duration = Duration::from_millis(20);
+/// Delay after the first failure without a specified delay; it doubles with each
+/// further failure.
+const INITIAL_BACKOFF: Duration = Duration::from_millis(20);
 const MAX_BACKOFF_DOUBLINGS: u32 = 6;
-/// Validity of a `hitch-next-ticket`, whose header names none.
+/// Assumed validity of a ticket from `hitch-next-ticket`, because the header states
+/// none.
 const NEXT_TICKET_VALID_MS: u64 = 60_000;
 
-/// One call to be made.
+/// A call to be made.
 #[derive(Clone, Debug)]
 pub struct Call<'a> {
-    /// Its kind.
+    /// Kind of the call.
     pub kind: &'a CallKind,
-    /// Index of the kind, for the record.
+    /// Index of the kind in the plan.
     pub kind_index: usize,
-    /// The caller's name of the call; also its idempotency key.
+    /// The caller's identifier of the call, also used as its idempotency key.
     pub nonce: String,
-    /// Its tenant.
+    /// Tenant of the call.
     pub tenant: Option<String>,
-    /// Decides about the first entry.
+    /// Random number that selects the first entry.
     pub entry_draw: u64,
-    /// When the call was meant to start.
+    /// Intended start of the call.
     pub intended_at: Instant,
 }
 
-/// Makes calls; shared by all calls of one run.
+/// Makes calls. It is shared by all calls of a run.
 pub struct Caller {
     client: HttpClient,
     destination: Destination,
     limits: CallerLimits,
-    stash: TicketStash,
+    ticket_cache: TicketCache,
 }
 
-/// What to do next.
+/// What the caller does next.
 enum Step {
     Done(Verdict),
-    Again,
-    AgainAfter(Duration),
+    Retry,
+    RetryAfter(Duration),
 }
 
 impl Caller {
-    /// A caller for one plan.
+    /// Creates a caller for a plan.
     #[must_use]
     pub fn new(plan: &LoadPlan) -> Self {
         Self {
             client: HttpClient::new(plan.http),
             destination: plan.destination.clone(),
             limits: plan.caller,
-            stash: TicketStash::default(),
+            ticket_cache: TicketCache::default(),
         }
     }
 
-    /// Makes one call, bounded in requests and time.
+    /// Makes one call, within the limits on requests and time.
     pub async fn call(&self, call: &Call<'_>) -> CallRecord {
         let mut progress = self.begin(call).await;
-        let verdict = self.pursue(call, &mut progress).await;
+        let verdict = self.run_to_verdict(call, &mut progress).await;
         let mut record = progress.record;
         record.verdict = verdict;
         record.latency_us = micros(call.intended_at.elapsed());
@@ -87,7 +89,7 @@
         let entry = usize::try_from(call.entry_draw % entries as u64).unwrap_or(0);
         let mut progress = Progress::begin(call, body_of(call), entry);
         if self.is_ticketed(call) && self.limits.tickets_ahead > 0 {
-            let ticket = match self.stash.take(&call.kind.service) {
+            let ticket = match self.ticket_cache.take(&call.kind.service) {
                 Some(ticket) => Some(ticket),
                 None => self.fetch_tickets(call, &mut progress).await,
             };
@@ -100,7 +102,7 @@
         !call.kind.idempotent && !self.destination.is_direct()
     }
 
-    async fn pursue(&self, call: &Call<'_>, progress: &mut Progress) -> Verdict {
+    async fn run_to_verdict(&self, call: &Call<'_>, progress: &mut Progress) -> Verdict {
         let give_up_after = Duration::from_millis(self.limits.give_up_after_ms);
         loop {
             let late = call.intended_at.elapsed() >= give_up_after;
@@ -109,8 +111,8 @@
             }
             match self.step(call, progress).await {
                 Step::Done(verdict) => return verdict,
-                Step::Again => {}
-                Step::AgainAfter(wait) => {
+                Step::Retry => {}
+                Step::RetryAfter(wait) => {
                     if call.intended_at.elapsed() + wait >= give_up_after {
                         return progress.give_up();
                     }
@@ -122,20 +124,20 @@
 
     async fn step(&self, call: &Call<'_>, progress: &mut Progress) -> Step {
         match self.send(call, progress).await {
-            Ok(answer) => self.take(call, progress, &answer).await,
-            Err(fault) => self.take_fault(call, progress, fault),
+            Ok(answer) => self.handle_answer(call, progress, &answer).await,
+            Err(fault) => self.handle_fault(call, progress, fault),
         }
     }
 
-    fn take_fault(&self, call: &Call<'_>, progress: &mut Progress, fault: SendFault) -> Step {
+    fn handle_fault(&self, call: &Call<'_>, progress: &mut Progress, fault: SendFault) -> Step {
         progress.record.broken_sends += 1;
         progress.entry += 1;
         progress.faults += 1;
         let nothing_was_sent = fault == SendFault::NotConnected;
-        // Without a ticket an entry runs nothing that is not idempotent.
+        // An entry runs no non-idempotent call without a ticket.
         let runs_nothing = self.is_ticketed(call) && progress.ticket_path.is_none();
         if !nothing_was_sent && !runs_nothing {
-            progress.clean = false;
+            progress.certainly_not_run = false;
             if self.destination.is_direct() && !call.kind.idempotent {
                 return Step::Done(Verdict::Unknown);
             }
@@ -143,62 +145,67 @@
         if call.kind.idempotent {
             progress.next_idempotent_try();
         }
-        Step::AgainAfter(backoff(progress.faults))
+        Step::RetryAfter(backoff(progress.faults))
     }
 
-    async fn take(&self, call: &Call<'_>, progress: &mut Progress, answer: &WholeAnswer) -> Step {
+    async fn handle_answer(
+        &self,
+        call: &Call<'_>,
+        progress: &mut Progress,
+        answer: &WholeAnswer,
+    ) -> Step {
         let meaning = match self.destination.is_direct() {
             true => from_target(answer),
             false => from_node(answer),
         };
         progress.note(answer, &meaning);
         let wait = meaning.wait.unwrap_or_else(|| backoff(progress.faults + 1));
-        match &meaning.what {
-            What::Answered => {
-                progress.record.wrong_answer = !is_right(call, &progress.body, answer);
-                self.keep_next(call, meaning.next_ticket);
+        match &meaning.kind {
+            AnswerKind::Answered => {
+                progress.record.wrong_answer = !is_expected_answer(call, &progress.body, answer);
+                self.store_next_ticket(call, meaning.next_ticket);
                 Step::Done(Verdict::Answered)
             }
-            What::Redirect(path) => {
+            AnswerKind::Redirect(path) => {
                 progress.redirect(path);
-                Step::Again
+                Step::Retry
             }
-            What::NotRun => {
-                self.try_anew(call, progress, meaning.next_ticket, wait)
+            AnswerKind::NotRun => {
+                self.retry_with_new_ticket(call, progress, meaning.next_ticket, wait)
                     .await
             }
-            What::Refused => {
+            AnswerKind::Refused => {
                 progress.conclude_not_run();
-                Step::Done(progress.certain_not_run())
+                Step::Done(progress.not_run_verdict())
             }
-            What::NotYet if meaning.code == Some(ResultCode::BadRequest.number()) => {
+            AnswerKind::NotYet if meaning.code == Some(ResultCode::BadRequest.number()) => {
                 Step::Done(progress.give_up())
             }
-            What::NotYet => {
+            AnswerKind::NotYet => {
                 progress.faults += 1;
                 progress.entry += 1;
                 if call.kind.idempotent {
                     progress.conclude_not_run();
                     progress.next_idempotent_try();
                 }
-                Step::AgainAfter(wait)
+                Step::RetryAfter(wait)
             }
-            What::TicketDead if progress.clean => {
+            AnswerKind::TicketDead if progress.certainly_not_run => {
                 let none = Duration::ZERO;
-                self.try_anew(call, progress, meaning.next_ticket, none)
+                self.retry_with_new_ticket(call, progress, meaning.next_ticket, none)
                     .await
             }
-            What::TicketDead => Step::Done(Verdict::Unknown),
-            What::Pending => {
-                progress.clean = false;
-                Step::AgainAfter(wait)
+            AnswerKind::TicketDead => Step::Done(Verdict::Unknown),
+            AnswerKind::Pending => {
+                progress.certainly_not_run = false;
+                Step::RetryAfter(wait)
             }
-            What::Unknown => self.take_unknown(call, progress, wait),
+            AnswerKind::Unknown => self.handle_unknown(call, progress, wait),
         }
     }
 
-    fn take_unknown(&self, call: &Call<'_>, progress: &mut Progress, wait: Duration) -> Step {
-        progress.clean = false;
+    fn handle_unknown(&self, call: &Call<'_>, progress: &mut Progress, wait: Duration) -> Step {
+        progress.certainly_not_run = false;
         progress.entry += 1;
         if progress.unknowns >= self.limits.unknown_resends {
             return Step::Done(Verdict::Unknown);
@@ -207,12 +214,12 @@
         if call.kind.idempotent {
             progress.next_idempotent_try();
         }
-        Step::AgainAfter(wait)
+        Step::RetryAfter(wait)
     }
 
-    /// Goes on after a certain "not run": with a new ticket, whose key is new
-    /// as well, because the old key is fenced at its gate.
-    async fn try_anew(
+    /// Retries after a certain "not run". A ticketed call needs a new ticket, which
+    /// has a new key, because the old key is fenced at its gate.
+    async fn retry_with_new_ticket(
         &self,
         call: &Call<'_>,
         progress: &mut Progress,
@@ -221,27 +228,27 @@
     ) -> Step {
         progress.conclude_not_run();
         if progress.try_number + 1 >= u64::from(self.limits.max_tickets) {
-            return Step::Done(progress.certain_not_run());
+            return Step::Done(progress.not_run_verdict());
         }
         progress.faults += 1;
         progress.entry += 1;
         if call.kind.idempotent || self.destination.is_direct() {
             progress.next_idempotent_try();
-            return Step::AgainAfter(wait);
+            return Step::RetryAfter(wait);
         }
         let had_ticket = progress.ticket_path.take().is_some();
         progress.try_number += 1;
-        progress.clean = true;
+        progress.certainly_not_run = true;
         let ticket = match next_ticket {
             Some(ticket) => Some(ticket),
             None if had_ticket => self.fetch_tickets(call, progress).await,
             None => None,
         };
         progress.use_ticket(call, ticket);
-        Step::AgainAfter(wait)
+        Step::RetryAfter(wait)
     }
 
-    fn keep_next(&self, call: &Call<'_>, next_ticket: Option<String>) {
+    fn store_next_ticket(&self, call: &Call<'_>, next_ticket: Option<String>) {
         if self.limits.tickets_ahead == 0 {
             return;
         }
@@ -252,10 +259,10 @@
             tickets: vec![ticket],
             valid_ms: NEXT_TICKET_VALID_MS,
         };
-        self.stash.keep(&call.kind.service, batch);
+        self.ticket_cache.store(&call.kind.service, batch);
     }
 
-    /// Fetches tickets with fresh keys; one is returned, the rest are kept.
+    /// Fetches tickets with new keys; returns one and caches the rest.
     async fn fetch_tickets(&self, call: &Call<'_>, progress: &mut Progress) -> Option<String> {
         let count = self.limits.tickets_ahead.max(1);
         let entry = self.entry(call, progress)?;
@@ -271,7 +278,7 @@
         let answer = self.client.send(request, bound).await.ok()?;
         let mut batch: TicketBatch = answer.json().ok()?;
         let ticket = batch.tickets.pop()?;
-        self.stash.keep(service, batch);
+        self.ticket_cache.store(service, batch);
         Some(ticket)
     }
 
@@ -330,16 +337,16 @@
             request = request.header(name, value);
         }
         let request = request.body(Full::new(progress.body.clone()));
-        request.expect("method, path and headers of a checked plan are valid")
+        request.expect("the method, path and headers of a checked plan are valid")
     }
 }
 
 fn backoff(faults: u32) -> Duration {
     let doublings = faults.saturating_sub(1).min(MAX_BACKOFF_DOUBLINGS);
-    FIRST_BACKOFF * 2_u32.pow(doublings)
+    INITIAL_BACKOFF * 2_u32.pow(doublings)
 }
 
-/// The body of a call, which no other call has.
+/// Returns the body of a call, which differs from that of every other call.
 fn body_of(call: &Call<'_>) -> Bytes {
     let kind = call.kind;
     if kind.body_bytes == 0 && kind.body_prefix.is_empty() {
@@ -351,10 +358,11 @@
     Bytes::from(body)
 }
 
-/// Whether an answer is whole and the one that this request must bring.
+/// Returns whether an answer is complete and the expected one for this request.
 ///
-/// Only successes of the target echo; its failures have no derived body.
-fn is_right(call: &Call<'_>, body: &[u8], answer: &WholeAnswer) -> bool {
+/// Only successful answers have a body derived from the request, so all others
+/// count as expected.
+fn is_expected_answer(call: &Call<'_>, body: &[u8], answer: &WholeAnswer) -> bool {
     if !answer.status.is_success() {
         return true;
     }
--- a/crates/standins/src/load/progress.rs
+++ b/crates/standins/src/load/progress.rs
@@ -1,4 +1,4 @@
-//! Where one call stands, and what its caller may conclude.
+//! Progress of one call, and what its caller can conclude from it.
 
 use std::time::Instant;
 
@@ -9,17 +9,18 @@
 use super::caller::Call;
 use super::record::{CallRecord, Verdict};
 
-/// Where a call stands.
+/// Progress of a call.
 pub(super) struct Progress {
     pub(super) started_at: Instant,
     pub(super) body: Bytes,
     pub(super) ticket_path: Option<String>,
-    /// Counts tickets; for idempotent calls, sends.
+    /// Number of the current try, from 0. A ticketed call counts tickets, an
+    /// idempotent call counts sends.
     pub(super) try_number: u64,
-    /// No send of this try can have run.
-    pub(super) clean: bool,
-    /// An earlier send of an idempotent call may have run.
-    may_have_run: bool,
+    /// No send of the current try can have run.
+    pub(super) certainly_not_run: bool,
+    /// An earlier try of an idempotent call may have run.
+    earlier_try_may_have_run: bool,
     pub(super) entry: usize,
     pub(super) faults: u32,
     pub(super) unknowns: u32,
@@ -27,15 +28,15 @@
 }
 
 impl Progress {
-    /// A call of which nothing was sent yet.
+    /// Creates the progress of a call before its first send.
     pub(super) fn begin(call: &Call<'_>, body: Bytes, entry: usize) -> Self {
         Self {
             started_at: Instant::now(),
             body,
             ticket_path: None,
             try_number: 0,
-            clean: true,
-            may_have_run: false,
+            certainly_not_run: true,
+            earlier_try_may_have_run: false,
             entry,
             faults: 0,
             unknowns: 0,
@@ -78,33 +79,33 @@
         self.redirect(&format!("{prefix}{ticket}/{service}{path}"));
     }
 
-    /// Each send of an idempotent call is a try of its own, because "not run"
-    /// speaks of that send only.
+    /// Starts the next try of an idempotent call. Each send is a try of its own,
+    /// because "not run" refers to that send only.
     pub(super) fn next_idempotent_try(&mut self) {
-        self.may_have_run |= !self.clean;
-        self.clean = true;
+        self.earlier_try_may_have_run |= !self.certainly_not_run;
+        self.certainly_not_run = true;
         self.try_number += 1;
     }
 
     pub(super) fn conclude_not_run(&mut self) {
-        self.clean = true;
+        self.certainly_not_run = true;
         if self.record.not_run_tries.last() != Some(&self.try_number) {
             self.record.not_run_tries.push(self.try_number);
         }
     }
 
-    pub(super) fn certain_not_run(&self) -> Verdict {
-        match self.may_have_run {
+    pub(super) fn not_run_verdict(&self) -> Verdict {
+        match self.earlier_try_may_have_run {
             true => Verdict::Unknown,
             false => Verdict::NotRun,
         }
     }
 
     pub(super) fn give_up(&mut self) -> Verdict {
-        if !self.clean {
+        if !self.certainly_not_run {
             return Verdict::Unknown;
         }
         self.conclude_not_run();
-        self.certain_not_run()
+        self.not_run_verdict()
     }
 }
--- a/crates/standins/src/load/reconcile.rs
+++ b/crates/standins/src/load/reconcile.rs
@@ -1,4 +1,4 @@
-//! What callers were told against what targets ran.
+//! Compares what callers were told with what targets ran.
 
 use std::collections::HashMap;
 
@@ -8,36 +8,37 @@
 use super::plan::LoadPlan;
 use super::record::{CallRecord, Verdict};
 
-/// Calls that are named in a report for each kind of fault.
+/// Maximum number of example calls in a report for each kind of fault.
 const MAX_EXAMPLES: usize = 10;
 
-/// The outcome of the comparison; the first five must be zero.
+/// Result of the comparison. The first five counters must be zero.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Reconciliation {
-    /// Told "answered", but no target finished such a run.
+    /// Calls whose caller got an answer, but that no target finished.
     pub lost: u64,
-    /// Not idempotent, and started more than once.
+    /// Non-idempotent calls that ran more than once.
     pub run_twice: u64,
-    /// Told "not run", but it ran.
+    /// Calls that ran although their caller was told that they did not.
     pub not_run_but_ran: u64,
-    /// Answered with anything but the whole answer to its own request.
+    /// Calls that got anything but the complete answer to their own request.
     pub wrong_answers: u64,
-    /// Runs without a nonce, which could be second runs of anything.
+    /// Runs without a nonce, which cannot be assigned to a call and could be second
+    /// runs.
     pub unaccounted_runs: u64,
     /// Calls whose callers cannot tell whether they ran.
     pub unknown: u64,
-    /// Of these, calls that ran.
+    /// Calls of these that ran.
     pub unknown_ran: u64,
-    /// Of these, calls that did not run.
+    /// Calls of these that did not run.
     pub unknown_not_ran: u64,
-    /// Idempotent calls that ran more than once: retries and hedges.
+    /// Idempotent calls that ran more than once, through retries and hedged requests.
     pub idempotent_repeats: u64,
-    /// Calls behind the first four, a few of each.
+    /// Up to ten example calls for each of the first four counters.
     pub examples: Vec<String>,
 }
 
 impl Reconciliation {
-    /// Whether nothing was lost, run twice, wrongly refused or mixed up.
+    /// Returns whether the first five counters are zero.
     #[must_use]
     pub fn is_clean(&self) -> bool {
         let faults = self.lost + self.run_twice + self.not_run_but_ran + self.wrong_answers;
@@ -73,62 +74,62 @@
     runs: &[RunRecord],
 ) -> Reconciliation {
     let mut by_nonce: HashMap<&str, Vec<&RunRecord>> = HashMap::new();
-    let mut sum = Reconciliation::default();
+    let mut totals = Reconciliation::default();
     for run in runs {
         match &run.marks.nonce {
             Some(nonce) => by_nonce.entry(nonce).or_default().push(run),
-            None => sum.unaccounted_runs += 1,
+            None => totals.unaccounted_runs += 1,
         }
     }
     for record in records {
         let runs = by_nonce.get(record.nonce.as_str());
         let runs = runs.map_or(&[][..], Vec::as_slice);
-        compare(plan, record, runs, &mut sum);
+        compare(plan, record, runs, &mut totals);
     }
-    sum
+    totals
 }
 
-fn compare(plan: &LoadPlan, record: &CallRecord, runs: &[&RunRecord], sum: &mut Reconciliation) {
-    let finished = runs.iter().any(|run| has_answered(run));
+fn compare(plan: &LoadPlan, record: &CallRecord, runs: &[&RunRecord], totals: &mut Reconciliation) {
+    let finished = runs.iter().any(|run| could_have_answered(run));
     if record.verdict == Verdict::Answered && !finished {
-        sum.lost += 1;
-        sum.example(sum.lost, "lost", record, runs);
+        totals.lost += 1;
+        totals.example(totals.lost, "lost", record, runs);
     }
     if runs.len() > 1 {
         if plan.kinds[record.kind].idempotent {
-            sum.idempotent_repeats += 1;
+            totals.idempotent_repeats += 1;
         } else {
-            sum.run_twice += 1;
-            sum.example(sum.run_twice, "run twice", record, runs);
+            totals.run_twice += 1;
+            totals.example(totals.run_twice, "run twice", record, runs);
         }
     }
-    if ran_although_told_not(record, runs) {
-        sum.not_run_but_ran += 1;
-        sum.example(sum.not_run_but_ran, "not run but ran", record, runs);
+    if ran_despite_not_run(record, runs) {
+        totals.not_run_but_ran += 1;
+        totals.example(totals.not_run_but_ran, "not run but ran", record, runs);
     }
     if record.wrong_answer {
-        sum.wrong_answers += 1;
-        sum.example(sum.wrong_answers, "wrong answer", record, runs);
+        totals.wrong_answers += 1;
+        totals.example(totals.wrong_answers, "wrong answer", record, runs);
     }
     if record.verdict == Verdict::Unknown {
-        sum.unknown += 1;
+        totals.unknown += 1;
         if runs.is_empty() {
-            sum.unknown_not_ran += 1;
+            totals.unknown_not_ran += 1;
         } else {
-            sum.unknown_ran += 1;
+            totals.unknown_ran += 1;
         }
     }
 }
 
-/// Whether a run is one that a target can have answered.
-fn has_answered(run: &RunRecord) -> bool {
+/// Returns whether the target can have answered this run.
+fn could_have_answered(run: &RunRecord) -> bool {
     matches!(
         run.end,
         RunEnd::Finished | RunEnd::FailedFast | RunEnd::DeadlinePassed
     )
 }
 
-fn ran_although_told_not(record: &CallRecord, runs: &[&RunRecord]) -> bool {
+fn ran_despite_not_run(record: &CallRecord, runs: &[&RunRecord]) -> bool {
     if record.verdict == Verdict::NotRun && !runs.is_empty() {
         return true;
     }
--- a/crates/standins/src/program.rs
+++ b/crates/standins/src/program.rs
@@ -1,4 +1,5 @@
-//! What the programs of the stand-ins share: their address and their end.
+//! Helpers that the programs of this crate share: announcing the listening
+//! address, shutdown signals, time limits and JSON files.
 
 use std::path::Path;
 
@@ -8,12 +9,12 @@
 
 const LISTENING: &str = "listening on ";
 
-/// Logs the address in the form that [`listening_addr`] finds.
-pub fn announce(addr: SocketAddr) {
+/// Logs the listening address in the form that [`listening_addr`] parses.
+pub fn log_listening_addr(addr: SocketAddr) {
     log::info!("{LISTENING}{addr}");
 }
 
-/// Finds the address that a stand-in has logged.
+/// Finds the listening address in the log lines of a stand-in.
 #[must_use]
 pub fn listening_addr(lines: &[String]) -> Option<SocketAddr> {
     for line in lines {
@@ -32,8 +33,8 @@
 ///
 /// # Errors
 ///
-/// Fails when signals cannot be received.
-pub async fn wait_for_end() -> Result<()> {
+/// Fails when the signal handlers cannot be installed.
+pub async fn wait_for_shutdown_signal() -> Result<()> {
     let mut terminate = signal(SignalKind::terminate())?;
     let mut interrupt = signal(SignalKind::interrupt())?;
     tokio::select! {
@@ -43,12 +44,13 @@
     Ok(())
 }
 
-/// Does `work` until it is done, unless it takes longer than `bound` or the
-/// program is told to end.
+/// Runs `work` to completion, unless it takes longer than `bound` or the
+/// program receives SIGTERM or SIGINT.
 ///
 /// # Errors
 ///
-/// Those of the work; `too_long` says that it took too long.
+/// Returns the errors of `work`, an error with the message `too_long` after
+/// `bound`, and an error after a signal.
 pub async fn run_bounded<T>(
     work: impl Future<Output = Result<T>>,
     bound: Duration,
@@ -56,18 +58,19 @@
 ) -> Result<T> {
     tokio::select! {
         done = tokio::time::timeout(bound, work) => done.wrap_err(too_long)?,
-        end = wait_for_end() => {
+        end = wait_for_shutdown_signal() => {
             end?;
             bail!("ended by a signal");
         }
     }
 }
 
-/// Reads a file of JSON.
+/// Reads a JSON file.
 ///
 /// # Errors
 ///
-/// Names the file that cannot be read or is not of the wanted form.
+/// Names the file if it cannot be read or does not have the expected
+/// structure.
 pub fn read_json_file<T: for<'a> Deserialize<'a>>(path: &Path) -> Result<T> {
     let text = std::fs::read_to_string(path)
         .wrap_err_with(|| format!("cannot read {}", path.display()))?;
