--- a/crates/lab/src/capacity/fleet/platform.rs
+++ b/crates/lab/src/capacity/fleet/platform.rs
@@ -1,11 +1,11 @@
-//! The platform of a fleet: reads, and watches that wait for a newer value.
+//! The fake platform of a fleet, with reads and watches.
 
 use std::sync::Arc;
 
 use hornbeamhitch_core::control::{ControlEvent, PlatformRead};
 use hornbeamhitch_wire::control::ListVersion;
 
-use super::{Fleet, LISTED_VM_JSON_BYTES, Occurrence, PLATFORM_DELAY};
+use super::{Fleet, FleetEvent, LISTED_VM_JSON_BYTES, PLATFORM_DELAY};
 use crate::prelude::*;
 
 /// A read of the platform that waits for a newer value.
@@ -38,15 +38,15 @@
         self.end_watches();
     }
 
-    /// A node gives up the reads that it has on their way.
+    /// Cancels the pending reads of a node.
     pub(super) fn cancel_reads(&mut self, node: usize) {
         self.watches.retain(|watch| watch.node != node);
     }
 
-    /// Ends watches whose value has come.
+    /// Answers the watches for which there is a newer value.
     pub(super) fn wake_watches(&mut self) {
         for watch in std::mem::take(&mut self.watches) {
-            let Some((event, bytes)) = self.news_for(&watch) else {
+            let Some((event, bytes)) = self.newer_value(&watch) else {
                 self.watches.push(watch);
                 continue;
             };
@@ -54,11 +54,11 @@
                 node.platform_bytes += bytes;
             }
             let at = self.now + PLATFORM_DELAY;
-            self.push(at, watch.node, Occurrence::Event(event));
+            self.push(at, watch.node, FleetEvent::Event(event));
         }
     }
 
-    /// Ends watches whose time is over.
+    /// Ends the watches whose wait is over, without a newer value.
     pub(super) fn end_watches(&mut self) {
         let now = self.now;
         if !self.watches.iter().any(|watch| watch.until <= now) {
@@ -74,11 +74,11 @@
                 PlatformRead::Vms => ControlEvent::VmsUnchanged,
             };
             let at = now + PLATFORM_DELAY;
-            self.push(at, watch.node, Occurrence::Event(event));
+            self.push(at, watch.node, FleetEvent::Event(event));
         }
     }
 
-    fn news_for(&self, watch: &Watch) -> Option<(ControlEvent, u64)> {
+    fn newer_value(&self, watch: &Watch) -> Option<(ControlEvent, u64)> {
         if watch.read == PlatformRead::Text {
             let (version, text) = &self.text;
             let event = ControlEvent::TextRead {
--- a/crates/lab/src/policy/choosers.rs
+++ b/crates/lab/src/policy/choosers.rs
@@ -1,4 +1,4 @@
-//! The baselines' ways of choosing, and the oracle's.
+//! Selection algorithms of the baselines and the oracle.
 
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
@@ -6,13 +6,13 @@
 use super::Truth;
 use super::baseline::Candidate;
 
-/// Chooses one of some candidates, of which there is at least one.
+/// Selects one of the candidates. There is always at least one.
 pub(super) trait Chooser: std::fmt::Debug {
-    /// The place of the chosen candidate.
+    /// Returns the index of the selected candidate.
     fn choose(&mut self, candidates: &[Candidate], truth: &Truth<'_>) -> usize;
 
-    /// Whether some target has a free slot; those who cannot tell say yes.
-    fn has_room(&self, _truth: &Truth<'_>) -> bool {
+    /// Whether a target has a free slot. Choosers that do not know return `true`.
+    fn has_free_slot(&self, _truth: &Truth<'_>) -> bool {
         true
     }
 }
@@ -23,7 +23,8 @@
     })
 }
 
-/// Starts at a random place, so that entries do not march in step.
+/// Starts at a random candidate, so that entries do not use the same targets at the
+/// same time.
 pub(super) fn round_robin(seed: u64) -> Box<dyn Chooser> {
     Box::new(RoundRobin {
         next: (seed % 1_000) as usize,
@@ -78,19 +79,19 @@
     fn choose(&mut self, candidates: &[Candidate], _truth: &Truth<'_>) -> usize {
         let mut best = 0;
         let mut ties = 0_u32;
-        for (place, candidate) in candidates.iter().enumerate() {
+        for (index, candidate) in candidates.iter().enumerate() {
             let least = candidates[best].own_in_flight;
             if candidate.own_in_flight > least {
                 continue;
             }
             if candidate.own_in_flight < least {
-                best = place;
+                best = index;
                 ties = 1;
                 continue;
             }
             ties += 1;
             if self.rng.random_range(0..ties) == 0 {
-                best = place;
+                best = index;
             }
         }
         best
@@ -117,7 +118,7 @@
     }
 }
 
-/// Calls at the target by its last report; nothing heard counts as idle.
+/// Calls at the target by its last load report, or 0 if there is none.
 fn reported_load(candidate: &Candidate) -> u32 {
     match candidate.load {
         Some(load) => load.in_flight + load.queued,
@@ -125,7 +126,7 @@
     }
 }
 
-/// Joins the queue with the shortest expected completion.
+/// Selects the target with the earliest expected answer.
 #[derive(Debug)]
 struct Oracle;
 
@@ -133,20 +134,19 @@
     fn choose(&mut self, candidates: &[Candidate], truth: &Truth<'_>) -> usize {
         let mut best = 0;
         let mut best_us = f64::INFINITY;
-        for (place, candidate) in candidates.iter().enumerate() {
+        for (index, candidate) in candidates.iter().enumerate() {
             let host = &truth.hosts[candidate.host];
-            let there_and_back_us = 2.0 * f64::from(candidate.distance_us);
-            let expected_us =
-                there_and_back_us + host.expected_time_us(truth.mean_work_us, truth.now);
+            let round_trip_us = 2.0 * f64::from(candidate.distance_us);
+            let expected_us = round_trip_us + host.expected_time_us(truth.mean_work_us, truth.now);
             if expected_us < best_us {
-                best = place;
+                best = index;
                 best_us = expected_us;
             }
         }
         best
     }
 
-    fn has_room(&self, truth: &Truth<'_>) -> bool {
+    fn has_free_slot(&self, truth: &Truth<'_>) -> bool {
         truth.hosts.iter().any(|host| host.has_free_slot(truth.now))
     }
 }
--- a/crates/lab/src/world/entry_side.rs
+++ b/crates/lab/src/world/entry_side.rs
@@ -1,4 +1,4 @@
-//! Calls at their entries: attempts, retries, hedges, final answers.
+//! Calls at their entries, with attempts, retries, hedges and final answers.
 
 use hornbeamhitch_core::suspects::SuspicionLevel;
 
@@ -10,11 +10,11 @@
 use crate::policy::Truth;
 use crate::prelude::*;
 
-/// A caller sends a call at most this often.
+/// Number of times that a caller sends a call at most.
 const MAX_TRIES: u32 = 5;
-/// When a caller without `Retry-After` comes back.
-const UNTOLD_WAIT: Micros = Micros::from_millis(500);
-/// The way to the caller and back to an entry.
+/// Time after which a caller resends a call if the answer has no `Retry-After`.
+const DEFAULT_RETRY_WAIT: Micros = Micros::from_millis(500);
+/// Round trip from an entry to the caller and back.
 const CALLER_ROUND_TRIP: Micros = Micros(2 * CALLER_DISTANCE.0);
 
 impl World {
@@ -34,7 +34,7 @@
         let deadline_at = match kind {
             CallKind::FromTarget(parent) => {
                 let parent_call = self.attempt(parent).call;
-                self.attempt_mut(parent).child = Some(index);
+                self.attempt_mut(parent).nested_call = Some(index);
                 self.call(parent_call).deadline_at
             }
             CallKind::FromCaller | CallKind::Crashing => Micros::ZERO,
@@ -64,7 +64,7 @@
         self.call_at_entry(index);
     }
 
-    /// The entry answers 307; the call comes back with its ticket.
+    /// The entry answers 307, and the caller sends the call again with its ticket.
     fn fetch_ticket(&mut self, index: CallIndex, maker: KeyMaker) {
         let call = self.call(index);
         let (node, service, identity) = (call.node, call.service, call.identity);
@@ -79,7 +79,7 @@
             Ok(vm) => vm,
             Err(refusal) => {
                 self.call_mut(index).live = true;
-                self.conclude(index, CallEnd::Refused(refusal));
+                self.finish_try(index, CallEnd::Refused(refusal));
                 return;
             }
         };
@@ -99,7 +99,7 @@
         self.queue.schedule(at, Event::CallAtEntry(index));
     }
 
-    /// A node that callers can reach.
+    /// Selects a node that callers can reach.
     pub(super) fn live_node(&self, draw: u64) -> usize {
         let nodes = self.nodes.len();
         let mut node = (draw % nodes as u64) as usize;
@@ -138,7 +138,7 @@
             Ok(pick) => pick,
             Err(refusal) => {
                 if self.call(index).live_attempts.is_empty() {
-                    self.conclude(index, CallEnd::Refused(refusal));
+                    self.finish_try(index, CallEnd::Refused(refusal));
                 }
                 return;
             }
@@ -155,8 +155,8 @@
             run: None,
             at_target_since: Micros::ZERO,
             live: true,
-            child: None,
-            held: Micros::ZERO,
+            nested_call: None,
+            slot_time: Micros::ZERO,
             outcome: None,
         });
         self.tally.attempts += 1;
@@ -194,7 +194,7 @@
         policy.pick(&request, &truth)
     }
 
-    /// What it costs to have a connection.
+    /// Marks the connection as open and returns the time that it takes to open it.
     fn connect(&mut self, node: usize, host: HostId) -> Micros {
         let connected = &mut self.nodes[node].connected[host.service][host.target];
         if *connected {
@@ -234,7 +234,7 @@
             now: self.now,
         };
         let policy = &mut self.nodes[call.node].policies[call.service];
-        if !policy.has_room(&truth) || !policy.core().try_hedge(&progress, now) {
+        if !policy.has_free_slot(&truth) || !policy.core().try_hedge(&progress, now) {
             return;
         }
         self.call_mut(index).hedged = true;
@@ -252,9 +252,9 @@
         let call = self.attempt(index).call;
         self.call_mut(call).broke |= outcome.end == AttemptEnd::Broken;
         if outcome.end == (AttemptEnd::Answered { failed: false }) {
-            let held = self.attempt(index).held;
-            self.tally.useful_us += held.0;
-            self.conclude(call, CallEnd::Answered);
+            let slot_time = self.attempt(index).slot_time;
+            self.tally.useful_us += slot_time.0;
+            self.finish_try(call, CallEnd::Answered);
             return;
         }
         if !self.call(call).live_attempts.is_empty() {
@@ -272,21 +272,21 @@
         let next = core.after_failure(&progress, end, now);
         self.call_mut(index).may_have_run |= end.may_have_run();
         match next {
-            // A gate that refused a ticket never runs it later, so sending it
-            // there again is of no use; its caller gets a new one.
+            // A gate never runs a ticket that it rejected, so a retry there is useless.
+            // The caller has to get a new ticket.
             Next::Retry if self.call(index).ticket.is_some() => {
                 let refusal = Refusal::fixed(ResultCode::Overloaded);
-                self.conclude(index, call_end(end, refusal));
+                self.finish_try(index, call_end(end, refusal));
             }
             Next::Retry => {
                 self.tally.retries += 1;
                 self.start_attempt(index);
             }
-            Next::GiveUp(refusal) => self.conclude(index, call_end(end, refusal)),
+            Next::GiveUp(refusal) => self.finish_try(index, call_end(end, refusal)),
         }
     }
 
-    /// Ends an attempt at its entry.
+    /// Finishes an attempt at its entry.
     pub(super) fn finish_attempt(&mut self, index: AttemptIndex, outcome: &AttemptOutcome) {
         let now = self.now.floor_millis();
         let attempt = self.attempt_mut(index);
@@ -305,10 +305,10 @@
         }
         self.cancel_attempts(index, AttemptEnd::TimedOut);
         let refusal = Refusal::fixed(ResultCode::DeadlinePassed);
-        self.conclude(index, CallEnd::Failed(refusal));
+        self.finish_try(index, CallEnd::Failed(refusal));
     }
 
-    /// Ends every attempt that is still out, here and at the gates.
+    /// Ends all attempts of a call that are in flight, here and at the gates.
     pub(super) fn cancel_attempts(&mut self, index: CallIndex, end: AttemptEnd) {
         while let Some(&attempt) = self.call(index).live_attempts.last() {
             let outcome = AttemptOutcome {
@@ -323,18 +323,18 @@
         }
     }
 
-    /// Gives the caller its final answer for this try.
-    pub(super) fn conclude(&mut self, index: CallIndex, end: CallEnd) {
+    /// Sends the caller the final answer of this try.
+    pub(super) fn finish_try(&mut self, index: CallIndex, end: CallEnd) {
         self.cancel_attempts(index, AttemptEnd::Cancelled);
         let now = self.now;
         let call = self.call_mut(index);
         call.live = false;
         let kind = call.kind;
         if let CallKind::FromTarget(parent) = kind {
-            self.child_concluded(parent, end == CallEnd::Answered);
+            self.nested_call_ended(parent, end == CallEnd::Answered);
             return;
         }
-        let comes_back = self.comes_back_at(index, &end);
+        let next_try_at = self.next_try_at(index, &end);
         let call = &self.calls[index.0];
         let is_measured = call.sent_at >= self.case.warm_up && kind == CallKind::FromCaller;
         let in_window = now >= self.case.warm_up && now < self.case.duration;
@@ -344,7 +344,7 @@
             let deadline = Micros::from(self.case.deadline());
             self.tally.count_try(&end, latency, deadline);
         }
-        let Some(at) = comes_back else {
+        let Some(at) = next_try_at else {
             if is_measured {
                 self.tally.count_call(&end);
             }
@@ -353,8 +353,8 @@
         self.queue.schedule(at, Event::CallAtEntry(index));
     }
 
-    /// When a caller that was not served comes back, as documented.
-    fn comes_back_at(&self, index: CallIndex, end: &CallEnd) -> Option<Micros> {
+    /// Time at which a caller sends the call again, as documented. `None` if it does not.
+    fn next_try_at(&self, index: CallIndex, end: &CallEnd) -> Option<Micros> {
         let call = self.call(index);
         if !self.case.callers_resend || call.tries >= MAX_TRIES {
             return None;
@@ -368,13 +368,14 @@
         }
         let wait = match refusal.retry_after_ms {
             Some(retry_after) => Micros::from(retry_after),
-            None => UNTOLD_WAIT,
+            None => DEFAULT_RETRY_WAIT,
         };
         Some(self.now + CALLER_ROUND_TRIP + wait)
     }
 }
 
-/// A refused last attempt says "not run"; all others may have run.
+/// End of a call by its last attempt. A rejected or unreachable attempt did not run;
+/// all others may have run.
 fn call_end(end: &AttemptEnd, refusal: Refusal) -> CallEnd {
     match end {
         AttemptEnd::Refused(_) | AttemptEnd::Unreachable => CallEnd::Refused(refusal),
--- a/tests/all/at_most_once/partitions.rs
+++ b/tests/all/at_most_once/partitions.rs
@@ -1,4 +1,4 @@
-//! Connections that break or hold back, and lists that differ.
+//! Connections that break or stall, and VM lists that differ.
 
 use eyre::Result;
 use hornbeamhitch_standins::platform::VmEntry;
@@ -7,12 +7,12 @@
 use super::*;
 use crate::support::far_entry::FarEntry;
 
-/// Two entries with different VM lists: one does not know the ticket's VM, the
-/// other believes it at the address of another VM's gate, as when an address
-/// was given away. Neither makes the payment run at a gate that the ticket does
-/// not name; an entry with the right list runs it once.
+/// Two entries have stale VM lists: one lacks the ticket's VM, the other has it at
+/// the address of another VM's gate, as after an address was reassigned. Neither
+/// makes the payment run at a gate that the ticket does not name. An entry with the
+/// current list runs it once.
 #[tokio::test]
-async fn entries_with_stale_vm_lists_run_nothing_elsewhere() -> Result<()> {
+async fn entries_with_stale_vm_lists_run_nothing_at_other_gates() -> Result<()> {
     let deployment = deployment(2).await?;
     let payment = payment_at(&deployment, "cashier-2", Call::charge("lists")).await?;
     let listed = deployment.fleet.vm_entries();
@@ -21,28 +21,28 @@
         peer: first.peer,
         ..second
     };
-    let (lacking, mistaken) = tokio::try_join!(
+    let (without_gate, with_wrong_address) = tokio::try_join!(
         FarEntry::with_list(TEXT, vec![first]),
         FarEntry::with_list(TEXT, vec![moved]),
     )?;
 
-    let answer = payment.send(lacking.addr()).await?;
+    let answer = payment.send(without_gate.addr()).await?;
     assert_eq!(code_of(&answer), Some(ResultCode::GateGone));
-    let answer = payment.send(mistaken.addr()).await?;
+    let answer = payment.send(with_wrong_address.addr()).await?;
     assert_eq!(code_of(&answer), Some(ResultCode::WrongGate));
     assert_eq!(payment.runs(&deployment).len(), 0);
 
     let answer = payment.send(deployment.entry("cashier-1")).await?;
     assert_eq!(code_of(&answer), Some(ResultCode::Answered));
-    let answer = payment.send(mistaken.addr()).await?;
+    let answer = payment.send(with_wrong_address.addr()).await?;
     assert_eq!(certainty_of(&answer), Certainty::TicketDead);
     assert_ran_once(&deployment, &payment);
     Ok(())
 }
 
-/// A partition lets the payment through to the gate and nothing back. It runs;
-/// the caller is told "unknown" at its deadline. Once the partition heals, the
-/// same ticket brings the answer of that run.
+/// A one-way partition lets the payment through to the gate and holds back its answer.
+/// The payment runs, and the caller gets "unknown" at its deadline. Once the partition
+/// heals, the same ticket returns the answer of that run.
 #[tokio::test]
 async fn an_answer_lost_in_a_partition_is_fetched_later() -> Result<()> {
     let deployment = deployment(2).await?;
@@ -50,7 +50,10 @@
     let payment = payment_at(&deployment, "cashier-2", Call::charge("lost")).await?;
     let relay = far.relay("cashier-2");
     relay.hold_answers(true);
-    let answer = payment.within_ms(SHORT_MS).send(far.addr()).await?;
+    let answer = payment
+        .within_ms(SHORT_DEADLINE_MS)
+        .send(far.addr())
+        .await?;
     assert_eq!(code_of(&answer), Some(ResultCode::GateLost));
     payment.wait_ended(&deployment).await?;
 
@@ -61,11 +64,11 @@
     Ok(())
 }
 
-/// The connection between entry and gate breaks during the run, and a new one
-/// can be had. The entry asks the gate, which lets it join the run: the caller
-/// notices nothing, and nothing runs twice.
+/// The connection between entry and gate breaks during the run, and a new one can
+/// be opened. The entry sends the call again, and the gate lets it join the run: the
+/// caller notices nothing, and nothing runs twice.
 #[tokio::test]
-async fn a_stream_cut_during_the_run_is_taken_up_again() -> Result<()> {
+async fn a_connection_lost_during_the_run_is_recovered() -> Result<()> {
     let deployment = deployment(2).await?;
     let far = FarEntry::start(TEXT, &deployment, &["cashier-2"]).await?;
     let payment = payment_at(&deployment, "cashier-2", slow_charge("stream-cut")).await?;
@@ -79,9 +82,9 @@
     Ok(())
 }
 
-/// A partition begins during the run and outlasts the entry's patience: the
-/// caller is told "unknown", a resend meanwhile "not yet", and after the
-/// partition the same ticket brings the answer.
+/// A partition begins during the run and lasts longer than the entry waits: the
+/// caller gets "unknown", a resend during the partition gets "not yet", and after the
+/// partition the same ticket returns the answer.
 #[tokio::test]
 async fn a_partition_during_the_run_is_unknown_until_it_heals() -> Result<()> {
     let deployment = deployment(2).await?;
@@ -93,7 +96,10 @@
     relay.refuse(true);
     relay.cut();
     assert_eq!(code_of(&first.await??), Some(ResultCode::GateLost));
-    let answer = payment.within_ms(SHORT_MS).send(far.addr()).await?;
+    let answer = payment
+        .within_ms(SHORT_DEADLINE_MS)
+        .send(far.addr())
+        .await?;
     assert_uncertain(&answer);
 
     relay.refuse(false);
@@ -103,12 +109,12 @@
     Ok(())
 }
 
-/// The payment is on its way when its connection breaks, and its packets come
-/// late. The entry asks the gate on a new connection; the gate has not seen the
-/// key and fences it, so "not run" is told. Then the late packets arrive, whole
-/// and within the deadline, and the fence stops them.
+/// The connection breaks while the payment is in transit, and its packets arrive
+/// late. The entry queries the gate on a new connection; the gate has not seen the
+/// key and fences it, so the answer is "not run". Then the late packets arrive,
+/// complete and within the deadline, and the fence rejects the payment.
 #[tokio::test]
-async fn a_payment_that_comes_late_is_stopped_by_the_fence() -> Result<()> {
+async fn a_late_payment_is_rejected_by_the_fence() -> Result<()> {
     let deployment = deployment(2).await?;
     let far = FarEntry::start(TEXT, &deployment, &["cashier-2"]).await?;
     let payment = payment_at(&deployment, "cashier-2", Call::charge("late-packet")).await?;
@@ -116,15 +122,15 @@
     let relay = far.relay("cashier-2");
     relay.hold_requests(true);
     let first = payment.begin(far.addr());
-    let kept = |_: &Deployment| relay.keeps(&payment.call.body);
+    let is_held = |_: &Deployment| relay.holds(&payment.call.body);
     deployment
-        .wait_until("the payment is underway", kept)
+        .wait_until("the payment is underway", is_held)
         .await?;
-    relay.strand();
+    relay.reset_entry_side();
     let answer = first.await??;
     assert_eq!(code_of(&answer), Some(ResultCode::Fenced));
 
-    relay.deliver_stranded();
+    relay.deliver_held();
     let fenced = format!("\"code\":{}", ResultCode::Fenced.number());
     let refused = |_: &Deployment| relay.has_answered_late(fenced.as_bytes());
     deployment
@@ -134,28 +140,28 @@
     Ok(())
 }
 
-/// The payment's packets come after its deadline, and the partition stops the
-/// entry from asking: the caller is told "unknown", and no fence was raised.
-/// The deadline itself, in the gate's own clock, keeps it from starting.
+/// The payment's packets arrive after its deadline, and a partition keeps the entry
+/// from querying the gate: the caller gets "unknown", and the key is not fenced. The
+/// gate compares the deadline with its own clock and does not start the payment.
 #[tokio::test]
-async fn a_payment_that_comes_after_its_deadline_is_not_started() -> Result<()> {
+async fn a_payment_that_arrives_after_its_deadline_is_not_started() -> Result<()> {
     let deployment = deployment(2).await?;
     let far = FarEntry::start(TEXT, &deployment, &["cashier-2"]).await?;
-    far.hear_gates().await?;
+    far.wait_for_gate_reports().await?;
     let payment = payment_at(&deployment, "cashier-2", Call::charge("too-late")).await?;
     let relay = far.relay("cashier-2");
     relay.hold_requests(true);
-    let first = payment.within_ms(SHORT_MS).begin(far.addr());
-    let kept = |_: &Deployment| relay.keeps(&payment.call.body);
+    let first = payment.within_ms(SHORT_DEADLINE_MS).begin(far.addr());
+    let is_held = |_: &Deployment| relay.holds(&payment.call.body);
     deployment
-        .wait_until("the payment is underway", kept)
+        .wait_until("the payment is underway", is_held)
         .await?;
     relay.refuse(true);
-    relay.strand();
+    relay.reset_entry_side();
     let answer = first.await??;
     assert_eq!(code_of(&answer), Some(ResultCode::GateLost));
 
-    relay.deliver_stranded();
+    relay.deliver_held();
     let late = format!("\"code\":{}", ResultCode::DeadlineTooShort.number());
     let refused = |_: &Deployment| relay.has_answered_late(late.as_bytes());
     deployment
--- a/tests/all/command_line/real_nodes.rs
+++ b/tests/all/command_line/real_nodes.rs
@@ -1,8 +1,8 @@
-//! The command line against nodes that run.
+//! Runs the command line against real nodes.
 
 use eyre::Result;
 
-use super::{FOUND, OK, UNREACHABLE, ask, run};
+use super::{FOUND, OK, UNREACHABLE, run, run_with_long_timeout};
 use crate::support::{CASHIER_TEXT, Deployment, Member};
 
 fn members() -> Vec<Member> {
@@ -12,7 +12,7 @@
     ]
 }
 
-/// `--node` for each node of a deployment.
+/// A `--node` argument for each node of a deployment.
 fn node_arguments(deployment: &Deployment) -> Result<Vec<String>> {
     let mut arguments = Vec::new();
     for vm in deployment.fleet.names() {
@@ -32,11 +32,11 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn running_nodes_are_asked_for_their_status_and_targets() -> Result<()> {
+async fn status_and_targets_of_running_nodes_are_shown() -> Result<()> {
     let deployment = Deployment::start(CASHIER_TEXT, members()).await?;
     let nodes = node_arguments(&deployment)?;
 
-    let status = ask(&with(&["status"], &nodes));
+    let status = run_with_long_timeout(&with(&["status"], &nodes));
     assert_eq!(status.exit, OK, "{}{}", status.out, status.err);
     for vm in ["cashier-1", "cashier-2"] {
         let line = format!("\n{vm}  cashier");
@@ -56,19 +56,20 @@
     // to one of the nodes for a moment.
     let agreeing = with(&["where", "cashier"], &nodes);
     deployment
-        .wait_until("the nodes agree", |_| ask(&agreeing).exit == OK)
+        .wait_until("the nodes agree", |_| {
+            run_with_long_timeout(&agreeing).exit == OK
+        })
         .await?;
 
-    let unknown = ask(&with(&["where", "ledger"], &nodes));
+    let unknown = run_with_long_timeout(&with(&["where", "ledger"], &nodes));
     assert_eq!(unknown.exit, FOUND, "{}", unknown.out);
     Ok(())
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_paused_node_is_named_and_the_other_still_shown() -> Result<()> {
-    // One node's process stands still, its port still accepts connections.
-    // The operator waits for the time limit and then sees the other node's
-    // status, and which node was silent.
+async fn a_paused_node_is_named_and_the_other_is_still_shown() -> Result<()> {
+    // One node is paused, and its port still accepts connections. After the timeout
+    // the operator sees the other node's status and which node did not answer.
     let mut deployment = Deployment::start(CASHIER_TEXT, members()).await?;
     let nodes = node_arguments(&deployment)?;
     deployment.fleet.pause("cashier-2")?;
--- a/tests/all/measuring.rs
+++ b/tests/all/measuring.rs
@@ -1,8 +1,8 @@
-//! The work spent on measuring targets stays within the budget of the text.
+//! The number of probes of targets stays within the budget of the text.
 //!
-//! The budget is a token bucket: over any time no more than its burst and its
-//! rate times that time. Whatever a target does, the count is the target's own
-//! or that of a socket in its place, never the node's word.
+//! The budget is a token bucket: in any period it allows at most its burst plus its
+//! rate times the length of the period. The tests count probes at the target, or at a
+//! socket in its place, and never rely on the node's own counters.
 
 use std::net::{SocketAddr, UdpSocket};
 use std::path::Path;
@@ -16,13 +16,13 @@
 use hornbeamhitch_wire::control::{Datagram, DatagramBody};
 
 use crate::support::caller::{Call, Caller};
-use crate::support::probe_counter::{Conduct, ProbeCounter};
+use crate::support::probe_counter::{ConnectionBehaviour, ProbeCounter};
 use crate::support::traffic::Traffic;
-use crate::support::{Deployment, Member, PATIENCE, loopback};
+use crate::support::{Deployment, Member, WAIT_TIMEOUT, loopback};
 
 const PROBES_PER_S: f64 = 0.25;
 const PROBE_BURST: u64 = 1;
-/// Long enough for a node without a budget to spend twice as much.
+/// Period in which a node without a budget would send at least twice as many probes.
 const WINDOW: Duration = Duration::from_secs(4);
 
 fn text(deadline_ms: u64) -> String {
@@ -42,13 +42,13 @@
     )
 }
 
-/// What the budget allows within a time.
+/// Number of probes that the budget allows within a period.
 fn allowed(within: Duration) -> u64 {
     PROBE_BURST + (PROBES_PER_S * within.as_secs_f64()) as u64
 }
 
-/// One node in front of one target.
-struct LoneNode {
+/// A fleet with one node in front of one target.
+struct SingleNode {
     platform: PlatformStandin,
     fleet: Fleet,
     started_at: Instant,
@@ -56,7 +56,7 @@
 
 const VM: &str = "cashier-1";
 
-impl LoneNode {
+impl SingleNode {
     async fn start(target: SocketAddr, others: Vec<VmEntry>) -> Result<Self> {
         let platform = PlatformStandin::start(loopback()).await?;
         platform.set_text(&text(1_000))?;
@@ -86,8 +86,8 @@
         Ok(self.fleet.addresses(VM)?.callers)
     }
 
-    /// Waits for the end of the window that began with the node.
-    async fn watch_window(&self) {
+    /// Waits until the end of the window that began with the start of the node.
+    async fn wait_for_window_end(&self) {
         tokio::time::sleep_until((self.started_at + WINDOW).into()).await;
     }
 
@@ -103,25 +103,26 @@
     }
 }
 
-/// A stand-in in one mood, without calls.
+/// Counts probes of a stand-in with this behaviour, without calls.
 async fn probes_with_behaviour(what: &str, behaviour: Behaviour) -> Result<()> {
     let target = TargetStandin::start(TargetConfig {
         behaviour,
         ..TargetConfig::default()
     })
     .await?;
-    let node = LoneNode::start(target.addr(), Vec::new()).await?;
-    node.watch_window().await;
+    let node = SingleNode::start(target.addr(), Vec::new()).await?;
+    node.wait_for_window_end().await;
     let counts = target.counts();
     node.assert_within(counts.health_probes + counts.load_probes, what);
     Ok(())
 }
 
 #[tokio::test]
-async fn a_silent_or_draining_or_ill_target_is_asked_no_more_than_the_budget_says() -> Result<()> {
-    // No calls come, so that only probes can tell how the target is. It is
-    // well, drains, says that it is ill, or fails each request; the node would
-    // like to look four times a second and may look once in four.
+async fn probes_of_an_idle_draining_or_unhealthy_target_stay_within_the_budget() -> Result<()> {
+    // There are no calls, so only probes can show the target's health. The target is
+    // healthy, drains, reports itself unhealthy, or fails each request. Without the
+    // budget the node would probe four times a second; the budget allows one probe in
+    // four seconds.
     let idle = probes_with_behaviour("idle", Behaviour::default());
     let draining = probes_with_behaviour(
         "draining",
@@ -130,7 +131,7 @@
             ..Behaviour::default()
         },
     );
-    let ill = probes_with_behaviour(
+    let unhealthy = probes_with_behaviour(
         "ill",
         Behaviour {
             health: HealthReport::AlwaysIll,
@@ -144,38 +145,38 @@
             ..Behaviour::default()
         },
     );
-    tokio::try_join!(idle, draining, ill, failing).map(drop)
+    tokio::try_join!(idle, draining, unhealthy, failing).map(drop)
 }
 
-/// Counts every connection, which is the least that a probe costs.
-async fn probes_by_connection(conduct: Conduct) -> Result<()> {
-    let target = ProbeCounter::start(conduct).await?;
-    let node = LoneNode::start(target.addr(), Vec::new()).await?;
-    node.watch_window().await;
-    node.assert_within(target.connections(), &format!("{conduct:?}"));
+/// Counts every connection, since a probe needs at least one.
+async fn probes_by_connection(behaviour: ConnectionBehaviour) -> Result<()> {
+    let target = ProbeCounter::start(behaviour).await?;
+    let node = SingleNode::start(target.addr(), Vec::new()).await?;
+    node.wait_for_window_end().await;
+    node.assert_within(target.connections(), &format!("{behaviour:?}"));
     Ok(())
 }
 
 #[tokio::test]
-async fn a_target_that_times_out_or_flaps_is_asked_no_more_than_the_budget_says() -> Result<()> {
-    // The target never answers, or hangs up on the question, or closes each
-    // connection at once. A probe that failed costs the same token as any
-    // other, and none is repeated for it.
+async fn probes_of_an_unresponsive_or_flapping_target_stay_within_the_budget() -> Result<()> {
+    // The target never answers, closes the connection after the request, or closes
+    // each connection immediately. A failed probe costs one token like any other and
+    // is not retried.
     tokio::try_join!(
-        probes_by_connection(Conduct::Silent),
-        probes_by_connection(Conduct::HangUp),
-        probes_by_connection(Conduct::Flap),
+        probes_by_connection(ConnectionBehaviour::Silent),
+        probes_by_connection(ConnectionBehaviour::HangUp),
+        probes_by_connection(ConnectionBehaviour::Flap),
     )
     .map(drop)
 }
 
 #[tokio::test]
-async fn a_target_that_vanishes_and_returns_is_asked_no_more_than_the_budget_says() -> Result<()> {
-    // The target's port closes and opens again every few hundred milliseconds,
-    // and edits of the text come in between. Neither its return nor a new
-    // policy fills the bucket anew.
+async fn probes_of_a_restarting_target_stay_within_the_budget() -> Result<()> {
+    // The target's port closes and reopens every few hundred milliseconds, and the
+    // text is edited in between. Neither a restart nor a new policy refills the
+    // bucket.
     let target = TargetStandin::start(TargetConfig::default()).await?;
-    let node = LoneNode::start(target.addr(), Vec::new()).await?;
+    let node = SingleNode::start(target.addr(), Vec::new()).await?;
     let mut edits = 0;
     while node.started_at.elapsed() < WINDOW {
         target.close().await;
@@ -194,12 +195,12 @@
 }
 
 #[tokio::test]
-async fn runs_that_break_add_no_probes_beyond_the_budget() -> Result<()> {
-    // The target cuts the connection of each run, and callers go on calling.
-    // It is asked for its health no more often for that, and whether it still
-    // listens is asked by connections that the next calls use.
-    let target = ProbeCounter::start(Conduct::BreakRuns).await?;
-    let node = LoneNode::start(target.addr(), Vec::new()).await?;
+async fn failed_runs_add_no_probes_beyond_the_budget() -> Result<()> {
+    // The target closes the connection of each run, and callers continue to call. The
+    // node does not probe its health more often because of that, and it checks whether
+    // the target still listens with connections that the next calls use.
+    let target = ProbeCounter::start(ConnectionBehaviour::BreakRuns).await?;
+    let node = SingleNode::start(target.addr(), Vec::new()).await?;
     let (caller, entry) = (Caller::new(), node.entry()?);
     let mut calls = 0;
     while node.started_at.elapsed() < WINDOW {
@@ -210,20 +211,23 @@
     }
     assert!(target.calls() > 0, "no call reached the target");
     node.assert_within(target.probes(), "broken runs");
-    // One may be kept for the next call when the window ends.
-    let bare = target.connections().saturating_sub(target.calls() + 1);
+    // One connection may be ready for the next call when the window ends.
+    let unused = target.connections().saturating_sub(target.calls() + 1);
     println!(
-        "{calls} calls, {} broken runs, {bare} connections for neither a call nor the next",
+        "{calls} calls, {} broken runs, {unused} connections for neither a call nor the next",
         target.calls()
     );
-    assert!(bare <= target.probes(), "{bare} connections without a call");
+    assert!(
+        unused <= target.probes(),
+        "{unused} connections without a call"
+    );
     Ok(())
 }
 
 #[tokio::test]
-async fn calls_bring_the_news_so_that_a_busy_target_costs_no_probes() -> Result<()> {
-    // Three nodes, callers at all of them. Load and health ride on answers;
-    // each target is measured by its own gate alone, however many call it.
+async fn a_busy_target_is_measured_by_its_calls_instead_of_probes() -> Result<()> {
+    // Three nodes serve callers. Answers report load and health, and only a target's
+    // own gate measures it, however many entries call it.
     let started_at = Instant::now();
     let members = (1..=3).map(|number| Member::new(&format!("cashier-{number}"), "cashier"));
     let deployment = Deployment::start(&text(5_000), members.collect()).await?;
@@ -243,7 +247,7 @@
     Ok(())
 }
 
-/// A listed gate of which nothing is ever heard; it counts probes.
+/// A listed gate that never sends anything. It counts the probes that it gets.
 struct SilentGate {
     socket: UdpSocket,
 }
@@ -267,7 +271,7 @@
         })
     }
 
-    /// Probes among what has come, and the other datagrams.
+    /// Counts the received probes and the other datagrams.
     fn count(&self, deployment: &str) -> (u64, u64) {
         let (mut probes, mut others) = (0, 0);
         let mut buffer = [0; 4_096];
@@ -284,10 +288,10 @@
 }
 
 #[tokio::test]
-async fn gates_that_are_never_heard_are_probed_no_more_than_the_budget_says() -> Result<()> {
-    // The list names four gates that are gone without a word. Callers use the
-    // service, so the entry would like to know how they are, and asks again
-    // and again; all of them together are asked within one budget.
+async fn probes_of_unresponsive_gates_stay_within_the_budget() -> Result<()> {
+    // The list has four gates that are gone without notice. Callers use the service,
+    // so the entry probes these gates repeatedly; one budget covers the probes of all
+    // of them.
     let target = TargetStandin::start(TargetConfig::default()).await?;
     let mut gates = Vec::new();
     let mut listed = Vec::new();
@@ -296,11 +300,11 @@
         listed.push(gate.listed(number)?);
         gates.push(gate);
     }
-    let node = LoneNode::start(target.addr(), listed).await?;
+    let node = SingleNode::start(target.addr(), listed).await?;
     let caller = Caller::new();
     let (mut number, mut probes, mut others) = (0, 0, 0);
-    // The window begins with the first probe. How soon that comes depends on how
-    // fast the node starts and its calls are answered.
+    // The window begins with the first probe, because the time until then depends on
+    // how fast the node starts and answers calls.
     let mut window_end = None;
     while window_end.is_none_or(|end| Instant::now() < end) {
         number += 1;
@@ -315,7 +319,7 @@
         if probes > 0 {
             window_end.get_or_insert_with(|| Instant::now() + WINDOW);
         }
-        ensure!(node.started_at.elapsed() < PATIENCE, "no probe came");
+        ensure!(node.started_at.elapsed() < WAIT_TIMEOUT, "no probe came");
     }
     println!("four silent gates: {probes} probes, {others} other datagrams, {number} calls");
     node.assert_within(probes, "silent gates");
--- a/tests/all/support/probe_counter.rs
+++ b/tests/all/support/probe_counter.rs
@@ -1,4 +1,4 @@
-//! A target that counts what reaches it, and answers as badly as it is told.
+//! A faulty target that counts the connections and requests that reach it.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -15,16 +15,16 @@
 const HEALTH: &[u8] = b"GET /.health ";
 const LOAD: &[u8] = b"GET /.load ";
 
-/// What becomes of a connection.
+/// How the target treats its connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Conduct {
-    /// Requests are read and never answered.
+pub enum ConnectionBehaviour {
+    /// It reads requests and never answers them.
     Silent,
-    /// The connection is closed once a request has come.
+    /// It closes the connection after the first request.
     HangUp,
-    /// The connection is closed at once.
+    /// It closes the connection immediately.
     Flap,
-    /// Health is answered well; the connection is closed once a call has come.
+    /// It answers probes with status 200 and closes the connection on a call.
     BreakRuns,
 }
 
@@ -35,7 +35,7 @@
     calls: AtomicU64,
 }
 
-/// A running counter; it ends when this value is dropped.
+/// A running target. It stops accepting connections when it is dropped.
 pub struct ProbeCounter {
     addr: SocketAddr,
     counts: Arc<Counts>,
@@ -43,12 +43,12 @@
 }
 
 impl ProbeCounter {
-    /// Listens, and treats every connection alike.
-    pub async fn start(conduct: Conduct) -> Result<Self> {
+    /// Starts a target that treats every connection in the same way.
+    pub async fn start(behaviour: ConnectionBehaviour) -> Result<Self> {
         let listener = TcpListener::bind(loopback()).await?;
         let addr = listener.local_addr()?;
         let counts = Arc::new(Counts::default());
-        let accepting = tokio::spawn(accept(listener, conduct, Arc::clone(&counts)));
+        let accepting = tokio::spawn(accept(listener, behaviour, Arc::clone(&counts)));
         Ok(Self {
             addr,
             counts,
@@ -56,22 +56,22 @@
         })
     }
 
-    /// Where it listens.
+    /// Address at which it listens.
     pub fn addr(&self) -> SocketAddr {
         self.addr
     }
 
-    /// Connections that it accepted.
+    /// Number of accepted connections.
     pub fn connections(&self) -> u64 {
         self.counts.connections.load(Ordering::Relaxed)
     }
 
-    /// Requests to `/.health` and `/.load`.
+    /// Number of requests to `/.health` and `/.load`.
     pub fn probes(&self) -> u64 {
         self.counts.probes.load(Ordering::Relaxed)
     }
 
-    /// All other requests.
+    /// Number of all other requests.
     pub fn calls(&self) -> u64 {
         self.counts.calls.load(Ordering::Relaxed)
     }
@@ -83,16 +83,20 @@
     }
 }
 
-async fn accept(listener: TcpListener, conduct: Conduct, counts: Arc<Counts>) {
+async fn accept(listener: TcpListener, behaviour: ConnectionBehaviour, counts: Arc<Counts>) {
     while let Ok((stream, _)) = listener.accept().await {
         counts.connections.fetch_add(1, Ordering::Relaxed);
-        if conduct != Conduct::Flap {
-            tokio::spawn(serve(stream, conduct, Arc::clone(&counts)));
+        if behaviour != ConnectionBehaviour::Flap {
+            tokio::spawn(serve(stream, behaviour, Arc::clone(&counts)));
         }
     }
 }
 
-async fn serve(mut stream: TcpStream, conduct: Conduct, counts: Arc<Counts>) -> Result<()> {
+async fn serve(
+    mut stream: TcpStream,
+    behaviour: ConnectionBehaviour,
+    counts: Arc<Counts>,
+) -> Result<()> {
     let mut received = Vec::new();
     while stream.read_buf(&mut received).await? > 0 {
         if !received
@@ -109,9 +113,9 @@
         };
         counter.fetch_add(1, Ordering::Relaxed);
         received.clear();
-        match conduct {
-            Conduct::Silent => {}
-            Conduct::BreakRuns if is_probe => {
+        match behaviour {
+            ConnectionBehaviour::Silent => {}
+            ConnectionBehaviour::BreakRuns if is_probe => {
                 let answer = b"HTTP/1.1 200 OK\r\ncontent-length: 0\r\n\r\n";
                 stream.write_all(answer).await?;
             }
--- a/tests/all/support/relay.rs
+++ b/tests/all/support/relay.rs
@@ -1,5 +1,6 @@
-//! A TCP relay that stands between an entry and a gate, and can hold, cut and
-//! strand what goes through it, as a bad network does.
+//! A TCP relay between an entry and a gate. It can hold back bytes, reset
+//! connections and deliver requests after their sender is gone, as a faulty network
+//! does.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard};
@@ -14,32 +15,34 @@
 
 const CHUNK_BYTES: usize = 16 * 1024;
 
-/// What the relay does now.
+/// Current behaviour of the relay.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-struct Rule {
-    /// Bytes towards the gate are kept back.
+struct RelayState {
+    /// Whether bytes from the entry to the gate are held back.
     hold_requests: bool,
-    /// Bytes towards the entry are kept back.
+    /// Whether bytes from the gate to the entry are held back.
     hold_answers: bool,
-    /// New connections are reset.
+    /// Whether new connections are reset.
     refuse: bool,
-    /// Connections of earlier cuts are reset on both sides.
+    /// Number of cuts so far. A cut resets the existing connections on both sides.
     cuts: u64,
-    /// Connections of earlier strandings are reset towards the entry only.
-    strandings: u64,
-    /// What stranded connections kept back reaches the gate.
-    deliver_stranded: bool,
+    /// Number of times that existing connections were reset on the entry side only.
+    entry_side_resets: u64,
+    /// Whether held bytes of connections that were reset on the entry side are
+    /// delivered to the gate.
+    deliver_held: bool,
 }
 
 struct Shared {
     gate: SocketAddr,
-    rule: watch::Sender<Rule>,
-    /// Bytes that may still go to the entry before a cut.
+    state: watch::Sender<RelayState>,
+    /// Number of bytes that may still go to entries before the relay cuts all
+    /// connections. `None` is no limit.
     answer_budget: Mutex<Option<usize>>,
-    /// What the gate has sent on stranded connections.
+    /// Bytes that the gate sent on connections whose entry side was reset.
     late_answers: Mutex<Vec<u8>>,
-    /// Bytes kept back towards the gate, one buffer a connection.
-    kept: Mutex<Vec<Arc<Mutex<Vec<u8>>>>>,
+    /// Held bytes towards the gate, with one buffer per connection.
+    held: Mutex<Vec<Arc<Mutex<Vec<u8>>>>>,
 }
 
 /// How a connection through the relay ends.
@@ -48,11 +51,11 @@
     Closed,
     /// Reset on both sides.
     Cut,
-    /// Reset towards the entry; what is kept back still reaches the gate.
-    Stranded,
+    /// Reset on the entry side. Held bytes may still be delivered to the gate.
+    EntrySideReset,
 }
 
-/// A running relay; it ends when this value is dropped.
+/// A running relay. Dropping it resets all its connections.
 pub struct Relay {
     addr: SocketAddr,
     shared: Arc<Shared>,
@@ -60,16 +63,16 @@
 }
 
 impl Relay {
-    /// Relays to the gate at `gate` until told otherwise.
+    /// Starts a relay that forwards every connection to the gate at `gate`.
     pub async fn start(gate: SocketAddr) -> Result<Self> {
         let listener = TcpListener::bind(loopback()).await?;
         let addr = listener.local_addr()?;
         let shared = Arc::new(Shared {
             gate,
-            rule: watch::Sender::new(Rule::default()),
+            state: watch::Sender::new(RelayState::default()),
             answer_budget: Mutex::new(None),
             late_answers: Mutex::default(),
-            kept: Mutex::default(),
+            held: Mutex::default(),
         });
         let accepting = tokio::spawn(accept(listener, Arc::clone(&shared)));
         Ok(Self {
@@ -79,73 +82,74 @@
         })
     }
 
-    /// Where entries connect.
+    /// Address to which entries connect.
     pub fn addr(&self) -> SocketAddr {
         self.addr
     }
 
-    /// Keeps back, or passes on again, what entries send.
+    /// Starts or stops holding back the bytes that entries send.
     pub fn hold_requests(&self, hold: bool) {
         self.shared
-            .rule
-            .send_modify(|rule| rule.hold_requests = hold);
+            .state
+            .send_modify(|state| state.hold_requests = hold);
     }
 
-    /// Keeps back, or passes on again, what the gate sends.
+    /// Starts or stops holding back the bytes that the gate sends.
     pub fn hold_answers(&self, hold: bool) {
         self.shared
-            .rule
-            .send_modify(|rule| rule.hold_answers = hold);
+            .state
+            .send_modify(|state| state.hold_answers = hold);
     }
 
-    /// Resets all connections; new ones go through.
+    /// Resets all existing connections. New connections are forwarded.
     pub fn cut(&self) {
-        self.shared.rule.send_modify(|rule| rule.cuts += 1);
+        self.shared.state.send_modify(|state| state.cuts += 1);
     }
 
-    /// Resets, or lets through, every new connection.
+    /// Starts or stops resetting new connections.
     pub fn refuse(&self, refuse: bool) {
-        self.shared.rule.send_modify(|rule| rule.refuse = refuse);
+        self.shared.state.send_modify(|state| state.refuse = refuse);
     }
 
-    /// Resets all connections towards the entries only. What was kept back of
-    /// them stays in the network until [`Self::deliver_stranded`]; new ones
-    /// keep back nothing.
-    pub fn strand(&self) {
-        self.shared.rule.send_modify(|rule| {
-            rule.hold_requests = false;
-            rule.strandings += 1;
+    /// Resets all existing connections on the entry side only. Their held bytes
+    /// remain in the relay until [`Self::deliver_held`]. Requests on new connections
+    /// are not held back.
+    pub fn reset_entry_side(&self) {
+        self.shared.state.send_modify(|state| {
+            state.hold_requests = false;
+            state.entry_side_resets += 1;
         });
     }
 
-    /// Brings what was stranded to the gate, late and without a sender.
-    pub fn deliver_stranded(&self) {
+    /// Delivers the bytes that [`Self::reset_entry_side`] left in the relay to the
+    /// gate, after their sender is gone.
+    pub fn deliver_held(&self) {
         self.shared
-            .rule
-            .send_modify(|rule| rule.deliver_stranded = true);
+            .state
+            .send_modify(|state| state.deliver_held = true);
     }
 
-    /// Cuts all connections once this many more bytes went to entries.
+    /// Cuts all connections once `budget_bytes` further bytes went to entries.
     pub fn cut_after_answering(&self, budget_bytes: usize) {
         *lock(&self.shared.answer_budget) = Some(budget_bytes);
     }
 
-    /// Whether connections were cut.
+    /// Whether the relay has cut connections.
     pub fn has_cut(&self) -> bool {
-        self.shared.rule.borrow().cuts > 0
+        self.shared.state.borrow().cuts > 0
     }
 
-    /// Whether a part of a request is kept back.
-    pub fn keeps(&self, part: &[u8]) -> bool {
-        for kept in lock(&self.shared.kept).iter() {
-            if contains(&lock(kept), part) {
+    /// Whether the held bytes of a request contain `part`.
+    pub fn holds(&self, part: &[u8]) -> bool {
+        for held in lock(&self.shared.held).iter() {
+            if contains(&lock(held), part) {
                 return true;
             }
         }
         false
     }
 
-    /// Whether the gate has answered to what came late with these bytes.
+    /// Whether the gate's answers to late requests contain `part`.
     pub fn has_answered_late(&self, part: &[u8]) -> bool {
         contains(&lock(&self.shared.late_answers), part)
     }
@@ -161,7 +165,7 @@
 
 async fn accept(listener: TcpListener, shared: Arc<Shared>) {
     while let Ok((entry, _)) = listener.accept().await {
-        if shared.rule.borrow().refuse {
+        if shared.state.borrow().refuse {
             let _ = entry.set_zero_linger();
             continue;
         }
@@ -170,25 +174,25 @@
 }
 
 async fn relay(mut entry: TcpStream, shared: Arc<Shared>) {
-    let mut rule = shared.rule.subscribe();
-    let at_start = *rule.borrow_and_update();
+    let mut state = shared.state.subscribe();
+    let at_start = *state.borrow_and_update();
     let Ok(mut gate) = TcpStream::connect(shared.gate).await else {
         let _ = entry.set_zero_linger();
         return;
     };
     let _ = entry.set_nodelay(true);
     let _ = gate.set_nodelay(true);
-    let kept = Arc::new(Mutex::new(Vec::new()));
-    lock(&shared.kept).push(Arc::clone(&kept));
+    let held = Arc::new(Mutex::new(Vec::new()));
+    lock(&shared.held).push(Arc::clone(&held));
     let end = {
         let (entry_reads, entry_writes) = entry.split();
         let (gate_reads, gate_writes) = gate.split();
         tokio::select! {
-            // An order to end comes before what it also lets through.
+            // A reset takes effect before bytes that the same change releases.
             biased;
-            end = ordered_end(rule, at_start) => end,
-            end = pass_requests(entry_reads, gate_writes, &kept, &shared) => end,
-            end = pass_answers(gate_reads, entry_writes, &shared) => end,
+            end = wait_for_reset(state, at_start) => end,
+            end = forward_requests(entry_reads, gate_writes, &held, &shared) => end,
+            end = forward_answers(gate_reads, entry_writes, &shared) => end,
         }
     };
     match end {
@@ -197,40 +201,40 @@
             let _ = entry.set_zero_linger();
             let _ = gate.set_zero_linger();
         }
-        End::Stranded => {
+        End::EntrySideReset => {
             let _ = entry.set_zero_linger();
             drop(entry);
-            deliver_late(gate, &kept, &shared).await;
+            deliver_late(gate, &held, &shared).await;
         }
     }
 }
 
-async fn ordered_end(mut rule: watch::Receiver<Rule>, at_start: Rule) -> End {
+async fn wait_for_reset(mut state: watch::Receiver<RelayState>, at_start: RelayState) -> End {
     loop {
-        let now = *rule.borrow_and_update();
+        let now = *state.borrow_and_update();
         if now.cuts != at_start.cuts {
             return End::Cut;
         }
-        if now.strandings != at_start.strandings {
-            return End::Stranded;
+        if now.entry_side_resets != at_start.entry_side_resets {
+            return End::EntrySideReset;
         }
-        if rule.changed().await.is_err() {
+        if state.changed().await.is_err() {
             return End::Cut;
         }
     }
 }
 
-async fn pass_requests(
+async fn forward_requests(
     mut from: impl AsyncRead + Unpin,
     mut to: impl AsyncWrite + Unpin,
-    kept: &Mutex<Vec<u8>>,
+    held: &Mutex<Vec<u8>>,
     shared: &Shared,
 ) -> End {
-    let mut rule = shared.rule.subscribe();
+    let mut state = shared.state.subscribe();
     let mut chunk = vec![0; CHUNK_BYTES];
     loop {
-        if !rule.borrow_and_update().hold_requests {
-            let bytes = std::mem::take(&mut *lock(kept));
+        if !state.borrow_and_update().hold_requests {
+            let bytes = std::mem::take(&mut *lock(held));
             if to.write_all(&bytes).await.is_err() {
                 return End::Closed;
             }
@@ -238,51 +242,51 @@
         tokio::select! {
             read = from.read(&mut chunk) => match read {
                 Ok(0) | Err(_) => return End::Closed,
-                Ok(count) => lock(kept).extend_from_slice(&chunk[..count]),
+                Ok(count) => lock(held).extend_from_slice(&chunk[..count]),
             },
-            _ = rule.changed() => {}
+            _ = state.changed() => {}
         }
     }
 }
 
-async fn pass_answers(
+async fn forward_answers(
     mut from: impl AsyncRead + Unpin,
     mut to: impl AsyncWrite + Unpin,
     shared: &Shared,
 ) -> End {
-    let mut rule = shared.rule.subscribe();
+    let mut state = shared.state.subscribe();
     let mut chunk = vec![0; CHUNK_BYTES];
-    let mut kept = Vec::new();
+    let mut held = Vec::new();
     loop {
-        if !rule.borrow_and_update().hold_answers {
-            let allowed_bytes = shared.spend_answer_budget(kept.len());
-            if to.write_all(&kept[..allowed_bytes]).await.is_err() {
+        if !state.borrow_and_update().hold_answers {
+            let allowed_bytes = shared.spend_answer_budget(held.len());
+            if to.write_all(&held[..allowed_bytes]).await.is_err() {
                 return End::Closed;
             }
-            if allowed_bytes < kept.len() {
-                shared.rule.send_modify(|rule| rule.cuts += 1);
+            if allowed_bytes < held.len() {
+                shared.state.send_modify(|state| state.cuts += 1);
                 return End::Cut;
             }
-            kept.clear();
+            held.clear();
         }
         tokio::select! {
             read = from.read(&mut chunk) => match read {
                 Ok(0) | Err(_) => return End::Closed,
-                Ok(count) => kept.extend_from_slice(&chunk[..count]),
+                Ok(count) => held.extend_from_slice(&chunk[..count]),
             },
-            _ = rule.changed() => {}
+            _ = state.changed() => {}
         }
     }
 }
 
-/// Plays a network that brings packets late, long after their sender has
-/// given up.
-async fn deliver_late(mut gate: TcpStream, kept: &Mutex<Vec<u8>>, shared: &Shared) {
-    let mut rule = shared.rule.subscribe();
-    if rule.wait_for(|rule| rule.deliver_stranded).await.is_err() {
+/// Delivers held bytes late, as a network does that delays packets until after
+/// their sender has given up.
+async fn deliver_late(mut gate: TcpStream, held: &Mutex<Vec<u8>>, shared: &Shared) {
+    let mut state = shared.state.subscribe();
+    if state.wait_for(|state| state.deliver_held).await.is_err() {
         return;
     }
-    let bytes = std::mem::take(&mut *lock(kept));
+    let bytes = std::mem::take(&mut *lock(held));
     if gate.write_all(&bytes).await.is_err() {
         return;
     }
@@ -296,7 +300,8 @@
 }
 
 impl Shared {
-    /// How many of these bytes may go to the entry.
+    /// Returns how many of `wanted_bytes` may go to the entry, and subtracts them
+    /// from the budget.
     fn spend_answer_budget(&self, wanted_bytes: usize) -> usize {
         let mut budget = lock(&self.answer_budget);
         let Some(left_bytes) = *budget else {
--- a/tests/all/thin_path.rs
+++ b/tests/all/thin_path.rs
@@ -1,4 +1,5 @@
-//! The whole path: caller, entry, gate, target and back, as processes.
+//! The whole path of a call from its caller through entry and gate to the target and
+//! back, with nodes as processes.
 
 use eyre::Result;
 use hornbeamhitch_types::prelude::*;
@@ -15,7 +16,7 @@
 }
 
 #[tokio::test]
-async fn a_lookup_goes_through_any_entry_and_comes_back_whole() -> Result<()> {
+async fn a_lookup_through_any_entry_is_answered_whole() -> Result<()> {
     let deployment = Deployment::start(CASHIER_TEXT, members()).await?;
     let caller = Caller::new();
     for vm in deployment.fleet.names() {
@@ -28,7 +29,7 @@
 }
 
 #[tokio::test]
-async fn a_payment_is_sent_to_its_ticketed_url_and_runs_once() -> Result<()> {
+async fn a_payment_is_redirected_to_its_ticketed_url_and_runs_once() -> Result<()> {
     let deployment = Deployment::start(CASHIER_TEXT, members()).await?;
     let caller = Caller::new();
     let call = Call::charge("payment-1");
@@ -36,14 +37,14 @@
     let path = caller.ticketed_path(entry, &call).await?;
     assert!(
         deployment.runs_of("payment-1").is_empty(),
-        "a redirect runs nothing"
+        "the redirect caused a run"
     );
 
     let answer = caller.send_to(entry, &call, &path).await.unwrap();
     assert_eq!(code_of(&answer), Some(ResultCode::Answered));
     assert!(call.is_answered_by(&answer), "{:?}", answer.body);
 
-    // The same ticket through another entry brings the same answer, no run.
+    // The same ticket through another entry returns the same answer without a run.
     let other = deployment.entry("cashier-2");
     let again = caller.send_to(other, &call, &path).await.unwrap();
     assert_eq!(code_of(&again), Some(ResultCode::Replayed));
