--- a/crates/core/src/budget/tests.rs
+++ b/crates/core/src/budget/tests.rs
@@ -25,8 +25,8 @@
     while bucket.try_take(Millis(5_000)) {}
     assert!(!bucket.try_take(Millis(0)));
     assert!(!bucket.try_take(Millis(5_099)));
-    let woken = Millis::from_secs(3_600);
-    let burst = (0..100).filter(|_| bucket.try_take(woken)).count();
+    let resumed_at = Millis::from_secs(3_600);
+    let burst = (0..100).filter(|_| bucket.try_take(resumed_at)).count();
     assert_eq!(burst, 3);
 }
 
--- a/crates/core/src/control/dissemination.rs
+++ b/crates/core/src/control/dissemination.rs
@@ -331,9 +331,9 @@
     fn announce(&mut self, board: &mut Board) {
         let known = board.known_versions();
         let is_newer = known.text > self.announced.text || known.vms > self.announced.vms;
-        let had_some = self.announced.text.0 > 0 || board.joined;
+        let had_version = self.announced.text.0 > 0 || board.joined;
         self.announced = known;
-        if !is_newer || !had_some {
+        if !is_newer || !had_version {
             return;
         }
         for recipient in announcement_recipients(board) {
--- a/crates/core/src/control/members.rs
+++ b/crates/core/src/control/members.rs
@@ -275,11 +275,11 @@
             if !member.is_fresh(now, RELAY_MAX_AGE) {
                 continue;
             }
-            let is_theirs = member.service == *service;
-            let is_shared = is_theirs || (is_same_service && member.is_tracked);
+            let is_recipients_service = member.service == *service;
+            let is_shared = is_recipients_service || (is_same_service && member.is_tracked);
             let list = if is_shared && now.since(member.changed_at) <= CHANGE_PRIORITY_FOR {
                 &mut changes
-            } else if is_theirs {
+            } else if is_recipients_service {
                 &mut rest
             } else {
                 &mut others
--- a/crates/core/src/control/suspicion.rs
+++ b/crates/core/src/control/suspicion.rs
@@ -92,7 +92,7 @@
     SuspectNote {
         fingerprint: entry.fingerprint,
         version: entry.version,
-        standing: match entry.standing {
+        standing: match entry.level {
             SuspicionLevel::Clear => 0,
             SuspicionLevel::Suspect => 1,
             SuspicionLevel::Convicted => 2,
@@ -103,7 +103,7 @@
 }
 
 fn entry_of(note: &SuspectNote) -> Option<SuspectEntry> {
-    let standing = match note.standing {
+    let level = match note.standing {
         0 => SuspicionLevel::Clear,
         1 => SuspicionLevel::Suspect,
         2 => SuspicionLevel::Convicted,
@@ -112,7 +112,7 @@
     Some(SuspectEntry {
         fingerprint: note.fingerprint,
         version: note.version,
-        standing,
+        level,
         crashes: note.crashes,
         age_ms: note.age_ms,
     })
--- a/crates/core/src/control/tests/membership.rs
+++ b/crates/core/src/control/tests/membership.rs
@@ -260,7 +260,7 @@
     let entry = SuspectEntry {
         fingerprint: 77,
         version: 1,
-        standing: SuspicionLevel::Suspect,
+        level: SuspicionLevel::Suspect,
         crashes: 1,
         age_ms: Millis::ZERO,
     };
--- a/crates/core/src/entry/tests/retries.rs
+++ b/crates/core/src/entry/tests/retries.rs
@@ -118,7 +118,7 @@
 /// The first attempt broke and may have run, and the retry was refused. The
 /// caller must not be told "not run" because of the refusal alone.
 #[test]
-fn not_run_is_never_said_after_an_attempt_that_may_have_run() {
+fn not_run_is_never_reported_after_an_attempt_that_may_have_run() {
     assert!(AttemptEnd::Broken.may_have_run());
     assert!(!refused(ResultCode::Overloaded).may_have_run());
     let broke_before = CallProgress {
--- a/crates/core/src/entry/tests/tickets.rs
+++ b/crates/core/src/entry/tests/tickets.rs
@@ -59,7 +59,7 @@
 /// Otherwise the gate would refuse every ticket as expired, or keep records for
 /// too short a time.
 #[test]
-fn expiry_is_in_the_gates_clock_as_last_heard() {
+fn expiry_uses_the_gates_clock_as_last_reported() {
     let mut service = service(&view_with_reports(1));
     let first = service
         .ticket_gate(CallKey(1), Millis(60_000))
--- a/crates/core/src/gate.rs
+++ b/crates/core/src/gate.rs
@@ -43,7 +43,7 @@
 #[cfg(test)]
 mod tests;
 
-use backoff::Backoff;
+use backoff::RetryAfter;
 use crash::CrashEvidence;
 use limit::ConcurrencyLimit;
 use quarantine::Quarantine;
@@ -194,7 +194,7 @@
     crash_evidence: CrashEvidence,
     limit: ConcurrencyLimit,
     service_times: ServiceTimes,
-    backoff: Backoff,
+    retry_after: RetryAfter,
     /// Suspects known to the fleet.
     fleet_suspects: Arc<SuspectSet>,
     /// Suspects that this gate found itself; they apply before the fleet knows
@@ -222,7 +222,7 @@
             crash_evidence: CrashEvidence::default(),
             limit: ConcurrencyLimit::new(&policy, now),
             service_times: ServiceTimes::default(),
-            backoff: Backoff::new(settings.seed),
+            retry_after: RetryAfter::new(settings.seed),
             fleet_suspects: Arc::default(),
             own_suspects: Suspects::new(),
             cleared: Vec::new(),
@@ -327,7 +327,7 @@
     /// that the driver gives itself (for example if there is no connection to
     /// the target).
     pub fn refusal(&mut self, code: ResultCode) -> Refusal {
-        Refusal::retry_after(code, self.backoff.draw())
+        Refusal::retry_after(code, self.retry_after.draw())
     }
 
     /// Returns the load report that is sent with answers and control messages.
--- a/crates/core/src/gate/admission.rs
+++ b/crates/core/src/gate/admission.rs
@@ -49,7 +49,7 @@
             return SuspicionLevel::Clear;
         }
         let fleet_mark = self.fleet_suspects.mark(fingerprint);
-        fleet_mark.max(self.own_suspects.mark(fingerprint)).standing
+        fleet_mark.max(self.own_suspects.mark(fingerprint)).level
     }
 
     pub(super) const fn convicted_refusal() -> Refusal {
@@ -58,7 +58,7 @@
 
     /// Creates a refusal for overload and counts it.
     pub(super) fn overload_refusal(&mut self) -> Refusal {
-        self.backoff.note_refused();
+        self.retry_after.note_refused();
         self.refusal(ResultCode::Overloaded)
     }
 
--- a/crates/core/src/gate/backoff.rs
+++ b/crates/core/src/gate/backoff.rs
@@ -18,13 +18,13 @@
 
 /// Computes retry times that grow with the share of recently refused calls.
 #[derive(Debug)]
-pub(super) struct Backoff {
+pub(super) struct RetryAfter {
     rng: SmallRng,
     /// Smoothed share of arrivals refused for overload, 0 to 1.
     refused_share: f64,
 }
 
-impl Backoff {
+impl RetryAfter {
     pub(super) fn new(seed: u64) -> Self {
         Self {
             rng: SmallRng::seed_from_u64(seed),
--- a/crates/core/src/gate/run.rs
+++ b/crates/core/src/gate/run.rs
@@ -78,7 +78,7 @@
         admission: Admission,
         now: Millis,
     ) -> Verdict {
-        self.backoff.note_admitted();
+        self.retry_after.note_admitted();
         self.last_run_id += 1;
         let id = RunId(self.last_run_id);
         let run = Run {
--- a/crates/core/src/gate/tests/at_most_once.rs
+++ b/crates/core/src/gate/tests/at_most_once.rs
@@ -415,7 +415,7 @@
 }
 
 #[test]
-fn held_call_is_dropped_when_its_last_caller_leaves() {
+fn waiting_call_is_dropped_when_its_last_caller_leaves() {
     // The first caller of a waiting call leaves after another has joined, and
     // the call stays. When the second one leaves too, the key is fenced.
     let mut gate = gate(&policy());
--- a/crates/core/src/gate/tests/crash.rs
+++ b/crates/core/src/gate/tests/crash.rs
@@ -90,7 +90,7 @@
     assert_eq!(wakes, [Wake::Start(run_of(other))]);
     let cleared = gate.take_cleared();
     assert_eq!(cleared.len(), 1);
-    assert_eq!(cleared[0].standing, SuspicionLevel::Clear);
+    assert_eq!(cleared[0].level, SuspicionLevel::Clear);
     let again = gate.arrive(&with_fingerprint(1), Millis(13));
     assert!(
         matches!(again, Verdict::Run(_)),
@@ -112,7 +112,7 @@
     let report = gate.target_crashed(Millis(12));
     assert_eq!(report.entries.len(), 1);
     assert_eq!(report.entries[0].fingerprint, BAD);
-    assert_eq!(report.entries[0].standing, SuspicionLevel::Convicted);
+    assert_eq!(report.entries[0].level, SuspicionLevel::Convicted);
     let ticket = ticket(1, TICKET_TTL_MS);
     let refused = gate.arrive(
         &Arrival {
@@ -157,7 +157,7 @@
     let report = gate.target_crashed(Millis(14));
     assert_eq!(report.entries.len(), 1);
     assert_eq!(report.entries[0].fingerprint, BAD);
-    assert_eq!(report.entries[0].standing, SuspicionLevel::Convicted);
+    assert_eq!(report.entries[0].level, SuspicionLevel::Convicted);
 }
 
 #[test]
@@ -235,7 +235,7 @@
     let now = Millis(1);
     let other = run_of(gate.arrive(&with_fingerprint(1), now));
     assert_eq!(
-        gate.report_suspect(BAD, now).map(|entry| entry.standing),
+        gate.report_suspect(BAD, now).map(|entry| entry.level),
         Some(SuspicionLevel::Suspect)
     );
     let Verdict::Wait(bad) = gate.arrive(&with_fingerprint(BAD), now) else {
@@ -261,5 +261,5 @@
     gate.finish(run, answered_plain(), 1_000, Millis(5));
     let cleared = gate.take_cleared();
     assert_eq!(cleared.len(), 1);
-    assert_eq!(cleared[0].standing, SuspicionLevel::Clear);
+    assert_eq!(cleared[0].level, SuspicionLevel::Clear);
 }
--- a/crates/core/src/suspects/mark.rs
+++ b/crates/core/src/suspects/mark.rs
@@ -26,7 +26,7 @@
     /// Increases by one with each observation.
     pub(crate) version: u32,
     /// The suspicion level of the fingerprint.
-    pub(crate) standing: SuspicionLevel,
+    pub(crate) level: SuspicionLevel,
     /// Number of crashes since the request was last cleared.
     pub(crate) crashes: u8,
 }
@@ -35,15 +35,15 @@
     /// Returns this mark after one more crash.
     pub(crate) fn after_crash(self, alone: bool) -> Self {
         let crashes = self.crashes.saturating_add(1);
-        let repeated_alone = alone && self.standing != SuspicionLevel::Clear;
-        let standing = if repeated_alone || crashes >= SHARED_CRASHES_TO_CONVICT {
+        let repeated_alone = alone && self.level != SuspicionLevel::Clear;
+        let level = if repeated_alone || crashes >= SHARED_CRASHES_TO_CONVICT {
             SuspicionLevel::Convicted
         } else {
-            self.standing.max(SuspicionLevel::Suspect)
+            self.level.max(SuspicionLevel::Suspect)
         };
         Self {
             version: self.version.saturating_add(1),
-            standing,
+            level,
             crashes,
         }
     }
@@ -51,12 +51,12 @@
     /// Returns this mark after a successful run alone. A conviction only ends
     /// by expiry.
     pub(crate) fn after_successful_run(self) -> Self {
-        if self.standing != SuspicionLevel::Suspect {
+        if self.level != SuspicionLevel::Suspect {
             return self;
         }
         Self {
             version: self.version.saturating_add(1),
-            standing: SuspicionLevel::Clear,
+            level: SuspicionLevel::Clear,
             crashes: 0,
         }
     }
@@ -66,7 +66,7 @@
     /// A clearance is kept as long as a suspicion, so that it outlives every
     /// older suspicion that it overrides.
     pub(crate) const fn lifetime(self) -> Millis {
-        match self.standing {
+        match self.level {
             SuspicionLevel::Clear | SuspicionLevel::Suspect => Millis::from_secs(10 * 60),
             SuspicionLevel::Convicted => Millis::from_secs(30 * 60),
         }
@@ -84,7 +84,8 @@
     /// Number of observations that led to this entry.
     pub version: u32,
     /// The suspicion level of the request.
-    pub standing: SuspicionLevel,
+    #[serde(rename = "standing")]
+    pub level: SuspicionLevel,
     /// Number of crashes since the request was last cleared.
     pub crashes: u8,
     /// Time since the observation.
@@ -96,7 +97,7 @@
         Self {
             fingerprint,
             version: mark.version,
-            standing: mark.standing,
+            level: mark.level,
             crashes: mark.crashes,
             age_ms,
         }
@@ -105,7 +106,7 @@
     pub(crate) const fn mark(&self) -> Mark {
         Mark {
             version: self.version,
-            standing: self.standing,
+            level: self.level,
             crashes: self.crashes,
         }
     }
--- a/crates/core/src/suspects/set.rs
+++ b/crates/core/src/suspects/set.rs
@@ -31,7 +31,7 @@
     /// Returns the suspicion level of a fingerprint.
     #[must_use]
     pub fn level(&self, fingerprint: u64) -> SuspicionLevel {
-        self.mark(fingerprint).standing
+        self.mark(fingerprint).level
     }
 
     /// Whether the set is empty, which is the usual case.
@@ -42,10 +42,10 @@
 
     /// Returns the number of fingerprints with this level.
     #[must_use]
-    pub fn count(&self, standing: SuspicionLevel) -> usize {
+    pub fn count(&self, level: SuspicionLevel) -> usize {
         let mut count = 0;
         for entry in &self.marked {
-            count += usize::from(entry.mark.standing == standing);
+            count += usize::from(entry.mark.level == level);
         }
         count
     }
@@ -54,7 +54,7 @@
     pub fn iter(&self) -> impl Iterator<Item = (u64, SuspicionLevel)> + '_ {
         self.marked
             .iter()
-            .map(|entry| (entry.fingerprint, entry.mark.standing))
+            .map(|entry| (entry.fingerprint, entry.mark.level))
     }
 
     pub(crate) fn mark(&self, fingerprint: u64) -> Mark {
--- a/crates/core/src/suspects/store.rs
+++ b/crates/core/src/suspects/store.rs
@@ -46,7 +46,7 @@
         }
         Mark {
             version: self.mark.version,
-            standing: SuspicionLevel::Clear,
+            level: SuspicionLevel::Clear,
             crashes: 0,
         }
     }
@@ -60,7 +60,7 @@
 /// Order in which marks are evicted, lowest first.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct EvictionRank {
-    standing: SuspicionLevel,
+    level: SuspicionLevel,
     expires_at: Millis,
     fingerprint: u64,
 }
@@ -172,7 +172,7 @@
     /// Returns the suspicion level of a fingerprint.
     #[must_use]
     pub fn level(&self, fingerprint: u64) -> SuspicionLevel {
-        self.mark(fingerprint).standing
+        self.mark(fingerprint).level
     }
 
     /// Returns the number of stored fingerprints, including cleared and expired
@@ -209,7 +209,7 @@
     fn store(&mut self, fingerprint: u64, known: StoredMark) -> bool {
         if !self.known.contains_key(&fingerprint)
             && self.known.len() >= MAX_SUSPECTS
-            && !self.evict(known.mark.standing)
+            && !self.evict(known.mark.level)
         {
             return false;
         }
@@ -227,7 +227,7 @@
         let mut least: Option<EvictionRank> = None;
         for (fingerprint, known) in &self.known {
             let rank = EvictionRank {
-                standing: known.in_force().standing,
+                level: known.in_force().level,
                 expires_at: known.expires_at,
                 fingerprint: *fingerprint,
             };
@@ -235,7 +235,7 @@
                 least = Some(rank);
             }
         }
-        let Some(victim) = least.filter(|victim| victim.standing <= new_level) else {
+        let Some(victim) = least.filter(|victim| victim.level <= new_level) else {
             return false;
         };
         self.known.remove(&victim.fingerprint);
--- a/crates/core/src/suspects/tests.rs
+++ b/crates/core/src/suspects/tests.rs
@@ -6,11 +6,11 @@
 
 const MINUTE_MS: u64 = 60_000;
 
-fn entry(fingerprint: u64, version: u32, standing: SuspicionLevel, age_ms: u64) -> SuspectEntry {
+fn entry(fingerprint: u64, version: u32, level: SuspicionLevel, age_ms: u64) -> SuspectEntry {
     SuspectEntry {
         fingerprint,
         version,
-        standing,
+        level,
         crashes: 1,
         age_ms: Millis(age_ms),
     }
@@ -139,28 +139,28 @@
 }
 
 fn entries() -> impl Strategy<Value = Vec<SuspectEntry>> {
-    let standing = prop_oneof![
+    let level = prop_oneof![
         Just(SuspicionLevel::Clear),
         Just(SuspicionLevel::Suspect),
         Just(SuspicionLevel::Convicted)
     ];
-    let one = (1..4_u64, 1..4_u32, standing, 0..2_000_000_u64);
-    let one = one.prop_map(|(mark, version, standing, age)| entry(mark, version, standing, age));
+    let one = (1..4_u64, 1..4_u32, level, 0..2_000_000_u64);
+    let one = one.prop_map(|(mark, version, level, age)| entry(mark, version, level, age));
     proptest::collection::vec(one, 0..12)
 }
 
 proptest! {
     #[test]
-    fn order_and_repetition_of_news_do_not_matter(news in entries(), shuffled in entries()) {
+    fn order_and_repetition_of_entries_do_not_matter(first in entries(), shuffled in entries()) {
         // Nodes receive the same entries in different orders, some of them
         // twice, and must reach the same state.
-        let all: Vec<SuspectEntry> = news.iter().chain(&shuffled).copied().collect();
+        let all: Vec<SuspectEntry> = first.iter().chain(&shuffled).copied().collect();
         let mut one = Suspects::new();
         let mut other = Suspects::new();
         for entry in &all {
             one.merge(entry, Millis(5));
         }
-        for entry in all.iter().rev().chain(&news) {
+        for entry in all.iter().rev().chain(&first) {
             other.merge(entry, Millis(5));
         }
         prop_assert_eq!(one.snapshot(), other.snapshot());
--- a/crates/edge/src/suspicion.rs
+++ b/crates/edge/src/suspicion.rs
@@ -55,7 +55,7 @@
             .lock()
             .observe_crash(fingerprints, is_only_request, now);
         for entry in &entries {
-            let standing: &'static str = entry.standing.into();
+            let standing: &'static str = entry.level.into();
             let crashes = entry.crashes;
             let fingerprint = format!("{:016x}", entry.fingerprint);
             log::warn!(fingerprint, standing, crashes; "a target crashed with a request in flight");
@@ -121,7 +121,7 @@
 }
 
 fn to_notice(entry: &SuspectEntry) -> SuspectNotice {
-    let standing: &'static str = entry.standing.into();
+    let standing: &'static str = entry.level.into();
     SuspectNotice {
         fingerprint: entry.fingerprint,
         version: entry.version,
@@ -137,14 +137,14 @@
         SuspicionLevel::Suspect,
         SuspicionLevel::Convicted,
     ];
-    let standing = all.into_iter().find(|standing| {
-        let name: &'static str = standing.into();
+    let level = all.into_iter().find(|level| {
+        let name: &'static str = level.into();
         name == notice.standing
     })?;
     Some(SuspectEntry {
         fingerprint: notice.fingerprint,
         version: notice.version,
-        standing,
+        level,
         crashes: notice.crashes,
         age_ms: notice.age_ms,
     })
--- a/crates/node/src/report.rs
+++ b/crates/node/src/report.rs
@@ -300,12 +300,12 @@
         peer: target.peer,
         state,
         in_flight: 0,
-        load: target.load.map(|heard| LoadStatus {
-            in_flight: heard.report.in_flight,
-            queued: heard.report.queued,
-            limit: heard.report.limit,
-            service_time_us: heard.report.service_time_us,
-            load_age_ms: now.since(heard.received_at),
+        load: target.load.map(|received| LoadStatus {
+            in_flight: received.report.in_flight,
+            queued: received.report.queued,
+            limit: received.report.limit,
+            service_time_us: received.report.service_time_us,
+            load_age_ms: now.since(received.received_at),
         }),
         attempts: 0,
         failures: 0,
@@ -314,8 +314,8 @@
 
 fn suspects(routes: &RouteTable) -> SuspectStatus {
     let mut status = SuspectStatus::default();
-    for (fingerprint, standing) in routes.suspects.iter() {
-        let state = match standing {
+    for (fingerprint, level) in routes.suspects.iter() {
+        let state = match level {
             SuspicionLevel::Clear => continue,
             SuspicionLevel::Suspect => SuspectState::Suspected,
             SuspicionLevel::Convicted => SuspectState::Convicted,
