--- a/crates/core/src/control/rota.rs
+++ b/crates/core/src/control/rota.rs
@@ -30,8 +30,8 @@
 const MAX_CANDIDATES: usize = MAX_READERS + 1;
 /// Silence after which a candidate is ignored.
 ///
-/// News of a candidate reaches a data centre of 900 nodes within about five heartbeats.
-/// Three times that keeps a slow heartbeat from changing the rota.
+/// A note about a candidate reaches every node of a data centre of 900 nodes within about
+/// five heartbeats. Three times that keeps a slow heartbeat from changing the rota.
 const CANDIDATE_TIMEOUT: Millis = Millis::from_secs(15);
 
 #[derive(Clone, Debug)]
--- a/crates/core/src/control/tests/figures.rs
+++ b/crates/core/src/control/tests/figures.rs
@@ -198,8 +198,8 @@
     let concerned = figures.concerned + 2 * 2 * data_centres;
     assert!(figures.pulls_per_edit <= 2.0 * concerned as f64);
     assert!(figures.cold_start <= Millis::from_secs(8));
-    // Announcements miss about two nodes in a hundred. These receive the news with one of
-    // the next heartbeats.
+    // Announcements miss about two nodes in a hundred. These receive the change note with
+    // one of the next heartbeats.
     assert!(figures.in_force_p98 <= Millis(150));
     assert!(figures.in_force <= Millis::from_secs(3));
     assert!(figures.in_force_lossy_p98 <= Millis::from_secs(1));
--- a/crates/core/src/entry.rs
+++ b/crates/core/src/entry.rs
@@ -240,9 +240,9 @@
     /// same gate for a key as long as that gate is usable.
     ///
     /// The expiry is computed from the gate's clock as last reported, without
-    /// adding the time since then. A ticket may therefore expire early, which
-    /// its caller is told, but this node's clock error never lets it outlive
-    /// the gate's record.
+    /// adding the time since then. A ticket may therefore expire early, in
+    /// which case the gate answers that it has expired, but this node's clock
+    /// error never lets it outlive the gate's record.
     ///
     /// # Errors
     ///
--- a/crates/core/src/entry/steps.rs
+++ b/crates/core/src/entry/steps.rs
@@ -39,8 +39,8 @@
         /// Whether the target's own status was 5xx.
         failed: bool,
     },
-    /// The gate refused the attempt. [`AttemptEnd::may_have_run`] tells by the
-    /// code whether the request may have run.
+    /// The gate refused the attempt. [`AttemptEnd::may_have_run`] determines from
+    /// the code whether the request may have run.
     Refused(Refusal),
     /// The gate could not be reached; the request did not run.
     Unreachable,
--- a/crates/core/src/entry/tests/ejection.rs
+++ b/crates/core/src/entry/tests/ejection.rs
@@ -105,8 +105,8 @@
     assert_eq!(service.ejected_targets(), 0);
 }
 
-/// A caller's request is only used as a trial if the target is still heard
-/// from.
+/// A caller's request is used as a trial only if the target has made a
+/// statement recently. A doubtful target may be gone.
 #[test]
 fn a_doubtful_target_gets_no_trial() {
     let mut snapshot = view(4);
--- a/crates/core/src/entry/tests/retries.rs
+++ b/crates/core/src/entry/tests/retries.rs
@@ -116,7 +116,7 @@
 }
 
 /// The first attempt broke and may have run, and the retry was refused. The
-/// caller must not be told "not run" because of the refusal alone.
+/// caller must not be answered with "not run" because of the refusal alone.
 #[test]
 fn not_run_is_never_reported_after_an_attempt_that_may_have_run() {
     assert!(AttemptEnd::Broken.may_have_run());
@@ -316,8 +316,8 @@
     }
 }
 
-/// The caller of a convicted request is told to wait for minutes. With the
-/// usual maximum, it would retry dozens of times in vain.
+/// A convicted request is refused with a retry time of minutes. With the usual
+/// maximum, its caller would retry dozens of times in vain.
 #[test]
 fn a_convicted_request_keeps_its_gates_retry_after() {
     let gate_refusal = Refusal::retry_after(ResultCode::CrashSuspect, Millis::from_secs(600));
--- a/crates/core/src/gate/crash.rs
+++ b/crates/core/src/gate/crash.rs
@@ -110,9 +110,9 @@
     /// break at another gate. Call this before [`Self::arrive`].
     ///
     /// If a request crashes its target, the entry retries it within
-    /// milliseconds, before news of the crash reaches the next gate, and the
-    /// target there would crash as well, with every call running on it. As a
-    /// suspect, the request runs alone, and its second crash convicts it. An
+    /// milliseconds, before the report of the crash reaches the next gate, and
+    /// the target there would crash as well, with every call running on it. As
+    /// a suspect, the request runs alone, and its second crash convicts it. An
     /// innocent request waits for an idle moment, runs, and is cleared.
     pub fn report_suspect(&mut self, fingerprint: u64, now: Millis) -> Option<SuspectEntry> {
         let now = self.advance(now);
--- a/crates/core/src/gate/fence.rs
+++ b/crates/core/src/gate/fence.rs
@@ -10,7 +10,7 @@
     /// [`Self::take_wakes`] afterwards, which returns the refusal for the
     /// callers of a waiting call that was fenced.
     ///
-    /// "Not run" ([`ResultCode::Fenced`]) holds for ever, whatever is still in
+    /// "Not run" ([`ResultCode::Fenced`]) remains true, whatever is still in
     /// transit. If this gate cannot know the outcome (the ticket is for another
     /// incarnation, or it expired and its record was removed), the answer is
     /// [`ResultCode::GateLost`]. The requester has already sent the call, so a
--- a/crates/core/src/gate/records.rs
+++ b/crates/core/src/gate/records.rs
@@ -105,11 +105,12 @@
     /// Returns the refusal of a ticket that was fenced, or that expires no
     /// later than a fenced one.
     ///
-    /// A caller that was told "not run" returns with its own idempotency key
-    /// and a new ticket. The new ticket must not be refused until the old one
-    /// expires, because an overload of seconds would then block the call for
-    /// minutes. The expiry distinguishes the two, because a gate's clock only
-    /// moves forward. The old ticket stays refused even while the new one runs.
+    /// A caller that was answered with "not run" returns with its own
+    /// idempotency key and a new ticket. The new ticket must not be refused
+    /// until the old one expires, because an overload of seconds would then
+    /// block the call for minutes. The expiry distinguishes the two, because a
+    /// gate's clock only moves forward. The old ticket stays refused even while
+    /// the new one runs.
     pub(super) fn fenced_refusal(&self, ticket: &Ticket) -> Option<Refusal> {
         let record = self.by_key.get(&ticket.key)?;
         if ticket.expires_at <= record.created_at {
--- a/crates/core/src/gate/tests/admission.rs
+++ b/crates/core/src/gate/tests/admission.rs
@@ -157,8 +157,8 @@
 #[test]
 fn leaving_gate_refuses_new_work_and_finishes_the_rest() {
     // When the VM is leaving, running and waiting calls are finished. New calls
-    // are told at once that they did not run, and late duplicates of them must
-    // not run after the gate accepts work again.
+    // are refused at once as "not run", and late duplicates of them must not
+    // run after the gate accepts work again.
     let mut gate = gate(&policy());
     let running = run_of(gate.arrive(&plain(FAR_DEADLINE_MS), Millis(0)));
     let waiting = run_of(gate.arrive(&plain(FAR_DEADLINE_MS), Millis(0)));
--- a/crates/core/src/gate/tests/at_most_once.rs
+++ b/crates/core/src/gate/tests/at_most_once.rs
@@ -120,7 +120,7 @@
 #[test]
 fn call_that_the_target_did_not_run_is_fenced() {
     // The target rejects the call, or no connection to it can be opened.
-    // Nothing ran, all waiting callers are told so, and no late duplicate
+    // Nothing ran, all waiting callers get that answer, and no late duplicate
     // starts the call.
     let mut gate = gate(&policy());
     let ends = [
--- a/crates/core/src/suspects/store.rs
+++ b/crates/core/src/suspects/store.rs
@@ -12,7 +12,7 @@
 /// Each hop between nodes makes an entry look younger by its transit time. If
 /// an expired entry were removed at once, an echo from a node that received it
 /// later would restore it briefly, and in a large fleet such echoes could
-/// follow each other for ever. The tombstone is older than every echo and
+/// follow each other indefinitely. The tombstone is older than every echo and
 /// therefore wins.
 const TOMBSTONE_RETENTION: Millis = Millis::from_secs(60);
 
--- a/crates/core/src/suspects/tests.rs
+++ b/crates/core/src/suspects/tests.rs
@@ -41,7 +41,7 @@
 #[test]
 fn repeated_shared_crashes_lead_to_conviction() {
     // A request that exceeds its exclusive time is never alone in its crash. It
-    // must not be able to crash targets for ever.
+    // must not be able to crash targets indefinitely.
     let mut suspects = Suspects::new();
     for crash in 1..=4 {
         assert_ne!(suspects.level(1), SuspicionLevel::Convicted, "{crash}");
--- a/crates/core/src/view.rs
+++ b/crates/core/src/view.rs
@@ -56,16 +56,16 @@
     pub version: Option<ConfigVersion>,
     /// Policy of the whole deployment.
     pub deployment: Arc<DeploymentPolicy>,
-    /// The services for which this node holds the targets, by name.
+    /// The services that this node tracks, by name.
     pub services: BTreeMap<ServiceName, Arc<ServiceView>>,
     /// Every service name in the configuration. It distinguishes an unknown
-    /// service from one whose targets this node does not hold yet.
+    /// service from one that this node does not track yet.
     pub service_names: Arc<Vec<ServiceName>>,
     /// Requests that are suspected or convicted of crashing targets.
     pub suspects: Arc<SuspectSet>,
-    /// This node accepts no new work because it was told to leave, its target
-    /// is draining, the platform is removing the VM, or a later incarnation of
-    /// the VM is known. The gate on this node must reject new work while this
-    /// is set.
+    /// This node accepts no new work because its process is shutting down, its
+    /// target is draining, the platform is removing the VM, or a later
+    /// incarnation of the VM is known. The gate on this node must reject new
+    /// work while this is set.
     pub leaving: bool,
 }
--- a/crates/node/src/metrics.rs
+++ b/crates/node/src/metrics.rs
@@ -109,11 +109,11 @@
 /// Number of members known to this node, by state.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct MemberLevels {
-    /// Members heard from recently.
+    /// Members that made a statement recently.
     pub live: u32,
     /// Members that take no new work.
     pub leaving: u32,
-    /// Members not heard from for long.
+    /// Members that have made no statement for long.
     pub doubtful: u32,
 }
 
--- a/crates/wire/src/header.rs
+++ b/crates/wire/src/header.rs
@@ -51,5 +51,6 @@
 pub const TICKETED_PREFIX: &str = "/.hitch/t/";
 /// Path at which callers fetch tickets, followed by the service.
 pub const TICKETS_PREFIX: &str = "/.hitch/tickets/";
-/// Path at which an entry asks a gate about a key. The request fences the key.
+/// Path at which an entry queries a gate for the state of a key. The request fences the
+/// key.
 pub const FENCE_PATH: &str = "/.hitch/fence";
--- a/crates/wire/src/link.rs
+++ b/crates/wire/src/link.rs
@@ -284,7 +284,7 @@
     /// [`Self::Progress`].
     Change(Bytes),
     /// All changes up to this revision were sent. It is repeated as a heartbeat while
-    /// nothing changes, so that silence indicates a fault.
+    /// nothing changes, so that its absence indicates a fault.
     Progress {
         /// The revision.
         revision: u64,
