--- a/crates/core/src/control/dissemination.rs
+++ b/crates/core/src/control/dissemination.rs
@@ -303,15 +303,16 @@
             let known = holder.known;
             let helps_text = needs.text_behind && known.text > board.text_version();
             let helps_vms = needs.vms_behind && known.vms > board.list_version();
-            let is_level = known.text >= board.text_version() && known.vms >= board.list_version();
+            let is_up_to_date =
+                known.text >= board.text_version() && known.vms >= board.list_version();
             let is_whole = known.text_whole && known.vms_whole;
             let is_same_service = holder.service.as_ref() == Some(&board.settings.service);
             let is_partial = !has_whole_document(board);
             let can_answer = is_whole || (is_same_service && is_partial);
             let fit = match () {
-                () if needs.whole && is_whole && is_level => PeerFit::Good,
+                () if needs.whole && is_whole && is_up_to_date => PeerFit::Good,
                 () if needs.whole && !needs.text_behind && !needs.vms_behind => continue,
-                () if needs.slices && is_level && can_answer => PeerFit::Good,
+                () if needs.slices && is_up_to_date && can_answer => PeerFit::Good,
                 () if (helps_text || helps_vms) && can_answer => PeerFit::Good,
                 () if (helps_text || helps_vms) && is_partial => PeerFit::Other,
                 () => continue,
--- a/crates/core/src/control/members.rs
+++ b/crates/core/src/control/members.rs
@@ -333,7 +333,7 @@
         let is_local = *data_centre == self.own_data_centre;
         let limit = sample_limit(is_local);
         let mut size = 0;
-        let mut silent: Option<&Member> = None;
+        let mut longest_silent: Option<&Member> = None;
         for member in self.by_vm.values() {
             let is_local_too = member.data_centre == self.own_data_centre;
             if member.is_tracked || is_local_too != is_local {
@@ -343,14 +343,15 @@
             if member.is_fresh(now, SAMPLE_TIMEOUT) {
                 continue;
             }
-            if silent.is_none_or(|other| member.last_statement_at < other.last_statement_at) {
-                silent = Some(member);
+            if longest_silent.is_none_or(|other| member.last_statement_at < other.last_statement_at)
+            {
+                longest_silent = Some(member);
             }
         }
         if size < limit {
             return true;
         }
-        let Some(victim) = silent.map(|member| member.vm.clone()) else {
+        let Some(victim) = longest_silent.map(|member| member.vm.clone()) else {
             return false;
         };
         self.by_vm.remove(&victim);
@@ -399,9 +400,9 @@
             if member.is_tracked {
                 return true;
             }
-            let candidates = &mut room[usize::from(member.data_centre == *own)];
-            let stays = *candidates > 0;
-            *candidates = candidates.saturating_sub(1);
+            let free_slots = &mut room[usize::from(member.data_centre == *own)];
+            let stays = *free_slots > 0;
+            *free_slots = free_slots.saturating_sub(1);
             stays
         });
     }
--- a/crates/core/src/gate/backoff.rs
+++ b/crates/core/src/gate/backoff.rs
@@ -5,8 +5,8 @@
 
 use crate::prelude::*;
 
-const SHORTEST_MS: f64 = 50.0;
-const LONGEST_MS: f64 = 10_000.0;
+const MIN_RETRY_AFTER_MS: f64 = 50.0;
+const MAX_RETRY_AFTER_MS: f64 = 10_000.0;
 
 /// Weight of one decision in the smoothed share of refusals.
 const SMOOTHING: f64 = 1.0 / 32.0;
@@ -43,8 +43,9 @@
     /// Draws a time between 50 ms and 10 s. It grows exponentially with the
     /// share of refusals and has a jitter of 50% in both directions.
     pub(super) fn draw(&mut self) -> Millis {
-        let base_ms = SHORTEST_MS * (LONGEST_MS / SHORTEST_MS).powf(self.refused_share);
+        let base_ms =
+            MIN_RETRY_AFTER_MS * (MAX_RETRY_AFTER_MS / MIN_RETRY_AFTER_MS).powf(self.refused_share);
         let spread = self.rng.random_range(SPREAD_LOW..SPREAD_HIGH);
-        Millis((base_ms * spread).clamp(SHORTEST_MS, LONGEST_MS) as u64)
+        Millis((base_ms * spread).clamp(MIN_RETRY_AFTER_MS, MAX_RETRY_AFTER_MS) as u64)
     }
 }
--- a/crates/node/src/control_loop/handle.rs
+++ b/crates/node/src/control_loop/handle.rs
@@ -118,8 +118,8 @@
 
     /// Reports a suspicion against a request, or that this node's gate has
     /// cleared it.
-    pub fn suspicion(&self, note: SuspectEntry) {
-        self.send(ControlEvent::Suspicion(note));
+    pub fn suspicion(&self, entry: SuspectEntry) {
+        self.send(ControlEvent::Suspicion(entry));
     }
 
     /// Reports that the process is shutting down. This event must not be
