--- a/crates/dispatch/src/reach/tests.rs
+++ b/crates/dispatch/src/reach/tests.rs
@@ -10,33 +10,33 @@
 /// reached, and recovers with the first that answers.
 #[test]
 fn a_node_that_reaches_no_vm_is_partitioned() {
-    let mut reach = Reachability::default();
-    reach.note_reached(Millis(1_000));
-    reach.note_unreachable(vm(1));
-    reach.note_unreachable(vm(2));
-    assert!(!reach.is_partitioned(13, Millis(5_000)));
-    reach.note_unreachable(vm(3));
-    assert!(!reach.is_partitioned(13, Millis(1_599)));
-    assert!(reach.is_partitioned(13, Millis(1_600)));
-    reach.note_reached(Millis(1_700));
-    assert!(!reach.is_partitioned(13, Millis(9_000)));
+    let mut reachability = Reachability::default();
+    reachability.note_reached(Millis(1_000));
+    reachability.note_unreachable(vm(1));
+    reachability.note_unreachable(vm(2));
+    assert!(!reachability.is_partitioned(13, Millis(5_000)));
+    reachability.note_unreachable(vm(3));
+    assert!(!reachability.is_partitioned(13, Millis(1_599)));
+    assert!(reachability.is_partitioned(13, Millis(1_600)));
+    reachability.note_reached(Millis(1_700));
+    assert!(!reachability.is_partitioned(13, Millis(9_000)));
 }
 
 /// Several VMs fail at the same time, and others answer in between.
 #[test]
 fn a_node_that_reaches_any_vm_is_not_partitioned() {
-    let mut reach = Reachability::default();
+    let mut reachability = Reachability::default();
     for number in 0..10 {
-        reach.note_unreachable(vm(number));
-        reach.note_reached(Millis(u64::from(number) * 1_000));
+        reachability.note_unreachable(vm(number));
+        reachability.note_reached(Millis(u64::from(number) * 1_000));
     }
-    assert!(!reach.is_partitioned(13, Millis(60_000)));
+    assert!(!reachability.is_partitioned(13, Millis(60_000)));
 }
 
 #[test]
 fn small_fleets_need_fewer_unreachable_vms_and_a_single_vm_is_never_partitioned() {
-    let mut reach = Reachability::default();
-    assert!(!reach.is_partitioned(0, Millis(5_000)));
-    reach.note_unreachable(vm(1));
-    assert!(reach.is_partitioned(1, Millis(5_000)));
+    let mut reachability = Reachability::default();
+    assert!(!reachability.is_partitioned(0, Millis(5_000)));
+    reachability.note_unreachable(vm(1));
+    assert!(reachability.is_partitioned(1, Millis(5_000)));
 }
--- a/crates/dispatch/src/routes.rs
+++ b/crates/dispatch/src/routes.rs
@@ -172,7 +172,12 @@
     pub fn all_services(&self) -> HashSet<&ServiceName> {
         let mut services: HashSet<&ServiceName> = self.health_paths.keys().collect();
         for route in self.iter() {
-            services.extend(route.destinations.iter().map(|part| &part.service));
+            services.extend(
+                route
+                    .destinations
+                    .iter()
+                    .map(|destination| &destination.service),
+            );
         }
         services
     }
--- a/crates/dispatch/src/split.rs
+++ b/crates/dispatch/src/split.rs
@@ -60,8 +60,8 @@
             .deficits
             .get_mut(&route.name)
             .expect("the deficits of this route were just inserted");
-        let part = deficits.next_part();
-        route.destinations[part].service.clone()
+        let index = deficits.next_destination();
+        route.destinations[index].service.clone()
     }
 
     /// Discards the state of routes that are no longer configured.
@@ -82,29 +82,29 @@
             deficits: vec![0; route.destinations.len()],
         };
         for _ in 0..rng.random_range(0..PHASES) {
-            fresh.next_part();
+            fresh.next_destination();
         }
         fresh
     }
 
-    fn share_per_request(&self, part: usize) -> i64 {
+    fn share_per_request(&self, index: usize) -> i64 {
         let total: i64 = self
             .destinations
             .iter()
-            .map(|part| i64::from(part.weight))
+            .map(|destination| i64::from(destination.weight))
             .sum();
         if total == 0 {
             return ONE_REQUEST / self.destinations.len().max(1) as i64;
         }
-        ONE_REQUEST * i64::from(self.destinations[part].weight) / total
+        ONE_REQUEST * i64::from(self.destinations[index].weight) / total
     }
 
-    fn next_part(&mut self) -> usize {
+    fn next_destination(&mut self) -> usize {
         let mut largest = 0;
-        for part in 0..self.deficits.len() {
-            self.deficits[part] += self.share_per_request(part);
-            if self.deficits[part] > self.deficits[largest] {
-                largest = part;
+        for index in 0..self.deficits.len() {
+            self.deficits[index] += self.share_per_request(index);
+            if self.deficits[index] > self.deficits[largest] {
+                largest = index;
             }
         }
         self.deficits[largest] -= ONE_REQUEST;
--- a/crates/edge/src/entry/call.rs
+++ b/crates/edge/src/entry/call.rs
@@ -275,7 +275,7 @@
             let now = self.entry.now();
             let entries = self.entries();
             let mut state = self.entry.state.lock();
-            state.count_first(
+            state.count_first_attempt(
                 &self.request.service,
                 entries,
                 self.request.repeated_percent,
@@ -305,7 +305,7 @@
     fn drop(&mut self) {
         let mut state = self.entry.state.lock();
         for _ in 0..self.history.unused_tokens {
-            state.return_retry(&self.request.service);
+            state.refund_retry(&self.request.service);
         }
     }
 }
--- a/crates/edge/src/entry/state.rs
+++ b/crates/edge/src/entry/state.rs
@@ -51,7 +51,7 @@
     /// Counts a first attempt towards a service's retry budget, which `entries`
     /// entries share. If the request itself repeats an earlier run with a
     /// probability of `repeated_percent`, that share counts as a retry.
-    pub(super) fn count_first(
+    pub(super) fn count_first_attempt(
         &mut self,
         service: &ServiceName,
         entries: usize,
@@ -73,7 +73,7 @@
     }
 
     /// Returns the token of an attempt that reached no target.
-    pub(super) fn return_retry(&mut self, service: &ServiceName) {
+    pub(super) fn refund_retry(&mut self, service: &ServiceName) {
         if let Some(budget) = self.budgets.get_mut(service) {
             budget.refund();
         }
--- a/crates/edge/src/feed/tests.rs
+++ b/crates/edge/src/feed/tests.rs
@@ -6,7 +6,7 @@
 use super::*;
 use crate::source::Fact;
 
-fn left(revision: u64) -> Change {
+fn removed(revision: u64) -> Change {
     Change {
         revision,
         fact: Fact::Removed(TargetId::new(&format!("i-{revision}"))),
@@ -42,7 +42,7 @@
 
 fn open_feed() -> ChangeFeed {
     let feed = ChangeFeed::new(ProcessClock::start(), Waits::new(Millis(2_000)));
-    feed.append(&[left(10)], 10);
+    feed.append(&[removed(10)], 10);
     feed.set_status(FeedStatus::Open);
     feed
 }
@@ -50,7 +50,7 @@
 #[test]
 fn a_subscriber_receives_only_newer_changes() {
     let feed = open_feed();
-    feed.append(&[left(11), left(13)], 15);
+    feed.append(&[removed(11), removed(13)], 15);
     let update = feed.update_after(11).expect("an open feed");
     assert_eq!((revisions(&update), update.revision), (vec![13], 15));
     let update = feed.update_after(20).expect("an open feed");
@@ -70,7 +70,7 @@
 fn a_subscriber_behind_the_log_is_rejected() {
     let feed = open_feed();
     for revision in 12..=2_000 {
-        feed.append(&[left(revision)], revision);
+        feed.append(&[removed(revision)], revision);
     }
     assert_eq!(feed.update_after(12), None);
     let last = feed.update_after(1_999).expect("the latest are kept");
@@ -89,7 +89,7 @@
         feed.append(&[listed(revision, &id)], revision);
     }
     for revision in CHANGES + 1..=2 * CHANGES {
-        feed.append(&[left(revision)], revision);
+        feed.append(&[removed(revision)], revision);
     }
     let update = feed.update_after(0).expect("an open feed");
     let known = revisions(&update).into_iter();
@@ -115,7 +115,7 @@
 #[test]
 fn known_changes_wake_no_subscriber() {
     let feed = open_feed();
-    feed.append(&[left(12)], 12);
+    feed.append(&[removed(12)], 12);
     let mut subscriber = feed.subscribe();
     subscriber.mark_unchanged();
     feed.append(&[], 12);
@@ -143,7 +143,7 @@
         fact: Fact::Routes(routes),
     };
     let feed = open_feed();
-    feed.append(&[written, left(12)], 12);
+    feed.append(&[written, removed(12)], 12);
     let update = feed.update_after(10).expect("an open feed");
     assert_eq!(update.revision, 12);
     for change in &update.changes {
--- a/crates/edge/src/following.rs
+++ b/crates/edge/src/following.rs
@@ -35,7 +35,7 @@
 /// Number of doublings after which the debounce interval is no longer doubled.
 const MAX_DEBOUNCE_DOUBLINGS: u32 = 10;
 /// Number of failed reads in a row after which the pause is no longer doubled.
-const MAX_PAUSE_DOUBLINGS: u32 = 4;
+const MAX_BACKOFF_DOUBLINGS: u32 = 4;
 
 /// Settings of [`follow`].
 #[derive(Clone, Debug)]
@@ -122,7 +122,7 @@
                     self.known.renew(age_ms);
                     return;
                 }
-                Err(fault) => self.pause_after(&fault).await,
+                Err(fault) => self.back_off_after(&fault).await,
             }
         }
     }
@@ -154,7 +154,7 @@
                     log::info!("the source dropped its history; reading the complete listing");
                     return;
                 }
-                Err(fault) => self.pause_after(&fault).await,
+                Err(fault) => self.back_off_after(&fault).await,
             }
         }
     }
@@ -323,22 +323,22 @@
     }
 
     /// Pauses after a failed read, with exponential backoff and jitter.
-    async fn pause_after(&mut self, fault: &SourceFault) {
+    async fn back_off_after(&mut self, fault: &SourceFault) {
         self.known.note_failed_read();
         if self.failures == 0 {
             let known_ms = self.known.age_ms().0;
             let revision = self.known.revision();
             log::warn!(known_ms, revision; "reading the source failed: {fault}");
         }
-        let longest_ms = match self.role.is_follower() || self.role.is_led() {
+        let max_backoff_ms = match self.role.is_follower() || self.role.is_led() {
             true => self.waits.follower_max_backoff_ms(),
             false => self.waits.max_backoff_ms(),
         };
-        let doubled_ms =
-            Millis(self.waits.initial_backoff_ms().0 << self.failures.min(MAX_PAUSE_DOUBLINGS));
+        let backoff_ms =
+            Millis(self.waits.initial_backoff_ms().0 << self.failures.min(MAX_BACKOFF_DOUBLINGS));
         self.failures += 1;
         self.update_feed_status();
-        self.pause(doubled_ms.min(longest_ms)).await;
+        self.pause(backoff_ms.min(max_backoff_ms)).await;
     }
 
     /// Pauses for a random time between half of `max_ms` and `max_ms`.
--- a/crates/edge/src/gate.rs
+++ b/crates/edge/src/gate.rs
@@ -198,7 +198,7 @@
         };
         let mut queued = QueueGuard {
             gate: self,
-            place: Some(self.enqueue(&call)),
+            position: Some(self.enqueue(&call)),
         };
         let admitting = async {
             let slowness_percent = self.admit(&call, &mut queued, &terms).await?;
@@ -296,7 +296,7 @@
         queued: &mut QueueGuard<'_>,
         terms: &CallTerms,
     ) -> Result<u32, CallEnd> {
-        let place = queued.place.expect("the call was just queued");
+        let position = queued.position.expect("the call was just queued");
         loop {
             if self.rejects_new_work(terms) {
                 return Err(CallEnd::Leaving);
@@ -309,7 +309,7 @@
             // missed.
             changed.as_mut().enable();
             let now = self.clock.now();
-            let verdict = self.state.lock().admission.decide(place, call, now);
+            let verdict = self.state.lock().admission.decide(position, call, now);
             match verdict {
                 Verdict::Start if self.departure.lock().health_is_due(now) => {
                     self.read_speed().await;
--- a/crates/edge/src/gate/guards.rs
+++ b/crates/edge/src/gate/guards.rs
@@ -17,24 +17,24 @@
 /// Removes a call from the queue when dropped, unless the call has started.
 pub(super) struct QueueGuard<'a> {
     pub(super) gate: &'a Gate,
-    pub(super) place: Option<QueuePosition>,
+    pub(super) position: Option<QueuePosition>,
 }
 
 impl QueueGuard<'_> {
     /// Moves the call from the queue to the running calls.
     pub(super) fn start(&mut self) {
-        if let Some(place) = self.place.take() {
-            self.gate.state.lock().admission.start(place);
+        if let Some(position) = self.position.take() {
+            self.gate.state.lock().admission.start(position);
         }
     }
 }
 
 impl Drop for QueueGuard<'_> {
     fn drop(&mut self) {
-        let Some(place) = self.place.take() else {
+        let Some(position) = self.position.take() else {
             return;
         };
-        self.gate.state.lock().admission.dequeue(place);
+        self.gate.state.lock().admission.dequeue(position);
         self.gate.changed.notify_waiters();
     }
 }
--- a/crates/edge/src/gate/health.rs
+++ b/crates/edge/src/gate/health.rs
@@ -37,11 +37,11 @@
         self.departure
             .lock()
             .note_health(is_unhealthy, self.clock.now());
-        self.read_listing_if_due();
+        self.look_up_entry_if_due();
     }
 
     /// Starts a read of the target's listing in the background if one is due.
-    pub(super) fn read_listing_if_due(self: &Arc<Self>) {
+    pub(super) fn look_up_entry_if_due(self: &Arc<Self>) {
         let directory = self.directory.load();
         let Some(member) = directory.members.at_address(self.listed_address) else {
             return;
@@ -51,15 +51,15 @@
         }
         let gate = Arc::clone(self);
         let id = member.id.clone();
-        tokio::spawn(async move { gate.read_listing(&id).await });
+        tokio::spawn(async move { gate.look_up_entry(&id).await });
     }
 
-    async fn read_listing(&self, id: &TargetId) {
+    async fn look_up_entry(&self, id: &TargetId) {
         let read = self
             .source
             .read_target(id, self.waits.idle_timeout_ms())
             .await;
-        let listing = match read {
+        let listing_state = match read {
             Ok(Some(member)) if member.draining => ListingState::Draining,
             Ok(Some(_)) => ListingState::Open,
             Ok(None) => ListingState::Unlisted,
@@ -69,10 +69,10 @@
                 return;
             }
         };
-        if !self.departure.lock().note_entry(id, listing) {
+        if !self.departure.lock().note_entry(id, listing_state) {
             return;
         }
-        let name: &str = listing.into();
+        let name: &str = listing_state.into();
         log::info!(target_id = id.as_str(), entry = name; "the listing state of the target has changed");
         self.changed.notify_waiters();
     }
--- a/crates/edge/src/gate/lives.rs
+++ b/crates/edge/src/gate/lives.rs
@@ -36,7 +36,7 @@
         let directory = self.directory.load();
         let id = TargetId::new(&terms.target_id);
         if self.departure.lock().has_left(&id) {
-            self.read_listing_if_due();
+            self.look_up_entry_if_due();
             return true;
         }
         let Some(member) = directory.members.get(&id) else {
--- a/crates/edge/src/suspicion.rs
+++ b/crates/edge/src/suspicion.rs
@@ -137,14 +137,14 @@
         SuspicionLevel::Suspect,
         SuspicionLevel::Convicted,
     ];
-    let standing = all.into_iter().find(|standing| {
-        let name: &'static str = standing.into();
+    let level = all.into_iter().find(|level| {
+        let name: &'static str = level.into();
         name == notice.standing
     })?;
     Some(SuspectEntry {
         fingerprint: notice.fingerprint,
         version: notice.version,
-        standing,
+        standing: level,
         crashes: notice.crashes,
         age_ms: notice.age_ms,
     })
--- a/crates/edge/tests/all/answers.rs
+++ b/crates/edge/tests/all/answers.rs
@@ -57,7 +57,7 @@
     let fleet = fleet(&["s"]).await;
     let answer = request(fleet.vms[0].callers, "POST", "/pay/foreign", "id-1").await;
     assert_eq!((answer.status(), answer.body.as_str()), (200, "mine"));
-    assert_eq!(fleet.vms[0].target.runs_of("id-1"), 1);
+    assert_eq!(fleet.vms[0].target.run_count("id-1"), 1);
 }
 
 /// Guards against reusing a connection with an unfinished body. A target answers
@@ -72,7 +72,7 @@
     assert_eq!(caller.answer().await.expect("an answer").body, "early");
     let answer = caller.request("GET", "/read/ok", "id-2").await;
     assert_eq!((answer.status(), answer.body.as_str()), (200, "served 0"));
-    assert_eq!(fleet.vms[0].target.runs_of("id-2"), 1);
+    assert_eq!(fleet.vms[0].target.run_count("id-2"), 1);
 }
 
 /// A caller sends several lookups without waiting for answers. All run concurrently,
@@ -92,7 +92,7 @@
     }
     crate::support::target::until("the last lookup runs beside the first", || {
         let vms = &fleet.vms;
-        vms.iter().any(|vm| vm.target.runs_of("id-3") == 1)
+        vms.iter().any(|vm| vm.target.run_count("id-3") == 1)
     })
     .await;
     let before_first = started.elapsed();
--- a/crates/edge/tests/all/at_most_once.rs
+++ b/crates/edge/tests/all/at_most_once.rs
@@ -88,5 +88,5 @@
     tokio::time::sleep(Duration::from_millis(400)).await;
     let answer = request(callers, "POST", "/pay/ok", "id-4").await;
     assert_eq!(answer.status(), 200);
-    assert_eq!(target.runs_of("id-4"), 1);
+    assert_eq!(target.run_count("id-4"), 1);
 }
--- a/crates/edge/tests/all/callers.rs
+++ b/crates/edge/tests/all/callers.rs
@@ -32,7 +32,7 @@
         (200, Some("close"))
     );
     assert!(caller.answer().await.is_err());
-    assert_eq!(vm.target.runs_of("id-3"), 0);
+    assert_eq!(vm.target.run_count("id-3"), 0);
 }
 
 #[tokio::test]
@@ -130,7 +130,7 @@
     let mut first = Caller::connect(vm.callers).await;
     first.send("POST", "/pay/slow", "id-1", &half).await;
     until("the first body is at the target", || {
-        vm.target.runs_of("id-1") == 1
+        vm.target.run_count("id-1") == 1
     })
     .await;
     let mut second = Caller::connect(vm.callers).await;
@@ -143,5 +143,5 @@
     let mut third = Caller::connect(vm.callers).await;
     third.send("POST", "/pay/ok", "id-3", &half).await;
     assert_eq!(third.answer().await.expect("an answer").status(), 200);
-    assert_eq!(vm.target.runs_of("id-2"), 0);
+    assert_eq!(vm.target.run_count("id-2"), 0);
 }
--- a/crates/edge/tests/all/giving_up.rs
+++ b/crates/edge/tests/all/giving_up.rs
@@ -65,7 +65,7 @@
     // counts as stuck, and a hedge is sent to the second target.
     let answer = request(fleet.vms[0].callers, "GET", "/read/", "id-1").await;
     assert_eq!(answer.status(), 200);
-    assert_eq!(fleet.vms[1].target.runs_of("id-1"), 1);
+    assert_eq!(fleet.vms[1].target.run_count("id-1"), 1);
 }
 
 /// Guards against a gate that stops probing a target for good. The target fails its
@@ -84,7 +84,7 @@
         let id = format!("id-{number}");
         let answer = request(fleet.vms[0].callers, "POST", "/pay/x", &id).await;
         if answer.status() == 503 {
-            assert_eq!(target.runs_of(&id), 0);
+            assert_eq!(target.run_count(&id), 0);
             return;
         }
         tokio::time::sleep(Duration::from_millis(50)).await;
--- a/crates/edge/tests/all/support/target.rs
+++ b/crates/edge/tests/all/support/target.rs
@@ -96,7 +96,7 @@
     }
 
     /// The number of runs of a request.
-    pub fn runs_of(&self, request_id: &str) -> usize {
+    pub fn run_count(&self, request_id: &str) -> usize {
         let ran = self.journal.ran.lock();
         ran.iter()
             .filter(|ran| http1::field(&ran.head.fields, REQUEST_ID) == Some(request_id))
