--- a/crates/dispatch/src/departure.rs
+++ b/crates/dispatch/src/departure.rs
@@ -2,7 +2,7 @@
 //! node receives.
 //!
 //! The gate checks the target's health before it starts calls. A target that fails the
-//! check is failing, is leaving, or has a wrong health check; its entry in the list tells
+//! check is failing, is leaving, or has a wrong health check; its entry in the list shows
 //! which. So the gate looks up the entry itself while the check fails, and refuses calls
 //! once the entry shows that the target leaves.
 //!
--- a/crates/dispatch/src/members.rs
+++ b/crates/dispatch/src/members.rs
@@ -91,7 +91,7 @@
 }
 
 /// One incarnation of a target. A target may restart under the same id; its start time
-/// then tells the incarnations apart.
+/// then distinguishes the incarnations.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct TargetIncarnation {
     /// Id of the target.
--- a/crates/dispatch/src/order.rs
+++ b/crates/dispatch/src/order.rs
@@ -15,7 +15,7 @@
 /// that its recovery is noticed before its failure score decays.
 const PROBE_ONE_IN: u32 = 24;
 
-/// A target, with the properties that decide its place in the order.
+/// A target, with the properties that decide its position in the order.
 #[derive(Clone, Debug)]
 pub struct Candidate {
     /// The target.
--- a/crates/dispatch/src/routes.rs
+++ b/crates/dispatch/src/routes.rs
@@ -11,7 +11,7 @@
 #[cfg(test)]
 pub(crate) mod tests;
 
-/// Says whether calls of a route may be repeated.
+/// Kind of a route's calls: whether they may be repeated, and whether they are uploads.
 #[derive(
     Clone,
     Copy,
--- a/crates/dispatch/src/split.rs
+++ b/crates/dispatch/src/split.rs
@@ -87,6 +87,7 @@
         fresh
     }
 
+    /// Returns the share of a destination in each request, in millionths.
     fn share_per_request(&self, index: usize) -> i64 {
         let total: i64 = self
             .destinations
@@ -99,6 +100,8 @@
         ONE_REQUEST * i64::from(self.destinations[index].weight) / total
     }
 
+    /// Returns the index of the destination that is furthest behind its share, and counts
+    /// a request for it.
     fn next_destination(&mut self) -> usize {
         let mut largest = 0;
         for index in 0..self.deficits.len() {
--- a/crates/edge/src/entry/call/ending.rs
+++ b/crates/edge/src/entry/call/ending.rs
@@ -9,7 +9,7 @@
 use crate::prelude::*;
 use crate::target::{is_server_error, is_success};
 
-/// Range of `Retry-After` of a refusal. Slow periods and queues last about this
+/// Range of `Retry-After` of a refusal. Slow spells and queues last about this
 /// long; the random spread keeps callers from retrying in lockstep.
 const RETRY_AFTER_MS: std::ops::Range<u64> = 60..260;
 
@@ -122,7 +122,7 @@
     }
 
     /// Handles the loss of an attempt's link. For a non-idempotent call the gate is
-    /// asked for the outcome: a retry might run it twice, and giving up would leave the
+    /// queried for the outcome: a retry might run it twice, and giving up would leave the
     /// caller without the outcome.
     pub(super) fn handle_link_loss(
         &mut self,
--- a/crates/edge/src/entry/call/selection.rs
+++ b/crates/edge/src/entry/call/selection.rs
@@ -18,8 +18,8 @@
 /// Minimum time between the start of the first round and the second. It grows with
 /// each round; otherwise full targets would cause a storm of refusals.
 const MIN_ROUND_PAUSE_MS: Millis = Millis(12);
-/// Maximum time between the starts of two rounds. A slow period of a target lasts
-/// a few of these.
+/// Maximum time between the starts of two rounds. A slow spell of a target lasts a
+/// few of these.
 const MAX_ROUND_PAUSE_MS: Millis = Millis(48);
 /// Delay before a hedge that its gate refused is sent again.
 const HEDGE_RETRY_MS: Millis = Millis(25);
--- a/crates/edge/src/feed/subscriptions.rs
+++ b/crates/edge/src/feed/subscriptions.rs
@@ -79,7 +79,7 @@
 /// Health of a reader, as seen by a subscriber.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ReaderHealth {
-    /// The reader is not connected or silent.
+    /// The reader is not connected, or has stopped sending.
     Lost,
     /// The reader publishes, but its own last read failed.
     Unhealthy,
--- a/crates/edge/src/following.rs
+++ b/crates/edge/src/following.rs
@@ -34,7 +34,7 @@
 const FIRST_DEBOUNCE_MS: Millis = Millis(200);
 /// Number of doublings after which the debounce interval is no longer doubled.
 const MAX_DEBOUNCE_DOUBLINGS: u32 = 10;
-/// Number of failed reads in a row after which the pause is no longer doubled.
+/// Number of failed reads in a row after which the backoff is no longer doubled.
 const MAX_BACKOFF_DOUBLINGS: u32 = 4;
 
 /// Settings of [`follow`].
--- a/crates/edge/src/following/tests.rs
+++ b/crates/edge/src/following/tests.rs
@@ -95,7 +95,7 @@
             for step in 0..SECOND_FAULT_STEPS {
                 // Each step starts at a different time between two renewals.
                 let start_ms = 5_000 + step * 90;
-                // A long fault lets the pauses after failed reads reach their maximum.
+                // A long fault lets the backoff after failed reads reach its maximum.
                 let duration_ms = if step % 2 == 0 { 1_700 } else { 5_000 };
                 let first_fault = FaultWindow {
                     fault: first,
--- a/crates/edge/src/gate.rs
+++ b/crates/edge/src/gate.rs
@@ -48,7 +48,7 @@
     pub suspicion: Arc<Suspicion>,
     /// Metrics of this node.
     pub metrics: Arc<Metrics>,
-    /// Source from which the gate reads its target's listing.
+    /// Source in which the gate looks up its target's entry.
     pub source: SharedSource,
     /// Intervals and time limits.
     pub waits: Waits,
@@ -366,7 +366,7 @@
 
     /// Waits until no call is queued or running.
     pub async fn drained(&self) {
-        /// The end of a run is not signalled to this function, so it polls.
+        /// Interval of polling, since the end of a run is not signalled to this function.
         const POLL_INTERVAL: Duration = Duration::from_millis(20);
         while !self.is_idle() {
             tokio::time::sleep(POLL_INTERVAL).await;
--- a/crates/edge/src/gate/health.rs
+++ b/crates/edge/src/gate/health.rs
@@ -30,8 +30,8 @@
         self.changed.notify_waiters();
     }
 
-    /// Passes on the target's last reported health, which may make a read of its
-    /// listing due.
+    /// Passes on the target's last reported health, which may make a lookup of its entry
+    /// due.
     fn note_health(self: &Arc<Self>) {
         let is_unhealthy = self.speed.is_unhealthy();
         self.departure
@@ -40,7 +40,7 @@
         self.look_up_entry_if_due();
     }
 
-    /// Starts a read of the target's listing in the background if one is due.
+    /// Starts a lookup of the target's entry in the background if one is due.
     pub(super) fn look_up_entry_if_due(self: &Arc<Self>) {
         let directory = self.directory.load();
         let Some(member) = directory.members.at_address(self.listed_address) else {
@@ -63,7 +63,7 @@
             Ok(Some(member)) if member.draining => ListingState::Draining,
             Ok(Some(_)) => ListingState::Open,
             Ok(None) => ListingState::Unlisted,
-            // The previous state stays in force, and the read is retried later.
+            // The previous state stays in force, and the lookup is retried later.
             Err(fault) => {
                 log::warn!("reading the listing of the target {id} failed: {fault}");
                 return;
--- a/crates/edge/src/gate/speed.rs
+++ b/crates/edge/src/gate/speed.rs
@@ -18,7 +18,7 @@
 /// Delay before a target that reported no load is probed again. A target that is
 /// starting, or whose health check fails for another reason, reports none for a
 /// while. If it were never probed again, the gate would start calls during all of
-/// its later slow periods. One probe a second is little next to the calls.
+/// its later slow spells. One probe a second is little next to the calls.
 const REPROBE_AFTER_MS: Millis = Millis(1_000);
 
 /// The target refused the connection.
@@ -97,7 +97,7 @@
     }
 
     /// Logs each change of the target's health. An unhealthy target is either faulty or
-    /// about to leave; its listing tells which.
+    /// about to leave; its entry in the list shows which.
     fn note_health(&self, status: u16) {
         let is_unhealthy = !is_success(status);
         if self.is_unhealthy.swap(is_unhealthy, Ordering::Relaxed) == is_unhealthy {
--- a/crates/edge/src/http1/head.rs
+++ b/crates/edge/src/http1/head.rs
@@ -38,7 +38,7 @@
     pub method: String,
     /// Path and query.
     pub path: String,
-    /// HTTP/1.1, not 1.0.
+    /// Whether the version is HTTP/1.1 rather than HTTP/1.0.
     pub is_http11: bool,
     /// Header fields in their order.
     pub fields: Vec<HeaderField>,
@@ -49,7 +49,7 @@
 pub struct ResponseHead {
     /// Status.
     pub status: u16,
-    /// HTTP/1.1, not 1.0.
+    /// Whether the version is HTTP/1.1 rather than HTTP/1.0.
     pub is_http11: bool,
     /// Header fields in their order.
     pub fields: Vec<HeaderField>,
@@ -130,8 +130,8 @@
 }
 
 impl RequestHead {
-    /// Parses a head at the start of `bytes`; `None` when more bytes are
-    /// needed. With it comes the head's length.
+    /// Parses a head at the start of `bytes`. Returns the head and its length in bytes,
+    /// or `None` if more bytes are needed.
     ///
     /// # Errors
     ///
@@ -227,8 +227,8 @@
 }
 
 impl ResponseHead {
-    /// Parses a head at the start of `bytes`; `None` when more bytes are
-    /// needed. With it comes the head's length.
+    /// Parses a head at the start of `bytes`. Returns the head and its length in bytes,
+    /// or `None` if more bytes are needed.
     ///
     /// # Errors
     ///
--- a/crates/edge/src/link/client.rs
+++ b/crates/edge/src/link/client.rs
@@ -180,8 +180,9 @@
     frames: mpsc::UnboundedSender<ToGate>,
     calls: Mutex<HashMap<CallId, OpenCall>>,
     last_id: AtomicU64,
+    /// Whether the link has ended.
     dead: AtomicBool,
-    /// The gate has not answered the last ping in time.
+    /// Whether the gate has failed to answer the last ping in time.
     unresponsive: AtomicBool,
     /// Wakes the reading task after a request, since a response is now due.
     request_sent: tokio::sync::Notify,
--- a/crates/edge/src/link/outgoing.rs
+++ b/crates/edge/src/link/outgoing.rs
@@ -15,7 +15,8 @@
     pub head: CallHead,
     /// The whole body of the request.
     pub body: Bytes,
-    /// Only the terms are sent at first, because the gate is likely to refuse the call.
+    /// Whether only the terms are sent at first, because the gate is likely to refuse
+    /// the call.
     pub offers_terms_first: bool,
 }
 
--- a/crates/edge/src/target.rs
+++ b/crates/edge/src/target.rs
@@ -55,7 +55,7 @@
     pub method: String,
     /// Id that the answer must echo, or `None` for a health check.
     pub request_id: Option<String>,
-    /// The request may run more than once.
+    /// Whether the request may run more than once.
     pub is_idempotent: bool,
     /// Encoded head and body.
     pub bytes: Bytes,
--- a/crates/routed/src/program.rs
+++ b/crates/routed/src/program.rs
@@ -22,7 +22,7 @@
 /// Time within which a change of the text or the VM list is in force. Callers that are
 /// notified of a change wait about as long.
 const IN_FORCE_MS: Millis = Millis(2_000);
-/// Retry budget of a service over all entries: extra attempts up to a fifth of its
+/// Retry budget of a service over all entries: extra arrivals up to a fifth of its
 /// requests, which is the usual ratio, plus a fixed number for services with few
 /// requests.
 const RETRY_LIMIT: RetryLimit = RetryLimit {
