--- a/crates/dispatch/src/admission/tests/properties.rs
+++ b/crates/dispatch/src/admission/tests/properties.rs
@@ -57,7 +57,7 @@
 const SPELL_MS: u64 = 60;
 
 /// A gate and its target, whose speed changes with the load of other VMs on the host.
-struct World {
+struct Simulation {
     admission: Admission,
     now: Millis,
     /// Slowness of the target in each [`SPELL_MS`], repeated endlessly.
@@ -69,7 +69,7 @@
     refused: usize,
 }
 
-impl World {
+impl Simulation {
     fn slowness_percent(&self) -> u32 {
         let spell = (self.now.0 / SPELL_MS) as usize;
         self.spells[spell % self.spells.len()]
@@ -139,7 +139,7 @@
         spells in proptest::collection::vec(80_u32..700, 1..8),
         slots in 1_u32..16,
     ) {
-        let mut world = World {
+        let mut simulation = Simulation {
             admission: Admission::default(),
             now: Millis(1_000),
             spells,
@@ -148,21 +148,21 @@
             started: 0,
             refused: 0,
         };
-        world.admission.set_slots(slots);
+        simulation.admission.set_slots(slots);
         for arrival in &arrivals {
             for _ in 0..arrival.after_ms {
-                world.tick(slots);
+                simulation.tick(slots);
             }
-            let call = at(&arrival.call, world.now);
-            let position = world.admission.enqueue(&call, world.now);
-            world.queue.push((position, call));
-            world.settle(slots);
+            let call = at(&arrival.call, simulation.now);
+            let position = simulation.admission.enqueue(&call, simulation.now);
+            simulation.queue.push((position, call));
+            simulation.settle(slots);
         }
         for _ in 0..=MAX_QUEUE_MS {
-            world.tick(slots);
+            simulation.tick(slots);
         }
-        prop_assert_eq!(world.queue.len(), 0, "still queued");
-        prop_assert_eq!(world.admission.queued(), 0);
-        prop_assert_eq!(world.started + world.refused, arrivals.len());
+        prop_assert_eq!(simulation.queue.len(), 0, "still queued");
+        prop_assert_eq!(simulation.admission.queued(), 0);
+        prop_assert_eq!(simulation.started + simulation.refused, arrivals.len());
     }
 }
--- a/crates/edge/src/feed.rs
+++ b/crates/edge/src/feed.rs
@@ -186,8 +186,8 @@
             }
             // An update is sent after a change and after each interval, so the result is
             // irrelevant.
-            let resend_interval = self.waits.publish_interval_ms().to_duration();
-            let _ = tokio::time::timeout(resend_interval, changed.changed()).await;
+            let publish_interval = self.waits.publish_interval_ms().to_duration();
+            let _ = tokio::time::timeout(publish_interval, changed.changed()).await;
         }
     }
 
--- a/crates/edge/src/feed/links.rs
+++ b/crates/edge/src/feed/links.rs
@@ -46,11 +46,11 @@
             let mut buffer = BytesMut::new();
             link::encode(&ToGate::Subscribe { revision: known }, &mut buffer)?;
             writer.write_all(&buffer).await?;
-            let stream_of_feed: Box<dyn FeedStream> = Box::new(TcpFeedStream {
+            let feed_stream: Box<dyn FeedStream> = Box::new(TcpFeedStream {
                 reader: FrameReader::new(frames),
                 _writer: writer,
             });
-            Ok(stream_of_feed)
+            Ok(feed_stream)
         })
     }
 }
--- a/crates/edge/src/link/server.rs
+++ b/crates/edge/src/link/server.rs
@@ -230,8 +230,8 @@
 
     fn submit(&mut self, id: CallId, request: GateRequest) {
         let sink = answer_sink(id, self.answers.clone(), Arc::clone(&self.active_calls));
-        let wanted = self.gate.submit(request, sink);
-        self.active_calls.lock().insert(id, wanted);
+        let guard = self.gate.submit(request, sink);
+        self.active_calls.lock().insert(id, guard);
     }
 }
 
--- a/crates/routed/src/source.rs
+++ b/crates/routed/src/source.rs
@@ -266,10 +266,13 @@
     read.unwrap_or_else(|_| Err(SourceFault::Failed("no answer in time".to_owned())))
 }
 
-fn diff_members(before: &BTreeMap<TargetId, Member>, now: BTreeMap<TargetId, Member>) -> Vec<Fact> {
-    let gone = before.keys().filter(|id| !now.contains_key(*id));
-    let mut facts: Vec<Fact> = gone.cloned().map(Fact::Removed).collect();
-    for (id, member) in now {
+fn diff_members(
+    before: &BTreeMap<TargetId, Member>,
+    current: BTreeMap<TargetId, Member>,
+) -> Vec<Fact> {
+    let removed = before.keys().filter(|id| !current.contains_key(*id));
+    let mut facts: Vec<Fact> = removed.cloned().map(Fact::Removed).collect();
+    for (id, member) in current {
         if before.get(&id) != Some(&member) {
             facts.push(Fact::Listed(member));
         }
