--- a/crates/dispatch/src/routes.rs
+++ b/crates/dispatch/src/routes.rs
@@ -11,7 +11,7 @@
 #[cfg(test)]
 pub(crate) mod tests;
 
-/// Says whether calls of a route may be repeated.
+/// Kind of a route's calls: whether they may be repeated, and whether they are uploads.
 #[derive(
     Clone,
     Copy,
@@ -172,7 +172,12 @@
     pub fn all_services(&self) -> HashSet<&ServiceName> {
         let mut services: HashSet<&ServiceName> = self.health_paths.keys().collect();
         for route in self.iter() {
-            services.extend(route.destinations.iter().map(|part| &part.service));
+            services.extend(
+                route
+                    .destinations
+                    .iter()
+                    .map(|destination| &destination.service),
+            );
         }
         services
     }
--- a/crates/edge/src/gate.rs
+++ b/crates/edge/src/gate.rs
@@ -48,7 +48,7 @@
     pub suspicion: Arc<Suspicion>,
     /// Metrics of this node.
     pub metrics: Arc<Metrics>,
-    /// Source from which the gate reads its target's listing.
+    /// Source in which the gate looks up its target's entry.
     pub source: SharedSource,
     /// Intervals and time limits.
     pub waits: Waits,
@@ -198,7 +198,7 @@
         };
         let mut queued = QueueGuard {
             gate: self,
-            place: Some(self.enqueue(&call)),
+            position: Some(self.enqueue(&call)),
         };
         let admitting = async {
             let slowness_percent = self.admit(&call, &mut queued, &terms).await?;
@@ -296,7 +296,7 @@
         queued: &mut QueueGuard<'_>,
         terms: &CallTerms,
     ) -> Result<u32, CallEnd> {
-        let place = queued.place.expect("the call was just queued");
+        let position = queued.position.expect("the call was just queued");
         loop {
             if self.rejects_new_work(terms) {
                 return Err(CallEnd::Leaving);
@@ -309,7 +309,7 @@
             // missed.
             changed.as_mut().enable();
             let now = self.clock.now();
-            let verdict = self.state.lock().admission.decide(place, call, now);
+            let verdict = self.state.lock().admission.decide(position, call, now);
             match verdict {
                 Verdict::Start if self.departure.lock().health_is_due(now) => {
                     self.read_speed().await;
@@ -366,7 +366,7 @@
 
     /// Waits until no call is queued or running.
     pub async fn drained(&self) {
-        /// The end of a run is not signalled to this function, so it polls.
+        /// Interval of polling, since the end of a run is not signalled to this function.
         const POLL_INTERVAL: Duration = Duration::from_millis(20);
         while !self.is_idle() {
             tokio::time::sleep(POLL_INTERVAL).await;
